--- a/brackenwalk/__main__.py
+++ b/cache_router/__main__.py
@@ -15,14 +15,14 @@
 
 import orjson
 
-from brackenwalk import interface as api
-from brackenwalk.net.clients import Listener
-from brackenwalk.net.discovery import Discovery, ListError, read_list
-from brackenwalk.net.host import Host, Member
-from brackenwalk.net.origin import OriginConnection
-from brackenwalk.net.pool import Pool, address_of, is_port
-from brackenwalk.net.servers import CacheConnection
-from brackenwalk.settings import number, read_settings, section
+from cache_router import interface as api
+from cache_router.net.cache_connection import CacheConnection
+from cache_router.net.client_connection import Listener
+from cache_router.net.connection_pool import Pool, address_of, is_port
+from cache_router.net.discovery import Discovery, ListError, read_list
+from cache_router.net.dispatcher import Host, Member
+from cache_router.net.origin_connection import OriginConnection
+from cache_router.settings import number, read_settings, section
 
 STILL_COMING = 0.5  # seconds after SIGTERM in which new connections come: 0.2 to 0.4, and a little more
 LONGEST_WAIT = 3.0  # SIGKILL comes no earlier than the longest deadline, or this where it is longer,
@@ -185,7 +185,7 @@
     try:
         asyncio.run(serve(read_config(read_file(path)), path))
     except ConfigError as e:
-        print(f"brackenwalk: {e}", file=sys.stderr)
+        print(f"cache_router: {e}", file=sys.stderr)
         return 2
     return 0
 
--- a/brackenwalk/policy.py
+++ b/cache_router/decisions/router.py
@@ -1,6 +1,6 @@
-"""Every decision of a brackenwalk router, as a state machine without I/O.
+"""Every decision of a cache_router router, as a state machine without I/O.
 
-The types, events and actions it speaks in are in `brackenwalk/interface.py`.
+The types, events and actions it speaks in are in `cache_router/interface.py`.
 
 Each key is hashed onto a ring of weighted virtual nodes and sent to the first server clockwise; the walk
 goes on past servers whose load has reached (1 + epsilon) times the average.
@@ -15,9 +15,9 @@
 from dataclasses import dataclass, field
 from itertools import islice
 
-from brackenwalk import interface as api
-from brackenwalk import ramp
-from brackenwalk.ring import Ring, ring_hash
+from cache_router import interface as api
+from cache_router.decisions import slow_start as ramp
+from cache_router.decisions.hash_ring import Ring, ring_hash
 
 POINTS = 128  # virtual nodes of a server as large as the unit of weight: shares within a tenth or so
 EPSILON = 0.25  # a server may stand this far above the average load before the walk passes it
--- a/brackenwalk/ramp.py
+++ b/cache_router/decisions/slow_start.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass, field
 
-from brackenwalk import interface as api
+from cache_router import interface as api
 
 
 def is_cold(settings: api.Settings, entry: api.ServerEntry, now: float) -> bool:
--- a/brackenwalk/net/servers.py
+++ b/cache_router/net/cache_connection.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from brackenwalk.interface import Status
-from brackenwalk.net.command import MAX_VALUE, Command
-from brackenwalk.net.pool import Answer, Connection, MalformedAnswer, Pool
-from brackenwalk.net.resp import NOT_YET, ErrorLine, Reader, RespError, pack
+from cache_router.interface import Status
+from cache_router.net.command import MAX_VALUE, Command
+from cache_router.net.connection_pool import Answer, Connection, MalformedAnswer, Pool
+from cache_router.net.resp import NOT_YET, ErrorLine, Reader, RespError, pack
 
 MAX_ITEMS = 16  # of an answer's three and of whatever stands in a load report's place
 MAX_ANSWER = MAX_VALUE + 8192  # the value and what stands round it
--- a/brackenwalk/net/clients.py
+++ b/cache_router/net/client_connection.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 from functools import partial
 
-from brackenwalk.net.command import MAX_INFO, MAX_KEY, MAX_VALUE, CommandError, read_command
-from brackenwalk.net.host import Host
-from brackenwalk.net.pool import hung_up, readable
-from brackenwalk.net.resp import NOT_YET, Message, Reader, RespError
+from cache_router.net.command import MAX_INFO, MAX_KEY, MAX_VALUE, CommandError, read_command
+from cache_router.net.connection_pool import hung_up, readable
+from cache_router.net.dispatcher import Host
+from cache_router.net.resp import NOT_YET, Message, Reader, RespError
 
 MAX_COMMAND = MAX_VALUE + MAX_KEY + MAX_INFO + 4096  # bytes held for a command that is not whole
 MAX_PARTS = 16
--- a/brackenwalk/net/pool.py
+++ b/cache_router/net/connection_pool.py
@@ -9,8 +9,8 @@
 from abc import abstractmethod
 from collections.abc import Callable
 
-from brackenwalk.interface import Status
-from brackenwalk.net.command import Command
+from cache_router.interface import Status
+from cache_router.net.command import Command
 
 IDLE_MARGIN = 0.5  # seconds before the peer may close an idle connection at which it is no longer used
 ANSWER_TIME = 0.1  # seconds for the rest of an answer once it has begun: it is sent in one go
--- a/brackenwalk/net/discovery.py
+++ b/cache_router/net/discovery.py
@@ -10,10 +10,10 @@
 
 import orjson
 
-from brackenwalk import interface as api
-from brackenwalk.net.host import Member
-from brackenwalk.net.http import HttpClient, HttpError
-from brackenwalk.net.pool import address_of, is_port
+from cache_router import interface as api
+from cache_router.net.connection_pool import address_of, is_port
+from cache_router.net.dispatcher import Member
+from cache_router.net.http import HttpClient, HttpError
 
 STATES = {"in_service": api.State.READY, "terminating": api.State.DRAINING, "terminated": api.State.GONE}
 MAX_LIST = 4 * 1024 * 1024
--- a/brackenwalk/net/host.py
+++ b/cache_router/net/dispatcher.py
@@ -14,11 +14,11 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-from brackenwalk import interface as api
-from brackenwalk.net.command import Command, CommandError
-from brackenwalk.net.pool import Exchange, Pool
-from brackenwalk.policy import Router
-from brackenwalk.settings import read_load
+from cache_router import interface as api
+from cache_router.decisions.router import Router
+from cache_router.net.command import Command, CommandError
+from cache_router.net.connection_pool import Exchange, Pool
+from cache_router.settings import read_load
 
 # before the client's deadline, which counts from its send: measured, the way takes 1.3 ms at most in each
 # direction and this process 1.4 ms at the 99th percentile; the rest is for a core that others keep busy
--- a/brackenwalk/net/origin.py
+++ b/cache_router/net/origin_connection.py
@@ -4,10 +4,10 @@
 
 from urllib.parse import quote_from_bytes
 
-from brackenwalk.interface import Status
-from brackenwalk.net.command import MAX_VALUE, Command
-from brackenwalk.net.http import HttpClient, HttpError
-from brackenwalk.net.pool import Answer, Connection, MalformedAnswer, Pool
+from cache_router.interface import Status
+from cache_router.net.command import MAX_VALUE, Command
+from cache_router.net.connection_pool import Answer, Connection, MalformedAnswer, Pool
+from cache_router.net.http import HttpClient, HttpError
 
 
 class OriginConnection(Connection):
--- a/brackenwalk/settings.py
+++ b/cache_router/settings.py
@@ -5,7 +5,7 @@
 import math
 from typing import Any
 
-from brackenwalk import interface as api
+from cache_router import interface as api
 
 SHORTEST = 0.001  # seconds: what is divided by must not be nothing
 EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.KEYED, "single_shot": api.Effect.UNSAFE}
--- a/brackenwalk/wirehost.py
+++ b/cache_router/simulator_adapter.py
@@ -8,9 +8,9 @@
 
 import orjson
 
-from brackenwalk import interface as api
-from brackenwalk.policy import Router
-from brackenwalk.settings import read_load, read_settings
+from cache_router import interface as api
+from cache_router.decisions.router import Router
+from cache_router.settings import read_load, read_settings
 
 STATES = {"active": api.State.READY, "leaving": api.State.DRAINING, "left": api.State.GONE}
 KINDS = {
@@ -144,7 +144,7 @@
             report = router.settings.report if router is not None else ()
             read = read_outcome(event, report) if op == "Done" else READERS[op](event)
         except api.SettingsError as e:
-            print(f"brackenwalk: {e}", file=sys.stderr)
+            print(f"cache_router: {e}", file=sys.stderr)
             commands.append({"op": "InternalError", "routerId": number_, "line": str(e)})
             return
         except (KeyError, TypeError, ValueError, AttributeError) as e:
@@ -164,7 +164,7 @@
         try:
             reply = host.batch(line)
         except WireError as e:
-            print(f"brackenwalk: {e}", file=sys.stderr)
+            print(f"cache_router: {e}", file=sys.stderr)
             return 2
         sys.stdout.buffer.write(reply)
         sys.stdout.buffer.flush()
--- a/scalelab/__main__.py
+++ b/scale_experiments/__main__.py
@@ -10,9 +10,9 @@
 import structlog
 from pydantic import BaseModel
 
-from scalelab import log
-from scalelab.experiment import InputError, kind_named, kind_names, load_experiment, size_schema
-from scalelab.runner import run as run_experiment
+from scale_experiments import log
+from scale_experiments.experiment import InputError, kind_named, kind_names, load_experiment, size_schema
+from scale_experiments.runner import run as run_experiment
 
 KEPT, BROKEN, BAD_INPUT, FAILED, INTERRUPTED = 0, 1, 2, 3, 130
 RESULTS = Path(__file__).parent / "results"
@@ -32,10 +32,14 @@
     """Measure what routers, and what surrounds them, cost at growing sizes.
 
     \b
-    python -m scalelab kinds                                      what can be measured
-    python -m scalelab run scalelab/experiments/list-change.toml  measure, and keep the result
-    python -m scalelab fit scalelab/results/list-change.json      slopes of a result, with errors
-    python -m scalelab report                                     write the tables of docs/CAPACITY.md
+    python -m scale_experiments kinds
+        what can be measured
+    python -m scale_experiments run scale_experiments/experiments/list-change.toml
+        measure, and keep the result
+    python -m scale_experiments fit scale_experiments/results/list-change.json
+        slopes of a result, with errors
+    python -m scale_experiments report
+        write the tables of docs/CAPACITY.md
 
     Everything stays on this machine's loopback. The log goes to standard error, a JSON object a line.
     """
@@ -48,7 +52,7 @@
     "--out",
     type=click.Path(path_type=Path, file_okay=False),
     default=RESULTS,
-    help="Folder of the result; scalelab/results unless given.",
+    help="Folder of the result; scale_experiments/results unless given.",
 )
 @click.option("--label", default="", help="Keep the result as NAME.LABEL.json: a trial, or `before`.")
 def run(experiment: Path, out: Path, label: str) -> None:
@@ -56,7 +60,7 @@
 
     \b
     name = "list-change"      # the file's name, without .toml
-    kind = "list_change"      # what is measured: see `python -m scalelab kinds`
+    kind = "list_change"      # what is measured: see `python -m scale_experiments kinds`
     seed = 1                  # of the first repeat; the next takes 2
     repeats = 3
     time_limit_s = 600        # of the whole run
@@ -131,7 +135,7 @@
 @click.argument("results", nargs=-1, required=True, type=click.Path(path_type=Path))
 def fit(results: tuple[Path, ...]) -> None:
     """Fit slopes, with their errors, to the samples of RESULTS, files that `run` has kept."""
-    sys.exit(import_module("scalelab.fit").main(list(results)))
+    sys.exit(import_module("scale_experiments.fit").main(list(results)))
 
 
 @cli.command(
@@ -140,7 +144,7 @@
 @click.option("--check", is_flag=True, help="Write nothing; fail where page and results differ.")
 def report(check: bool) -> None:
     """Write the tables of docs/CAPACITY.md from the kept results."""
-    sys.exit(import_module("scalelab.report").main(check))
+    sys.exit(import_module("scale_experiments.report").main(check))
 
 
 def main() -> None:
--- a/scalelab/lab.py
+++ b/scale_experiments/context.py
@@ -40,7 +40,7 @@
     def __init__(self, time_limit_s: float, tell: Callable[[str], None] = lambda text: None) -> None:
         self.ends_at = time.monotonic() + time_limit_s
         self.tell = tell
-        self.folder = Path(tempfile.mkdtemp(prefix="scalelab-"))
+        self.folder = Path(tempfile.mkdtemp(prefix="scale_experiments-"))
         self.processes: list[subprocess.Popen[bytes]] = []
         self.shields = 0  # while any is up, an interruption waits
         self.interruption: KeyboardInterrupt | None = None
--- a/scalelab/standins/cache.py
+++ b/scale_experiments/emulators/cache.py
@@ -1,6 +1,6 @@
 """Page caches, some hundreds in one process at an address each, and the origin behind them.
 
-    python -m scalelab.standins.cache
+    python -m scale_experiments.emulators.cache
 
 A cache only stores: a miss is told, and once the origin has answered that request the key is held. The first
 request on a connection takes `handshake_s` longer, as TLS would. A connection over the limit is turned away
@@ -15,9 +15,9 @@
 from collections import OrderedDict, deque
 from typing import Any, Literal
 
-from brackenwalk.net.resp import NOT_YET, Reader, RespError
-from scalelab.standins.control import serve, usage
-from scalelab.standins.origin import Origin
+from cache_router.net.resp import NOT_YET, Reader, RespError
+from scale_experiments.emulators.control import serve, usage
+from scale_experiments.emulators.origin import Origin
 
 MAX_VALUE = 64 * 1024
 KEPT_MISSES = 50_000  # requests that missed and wait for the origin
--- a/scalelab/standins/clients.py
+++ b/scale_experiments/emulators/clients.py
@@ -1,6 +1,6 @@
 """Clients of routers: an open load of reads and writes over RESP2, keys by Zipf's law, all from one seed.
 
-    python -m scalelab.standins.clients
+    python -m scale_experiments.emulators.clients
 
 A client holds on to its connections and opens a further one when all are busy; a request that crossed the
 router's close is sent once more. A request is not repeated otherwise. Commands (`do`): `start`, `rest` (no
@@ -20,8 +20,8 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from brackenwalk.net.resp import NOT_YET, ErrorLine, Message, Reader, RespError, pack
-from scalelab.standins.control import serve, usage
+from cache_router.net.resp import NOT_YET, ErrorLine, Message, Reader, RespError, pack
+from scale_experiments.emulators.control import serve, usage
 
 MAX_VALUE = 64 * 1024
 LONGEST_US = 60_000_000
--- a/scalelab/standins/discovery.py
+++ b/scale_experiments/emulators/discovery.py
@@ -1,6 +1,6 @@
 """Discovery: whole lists and watches over HTTP/1.1, for many thousands of waiting calls.
 
-    python -m scalelab.standins.discovery 127.0.1.1:0
+    python -m scale_experiments.emulators.discovery 127.0.1.1:0
 
 Commands (`do`): `list` and `change` (`index`, `endpoints` in discovery's form), `serve`, `silent` (calls
 are accepted, read and never answered), `refuse` (all connections are reset and new ones refused), `busy`
@@ -20,7 +20,7 @@
 
 import orjson
 
-from scalelab.standins.control import serve, usage
+from scale_experiments.emulators.control import serve, usage
 
 LONGEST_HEAD = 8192  # bytes of a call
 LONGEST_WAIT_MS = 60_000
--- a/scalelab/experiment.py
+++ b/scale_experiments/experiment.py
@@ -26,8 +26,8 @@
     create_model,
 )
 
-from scalelab import kinds
-from scalelab.lab import Lab, Sample
+from scale_experiments import scenarios as kinds
+from scale_experiments.context import Lab, Sample
 
 LONGEST_S = 7200.0  # that a run may take
 MOST_SIZES = 100
@@ -57,7 +57,7 @@
 
 
 class Kind(Protocol):
-    """A module of `scalelab/kinds/`.
+    """A module of `scale_experiments/scenarios/`.
 
     It may also say which columns its sizes have: as `SIZES`, names or name -> meaning, or as `Size`,
     a schema.
--- a/scalelab/fit.py
+++ b/scale_experiments/fit.py
@@ -19,9 +19,9 @@
 import numpy as np
 import numpy.typing as npt
 
-from scalelab.experiment import InputError
-from scalelab.results import Result, load_result
-from scalelab.target import Target, load_target
+from scale_experiments.experiment import InputError
+from scale_experiments.results import Result, load_result
+from scale_experiments.target import Target, load_target
 
 Array = npt.NDArray[np.float64]
 Size = Mapping[str, float]
--- a/scalelab/fleet.py
+++ b/scale_experiments/fleet.py
@@ -1,8 +1,9 @@
 """Many instances of the decision module before modelled page caches, on a simulated clock.
 
-Each instance is a `brackenwalk.policy.Router` that is told only its own events. What it asks for is done as
-`brackenwalk/net/host.py` and `brackenwalk/net/pool.py` do it: one attempt at a time on a connection, which is
-kept until the module closes it, its idle time is over, or the budget of descriptors needs its place.
+Each instance is a `cache_router.decisions.router.Router` that is told only its own events. What it asks for
+is done as `cache_router/net/dispatcher.py` and `cache_router/net/connection_pool.py` do it: one attempt at a
+time on a connection, which is kept until the module closes it, its idle time is
+over, or the budget of descriptors needs its place.
 
 A large fleet is simulated by a sample of its routers: `Model.routers` are told to the module as siblings,
 `Model.sampled` of them are run, and the cores and places of the page caches hold for the sample. What is
@@ -25,11 +26,12 @@
 
 import numpy as np
 
-from brackenwalk import interface as api
-from brackenwalk.policy import Router
+from cache_router import interface as api
+from cache_router.decisions.router import Router
 
 START = 1000.0  # of the simulated clock; a list's time of 0 means long ago
-IDLE_MARGIN = 0.5  # as in brackenwalk/net/pool.py, which this module does not load: it needs an event loop
+# as in cache_router/net/connection_pool.py, which this module does not load: it needs an event loop
+IDLE_MARGIN = 0.5
 ORIGIN = "origin"
 READ, WRITE = "page-read", "markings-save"
 BLOCK = 4096  # keys drawn at once
--- a/scalelab/hollow.py
+++ b/scale_experiments/hollow.py
@@ -1,6 +1,6 @@
 """Hollow routers: hundreds in one process, each with the real watch over a real socket and no clients.
 
-    python -m scalelab.hollow
+    python -m scale_experiments.hollow
 
 A router here is the program's own `Discovery` and `Host`, put together as the program does it. With `held`
 = "router" the decision module takes every list; with "list" the host keeps the list, and the module is told
@@ -22,14 +22,14 @@
 from collections.abc import Callable
 from typing import Any
 
-from brackenwalk import interface as api
-from brackenwalk.net.discovery import MAX_LIST, Discovery, ListError, read_list
-from brackenwalk.net.host import Host, Member
-from brackenwalk.net.origin import OriginConnection
-from brackenwalk.net.pool import Pool, address_of
-from brackenwalk.net.servers import CacheConnection
-from brackenwalk.settings import read_settings
-from scalelab.standins.control import serve, usage
+from cache_router import interface as api
+from cache_router.net.cache_connection import CacheConnection
+from cache_router.net.connection_pool import Pool, address_of
+from cache_router.net.discovery import MAX_LIST, Discovery, ListError, read_list
+from cache_router.net.dispatcher import Host, Member
+from cache_router.net.origin_connection import OriginConnection
+from cache_router.settings import read_settings
+from scale_experiments.emulators.control import serve, usage
 
 KEPT_INDICES = 512  # whose times are kept for each router
 HEAD = re.compile(rb"HTTP/1.1 (\d+) .*?\r\ncontent-length: *(\d+)\r\n.*?\r\n\r\n", re.IGNORECASE | re.DOTALL)
--- a/scalelab/report.py
+++ b/scale_experiments/report.py
@@ -1,4 +1,4 @@
-"""Writes the tables of docs/CAPACITY.md from kept results and from the lines of scalelab/capacity.toml.
+"""Writes the tables of docs/CAPACITY.md from kept results and from the lines of `capacity.toml`.
 
 A line is something that a role has to carry: what it takes at a size, worked out by a small expression from
 metrics that were measured and fitted, figures that the operators gave, and assumptions; what it may take; and
@@ -20,9 +20,9 @@
 
 from pydantic import BaseModel, BeforeValidator, ConfigDict, Field, ValidationError, model_validator
 
-from scalelab.experiment import InputError, fault, read_table
-from scalelab.expression import Expression, ExpressionError
-from scalelab.fit import (
+from scale_experiments.experiment import InputError, fault, read_table
+from scale_experiments.expression import Expression, ExpressionError
+from scale_experiments.fit import (
     ALONG,
     BEYOND,
     NEAR,
@@ -42,14 +42,14 @@
     varying,
     with_error,
 )
-from scalelab.results import Result, load_result
-from scalelab.target import Target, load_target
+from scale_experiments.results import Result, load_result
+from scale_experiments.target import Target, load_target
 
 ROOT = Path(__file__).resolve().parent.parent
 PAGE = Path("docs/CAPACITY.md")
-LINES = Path("scalelab/capacity.toml")
-RESULTS = Path("scalelab/results")
-TARGET = Path("scalelab/experiments/target.toml")
+LINES = Path("scale_experiments/capacity.toml")
+RESULTS = Path("scale_experiments/results")
+TARGET = Path("scale_experiments/experiments/target.toml")
 
 MISSING = "missing"
 BROKEN_THERE, HELD_THERE = "broken where measured", "not broken where measured"
@@ -834,6 +834,7 @@
     at = next((i for i, (a, b) in enumerate(zip(old, new, strict=False)) if a != b), min(len(old), len(new)))
     have, want = (x[at] if at < len(x) else "(end)" for x in (old, new))
     print(
-        f"scalelab report: {PAGE}:{at + 1}: the page has {have!r}, the results give {want!r}", file=sys.stderr
+        f"scale_experiments report: {PAGE}:{at + 1}: the page has {have!r}, the results give {want!r}",
+        file=sys.stderr,
     )
     return 1
--- a/scalelab/results.py
+++ b/scale_experiments/results.py
@@ -15,8 +15,8 @@
 from hdrh.histogram import HdrHistogram
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from scalelab.experiment import Budget, Experiment, InputError, fault
-from scalelab.lab import Sample
+from scale_experiments.context import Sample
+from scale_experiments.experiment import Budget, Experiment, InputError, fault
 
 ROOT = Path(__file__).parent.parent
 PACKAGES = ("click", "h11", "hdrhistogram", "numpy", "orjson", "psutil", "pydantic", "structlog")
@@ -100,7 +100,7 @@
 def versions() -> Versions:
     """Of this program, its interpreter and packages, and the machine."""
     revision = git("rev-parse", "HEAD") or "unknown"
-    if git("status", "--porcelain", "--untracked-files=no", "--", "brackenwalk", "scalelab/*.py"):
+    if git("status", "--porcelain", "--untracked-files=no", "--", "cache_router", "scale_experiments/*.py"):
         revision += "+changes"
     return Versions(
         python=platform.python_version(),
--- a/scalelab/runner.py
+++ b/scale_experiments/runner.py
@@ -12,10 +12,10 @@
 import structlog
 from pydantic import BaseModel
 
-from scalelab.experiment import Experiment, Kind
-from scalelab.lab import Lab, Sample, TimeLimit
-from scalelab.log import Progress
-from scalelab.results import Result, measured, new_result, write_result
+from scale_experiments.context import Lab, Sample, TimeLimit
+from scale_experiments.experiment import Experiment, Kind
+from scale_experiments.log import Progress
+from scale_experiments.results import Result, measured, new_result, write_result
 
 TO_STOP_S = 1.0  # for a kind to end by itself once its time is over, before it is broken off
 
--- a/scalelab/kinds/cold_start.py
+++ b/scale_experiments/scenarios/cold_start.py
@@ -12,9 +12,9 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-from brackenwalk import interface as api
-from scalelab.fleet import Fleet, Model, place_keys, site_settings
-from scalelab.lab import Lab, Sample
+from cache_router import interface as api
+from scale_experiments.context import Lab, Sample
+from scale_experiments.fleet import Fleet, Model, place_keys, site_settings
 
 SIZES = ("routers", "caches", "cores")
 METRICS = {
--- a/scalelab/kinds/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -15,8 +15,8 @@
 from hdrh.histogram import HdrHistogram
 from pydantic import BaseModel, ConfigDict, Field
 
-from scalelab.fleet import Fleet, Model, site_settings
-from scalelab.lab import Lab, Sample
+from scale_experiments.context import Lab, Sample
+from scale_experiments.fleet import Fleet, Model, site_settings
 
 MEETING = 10.0  # seconds within which the caches that a router meets are counted
 LEAST_RUN = 10  # routers
--- a/scalelab/kinds/list_change.py
+++ b/scale_experiments/scenarios/list_change.py
@@ -18,15 +18,15 @@
 from hdrh.histogram import HdrHistogram
 from pydantic import BaseModel, ConfigDict, Field
 
-from brackenwalk import interface as api
-from brackenwalk.net.discovery import read_list
-from brackenwalk.net.host import Host
-from brackenwalk.net.origin import OriginConnection
-from brackenwalk.net.pool import Pool
-from brackenwalk.net.servers import CacheConnection
-from brackenwalk.policy import Router
-from brackenwalk.settings import read_settings
-from scalelab.lab import Lab, Sample
+from cache_router import interface as api
+from cache_router.decisions.router import Router
+from cache_router.net.cache_connection import CacheConnection
+from cache_router.net.connection_pool import Pool
+from cache_router.net.discovery import read_list
+from cache_router.net.dispatcher import Host
+from cache_router.net.origin_connection import OriginConnection
+from cache_router.settings import read_settings
+from scale_experiments.context import Lab, Sample
 
 LONGEST_US = 60_000_000  # that a histogram holds
 CHANGES = ("drain", "gone", "join", "restart", "weight")
--- a/scalelab/kinds/list_change_process.py
+++ b/scale_experiments/scenarios/list_change_process.py
@@ -20,11 +20,11 @@
 import psutil
 from pydantic import BaseModel, ConfigDict, Field
 
-from scalelab.cpu import process_cpu_s
-from scalelab.kinds import list_change
-from scalelab.kinds.sockets import built
-from scalelab.lab import Lab, Sample
-from scalelab.standins.control import Control
+from scale_experiments.context import Lab, Sample
+from scale_experiments.cpu import process_cpu_s
+from scale_experiments.emulators.control import Control
+from scale_experiments.scenarios import list_change
+from scale_experiments.scenarios.sockets import built
 
 READY_MOST_S = 60.0
 TAKEN_MOST_S = 30.0  # for a router to take a change and ask for the next
@@ -139,7 +139,9 @@
     references = [list_change.reference()]
     lab.progress("start")
     pipes = {"stdin": subprocess.PIPE, "stdout": subprocess.PIPE}
-    standin = lab.spawn([sys.executable, "-m", "scalelab.standins.discovery", "127.0.0.1:0"], **pipes)
+    standin = lab.spawn(
+        [sys.executable, "-m", "scale_experiments.emulators.discovery", "127.0.0.1:0"], **pipes
+    )
     discovery = Control(standin, "discovery")
     address = discovery.reply()["address"]
     discovery.ask("list", index=2, endpoints=lines)
--- a/scalelab/kinds/placement.py
+++ b/scale_experiments/scenarios/placement.py
@@ -15,9 +15,9 @@
 import numpy as np
 from pydantic import BaseModel, ConfigDict, Field
 
-from brackenwalk import interface as api
-from scalelab.fleet import place_keys, site_settings
-from scalelab.lab import Lab, Sample
+from cache_router import interface as api
+from scale_experiments.context import Lab, Sample
+from scale_experiments.fleet import place_keys, site_settings
 
 SIZES = ("groups", "skew")
 METRICS = {
--- a/scalelab/kinds/sockets.py
+++ b/scale_experiments/scenarios/sockets.py
@@ -23,12 +23,12 @@
 from hdrh.histogram import HdrHistogram
 from pydantic import BaseModel, ConfigDict, Field
 
-from scalelab.kinds.list_change import reference
-from scalelab.lab import Lab, Sample
-from scalelab.standins.control import Control
+from scale_experiments.context import Lab, Sample
+from scale_experiments.emulators.control import Control
+from scale_experiments.scenarios.list_change import reference
 
 ROOT = Path(__file__).parent.parent.parent
-BUILT_FROM = ("brackenwalk", "deploy", "requirements.txt")
+BUILT_FROM = ("cache_router", "deploy", "requirements.txt")
 BUILD_MOST_S = 300.0
 READY_MOST_S = 30.0
 PATIENCE_S = 60.0
@@ -187,7 +187,9 @@
 
     def _standin(self, name: str, *args: str) -> Control:
         pipes = {"stdin": subprocess.PIPE, "stdout": subprocess.PIPE}
-        process = self.lab.spawn([sys.executable, "-m", f"scalelab.standins.{name}", *args], **pipes)
+        process = self.lab.spawn(
+            [sys.executable, "-m", f"scale_experiments.emulators.{name}", *args], **pipes
+        )
         self.processes.append(process)
         return Control(process, name, PATIENCE_S)
 
--- a/scalelab/kinds/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -12,9 +12,9 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-from scalelab.fleet import SETTLED, Fleet, Model, site_settings
-from scalelab.kinds.zone_loss import recovery
-from scalelab.lab import Lab, Sample
+from scale_experiments.context import Lab, Sample
+from scale_experiments.fleet import SETTLED, Fleet, Model, site_settings
+from scale_experiments.scenarios.zone_loss import recovery
 
 SIZES = ("routers", "routers_run", "caches", "cores")
 METRICS = {
--- a/scalelab/kinds/watch.py
+++ b/scale_experiments/scenarios/watch.py
@@ -18,9 +18,9 @@
 from hdrh.histogram import HdrHistogram
 from pydantic import BaseModel, ConfigDict, Field
 
-from scalelab.kinds.list_change import reference
-from scalelab.lab import Lab, Sample
-from scalelab.standins.control import Control, ask_all
+from scale_experiments.context import Lab, Sample
+from scale_experiments.emulators.control import Control, ask_all
+from scale_experiments.scenarios.list_change import reference
 
 LONGEST_US = 600_000_000  # that a histogram holds
 POLL_S = 0.25
@@ -159,12 +159,12 @@
         hollows = self.parameters.hollows if others else 0
         counts += [others // hollows + (i < others % hollows) for i in range(hollows)]
         self.discoveries = [
-            self._spawn("discovery", "scalelab.standins.discovery", f"127.0.1.{i + 1}:0")
+            self._spawn("discovery", "scale_experiments.emulators.discovery", f"127.0.1.{i + 1}:0")
             for i in range(self.parameters.discoveries)
         ]
         addresses = [d.reply()["address"] for d in self.discoveries]
         ask_all(self.discoveries, "list", index=self.index, endpoints=self.list)
-        every = [self._spawn("routers", "scalelab.hollow") for _ in counts]
+        every = [self._spawn("routers", "scale_experiments.hollow") for _ in counts]
         self.real, self.light = every[:1], every[1:]
         known = {"index": self.index, "snapshot": True, "endpoints": self.list}
         for i, (control, routers) in enumerate(zip(every, counts, strict=True)):
--- a/scalelab/kinds/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -13,9 +13,9 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-from brackenwalk import interface as api
-from scalelab.fleet import SETTLED, Fleet, Model, site_settings
-from scalelab.lab import Lab, Sample
+from cache_router import interface as api
+from scale_experiments.context import Lab, Sample
+from scale_experiments.fleet import SETTLED, Fleet, Model, site_settings
 
 SIZES = ("routers", "caches", "cores")
 GOOD = 0.95  # of the requests of a second, served: then it counts as served again
--- a/scalelab/target.py
+++ b/scale_experiments/target.py
@@ -1,4 +1,4 @@
-"""The size of today's fleet and the one planned for, from `scalelab/experiments/target.toml`."""
+"""The size of today's fleet and the one planned for, from `scale_experiments/experiments/target.toml`."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, StrictInt, ValidationError
 
-from scalelab.experiment import InputError, fault, read_table
+from scale_experiments.experiment import InputError, fault, read_table
 
 TARGET = Path(__file__).parent / "experiments" / "target.toml"
 LIST_CHANGES_PER_REPLACEMENT = 4  # assumed: it drains, goes, joins, and one for its weight
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 from typing import Any
 
-from brackenwalk import interface as api
-from brackenwalk.policy import Router
+from cache_router import interface as api
+from cache_router.decisions.router import Router
 
 READ = api.RequestClass("read", aim=1.0)
 KEYED = api.RequestClass("keyed", 1.0, api.Effect.KEYED, api.Group.ALL, window=1.5, worth=5.0)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -11,13 +11,13 @@
 
 import hiredis
 
-from brackenwalk import interface as api
-from brackenwalk.net.clients import Listener
-from brackenwalk.net.discovery import Discovery
-from brackenwalk.net.host import Host, Member
-from brackenwalk.net.origin import OriginConnection
-from brackenwalk.net.pool import Pool
-from brackenwalk.net.servers import CacheConnection
+from cache_router import interface as api
+from cache_router.net.cache_connection import CacheConnection
+from cache_router.net.client_connection import Listener
+from cache_router.net.connection_pool import Pool
+from cache_router.net.discovery import Discovery
+from cache_router.net.dispatcher import Host, Member
+from cache_router.net.origin_connection import OriginConnection
 
 PATIENCE = 10.0  # seconds until a test that waits for an event fails
 HIT = b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"
--- a/tests/test_absent.py
+++ b/tests/test_absent.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from brackenwalk import interface as api
-from brackenwalk import policy
+from cache_router import interface as api
+from cache_router.decisions import router as policy
 from tests.driver import Driver, entry, settings
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from scalelab import fit, report
-from scalelab.results import load_result
-from scalelab.target import load_target
+from scale_experiments import fit, report
+from scale_experiments.results import load_result
+from scale_experiments.target import load_target
 
 
 def made_up(path: Path, slope: float, noise: float = 0.0, most: int = 800) -> Path:
@@ -110,7 +110,7 @@
 unit = "count"
 value = "routers / caches"
 budget = "allowed"
-mechanism = "brackenwalk.policy:Router.handle"
+mechanism = "cache_router.decisions.router:Router.handle"
 
 [[lines]]
 role = "router"
--- a/tests/test_standins.py
+++ b/tests/test_emulators.py
@@ -9,10 +9,10 @@
 import orjson
 import pytest
 
-from brackenwalk import interface as api
-from brackenwalk.net.discovery import Discovery
-from scalelab.standins import discovery as standin
-from scalelab.standins.cache import Cache, Plan
+from cache_router import interface as api
+from cache_router.net.discovery import Discovery
+from scale_experiments.emulators import discovery as standin
+from scale_experiments.emulators.cache import Cache, Plan
 from tests.loopback import Link, read, run, spelled
 from tests.test_net_discovery import LINE
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -13,11 +13,11 @@
 import hiredis
 import pytest
 
-from brackenwalk import interface as api
-from brackenwalk.net import clients
-from brackenwalk.net import pool as pools
-from brackenwalk.net.origin import OriginConnection
-from brackenwalk.net.pool import Connection, Exchange, hung_up
+from cache_router import interface as api
+from cache_router.net import client_connection as clients
+from cache_router.net import connection_pool as pools
+from cache_router.net.connection_pool import Connection, Exchange, hung_up
+from cache_router.net.origin_connection import OriginConnection
 from tests.loopback import (
     BOOK,
     HIT,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from brackenwalk import interface as api
-from scalelab.fleet import Fleet, Model, Table, site_settings
+from cache_router import interface as api
+from scale_experiments.fleet import Fleet, Model, Table, site_settings
 
 SMALL = Model(
     routers=4,
--- a/tests/test_ring.py
+++ b/tests/test_hash_ring.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from brackenwalk import interface as api
-from brackenwalk import policy
-from brackenwalk.ring import ring_hash, virtual_nodes
+from cache_router import interface as api
+from cache_router.decisions import router as policy
+from cache_router.decisions.hash_ring import ring_hash, virtual_nodes
 from tests.driver import Driver, entry, settings
 
 
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -4,10 +4,10 @@
 import tomllib
 from pathlib import Path
 
-from brackenwalk import interface as api
+from cache_router import interface as api
 
 ROOT = Path(__file__).parent.parent
-MODULE = (ROOT / "brackenwalk" / "policy.py").read_text()
+MODULE = (ROOT / "cache_router" / "decisions" / "router.py").read_text()
 DECISIONS = {
     name: (ROOT / name).read_text()
     for name in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
@@ -59,13 +59,14 @@
         "itertools",
         "typing",
         "collections.abc",
-        "brackenwalk",
+        "cache_router",
+        "cache_router.decisions",
     }
-    assert "brackenwalk/policy.py" in DECISIONS
+    assert "cache_router/decisions/router.py" in DECISIONS
     allowed |= {name.removesuffix(".py").replace("/", ".") for name in DECISIONS}
     for text in DECISIONS.values():
         assert set(re.findall(r"^(?:import|from) (\S+)", text, re.MULTILINE)) <= allowed
-    assert "brackenwalk/interface.py" in MODULE.split('"""')[1]
+    assert "cache_router/interface.py" in MODULE.split('"""')[1]
 
 
 def test_readme_example_runs() -> None:
--- a/tests/test_list_change.py
+++ b/tests/test_list_change.py
@@ -12,12 +12,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from brackenwalk import interface as api
-from brackenwalk.net.host import Host, Member
-from brackenwalk.net.origin import OriginConnection
-from brackenwalk.net.pool import Pool
-from brackenwalk.net.servers import CacheConnection
-from brackenwalk.ring import FILL, Ring
+from cache_router import interface as api
+from cache_router.decisions.hash_ring import FILL, Ring
+from cache_router.net.cache_connection import CacheConnection
+from cache_router.net.connection_pool import Pool
+from cache_router.net.dispatcher import Host, Member
+from cache_router.net.origin_connection import OriginConnection
 from tests.driver import entry, settings
 from tests.loopback import run
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from brackenwalk import interface as api
-from brackenwalk.net.host import read_report
-from brackenwalk.settings import read_settings
+from cache_router import interface as api
+from cache_router.net.dispatcher import read_report
+from cache_router.settings import read_settings
 from tests.driver import Driver, entry, settings
 
 NAMES = ("svc_ms", "pending")
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -17,11 +17,11 @@
 import orjson
 import pytest
 
-from brackenwalk import __main__ as program
-from brackenwalk.net.pool import address_of
+from cache_router import __main__ as program
+from cache_router.net.connection_pool import address_of
 from tests.loopback import HIT, PATIENCE, Link, Peer, command, http, read, run, spelled
 from tests.test_net_discovery import LINE, message
-from tests.test_wirehost import CONF
+from tests.test_simulator_adapter import CONF
 
 KNOWN = {"index": 41, "snapshot": True, "endpoints": [LINE]}
 GOOD: dict[str, Any] = {
@@ -119,7 +119,7 @@
         path.write_bytes(orjson.dumps({**GOOD, "listen": spelled(taken.getsockname())}))
         monkeypatch.setenv("RELAY_CONFIG", str(path))
         assert program.main() == 2
-    assert capsys.readouterr().err.splitlines()[-1].startswith("brackenwalk: listen: ")
+    assert capsys.readouterr().err.splitlines()[-1].startswith("cache_router: listen: ")
 
 
 async def ready(address: tuple[str, int]) -> Link:
@@ -152,7 +152,7 @@
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "brackenwalk",
+        "cache_router",
         env={**os.environ, "RELAY_CONFIG": str(path)},
         stderr=asyncio.subprocess.PIPE,
         preexec_fn=limit,
--- a/tests/test_net_pool.py
+++ b/tests/test_net_connection_pool.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from brackenwalk.interface import Status
-from brackenwalk.net import pool as pools
-from brackenwalk.net.command import Command
-from brackenwalk.net.origin import OriginConnection
-from brackenwalk.net.pool import Connection, Exchange, Pool
-from brackenwalk.net.servers import CacheConnection
+from cache_router.interface import Status
+from cache_router.net import connection_pool as pools
+from cache_router.net.cache_connection import CacheConnection
+from cache_router.net.command import Command
+from cache_router.net.connection_pool import Connection, Exchange, Pool
+from cache_router.net.origin_connection import OriginConnection
 from tests.loopback import HIT, MISS, Link, Peer, http, run, spelled
 
 GET = Command(b"C.GET", b"k", b"r1", {"c": "read", "d": "900"}, 900)
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -8,9 +8,9 @@
 import orjson
 import pytest
 
-from brackenwalk import interface as api
-from brackenwalk.net.discovery import Discovery, ListError, read_list
-from brackenwalk.net.host import Member
+from cache_router import interface as api
+from cache_router.net.discovery import Discovery, ListError, read_list
+from cache_router.net.dispatcher import Member
 from tests.loopback import Link, Peer, http, run
 
 LINE: dict[str, Any] = {
--- a/tests/test_net_host.py
+++ b/tests/test_net_dispatcher.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from brackenwalk import interface as api
-from brackenwalk.net import clients
-from brackenwalk.net import host as hosts
-from brackenwalk.net.clients import MAX_PIPELINED
+from cache_router import interface as api
+from cache_router.net import client_connection as clients
+from cache_router.net import dispatcher as hosts
+from cache_router.net.client_connection import MAX_PIPELINED
 from tests.loopback import HIT, MISS, SETTINGS, Link, Router, book, command, http, read, run
 
 
--- a/tests/test_net_resp.py
+++ b/tests/test_net_resp.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from brackenwalk.net.resp import NOT_YET, ErrorLine, Reader, RespError, pack
+from cache_router.net.resp import NOT_YET, ErrorLine, Reader, RespError, pack
 
 MESSAGES = [
     (b"*3\r\n$5\r\nva\r\nl\r\n$3\r\nhit\r\n$-1\r\n", [b"va\r\nl", b"hit", None]),
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,10 +9,10 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from brackenwalk import interface as api
-from brackenwalk import policy
-from brackenwalk.policy import Router
-from brackenwalk.ring import ring_hash
+from cache_router import interface as api
+from cache_router.decisions import router as policy
+from cache_router.decisions.hash_ring import ring_hash
+from cache_router.decisions.router import Router
 from tests.driver import Driver, entry, settings
 
 MAY_HAVE_RUN = [api.Status.ERROR, api.Status.RESET, api.Status.TIMEOUT, api.Status.CANCELLED]
--- a/tests/test_scalelab.py
+++ b/tests/test_scale_experiments.py
@@ -15,11 +15,11 @@
 from hdrh.histogram import HdrHistogram
 from pydantic import BaseModel
 
-from scalelab.experiment import Experiment, InputError, load_experiment
-from scalelab.lab import Lab, Sample
-from scalelab.results import Result, decode, load_result
-from scalelab.runner import run
-from scalelab.target import TARGET, load_target
+from scale_experiments.context import Lab, Sample
+from scale_experiments.experiment import Experiment, InputError, load_experiment
+from scale_experiments.results import Result, decode, load_result
+from scale_experiments.runner import run
+from scale_experiments.target import TARGET, load_target
 
 ROOT = Path(__file__).parent.parent
 PATIENCE_S = 120.0
@@ -53,7 +53,7 @@
 
 
 def command(*args: str | Path) -> list[str]:
-    return [sys.executable, "-m", "scalelab", *map(str, args)]
+    return [sys.executable, "-m", "scale_experiments", *map(str, args)]
 
 
 def called(*args: str | Path) -> subprocess.CompletedProcess[str]:
@@ -91,7 +91,7 @@
 
 
 def test_every_experiment_of_the_repository_can_be_run() -> None:
-    files = {*(ROOT / "scalelab" / "experiments").glob("*.toml")} - {TARGET}
+    files = {*(ROOT / "scale_experiments" / "experiments").glob("*.toml")} - {TARGET}
     assert files
     for file in files:
         load_experiment(file)
--- a/tests/test_wirehost.py
+++ b/tests/test_simulator_adapter.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from brackenwalk import interface as api
-from brackenwalk import wirehost
-from brackenwalk.settings import read_settings
-from brackenwalk.wirehost import Host, WireError
+from cache_router import interface as api
+from cache_router import simulator_adapter as wirehost
+from cache_router.settings import read_settings
+from cache_router.simulator_adapter import Host, WireError
 
 ROOT = Path(__file__).parent.parent
 CONF: dict[str, Any] = {
@@ -202,7 +202,7 @@
 
 def run(stdin: bytes, hash_seed: str = "0") -> subprocess.CompletedProcess[bytes]:
     env = {**os.environ, "PYTHONHASHSEED": hash_seed}
-    command = [sys.executable, "-m", "brackenwalk.wirehost"]
+    command = [sys.executable, "-m", "cache_router.simulator_adapter"]
     return subprocess.run(command, input=stdin, capture_output=True, cwd=ROOT, env=env, check=False)
 
 
--- a/tests/test_ramp.py
+++ b/tests/test_slow_start.py
@@ -11,9 +11,10 @@
 
 import pytest
 
-from brackenwalk import interface as api
-from brackenwalk import policy, ramp
-from brackenwalk.policy import Router
+from cache_router import interface as api
+from cache_router.decisions import router as policy
+from cache_router.decisions import slow_start as ramp
+from cache_router.decisions.router import Router
 from tests.driver import Driver, entry, settings
 
 ROUTERS, CACHES, START = 30, 10, 5.0
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -17,20 +17,20 @@
 import orjson
 import pytest
 
-from brackenwalk import __main__ as program
-from brackenwalk import interface as api
-from brackenwalk.net import clients
-from brackenwalk.net.clients import ClientConnection
-from brackenwalk.net.discovery import read_list
-from brackenwalk.net.host import Host
-from brackenwalk.net.origin import OriginConnection
-from brackenwalk.net.pool import Pool
-from brackenwalk.net.servers import CacheConnection
+from cache_router import __main__ as program
+from cache_router import interface as api
+from cache_router.net import client_connection as clients
+from cache_router.net.cache_connection import CacheConnection
+from cache_router.net.client_connection import ClientConnection
+from cache_router.net.connection_pool import Pool
+from cache_router.net.discovery import read_list
+from cache_router.net.dispatcher import Host
+from cache_router.net.origin_connection import OriginConnection
 from tests.loopback import HIT, MISS, Link, Peer, Router, book, command, http, read, run, spelled
 from tests.test_endings import Dials, first_dial, requests_written, until
 from tests.test_main import GOOD, configured, listening, program_run, ready
+from tests.test_net_connection_pool import GET
 from tests.test_net_discovery import LINE, message
-from tests.test_net_pool import GET
 
 # A client that has left: the tests' sockets block, so that it has left before the router's loop looks again
 
--- a/tests/test_watch_budget.py
+++ b/tests/test_watch_budget.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from brackenwalk import interface as api
-from brackenwalk.policy import Router
+from cache_router import interface as api
+from cache_router.decisions.router import Router
 from tests.driver import Driver, entry, settings
 from tests.loopback import Peer, http, run
 from tests.test_net_discovery import LINE, Told, call, message
