--- a/cache_router/__init__.py
+++ b/cache_router/__init__.py
@@ -1,6 +1,5 @@
-"""cache_router: the decisions of a router in front of a fleet of cache servers."""
+"""The decisions and the network code of a router in front of a fleet of cache servers."""
 
-from cache_router import interface
 from cache_router.decisions.router import Router
 
-__all__ = ["Router", "interface"]
+__all__ = ["Router"]
--- a/cache_router/__main__.py
+++ b/cache_router/__main__.py
@@ -15,14 +15,15 @@
 
 import orjson
 
-from cache_router import interface as api
+from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.client_connection import Listener
-from cache_router.net.connection_pool import Pool, address_of, is_port
+from cache_router.net.connection_pool import ConnectionPool, address_of, is_port
 from cache_router.net.discovery import Discovery, ListError, read_list
-from cache_router.net.dispatcher import Host, Member
+from cache_router.net.dispatcher import Dispatcher, NetworkEndpoint
 from cache_router.net.origin_connection import OriginConnection
-from cache_router.settings import number, read_settings, section
+from cache_router.settings import Settings, SettingsError
+from cache_router.settings_reader import number, read_settings, section
 
 STILL_COMING = 0.5  # seconds after SIGTERM in which new connections come: 0.2 to 0.4, and a little more
 LONGEST_WAIT = 3.0  # SIGKILL comes no earlier than the longest deadline, or this where it is longer,
@@ -49,8 +50,8 @@
     seed: int
     sockets: int
     known_index: int
-    known: list[Member]
-    settings: api.Settings
+    known: list[NetworkEndpoint]
+    settings: Settings
 
 
 def read_address(table: dict[str, Any], field: str) -> str:
@@ -79,7 +80,7 @@
         settings = read_settings(table.get("settings"))
         sockets = int(number(section(table, "limits"), "sockets", 1024, "limits.", FEWEST))
         index, _, known = read_list(table.get("known"), "known")
-    except (api.SettingsError, ListError) as e:
+    except (SettingsError, ListError) as e:
         raise ConfigError(str(e)) from e
     listen = address_of(read_address(table, "listen"))
     return Config(listen, read_address(table, "discovery"), seed_number, sockets, index, known, settings)
@@ -112,20 +113,20 @@
     """Serve until SIGTERM, and then what was taken."""
     settings = config.settings
     room = descriptors(config.sockets) - RESERVE
-    times = settings.dial_timeout, settings.connection_idle
-    servers = Pool(CacheConnection, room * 3 // 8, *times)
-    origin = Pool(OriginConnection, room // 8, *times)
+    times = settings.connect_timeout, settings.connection_idle_timeout
+    servers = ConnectionPool(CacheConnection, room * 3 // 8, *times)
+    origin = ConnectionPool(OriginConnection, room // 8, *times)
 
     def subscribe() -> None:
         discovery.subscribe()
 
-    host = Host(settings, config.seed, servers, origin, subscribe)
-    pushed = not settings.subscribe
+    host = Dispatcher(settings, config.seed, servers, origin, subscribe)
+    pushed = not settings.must_subscribe
     discovery = Discovery(
         config.discovery,
         config.known_index,
-        host.list_told,
-        host.list_failed,
+        host.on_endpoint_update,
+        host.on_watch_failed,
         pushed,
         budget=settings.watch_budget,
     )
@@ -134,7 +135,7 @@
         listener.bind(config.listen)
     except (OSError, ValueError) as e:  # also a host that cannot be spelled
         raise ConfigError(f"listen: {e}") from e
-    host.list_told(api.ListKind.SAVED, config.known)
+    host.on_endpoint_update(EndpointUpdateKind.CACHED, config.known)
     if pushed:
         discovery.subscribe()  # the module does not ask for what is pushed; it comes by the same calls
 
@@ -150,7 +151,7 @@
             return
         logging.info("discovery is now %s", address)
         discovery.move(address)
-        host.list_moved()
+        host.on_discovery_address_changed()
         if pushed:
             discovery.subscribe()
 
@@ -168,7 +169,7 @@
     listener.start()
     logging.info("listening on %s:%d", *listener.socket.getsockname())
     await terminated.wait()
-    longest = max(c.deadline for c in settings.classes.values())
+    longest = max(c.client_timeout for c in settings.classes.values())
     killed = min(longest, LONGEST_WAIT) + KILL_AFTER
     logging.info("ending: no new connections in %g s, all answered in %g s", STILL_COMING, killed)
     host.end_within(killed - ANSWER_EARLY)
--- /dev/null
+++ b/cache_router/decisions/actions.py
@@ -0,0 +1,70 @@
+"""What the decisions answer to an event: the actions that a host carries out, in order.
+
+Actions are plain data. Delays are in seconds.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(slots=True, frozen=True)
+class Send:
+    """Start an attempt; a request's attempts are numbered from 0 in the order sent."""
+
+    request_id: str
+    server: str
+    timeout: float | None = None  # None: until the client gives up
+
+
+@dataclass(slots=True, frozen=True)
+class Reject:
+    """Final answer: not carried out, and safe to retry."""
+
+    request_id: str
+    retry_after: float = 0.0  # how long the client should wait before a retry; 0 is no advice
+
+
+@dataclass(slots=True, frozen=True)
+class Fail:
+    """Final answer that promises nothing: the request may have been carried out."""
+
+    request_id: str
+
+
+@dataclass(slots=True, frozen=True)
+class Cancel:
+    """Stop waiting for an attempt; whether the server stops work is its own matter."""
+
+    request_id: str
+    attempt_number: int
+
+
+@dataclass(slots=True, frozen=True)
+class CloseIdleConnections:
+    """Close the idle connections to a server."""
+
+    server: str
+
+
+@dataclass(slots=True, frozen=True)
+class SetTimer:
+    """Ask for a `TimerFired` with the same token after a delay."""
+
+    delay: float
+    token: str
+
+
+@dataclass(slots=True, frozen=True)
+class SubscribeToEndpoints:
+    """Ask for the endpoint list and its changes from now on."""
+
+
+@dataclass(slots=True, frozen=True)
+class LogMessage:
+    """One line for the operators."""
+
+    message: str
+
+
+Action = Send | Reject | Fail | Cancel | CloseIdleConnections | SetTimer | SubscribeToEndpoints | LogMessage
--- a/cache_router/decisions/router.py
+++ b/cache_router/decisions/router.py
@@ -1,6 +1,6 @@
 """Every decision of a cache_router router, as a state machine without I/O.
 
-The types, events and actions it speaks in are in `cache_router/interface.py`.
+It is told `events` and answers with `actions`, both in modules of these names beside this one.
 
 Each key is hashed onto a ring of weighted virtual nodes and sent to the first server clockwise; the walk
 goes on past servers whose load has reached (1 + epsilon) times the average.
@@ -15,9 +15,36 @@
 from dataclasses import dataclass, field
 from itertools import islice
 
-from cache_router import interface as api
 from cache_router.decisions import slow_start as ramp
+from cache_router.decisions.actions import (
+    Action,
+    Cancel,
+    CloseIdleConnections,
+    Fail,
+    LogMessage,
+    Reject,
+    Send,
+    SetTimer,
+    SubscribeToEndpoints,
+)
+from cache_router.decisions.events import (
+    NOT_EXECUTED,
+    AttemptCompleted,
+    AttemptStatus,
+    ClientDisconnected,
+    DiscoveryAddressChanged,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    Request,
+    ResponseStarted,
+    ShutdownStarted,
+    TimerFired,
+)
 from cache_router.decisions.hash_ring import Ring, ring_hash
+from cache_router.decisions.retry_policy import recognises_repeats
+from cache_router.endpoint import Endpoint, EndpointState
+from cache_router.settings import MIN_BACKOFF, Idempotency, IdempotencyScope, RequestClass, Settings
 
 POINTS = 128  # virtual nodes of a server as large as the unit of weight: shares within a tenth or so
 EPSILON = 0.25  # a server may stand this far above the average load before the walk passes it
@@ -43,20 +70,24 @@
     100  # connections at each server: the unit in which settings price them, and what all routers may keep
 )
 KEEP_GAIN = 0.01  # of the way back to KEEP with each answer, after failures have cut it by half each
-FAILED = (api.Status.ERROR, api.Status.RESET, api.Status.CONNECT_FAILED)  # fast, and telling nothing of load
-CHEAP = (api.Status.FULL, api.Status.CONNECT_FAILED)  # told at once, and no work for any server
+FAILED = (
+    AttemptStatus.ERROR,
+    AttemptStatus.RESET,
+    AttemptStatus.CONNECT_FAILED,
+)  # fast, and telling nothing of load
+CHEAP = (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED)  # told at once, and no work for any server
 FAILURES = 3  # in a row take a server out: spoilt answers come one by one, those of a dead process together
 PAUSE = 0.5  # seconds out at first, doubled with each trial that fails; routers must not try in step
 MOST_OUT = 0.5  # share of the fleet; when more fails it is not the servers, and the others could not bear it
 SPREAD = (0.2, 1.0)  # of a pause before the next call for the list: all routers lose discovery at once
-UNHEARD = (api.Status.TIMEOUT, api.Status.CANCELLED, api.Status.MOOT)
+UNHEARD = (AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT)
 
 
 @dataclass(slots=True, eq=False)
 class Server:
     """A listed server as this router sees it."""
 
-    entry: api.ServerEntry
+    entry: Endpoint
     cache: bool = True  # or the origin
     load: int = 0  # own attempts in flight
     size: float = 1.0  # its weight, steady
@@ -89,8 +120,8 @@
 class Held:
     """A request that is owed its final answer."""
 
-    request: api.Request
-    request_class: api.RequestClass
+    request: Request
+    request_class: RequestClass
     until: float  # no use in waiting for longer
     to_origin: bool
     attempts: list[Attempt] = field(default_factory=list)
@@ -104,16 +135,16 @@
 class Router:
     """The decisions of one router."""
 
-    def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
+    def __init__(self, settings: Settings, seed: int, now: float) -> None:
         self.settings = settings
-        self.shortest_aim = min(c.aim for c in settings.classes.values())
+        self.shortest_aim = min(c.latency_objective for c in settings.classes.values())
         self.random = random.Random(seed)
         self.now = now
-        self.out: list[api.Action] = []
+        self.out: list[Action] = []
         self.servers: dict[str, Server] = {}
         self.ring: Ring[Server] = Ring()
         self.failing: set[Server] = set()  # so often in a row that they are out, or on trial
-        self.bearing = ramp.Bearing(now, settings.fall_window)
+        self.bearing = ramp.Bearing(now, settings.overload_window)
         self.seen: dict[str, int] = {}  # requests of each key, in a memory that halves every ramp
         self.seen_total = 0.0
         self.sizes: dict[str, float] = {}  # the largest weight seen of a kind
@@ -123,8 +154,8 @@
         self.queued = 0
         self.list_failures = 0
         self.watch = settings.watch_budget
-        self.call_due = now + self.watch.cycle  # the next call for the list has begun by then,
-        self.least_pause = self.watch.pause  # but no sooner after a failure than this, jitter aside
+        self.call_due = now + self.watch.poll_cycle  # the next call for the list has begun by then,
+        self.least_pause = self.watch.max_backoff  # but no sooner after a failure than this, jitter aside
         self.retries = RETRIES_SAVED
         self.born = self.halve_at = now
         self.taken = 0  # requests, since birth
@@ -136,60 +167,65 @@
         self.usual = 0.0  # smoothed service time of servers at which nothing waits
         self.good = 1.0  # smoothed share of attempts at caches that were answered well
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         """Take one event and answer with actions, to be carried out in order."""
         self.now, self.out = now, []
-        if isinstance(event, api.Outcome):
+        if isinstance(event, AttemptCompleted):
             self._on_outcome(event)
-        elif isinstance(event, api.Request):
+        elif isinstance(event, Request):
             self._on_request(event)
-        elif isinstance(event, api.TimerFired):
+        elif isinstance(event, TimerFired):
             self._on_timer(event)
-        elif isinstance(event, api.ServerList):
+        elif isinstance(event, EndpointUpdate):
             self._on_list(event)
-        elif isinstance(event, api.ListMoved):
+        elif isinstance(event, DiscoveryAddressChanged):
             self.list_failures = 0  # guards against waiting out the pause that another discovery earned
-            self.call_due, self.least_pause = now + self.watch.moved_cycle, api.LEAST_PAUSE
+            self.call_due, self.least_pause = now + self.watch.address_change_cycle, MIN_BACKOFF
             self._subscribe()
-        elif isinstance(event, api.ClientGone) and event.request in self.held:
-            self._forget(self.held[event.request])
-        elif isinstance(event, api.Ending):
+        elif isinstance(event, ClientDisconnected) and event.request_id in self.held:
+            self._forget(self.held[event.request_id])
+        elif isinstance(event, ShutdownStarted):
             self._on_ending(event)
-        elif isinstance(event, api.Streaming) and event.request in self.held:
-            self.held[event.request].streaming = True
+        elif isinstance(event, ResponseStarted) and event.request_id in self.held:
+            self.held[event.request_id].streaming = True
         return self.out
 
-    def _on_ending(self, event: api.Ending) -> None:
+    def _on_ending(self, event: ShutdownStarted) -> None:
         for held in self.held.values():
-            held.until = min(held.until, self.now + event.within - self.settings.tick)
+            held.until = min(held.until, self.now + event.answer_within - self.settings.clock_resolution)
             if held.waiting:
                 self._wake_in_time(held)
 
-    def _on_list(self, event: api.ServerList) -> None:
-        if event.kind is api.ListKind.FAILED:
+    def _on_list(self, event: EndpointUpdate) -> None:
+        if event.kind is EndpointUpdateKind.FAILED:
             self._ask_list_later()
             return
-        if event.kind is not api.ListKind.DELTA:
-            for i in self.servers.keys() - {e.server for e in event.entries}:
+        if event.kind is not EndpointUpdateKind.DELTA:
+            for i in self.servers.keys() - {e.name for e in event.endpoints}:
                 self._drop(i)
         changed = {}
-        for entry in event.entries:
-            known = self.servers.get(entry.server)
-            if entry.state is api.State.GONE:
-                self._drop(entry.server)
-            elif known is None or entry.since > known.entry.since:  # a new process: nothing learned holds
-                self._drop(entry.server)
-                origin = self.settings.aside and entry.kind == self.settings.origin_kind
-                changed[entry.server] = self.servers[entry.server] = Server(entry, not origin)
+        for entry in event.endpoints:
+            known = self.servers.get(entry.name)
+            if entry.state is EndpointState.REMOVED:
+                self._drop(entry.name)
+            elif (
+                known is None or entry.started_at > known.entry.started_at
+            ):  # a new process: nothing learned holds
+                self._drop(entry.name)
+                origin = self.settings.cache_aside and entry.kind == self.settings.origin_kind
+                changed[entry.name] = self.servers[entry.name] = Server(entry, not origin)
             else:
                 known.entry = entry
-                changed[entry.server] = known
-        self.call_due, self.least_pause = self.now + self.watch.cycle, self.watch.pause  # the watch goes on
-        if event.kind is not api.ListKind.SAVED:
+                changed[entry.name] = known
+        self.call_due, self.least_pause = (
+            self.now + self.watch.poll_cycle,
+            self.watch.max_backoff,
+        )  # the watch goes on
+        if event.kind is not EndpointUpdateKind.CACHED:
             self.list_failures = 0
         else:
             self._subscribe()
-        if event.kind is api.ListKind.DELTA and not event.entries:
+        if event.kind is EndpointUpdateKind.DELTA and not event.endpoints:
             return
         self._build_ring(s for name, s in changed.items() if self.servers.get(name) is s)
         queue, self.queue = sorted(self.queue), []
@@ -199,8 +235,8 @@
                 self._advance(held)
 
     def _subscribe(self) -> None:
-        if self.settings.subscribe:
-            self.out.append(api.Subscribe())
+        if self.settings.must_subscribe:
+            self.out.append(SubscribeToEndpoints())
 
     def _ask_list_later(self) -> None:
         """Subscribe again after a doubling, jittered pause, so that routers don't call in step.
@@ -209,12 +245,14 @@
         the next has begun by the end of the cycle, or what it would bring counts as told before it comes.
         """
         self.list_failures += 1
-        pause = min(self.settings.ramp, self.settings.fall_window * 2.0 ** (self.list_failures - 2))
-        left = self.call_due - self.now if self.settings.subscribe else self.watch.pause
-        pause = max(api.LEAST_PAUSE, min(pause, max(self.least_pause, left)) * self.random.uniform(*SPREAD))
-        self.call_due = self.now + pause + self.watch.cycle
-        self.out.append(api.SetTimer(pause, "list"))
-        self.out.append(api.Log(f"list out of reach, {self.list_failures} in a row"))
+        pause = min(
+            self.settings.slow_start_duration, self.settings.overload_window * 2.0 ** (self.list_failures - 2)
+        )
+        left = self.call_due - self.now if self.settings.must_subscribe else self.watch.max_backoff
+        pause = max(MIN_BACKOFF, min(pause, max(self.least_pause, left)) * self.random.uniform(*SPREAD))
+        self.call_due = self.now + pause + self.watch.poll_cycle
+        self.out.append(SetTimer(pause, "list"))
+        self.out.append(LogMessage(f"list out of reach, {self.list_failures} in a row"))
 
     def _drop(self, name: str) -> None:
         if name in self.servers:
@@ -225,7 +263,7 @@
 
         Guards against lists that change often in a large fleet: only servers that changed are placed anew.
         """
-        ready = [s for s in self.servers.values() if s.entry.state is api.State.READY]
+        ready = [s for s in self.servers.values() if s.entry.state is EndpointState.READY]
         caches = self.caches = [s for s in ready if s.cache]
         self.origins = [s for s in ready if not s.cache]
         weights = [s.entry.weight for s in caches]
@@ -243,8 +281,8 @@
         unit = 2.0 ** math.ceil(math.log2(largest))  # rarely changes with the fleet
         for s in changed:
             s.size = (s.size if self.settings.live_weights else s.entry.weight) or largest
-            on_ring = s.cache and s.entry.ready
-            self.ring.place(s.entry.server, s, math.ceil(POINTS * s.size / unit) if on_ring else 0)
+            on_ring = s.cache and s.entry.is_ready
+            self.ring.place(s.entry.name, s, math.ceil(POINTS * s.size / unit) if on_ring else 0)
         self.warm_until = -math.inf
         self.failing = {s for s in caches if s.failures >= FAILURES}
         self.total_size = sum(s.size for s in caches)
@@ -257,7 +295,7 @@
 
     def _choose(self, held: Held) -> Server | None:
         """The bounded walk: a key's load flows clockwise, and each server keeps (1 + epsilon) fair shares."""
-        key = held.request.key if held.request.key is not None else held.request.request
+        key = held.request.key if held.request.key is not None else held.request.request_id
         flow = self.random.random() * self._load_of(key)
         cap = (1 + EPSILON) * max(1.0, self.mean_reported)  # passed by chance: all read the same late report
         passed: set[Server] = set()
@@ -283,7 +321,7 @@
     def _load_of(self, key: str) -> float:
         """A key's share of own requests. Guards against hot keys: own loads are too few to show them."""
         if self.now > self.halve_at:
-            self.halve_at = self.now + self.settings.ramp
+            self.halve_at = self.now + self.settings.slow_start_duration
             self.seen = {k: n // 2 for k, n in self.seen.items() if n > 1}
             self.seen_total /= 2
         self.seen_total += 1
@@ -307,10 +345,10 @@
             return False
         return self._permits(held, server)
 
-    def _note_failure(self, server: Server, status: api.Status) -> None:
+    def _note_failure(self, server: Server, status: AttemptStatus) -> None:
         """Guards retries: keys of a server that fails each attempt at once would spend them all."""
         others = len(self.failing) - (server in self.failing)
-        absent = status is api.Status.CONNECT_FAILED
+        absent = status is AttemptStatus.CONNECT_FAILED
         most = others + 1 > MOST_OUT * len(self.caches)
         if status not in FAILED or not server.cache or most and not absent:
             server.failures, server.pause = 0, 0.0
@@ -318,29 +356,33 @@
             return
         # nobody is there, and who meets it once in seconds would need many to see it thrice
         server.failures += FAILURES if absent else 1
-        if server.failures >= FAILURES and self.servers.get(server.entry.server) is server:
+        if server.failures >= FAILURES and self.servers.get(server.entry.name) is server:
             self.failing.add(server)
         if server.failures >= FAILURES and self.now >= server.out_until:
-            server.pause = min(self.settings.ramp, max(PAUSE, 0.0 if most else 2 * server.pause))
+            server.pause = min(
+                self.settings.slow_start_duration, max(PAUSE, 0.0 if most else 2 * server.pause)
+            )
             server.out_until = self.now + server.pause * self.random.uniform(0.5, 1.0)
             server.limit = min(server.limit, LIMIT_START)  # it may come back cold, and the list tells it late
 
-    def _note_load(self, server: Server, event: api.Outcome) -> None:
+    def _note_load(self, server: Server, event: AttemptCompleted) -> None:
         """Guards against jams: what waits longer than its aim is work done for nobody, and more comes behind.
 
         A router of many meets a server too seldom to see a crowd in its own attempts; it waits until the one
         reported is served, each for its own jittered while, so that they don't all come back in step.
         """
-        delay = event.latency if event.status is api.Status.TIMEOUT else 0.0
-        if event.load is not None:
-            delay = event.load.service * (1 + event.load.waiting / ABREAST)
-            if event.load.waiting < 1:
-                self.usual += SMOOTHING * (event.load.service - self.usual)
+        delay = event.latency if event.status is AttemptStatus.TIMEOUT else 0.0
+        if event.load_report is not None:
+            delay = event.load_report.service_time * (1 + event.load_report.queue_length / ABREAST)
+            if event.load_report.queue_length < 1:
+                self.usual += SMOOTHING * (event.load_report.service_time - self.usual)
         if server.cache and delay > CROWDED * self.shortest_aim:
             # as all routers that meet it rest for so long, what they send together is less than it bears;
             # and no longer than a server takes to bear its all: a large fleet would rest for minutes
-            pause = max(self.settings.siblings * self.usual, min(self.settings.ramp / 2, delay))
-            pause = min(pause, self.settings.ramp)
+            pause = max(
+                self.settings.router_count * self.usual, min(self.settings.slow_start_duration / 2, delay)
+            )
+            pause = min(pause, self.settings.slow_start_duration)
             server.rest_until = self.now + pause * self.random.uniform(0.75, 1.25)
 
     def _silent(self, server: Server) -> bool:
@@ -360,10 +402,12 @@
     def _warm_size(self) -> float:
         """Sum of the sizes of caches that are not in their ramp; counted when a ramp begins or ends."""
         if self.now >= self.warm_until:
-            begun = max(0.0, self.now - self.settings.ramp)
-            cold = [s for s in self.caches if s.entry.since > begun]
+            begun = max(0.0, self.now - self.settings.slow_start_duration)
+            cold = [s for s in self.caches if s.entry.started_at > begun]
             self.warm_size = self.total_size - sum(s.size for s in cold)
-            self.warm_until = min((s.entry.since for s in cold), default=math.inf) + self.settings.ramp
+            self.warm_until = (
+                min((s.entry.started_at for s in cold), default=math.inf) + self.settings.slow_start_duration
+            )
         return self.warm_size
 
     def _spent(self, server: Server) -> bool:
@@ -374,15 +418,17 @@
         if not self._is_cold(server) or self._warm_size() <= 0:
             return False
         server.budget = server.budget or ramp.Budget(self.random.random())
-        bears = server.size * self.bearing.rate(self.now, self.settings.fall_window)
+        bears = server.size * self.bearing.rate(self.now, self.settings.overload_window)
         return server.budget.spent(self.settings, server.entry, bears, self.now)
 
-    def _on_request(self, request: api.Request) -> None:
-        unknown = api.RequestClass(request.request_class, 0.0, api.Effect.UNSAFE)
+    def _on_request(self, request: Request) -> None:
+        unknown = RequestClass(request.request_class, 0.0, Idempotency.NOT_IDEMPOTENT)
         request_class = self.settings.classes.get(request.request_class, unknown)
-        until = self.now + min(request.time_left - self.settings.tick, request_class.aim)
-        origin = self.settings.aside and request.write
-        held = self.held[request.request] = Held(request, request_class, until, origin)
+        until = self.now + min(
+            request.time_left - self.settings.clock_resolution, request_class.latency_objective
+        )
+        origin = self.settings.cache_aside and request.is_write
+        held = self.held[request.request_id] = Held(request, request_class, until, origin)
         self.taken += 1
         self.retries = min(RETRIES_SAVED, self.retries + RETRY_SHARE)
         self._advance(held)
@@ -391,17 +437,18 @@
         """What the class still permits: another send to this server or, with None, a refusal."""
         kind = held.request_class
         ran = [a for a in held.attempts if a.may_have_run]
-        waits = held.open_attempts() and not self.settings.second_copies
+        waits = held.open_attempts() and not self.settings.hedging_allowed
         if server is not None and (waits or len(held.attempts) >= self.settings.max_attempts):
             return False
-        if kind.effect is api.Effect.SAFE or not ran:
+        if kind.idempotency is Idempotency.IDEMPOTENT or not ran:
             return True
-        if kind.effect is api.Effect.UNSAFE or server is None:
-            return kind.effect is api.Effect.KEYED and kind.group is api.Group.ALL
+        if kind.idempotency is Idempotency.NOT_IDEMPOTENT or server is None:
+            return kind.idempotency is Idempotency.WITH_KEY and kind.idempotency_scope is IdempotencyScope.ALL
         # it may yet wait for a connection: what comes behind the window is carried out again
-        if self.now + self.settings.dial_timeout >= min(a.sent_at for a in ran) + kind.window:
+        if self.now + self.settings.connect_timeout >= min(a.sent_at for a in ran) + kind.idempotency_window:
             return False
-        return all(kind.group.joins(a.server.entry, server.entry) for a in ran)
+        scope = kind.idempotency_scope
+        return all(recognises_repeats(scope, a.server.entry, server.entry) for a in ran)
 
     def _advance(self, held: Held) -> None:
         """Send the next attempt, hold the request for one, or end it."""
@@ -417,20 +464,20 @@
             self._send(held, server)
 
     def _send(self, held: Held, server: Server) -> None:
-        name = held.request.request
+        name = held.request.request_id
         target = CACHE_TARGET if server.cache else ORIGIN_TARGET
-        attempt = Attempt(server, target * held.request_class.aim, self.now)
+        attempt = Attempt(server, target * held.request_class.latency_objective, self.now)
         self.attempts[name, len(held.attempts)] = attempt
         held.attempts.append(attempt)
         server.load += 1
         if server.budget is not None:
-            server.budget.note(self.now, self.settings.fall_window)
+            server.budget.note(self.now, self.settings.overload_window)
         server.quiet_since = min(server.quiet_since, self.now)
-        self.out.append(api.Send(name, server.entry.server))
-        pause = max(COPY * max(server.latency, self.wait), self.settings.tick)
-        safe = held.request_class.effect is api.Effect.SAFE and self.settings.second_copies
+        self.out.append(Send(name, server.entry.name))
+        pause = max(COPY * max(server.latency, self.wait), self.settings.clock_resolution)
+        safe = held.request_class.idempotency is Idempotency.IDEMPOTENT and self.settings.hedging_allowed
         if safe and server.cache and server.latency and self.now + pause < held.until:
-            self.out.append(api.SetTimer(pause, "copy:" + name))
+            self.out.append(SetTimer(pause, "copy:" + name))
 
     def _copy(self, held: Held) -> None:
         """Guards reads against answers that are lost, within the budget of retries.
@@ -441,7 +488,7 @@
         if held.waiting or held.streaming or held.to_origin or not last.open or self.retries < 1:
             return
         server: Server | None = last.server
-        listed = self.servers.get(last.server.entry.server) is server and last.server.entry.ready
+        listed = self.servers.get(last.server.entry.name) is server and last.server.entry.is_ready
         alive = listed and last.server.quiet_since > last.sent_at and self.now >= last.server.out_until
         if not alive or last.server.load >= last.server.limit or self._spent(last.server):
             server = self._choose(held)
@@ -449,10 +496,10 @@
             self.retries -= 1
             self._send(held, server)
 
-    def _on_timer(self, event: api.TimerFired) -> None:
+    def _on_timer(self, event: TimerFired) -> None:
         what, _, name = event.token.partition(":")
         if what == "list":
-            self.out.append(api.Subscribe())
+            self.out.append(SubscribeToEndpoints())
         elif what == "idle":
             self._close_idle(self.servers.get(name))
         held = self.held.get(name)
@@ -460,7 +507,7 @@
             self._copy(held)
         elif held is not None and held.waiting:
             # half a tick of grace: rounding may wake us a hair before
-            if self.now >= self._latest_start(held, self._origin()) - self.settings.tick / 2:
+            if self.now >= self._latest_start(held, self._origin()) - self.settings.clock_resolution / 2:
                 self._end(held)
             else:
                 self._wake_in_time(held)
@@ -474,71 +521,71 @@
         if server is None or server.load:
             return
         price = self.settings.connection_price
-        if not price and self.settings.siblings <= TABLE:  # one of each router fits
+        if not price and self.settings.router_count <= TABLE:  # one of each router fits
             return
-        rate = self.taken / max(self.now - self.born, self.shortest_aim) * self.settings.siblings
+        rate = self.taken / max(self.now - self.born, self.shortest_aim) * self.settings.router_count
         idle = TABLE * (self.keep * self.settings.handshake_price / price if price else self.keep / KEEP)
         keep = idle * len(self.caches) / rate
         left = server.used_at + keep - self.now
-        if left < self.settings.tick:
-            self.out.append(api.Close(server.entry.server))
-        elif left < self.settings.connection_idle:
-            self.out.append(api.SetTimer(left, "idle:" + server.entry.server))
+        if left < self.settings.clock_resolution:
+            self.out.append(CloseIdleConnections(server.entry.name))
+        elif left < self.settings.connection_idle_timeout:
+            self.out.append(SetTimer(left, "idle:" + server.entry.name))
 
     def _end(self, held: Held) -> None:
         """The final answer: a refusal where the class permits one, else a failure."""
         if held.streaming or held.open_attempts():
             return
-        name = held.request.request
+        name = held.request.request_id
         origin = self._origin() if held.to_origin else None
         # by then what stood in its way is over; guards against clients that ask again while it is not
         come_back = min(self.settings.max_retry_after, origin.latency if origin else self.wait)
-        self.out.append(api.Refuse(name, come_back) if self._permits(held, None) else api.Fail(name))
+        self.out.append(Reject(name, come_back) if self._permits(held, None) else Fail(name))
         self._forget(held)
 
     def _forget(self, held: Held) -> None:
         held.waiting = False
-        del self.held[held.request.request]
+        del self.held[held.request.request_id]
         for number, attempt in enumerate(held.attempts):
-            if attempt.open and self.settings.may_cancel:
-                self.out.append(api.Cancel(held.request.request, number))
+            if attempt.open and self.settings.cancellation_allowed:
+                self.out.append(Cancel(held.request.request_id, number))
 
-    def _on_outcome(self, event: api.Outcome) -> None:
-        attempt = self.attempts.pop((event.request, event.attempt), None)
+    def _on_outcome(self, event: AttemptCompleted) -> None:
+        attempt = self.attempts.pop((event.request_id, event.attempt_number), None)
         if attempt is None:
             return
         attempt.open = False
-        attempt.may_have_run = event.status not in api.NEVER_RAN
+        attempt.may_have_run = event.status not in NOT_EXECUTED
         attempt.server.load -= 1
         if event.status not in UNHEARD:
             attempt.server.quiet_since = math.inf
             self._note_failure(attempt.server, event.status)
         attempt.server.used_at = self.now
         self._note_load(attempt.server, event)
-        lost = event.status is api.Status.CONNECT_FAILED
+        lost = event.status is AttemptStatus.CONNECT_FAILED
         self.keep = self.keep / 2 if lost else self.keep + KEEP_GAIN * (KEEP - self.keep)
         self._close_idle(attempt.server)
         if attempt.server.cache:
-            good = event.status in (api.Status.OK, api.Status.MISS)
+            good = event.status in (AttemptStatus.OK, AttemptStatus.MISS)
             self.good += SMOOTHING * (good - self.good)
             if good and not self._is_cold(attempt.server) and (warm := self._warm_size()) > 0:
                 self.bearing.note(self.now, warm)
             self.wait += SMOOTHING * (event.latency / (1 + attempt.server.reported) - self.wait)
         self._learn_limit(attempt, event)
-        held = self.held.get(event.request)
+        held = self.held.get(event.request_id)
         if held is not None:
-            if event.closed or event.status is api.Status.OK:
+            if event.request_closed or event.status is AttemptStatus.OK:
                 self._forget(held)
-            elif not held.waiting and (event.status is api.Status.MISS or not held.open_attempts()):
+            elif not held.waiting and (event.status is AttemptStatus.MISS or not held.open_attempts()):
                 self._after_failure(held, event)
         if not attempt.server.cache:
             self._serve_queue()
 
-    def _after_failure(self, held: Held, event: api.Outcome) -> None:
+    def _after_failure(self, held: Held, event: AttemptCompleted) -> None:
         """The origin is next after a miss; after anything else a retry, while the budget lasts."""
-        if event.status is api.Status.MISS and self.settings.aside:
+        if event.status is AttemptStatus.MISS and self.settings.cache_aside:
             held.to_origin = True
-        elif event.status is api.Status.ERROR and not self.settings.aside:
+        elif event.status is AttemptStatus.ERROR and not self.settings.cache_aside:
             held.until = self.now  # guards against a failing origin: each server tried fetches the key again
         elif not held.to_origin and (event.status not in CHEAP or self.good < ROOM):
             # guards against feeding an overload: full servers made every request into a dozen attempts
@@ -552,17 +599,17 @@
         held.waiting = True
         self._wake_in_time(held)
         self.queued += 1
-        heapq.heappush(self.queue, (-held.request_class.worth, self.queued, held))
+        heapq.heappush(self.queue, (-held.request_class.priority_weight, self.queued, held))
         self._serve_queue()
 
     def _wake_in_time(self, held: Held) -> None:
         """A timer, so that a request that waits is answered in time whatever comes."""
         pause = max(0.0, self._latest_start(held, self._origin()) - self.now)
-        self.out.append(api.SetTimer(pause, "wait:" + held.request.request))
+        self.out.append(SetTimer(pause, "wait:" + held.request.request_id))
 
     def _latest_start(self, held: Held, origin: Server | None) -> float:
         """From then on no fetch would be back in time; writes need less room, as they store nothing."""
-        room = 1.0 if held.request.write else FETCH_ROOM
+        room = 1.0 if held.request.is_write else FETCH_ROOM
         return held.until - room * origin.latency if origin is not None else held.until
 
     def _serve_queue(self) -> None:
@@ -586,20 +633,20 @@
         self.queue = [q for q in self.queue if q[2].waiting]
         heapq.heapify(self.queue)
 
-    def _learn_limit(self, attempt: Attempt, event: api.Outcome) -> None:
+    def _learn_limit(self, attempt: Attempt, event: AttemptCompleted) -> None:
         """Adapt what this router has out at a server: less when it is slow or full, else a little more."""
         server = attempt.server
-        if event.status in FAILED or event.status is api.Status.MOOT:
+        if event.status in FAILED or event.status is AttemptStatus.NOT_SENT:
             return
-        if event.status is not api.Status.FULL:
+        if event.status is not AttemptStatus.REJECTED:
             latency = min(event.latency, OUTLIER * server.latency) if server.latency else event.latency
             server.latency += SMOOTHING * (latency - server.latency)
         server.slowness += SMOOTHING * (min(OUTLIER, event.latency / attempt.target) - server.slowness)
-        if event.status is api.Status.FULL or server.slowness > 1.0:
+        if event.status is AttemptStatus.REJECTED or server.slowness > 1.0:
             if self.now - server.cut_at > attempt.target:
                 server.limit = max(1.0, server.limit * LIMIT_CUT)
                 server.cut_at = self.now
-            if event.status is api.Status.FULL:  # what is out there now is what it bears
+            if event.status is AttemptStatus.REJECTED:  # what is out there now is what it bears
                 server.limit = max(1.0, min(server.limit, server.load))
-        elif event.status in (api.Status.OK, api.Status.MISS) and server.load + 1 >= server.limit / 2:
+        elif event.status in (AttemptStatus.OK, AttemptStatus.MISS) and server.load + 1 >= server.limit / 2:
             server.limit += 1 / server.limit
--- a/cache_router/decisions/slow_start.py
+++ b/cache_router/decisions/slow_start.py
@@ -10,18 +10,23 @@
 import math
 from dataclasses import dataclass, field
 
-from cache_router import interface as api
+from cache_router.endpoint import Endpoint
+from cache_router.settings import Settings
 
 
-def is_cold(settings: api.Settings, entry: api.ServerEntry, now: float) -> bool:
+def is_cold(settings: Settings, entry: Endpoint, now: float) -> bool:
     """Whether a server is in its ramp."""
-    return entry.since > 0 and now - entry.since < settings.ramp
+    return entry.started_at > 0 and now - entry.started_at < settings.slow_start_duration
 
 
-def present_share(settings: api.Settings, entry: api.ServerEntry, now: float) -> float:
+def present_share(settings: Settings, entry: Endpoint, now: float) -> float:
     """Share of its capacity that a server has reached; it rises evenly over the ramp."""
-    risen = min(1.0, max(0.0, now - entry.since) / settings.ramp) if entry.since > 0 else 1.0
-    return settings.cold_share + (1 - settings.cold_share) * risen
+    risen = (
+        min(1.0, max(0.0, now - entry.started_at) / settings.slow_start_duration)
+        if entry.started_at > 0
+        else 1.0
+    )
+    return settings.slow_start_initial_share + (1 - settings.slow_start_initial_share) * risen
 
 
 @dataclass(slots=True)
@@ -57,10 +62,10 @@
     def note(self, now: float, window: float) -> None:
         self.sent = [*(t for t in self.sent if now - t < window), now]
 
-    def spent(self, settings: api.Settings, entry: api.ServerEntry, bears: float, now: float) -> bool:
+    def spent(self, settings: Settings, entry: Endpoint, bears: float, now: float) -> bool:
         """Whether one call more would go beyond it; `bears` is what a warm server like it answers us."""
-        window, routers = settings.fall_window, settings.siblings
+        window, routers = settings.overload_window, settings.router_count
         share = present_share(settings, entry, now - window)  # the least within the window that ends now
-        calls = settings.fall_multiple * share * bears * window
+        calls = settings.overload_multiple * share * bears * window
         chance = (2 * math.sqrt(calls * routers) + 2) / routers  # our part of what is put down to chance
         return sum(now - t < window for t in self.sent) + self.draw > calls + chance
--- a/cache_router/net/cache_connection.py
+++ b/cache_router/net/cache_connection.py
@@ -2,19 +2,24 @@
 
 from __future__ import annotations
 
-from cache_router.interface import Status
+from cache_router.decisions.events import AttemptStatus
 from cache_router.net.command import MAX_VALUE, Command
-from cache_router.net.connection_pool import Answer, Connection, MalformedAnswer, Pool
+from cache_router.net.connection_pool import (
+    ConnectionPool,
+    MalformedResponseError,
+    UpstreamConnection,
+    UpstreamResponse,
+)
 from cache_router.net.resp import NOT_YET, ErrorLine, Reader, RespError, pack
 
 MAX_ITEMS = 16  # of an answer's three and of whatever stands in a load report's place
 MAX_ANSWER = MAX_VALUE + 8192  # the value and what stands round it
 
 
-class CacheConnection(Connection):
+class CacheConnection(UpstreamConnection):
     """A connection to a cache server."""
 
-    def __init__(self, pool: Pool, address: str) -> None:
+    def __init__(self, pool: ConnectionPool, address: str) -> None:
         super().__init__(pool, address)
         self.reader = Reader(MAX_ITEMS, MAX_VALUE, MAX_ANSWER)
 
@@ -24,23 +29,23 @@
             parts.append(command.value)
         return pack(parts)
 
-    def decode(self, data: bytes) -> Answer | None:
+    def decode(self, data: bytes) -> UpstreamResponse | None:
         self.reader.feed(data)
         try:
             reply = self.reader.next()
         except RespError as e:
-            raise MalformedAnswer(str(e)) from e
+            raise MalformedResponseError(str(e)) from e
         # a third item that is no report, or can't be read, does not spoil the value
         match reply:
             case ErrorLine(text):
-                status = Status.FULL if text.split(" ")[0] == "BUSY" else Status.ERROR
+                status = AttemptStatus.REJECTED if text.split(" ")[0] == "BUSY" else AttemptStatus.ERROR
                 return status, b"", text.rpartition(" ")[2].encode("latin-1")
             case [bytes() | None as value, bytes() | None, report]:
                 told = report if isinstance(report, bytes) else b""
-                return (Status.MISS, b"", told) if value is None else (Status.OK, value, told)
+                return (AttemptStatus.MISS, b"", told) if value is None else (AttemptStatus.OK, value, told)
         if reply is NOT_YET:
             return None
-        raise MalformedAnswer(f"not an answer: {repr(reply)[:80]}")
+        raise MalformedResponseError(f"not an answer: {repr(reply)[:80]}")
 
     def reusable(self) -> bool:
         return not self.reader.buffer
--- a/cache_router/net/client_connection.py
+++ b/cache_router/net/client_connection.py
@@ -11,8 +11,8 @@
 from functools import partial
 
 from cache_router.net.command import MAX_INFO, MAX_KEY, MAX_VALUE, CommandError, read_command
-from cache_router.net.connection_pool import hung_up, readable
-from cache_router.net.dispatcher import Host
+from cache_router.net.connection_pool import has_unread_bytes, is_hung_up
+from cache_router.net.dispatcher import Dispatcher
 from cache_router.net.resp import NOT_YET, Message, Reader, RespError
 
 MAX_COMMAND = MAX_VALUE + MAX_KEY + MAX_INFO + 4096  # bytes held for a command that is not whole
@@ -42,7 +42,7 @@
 class ClientConnection(asyncio.BufferedProtocol):
     """One client's connection."""
 
-    def __init__(self, host: Host, listener: Listener) -> None:
+    def __init__(self, host: Dispatcher, listener: Listener) -> None:
         self.host = host
         self.listener = listener
         self.reader = Reader(MAX_PARTS, MAX_VALUE, MAX_COMMAND)
@@ -172,13 +172,13 @@
 
         Asked of the kernel: its end comes behind all that it sent, which the loop reads late or not at all.
         """
-        if not self.transport.is_closing() and hung_up(self.transport):
+        if not self.transport.is_closing() and is_hung_up(self.transport):
             self.close()
         return not self.transport.is_closing()
 
     def unread(self) -> bool:
         """Whether a command may wait in the socket."""
-        return readable(self.transport)
+        return has_unread_bytes(self.transport)
 
     def unsent(self) -> bool:
         """Whether an answer has not gone out whole."""
@@ -199,10 +199,10 @@
 class Listener:
     """Accepts clients, within a budget of descriptors."""
 
-    def __init__(self, host: Host, budget: int) -> None:
+    def __init__(self, host: Dispatcher, budget: int) -> None:
         self.host = host
         self.budget = budget
-        self.longest_wait = max(c.deadline for c in host.settings.classes.values())
+        self.longest_wait = max(c.client_timeout for c in host.settings.classes.values())
         self.connections: dict[ClientConnection, None] = {}
         # connections on which nothing is owed, each since when, longest first
         self.awaited: dict[ClientConnection, float] = {}  # a first command, or the rest of one
--- a/cache_router/net/connection_pool.py
+++ b/cache_router/net/connection_pool.py
@@ -9,7 +9,7 @@
 from abc import abstractmethod
 from collections.abc import Callable
 
-from cache_router.interface import Status
+from cache_router.decisions.events import AttemptStatus
 from cache_router.net.command import Command
 
 IDLE_MARGIN = 0.5  # seconds before the peer may close an idle connection at which it is no longer used
@@ -19,12 +19,12 @@
 REST = 0.01
 log = logging.getLogger(__name__)
 
-Answer = tuple[Status, bytes, bytes]  # with the value and the load report
-Done = Callable[[Status, bytes, bytes], None]
-Objection = Callable[[], Status | None]  # how an attempt ends that must not be written any more
+UpstreamResponse = tuple[AttemptStatus, bytes, bytes]  # with the value and the load report
+Done = Callable[[AttemptStatus, bytes, bytes], None]
+Precondition = Callable[[], AttemptStatus | None]  # how an attempt ends that must not be written any more
 
 
-class MalformedAnswer(Exception):
+class MalformedResponseError(Exception):
     """Bytes that are no answer; what they answer may have run."""
 
 
@@ -39,17 +39,17 @@
     return text.isascii() and text.isdigit() and len(text) <= 5 and int(text) < 65536
 
 
-def no_objection() -> Status | None:
+def always_allowed() -> AttemptStatus | None:
     """What may be written whenever its connection is up."""
     return None
 
 
-def readable(transport: asyncio.BaseTransport) -> bool:
+def has_unread_bytes(transport: asyncio.BaseTransport) -> bool:
     """Whether bytes or an end wait on a socket that the event loop has not looked at yet."""
     return bool(waiting(transport, select.POLLIN))
 
 
-def hung_up(transport: asyncio.BaseTransport) -> bool:
+def is_hung_up(transport: asyncio.BaseTransport) -> bool:
     """Whether the peer has closed or reset, whatever it sent before that waits unread."""
     return bool(waiting(transport, select.POLLRDHUP) & (select.POLLRDHUP | select.POLLHUP | select.POLLERR))
 
@@ -64,7 +64,7 @@
     return sum(found for _, found in poll.poll(0))
 
 
-class Exchange:
+class AttemptInFlight:
     """One attempt: it ends once, by `done` or by being abandoned."""
 
     def __init__(self, command: Command, time_left: float, done: Done) -> None:
@@ -73,13 +73,13 @@
         self.done = done
         self.open = True
         self.dial: asyncio.Task[None] | None = None
-        self.connection: Connection | None = None
+        self.connection: UpstreamConnection | None = None
 
     def time_left(self) -> float:
         """For how long the router still waits, in seconds: a dial may have taken much of it."""
         return max(0.0, self.ends_at - asyncio.get_running_loop().time())
 
-    def finish(self, status: Status, value: bytes = b"", report: bytes = b"") -> None:
+    def finish(self, status: AttemptStatus, value: bytes = b"", report: bytes = b"") -> None:
         if self.open:
             self.open = False
             self.done(status, value, report)
@@ -95,13 +95,13 @@
             self.connection.drop()
 
 
-class Connection(asyncio.Protocol):
+class UpstreamConnection(asyncio.Protocol):
     """A connection to one address."""
 
-    def __init__(self, pool: Pool, address: str) -> None:
+    def __init__(self, pool: ConnectionPool, address: str) -> None:
         self.pool = pool
         self.address = address
-        self.exchange: Exchange | None = None
+        self.exchange: AttemptInFlight | None = None
         self.written = False  # whether the request's last byte is
         self.process: object = None  # that it was made to: another may come to its address
         self.kept_at = 0.0  # since when it is idle
@@ -112,7 +112,7 @@
         """A request's bytes."""
 
     @abstractmethod
-    def decode(self, data: bytes) -> Answer | None:
+    def decode(self, data: bytes) -> UpstreamResponse | None:
         """Take bytes of the answer; None until it is whole."""
 
     @abstractmethod
@@ -130,7 +130,7 @@
         transport.set_write_buffer_limits(high=0)
         self.pool.connections.add(self)
 
-    def begin(self, exchange: Exchange) -> None:
+    def begin(self, exchange: AttemptInFlight) -> None:
         exchange.connection = self
         self.exchange = exchange
         self.written = False
@@ -162,7 +162,7 @@
         if answer is None:
             if self.expiry is None and self.begun():
                 loop = asyncio.get_running_loop()
-                stalled = MalformedAnswer("begun and not ended")
+                stalled = MalformedResponseError("begun and not ended")
                 # guards the request: an answer said to be longer than it is never ends
                 self.expiry = loop.call_later(ANSWER_TIME, self._spoilt, exchange, stalled)
         else:
@@ -174,13 +174,13 @@
                 self.drop()
             exchange.finish(*answer)
 
-    def _spoilt(self, exchange: Exchange, fault: Exception) -> None:
+    def _spoilt(self, exchange: AttemptInFlight, fault: Exception) -> None:
         """An answer that can't be used: the request may have run, and what follows belongs to nobody."""
-        level = logging.WARNING if isinstance(fault, MalformedAnswer) else logging.ERROR
+        level = logging.WARNING if isinstance(fault, MalformedResponseError) else logging.ERROR
         log.log(level, "answer of %s: %.200r", self.address, fault)
         self.exchange = None
         self.drop()
-        exchange.finish(Status.ERROR)
+        exchange.finish(AttemptStatus.ERROR)
 
     def stop_expiry(self) -> None:
         if self.expiry is not None:
@@ -196,7 +196,7 @@
         self.pool.forget(self)
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
-            exchange.finish(Status.RESET if self.written else Status.CONNECT_FAILED)
+            exchange.finish(AttemptStatus.RESET if self.written else AttemptStatus.CONNECT_FAILED)
 
     def drop(self) -> None:
         """Close at once, without sending what is still held back."""
@@ -204,12 +204,12 @@
         self.transport.abort()
 
 
-class Pool:
+class ConnectionPool:
     """The connections to servers that speak one protocol."""
 
     def __init__(
         self,
-        make: Callable[[Pool, str], Connection],
+        make: Callable[[ConnectionPool, str], UpstreamConnection],
         budget: int,
         dial_timeout: float,
         idle: float,
@@ -220,10 +220,10 @@
         self.dial_timeout = dial_timeout
         self.rest = rest
         self.idle_time = max(0.0, idle - IDLE_MARGIN)
-        self.connections: set[Connection] = set()
+        self.connections: set[UpstreamConnection] = set()
         self.dials: set[asyncio.Task[None]] = set()
-        self.idle: dict[Connection, None] = {}  # of all addresses, longest first
-        self.idle_at: dict[str, dict[Connection, None]] = {}  # of each
+        self.idle: dict[UpstreamConnection, None] = {}  # of all addresses, longest first
+        self.idle_at: dict[str, dict[UpstreamConnection, None]] = {}  # of each
 
     def start(
         self,
@@ -233,26 +233,28 @@
         done: Done,
         process: object = None,
         *,
-        objection: Objection = no_objection,
-    ) -> Exchange:
+        precondition: Precondition = always_allowed,
+    ) -> AttemptInFlight:
         """Start an attempt on the process that is at an address now.
 
         A connection may be long in coming up: what has changed meanwhile is asked before the first byte.
         """
-        exchange = Exchange(command, time_left, done)
+        exchange = AttemptInFlight(command, time_left, done)
         kept = self._take(address, process)
         if kept is not None:
             kept.begin(exchange)
         elif self._has_room():
-            exchange.dial = asyncio.create_task(self._dial(address, process, exchange, objection))
+            exchange.dial = asyncio.create_task(self._dial(address, process, exchange, precondition))
             self.dials.add(exchange.dial)
             exchange.dial.add_done_callback(self.dials.discard)
         else:
             # guards against running out of descriptors, which would stop new clients as well
-            exchange.finish(Status.MOOT)  # not the server's fault
+            exchange.finish(AttemptStatus.NOT_SENT)  # not the server's fault
         return exchange
 
-    async def _dial(self, address: str, process: object, exchange: Exchange, objection: Objection) -> None:
+    async def _dial(
+        self, address: str, process: object, exchange: AttemptInFlight, precondition: Precondition
+    ) -> None:
         try:
             async with asyncio.timeout(self.dial_timeout):
                 _, connection = await asyncio.get_running_loop().create_connection(
@@ -260,21 +262,21 @@
                 )
         except (OSError, ValueError) as e:  # a time-out is the one, a host that cannot be spelled the other
             full = isinstance(e, OSError) and e.errno in (errno.EMFILE, errno.ENFILE)
-            exchange.finish(Status.MOOT if full else Status.CONNECT_FAILED)
+            exchange.finish(AttemptStatus.NOT_SENT if full else AttemptStatus.CONNECT_FAILED)
             return
         connection.process = process
         exchange.dial = None
-        status = objection()
+        status = precondition()
         if status is None:
             connection.begin(exchange)
             return
-        if status is Status.MOOT:
+        if status is AttemptStatus.NOT_SENT:
             self.keep(connection)  # it is the request that is over
         else:
             connection.drop()
         exchange.finish(status)
 
-    def _take(self, address: str, process: object) -> Connection | None:
+    def _take(self, address: str, process: object) -> UpstreamConnection | None:
         """The kept connection idle for longest, if one still stands and has had its rest.
 
         Guards against what follows a good answer after a while: on the one used last it would more likely
@@ -287,7 +289,7 @@
             self._leave_idle(connection)
             usable = connection.process == process and not connection.transport.is_closing()
             # guards against resets: a close that came in since the loop last looked would lose the request
-            if usable and not readable(connection.transport):
+            if usable and not has_unread_bytes(connection.transport):
                 return connection
             connection.drop()
         return None
@@ -300,14 +302,14 @@
             return True
         return False
 
-    def keep(self, connection: Connection) -> None:
+    def keep(self, connection: UpstreamConnection) -> None:
         """Hold a connection for the next attempt until the server would close it."""
         connection.kept_at = asyncio.get_running_loop().time()
         connection.expire_in(self.idle_time)
         self.idle[connection] = None
         self.idle_at.setdefault(connection.address, {})[connection] = None
 
-    def _leave_idle(self, connection: Connection) -> None:
+    def _leave_idle(self, connection: UpstreamConnection) -> None:
         connection.stop_expiry()
         if connection in self.idle:
             del self.idle[connection]
@@ -316,7 +318,7 @@
             if not at:
                 del self.idle_at[connection.address]
 
-    def forget(self, connection: Connection) -> None:
+    def forget(self, connection: UpstreamConnection) -> None:
         """Note that a connection is closed."""
         self.connections.discard(connection)
         self._leave_idle(connection)
--- a/cache_router/net/discovery.py
+++ b/cache_router/net/discovery.py
@@ -10,12 +10,18 @@
 
 import orjson
 
-from cache_router import interface as api
+from cache_router.decisions.events import EndpointUpdateKind
+from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.net.connection_pool import address_of, is_port
-from cache_router.net.dispatcher import Member
+from cache_router.net.dispatcher import NetworkEndpoint
 from cache_router.net.http import HttpClient, HttpError
+from cache_router.settings import WatchBudget
 
-STATES = {"in_service": api.State.READY, "terminating": api.State.DRAINING, "terminated": api.State.GONE}
+STATES = {
+    "in_service": EndpointState.READY,
+    "terminating": EndpointState.DRAINING,
+    "terminated": EndpointState.REMOVED,
+}
 MAX_LIST = 4 * 1024 * 1024
 # after an answer with no news, so that an agent that never waits is not asked in a spin; a call more than
 # 200 ms after the last answer would be a new watch, in turn with all others
@@ -35,7 +41,7 @@
     return value
 
 
-def read_member(line: Any, where: str) -> Member:
+def read_member(line: Any, where: str) -> NetworkEndpoint:
     """One entry."""
     if not isinstance(line, dict):
         raise ListError(f"{where} is not an object")
@@ -47,19 +53,19 @@
     host, _, port = address.rpartition(":")
     if not host or not is_port(port) or not int(port):
         raise ListError(f"{where}address is not host:port: {address[:40]}")
-    entry = api.ServerEntry(
-        server=field(line, "name", str, where),
+    entry = Endpoint(
+        name=field(line, "name", str, where),
         state=STATES[state],
         kind=field(line, "type", str, where),
         zone=field(line, "zone", str, where),
         cell=field(line, "group", int, where),
         weight=max(0.0, field(line, "weight", (int, float), where)),
-        since=field(line, "since_ms", (int, float), where) / 1000,  # Unix time, as the host's clock
+        started_at=field(line, "since_ms", (int, float), where) / 1000,  # Unix time, as the host's clock
     )
-    return Member(entry, address)
+    return NetworkEndpoint(entry, address)
 
 
-def read_list(message: Any, where: str = "") -> tuple[int, bool, list[Member]]:
+def read_list(message: Any, where: str = "") -> tuple[int, bool, list[NetworkEndpoint]]:
     """The version of a list, whether it is whole, and its entries."""
     if not isinstance(message, dict):
         raise ListError(f"{where or 'list'} is not an object")
@@ -76,18 +82,18 @@
         self,
         address: str,
         index: int | None,
-        told: Callable[[api.ListKind, list[Member]], None],
+        told: Callable[[EndpointUpdateKind, list[NetworkEndpoint]], None],
         failed: Callable[[], None],
         pushed: bool = False,
         *,
-        budget: api.WatchBudget | None = None,
+        budget: WatchBudget | None = None,
     ) -> None:
         self.address = address
         self.index = index  # of the list held; None: from another discovery, or none
         self.told = told
         self.failed = failed
         self.watch: asyncio.Task[None] | None = None
-        self.budget = budget or api.WatchBudget()
+        self.budget = budget or WatchBudget()
         self.heard = asyncio.Event()  # that a list has been told
         # an agent answers at once; a discovery asked by all might keep a second call waiting in turn
         self.pushed = self.ask_at_once = pushed
@@ -110,7 +116,7 @@
                 began = time.monotonic()
                 self.index, whole, members = await self._call()
                 self.ask_at_once = False
-                self.told(api.ListKind.FULL if whole else api.ListKind.DELTA, members)
+                self.told(EndpointUpdateKind.SNAPSHOT if whole else EndpointUpdateKind.DELTA, members)
                 self.heard.set()
                 if not members:
                     await asyncio.sleep(EMPTY_PAUSE)
@@ -130,12 +136,15 @@
         """
         target = "/registry/instances"
         if self.index is None:
-            return target, self.budget.turn
+            return target, self.budget.response_timeout
         if self.pushed and self.ask_at_once:
-            return f"{target}?after={self.index}&wait_ms=0", self.budget.turn
-        return f"{target}?after={self.index}&wait_ms={int(self.budget.wait * 1000)}", self.budget.limit
+            return f"{target}?after={self.index}&wait_ms=0", self.budget.response_timeout
+        return (
+            f"{target}?after={self.index}&wait_ms={int(self.budget.long_poll_wait * 1000)}",
+            self.budget.call_timeout,
+        )
 
-    async def _call(self) -> tuple[int, bool, list[Member]]:
+    async def _call(self) -> tuple[int, bool, list[NetworkEndpoint]]:
         target, limit = self.next_call()
         async with asyncio.timeout(limit):
             reader, writer = await asyncio.open_connection(*address_of(self.address))
--- a/cache_router/net/dispatcher.py
+++ b/cache_router/net/dispatcher.py
@@ -14,11 +14,36 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-from cache_router import interface as api
+from cache_router.decisions.actions import (
+    Action,
+    Cancel,
+    CloseIdleConnections,
+    Fail,
+    LogMessage,
+    Reject,
+    Send,
+    SetTimer,
+    SubscribeToEndpoints,
+)
+from cache_router.decisions.events import (
+    AttemptCompleted,
+    AttemptStatus,
+    ClientDisconnected,
+    DiscoveryAddressChanged,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    LoadReport,
+    Request,
+    ShutdownStarted,
+    TimerFired,
+)
 from cache_router.decisions.router import Router
+from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.net.command import Command, CommandError
-from cache_router.net.connection_pool import Exchange, Pool
-from cache_router.settings import read_load
+from cache_router.net.connection_pool import AttemptInFlight, ConnectionPool
+from cache_router.settings import Idempotency, Settings
+from cache_router.settings_reader import read_load
 
 # before the client's deadline, which counts from its send: measured, the way takes 1.3 ms at most in each
 # direction and this process 1.4 ms at the 99th percentile; the rest is for a core that others keep busy
@@ -29,7 +54,7 @@
 log = logging.getLogger(__name__)
 
 
-def read_report(text: bytes, names: tuple[str, ...]) -> api.Load | None:
+def read_report(text: bytes, names: tuple[str, ...]) -> LoadReport | None:
     """A load report as it stands in an answer; None where it can't be read."""
     values: dict[str, float] = {}
     for pair in text[:MAX_REPORT].decode("latin-1").split(","):
@@ -56,7 +81,7 @@
 
     number: int
     sent_at: float
-    exchange: Exchange | None = None
+    exchange: AttemptInFlight | None = None
     timer: asyncio.TimerHandle | None = None
 
 
@@ -76,23 +101,28 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Member:
+class NetworkEndpoint:
     """A cache server or origin of this router's own list."""
 
-    entry: api.ServerEntry
+    entry: Endpoint
     address: str
 
     @property
     def process(self) -> tuple[str, float]:
         """What tells it from another at the same address, and from itself before a restart."""
-        return self.entry.server, self.entry.since
+        return self.entry.name, self.entry.started_at
 
 
-class Host:
+class Dispatcher:
     """One router and what it has going on."""
 
     def __init__(
-        self, settings: api.Settings, seed: int, servers: Pool, origin: Pool, subscribe: Callable[[], None]
+        self,
+        settings: Settings,
+        seed: int,
+        servers: ConnectionPool,
+        origin: ConnectionPool,
+        subscribe: Callable[[], None],
     ) -> None:
         self.settings = settings
         self.servers = servers
@@ -100,17 +130,17 @@
         self.subscribe = subscribe
         self.clock = Clock()
         self.router = Router(settings, seed, self.clock.now())
-        self.members: dict[str, Member] = {}
+        self.members: dict[str, NetworkEndpoint] = {}
         self.requests: dict[str, Taken] = {}
         self.used: set[str] = set()  # ids of ended requests
         self.used_before: set[str] = set()
         self.used_since = self.clock.now()
         self.over: list[str] = []  # names of requests that may be forgotten
-        self.events: deque[api.Event] = deque()
+        self.events: deque[Event] = deque()
         self.handling = False
         self.ends_at = math.inf  # by then nothing may be owed
 
-    def post(self, event: api.Event) -> None:
+    def post(self, event: Event) -> None:
         """Hand an event to the module; one that comes while actions are carried out waits its turn."""
         self.events.append(event)
         if self.handling:
@@ -127,58 +157,58 @@
                 self._forget(name)
             self.over.clear()
 
-    def _carry_out(self, action: api.Action) -> None:
+    def _carry_out(self, action: Action) -> None:
         match action:
-            case api.Send():
+            case Send():
                 self._send(action)
-            case api.Refuse():
+            case Reject():
                 self._refuse(action)
-            case api.Fail():
-                self._close(action.request, b"-ERR failed\r\n")
-            case api.Cancel():
+            case Fail():
+                self._close(action.request_id, b"-ERR failed\r\n")
+            case Cancel():
                 self._cancel(action)
-            case api.Close():
+            case CloseIdleConnections():
                 if (member := self.members.get(action.server)) is not None:
                     self._pool(member).close_idle(member.address)
-            case api.SetTimer():
+            case SetTimer():
                 loop = asyncio.get_running_loop()
-                loop.call_later(action.delay, self.post, api.TimerFired(action.token))
-            case api.Subscribe():
+                loop.call_later(action.delay, self.post, TimerFired(action.token))
+            case SubscribeToEndpoints():
                 self.subscribe()
-            case api.Log():
-                log.info("%s", action.text)
+            case LogMessage():
+                log.info("%s", action.message)
 
     # The list
 
     def ready(self) -> bool:
         """Whether any cache server may be sent to."""
-        return any(m.entry.ready and not self._is_origin(m) for m in self.members.values())
+        return any(m.entry.is_ready and not self._is_origin(m) for m in self.members.values())
 
-    def list_moved(self) -> None:
+    def on_discovery_address_changed(self) -> None:
         """The list is told elsewhere from now on."""
-        self.post(api.ListMoved())
+        self.post(DiscoveryAddressChanged())
 
-    def list_failed(self) -> None:
-        self.post(api.ServerList(api.ListKind.FAILED))
+    def on_watch_failed(self) -> None:
+        self.post(EndpointUpdate(EndpointUpdateKind.FAILED))
 
-    def list_told(self, kind: api.ListKind, members: list[Member]) -> None:
+    def on_endpoint_update(self, kind: EndpointUpdateKind, members: list[NetworkEndpoint]) -> None:
         """Take a list or its changes."""
-        told = {m.entry.server: None if m.entry.state is api.State.GONE else m for m in members}
-        unnamed = () if kind is api.ListKind.DELTA else tuple(self.members)
+        told = {m.entry.name: None if m.entry.state is EndpointState.REMOVED else m for m in members}
+        unnamed = () if kind is EndpointUpdateKind.DELTA else tuple(self.members)
         for name in dict.fromkeys((*unnamed, *told)):
             old, new = self.members.pop(name, None), told.get(name)
             if new is not None:
                 self.members[name] = new
             # guards the descriptors, and the next process at an address: nothing more is sent to one that
             # ends, and a machine that vanished never closes what was kept to it
-            if old is not None and (new is None or not new.entry.ready or new.process != old.process):
+            if old is not None and (new is None or not new.entry.is_ready or new.process != old.process):
                 self._pool(old).close_idle(old.address)
-        self.post(api.ServerList(kind, tuple(m.entry for m in members)))
+        self.post(EndpointUpdate(kind, tuple(m.entry for m in members)))
 
-    def _is_origin(self, member: Member) -> bool:
-        return self.settings.aside and member.entry.kind == self.settings.origin_kind
+    def _is_origin(self, member: NetworkEndpoint) -> bool:
+        return self.settings.cache_aside and member.entry.kind == self.settings.origin_kind
 
-    def _pool(self, member: Member) -> Pool:
+    def _pool(self, member: NetworkEndpoint) -> ConnectionPool:
         return self.origin if self._is_origin(member) else self.servers
 
     # Requests
@@ -194,7 +224,7 @@
         if request_class is None:
             raise CommandError("class is unknown")
         # guards against a second effect: no server could tell a repeat of it
-        if request_class.effect is api.Effect.KEYED and not command.info.get("k"):
+        if request_class.idempotency is Idempotency.WITH_KEY and not command.info.get("k"):
             raise CommandError("k is missing")
         time_left = max(0.0, command.deadline_ms / 1000 - DEADLINE_MARGIN)
         now = self.clock.now()
@@ -202,7 +232,7 @@
         taken = self.requests[name] = Taken(command, now + time_left, answer, present)
         taken.expiry = asyncio.get_running_loop().call_later(time_left, self._overdue, name)
         hint = command.info.get("h", "")
-        request = api.Request(
+        request = Request(
             name,
             request_class.name,
             time_left,
@@ -218,7 +248,7 @@
         taken = self.requests.get(name)
         if taken is not None and not taken.closed:
             self._settle(taken, name)
-            self.post(api.ClientGone(name))
+            self.post(ClientDisconnected(name))
 
     def end_within(self, seconds: float) -> None:
         """Answer all that is taken, now or later, before so many seconds are over."""
@@ -230,7 +260,7 @@
                 taken.expiry.cancel()
                 taken.deadline = self.ends_at
                 taken.expiry = loop.call_later(seconds, self._overdue, name)
-        self.post(api.Ending(seconds))
+        self.post(ShutdownStarted(seconds))
 
     def _overdue(self, name: str) -> None:
         """The deadline: attempts still out time out."""
@@ -263,28 +293,28 @@
             if taken.expiry is not None:
                 taken.expiry.cancel()
 
-    def _refuse(self, action: api.Refuse) -> None:
+    def _refuse(self, action: Reject) -> None:
         """A refusal at once, that tells the client when to come back if the module has advice."""
-        pause = math.ceil(action.come_back * 1000)
-        self._close(action.request, b"-BUSY %d\r\n" % pause if pause else b"-BUSY\r\n")
+        pause = math.ceil(action.retry_after * 1000)
+        self._close(action.request_id, b"-BUSY %d\r\n" % pause if pause else b"-BUSY\r\n")
 
     # Attempts
 
-    def _send(self, action: api.Send) -> None:
-        taken = self.requests.get(action.request)
+    def _send(self, action: Send) -> None:
+        taken = self.requests.get(action.request_id)
         if taken is None:
-            log.error("a send for %s, which is long over", action.request)
+            log.error("a send for %s, which is long over", action.request_id)
             return
         now = self.clock.now()
         attempt = Attempt(taken.sent, now)
         taken.sent += 1
         taken.attempts[attempt.number] = attempt
         member = self.members.get(action.server)
-        status = self._objection(taken, member)
+        status = self._precondition(taken, member)
         if attempt.number >= self.settings.max_attempts:
-            status = api.Status.MOOT
+            status = AttemptStatus.NOT_SENT
         if status is not None or member is None:
-            self._finish(taken, attempt, status or api.Status.CONNECT_FAILED)
+            self._finish(taken, attempt, status or AttemptStatus.CONNECT_FAILED)
             return
         time_left = taken.deadline - now
         if action.timeout is not None and action.timeout < time_left:
@@ -292,7 +322,7 @@
             loop = asyncio.get_running_loop()
             attempt.timer = loop.call_later(time_left, self._time_out, taken, attempt)
 
-        def done(status: api.Status, value: bytes, report: bytes) -> None:
+        def done(status: AttemptStatus, value: bytes, report: bytes) -> None:
             self._finish(taken, attempt, status, value, report)
 
         attempt.exchange = self._pool(member).start(
@@ -301,38 +331,38 @@
             time_left,
             done,
             member.process,
-            objection=lambda: self._objection(taken, member),
+            precondition=lambda: self._precondition(taken, member),
         )
 
-    def _objection(self, taken: Taken, member: Member | None) -> api.Status | None:
+    def _precondition(self, taken: Taken, member: NetworkEndpoint | None) -> AttemptStatus | None:
         """How an attempt ends, none of it written, that is too late for its client or its server."""
         name = taken.command.request.decode()
         if not taken.closed and not taken.present():
             self.client_gone(name)
         if taken.closed or taken.overdue:
-            return api.Status.MOOT
-        now = self.members.get(member.entry.server) if member is not None else None
+            return AttemptStatus.NOT_SENT
+        now = self.members.get(member.entry.name) if member is not None else None
         # guards the rule on drains: a server that has begun to leave, or went, is sent nothing new
-        if member is None or now is None or not now.entry.ready or now.process != member.process:
-            return api.Status.CONNECT_FAILED
+        if member is None or now is None or not now.entry.is_ready or now.process != member.process:
+            return AttemptStatus.CONNECT_FAILED
         return None
 
-    def _cancel(self, action: api.Cancel) -> None:
-        taken = self.requests.get(action.request)
-        attempt = taken.attempts.get(action.attempt) if taken is not None else None
+    def _cancel(self, action: Cancel) -> None:
+        taken = self.requests.get(action.request_id)
+        attempt = taken.attempts.get(action.attempt_number) if taken is not None else None
         if taken is not None and attempt is not None:
-            self._give_up(taken, attempt, api.Status.CANCELLED)
+            self._give_up(taken, attempt, AttemptStatus.CANCELLED)
 
     def _time_out(self, taken: Taken, attempt: Attempt) -> None:
-        self._give_up(taken, attempt, api.Status.TIMEOUT)
+        self._give_up(taken, attempt, AttemptStatus.TIMEOUT)
 
-    def _give_up(self, taken: Taken, attempt: Attempt, status: api.Status) -> None:
+    def _give_up(self, taken: Taken, attempt: Attempt, status: AttemptStatus) -> None:
         if attempt.exchange is not None:
             attempt.exchange.abandon()
         self._finish(taken, attempt, status)
 
     def _finish(
-        self, taken: Taken, attempt: Attempt, status: api.Status, value: bytes = b"", report: bytes = b""
+        self, taken: Taken, attempt: Attempt, status: AttemptStatus, value: bytes = b"", report: bytes = b""
     ) -> None:
         """Give an attempt its one outcome; the first that served answers the client."""
         if taken.attempts.pop(attempt.number, None) is None:
@@ -340,9 +370,9 @@
         if attempt.timer is not None:
             attempt.timer.cancel()
         name = taken.command.request.decode()
-        if status is api.Status.OK:
+        if status is AttemptStatus.OK:
             self._close(name, b"$%d\r\n%b\r\n" % (len(value), value))
         self.over.append(name)
         latency = self.clock.now() - attempt.sent_at
-        load = read_report(report, self.settings.report) if report else None
-        self.post(api.Outcome(name, attempt.number, status, taken.closed, latency, load))
+        load = read_report(report, self.settings.load_report_fields) if report else None
+        self.post(AttemptCompleted(name, attempt.number, status, taken.closed, latency, load))
--- a/cache_router/net/origin_connection.py
+++ b/cache_router/net/origin_connection.py
@@ -4,20 +4,25 @@
 
 from urllib.parse import quote_from_bytes
 
-from cache_router.interface import Status
+from cache_router.decisions.events import AttemptStatus
 from cache_router.net.command import MAX_VALUE, Command
-from cache_router.net.connection_pool import Answer, Connection, MalformedAnswer, Pool
+from cache_router.net.connection_pool import (
+    ConnectionPool,
+    MalformedResponseError,
+    UpstreamConnection,
+    UpstreamResponse,
+)
 from cache_router.net.http import HttpClient, HttpError
 
 
-class OriginConnection(Connection):
+class OriginConnection(UpstreamConnection):
     """A connection to the origin.
 
     It gives the length of what it sends: a body that only the connection's end would end may be cut short,
     and counts as broken.
     """
 
-    def __init__(self, pool: Pool, address: str) -> None:
+    def __init__(self, pool: ConnectionPool, address: str) -> None:
         super().__init__(pool, address)
         self.client = HttpClient(address, MAX_VALUE)
 
@@ -27,17 +32,17 @@
         headers = [(b"Request-Id", command.request), (b"Request-Info", command.info_for(time_left))]
         return self.client.request("PUT" if command.write else "GET", target, headers, command.value)
 
-    def decode(self, data: bytes) -> Answer | None:
+    def decode(self, data: bytes) -> UpstreamResponse | None:
         try:
             response = self.client.receive(data)
         except HttpError as e:
-            raise MalformedAnswer(str(e)) from e
+            raise MalformedResponseError(str(e)) from e
         if response is None:
             return None
         if response.status == 200:
-            return Status.OK, response.body, b""
+            return AttemptStatus.OK, response.body, b""
         not_started = response.status in (503, 504) and response.headers.get(b"not-started") == b"1"
-        return (Status.FULL if not_started else Status.ERROR), b"", b""
+        return (AttemptStatus.REJECTED if not_started else AttemptStatus.ERROR), b"", b""
 
     def begun(self) -> bool:
         return self.client.begun()
--- a/cache_router/simulator_adapter.py
+++ b/cache_router/simulator_adapter.py
@@ -8,27 +8,49 @@
 
 import orjson
 
-from cache_router import interface as api
+from cache_router.decisions.actions import (
+    Cancel,
+    CloseIdleConnections,
+    Fail,
+    LogMessage,
+    Reject,
+    Send,
+    SetTimer,
+    SubscribeToEndpoints,
+)
+from cache_router.decisions.events import (
+    AttemptCompleted,
+    AttemptStatus,
+    ClientDisconnected,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    Request,
+    ResponseStarted,
+    TimerFired,
+)
 from cache_router.decisions.router import Router
-from cache_router.settings import read_load, read_settings
+from cache_router.endpoint import Endpoint, EndpointState
+from cache_router.settings import SettingsError
+from cache_router.settings_reader import read_load, read_settings
 
-STATES = {"active": api.State.READY, "leaving": api.State.DRAINING, "left": api.State.GONE}
+STATES = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.REMOVED}
 KINDS = {
-    "INCREMENTAL": api.ListKind.DELTA,
-    "FULL": api.ListKind.FULL,
-    "SAVED": api.ListKind.SAVED,
-    "FAILED": api.ListKind.FAILED,
+    "INCREMENTAL": EndpointUpdateKind.DELTA,
+    "FULL": EndpointUpdateKind.SNAPSHOT,
+    "SAVED": EndpointUpdateKind.CACHED,
+    "FAILED": EndpointUpdateKind.FAILED,
 }
 STATUSES = {
-    "delivered": api.Status.OK,
-    "app_error": api.Status.ERROR,
-    "shed": api.Status.FULL,
-    "expired": api.Status.TIMEOUT,
-    "dial_failed": api.Status.CONNECT_FAILED,
-    "dropped": api.Status.RESET,
-    "revoked": api.Status.CANCELLED,
-    "unused": api.Status.MOOT,
-    "empty": api.Status.MISS,
+    "delivered": AttemptStatus.OK,
+    "app_error": AttemptStatus.ERROR,
+    "shed": AttemptStatus.REJECTED,
+    "expired": AttemptStatus.TIMEOUT,
+    "dial_failed": AttemptStatus.CONNECT_FAILED,
+    "dropped": AttemptStatus.RESET,
+    "revoked": AttemptStatus.CANCELLED,
+    "unused": AttemptStatus.NOT_SENT,
+    "empty": AttemptStatus.MISS,
 }
 
 
@@ -36,27 +58,27 @@
     """A line that breaks the wire's promises."""
 
 
-def read_entry(e: dict[str, Any]) -> api.ServerEntry:
+def read_entry(e: dict[str, Any]) -> Endpoint:
     """One line of a list."""
-    return api.ServerEntry(
-        server=e["server"],
+    return Endpoint(
+        name=e["server"],
         state=STATES[e["readiness"]],
         kind=e.get("generationHw") or "",
         zone=e.get("site") or "",
         cell=e.get("stripe") or 0,
         weight=max(0.0, e.get("weight") or 0.0),
-        since=e.get("since") or 0.0,
+        started_at=e.get("since") or 0.0,
     )
 
 
-def read_list(e: dict[str, Any]) -> api.Event:
+def read_list(e: dict[str, Any]) -> Event:
     """News of the list."""
-    return api.ServerList(KINDS[e["scope"]], tuple(map(read_entry, e.get("lines") or ())))
+    return EndpointUpdate(KINDS[e["scope"]], tuple(map(read_entry, e.get("lines") or ())))
 
 
-def read_request(e: dict[str, Any]) -> api.Event:
+def read_request(e: dict[str, Any]) -> Event:
     """A client's request; a budget of nothing is kept as 0."""
-    return api.Request(
+    return Request(
         e["ticket"],
         e["priority"],
         max(0.0, float(e.get("timeBudget") or 0.0)),
@@ -66,49 +88,49 @@
     )
 
 
-def read_outcome(e: dict[str, Any], report: tuple[str, ...]) -> api.Event:
+def read_outcome(e: dict[str, Any], report: tuple[str, ...]) -> Event:
     """The end of an attempt."""
     load = read_load(dict(zip(report, e.get("telemetry") or (), strict=False)))
     status = STATUSES[e["outcome"]]
-    return api.Outcome(e["ticket"], e["sendNo"], status, bool(e.get("final")), e.get("lag") or 0.0, load)
+    return AttemptCompleted(e["ticket"], e["sendNo"], status, bool(e.get("final")), e.get("lag") or 0.0, load)
 
 
-READERS: dict[str, Callable[[dict[str, Any]], api.Event]] = {
+READERS: dict[str, Callable[[dict[str, Any]], Event]] = {
     "Membership": read_list,
     "Request": read_request,
-    "Begun": lambda e: api.Streaming(e["ticket"], e["sendNo"]),
-    "Aborted": lambda e: api.ClientGone(e["ticket"]),
-    "Wake": lambda e: api.TimerFired(e["ctx"]),
+    "Begun": lambda e: ResponseStarted(e["ticket"], e["sendNo"]),
+    "Aborted": lambda e: ClientDisconnected(e["ticket"]),
+    "Wake": lambda e: TimerFired(e["ctx"]),
 }
 UNUSED = {"Pong", "Heard"}  # answers to things no router here asks for
 
 
-def write_send(a: api.Send) -> dict[str, Any]:
+def write_send(a: Send) -> dict[str, Any]:
     """A new attempt."""
     if a.timeout is None:
-        return {"op": "Send", "ticket": a.request, "server": a.server}
-    return {"op": "Send", "ticket": a.request, "server": a.server, "timeout": a.timeout}
+        return {"op": "Send", "ticket": a.request_id, "server": a.server}
+    return {"op": "Send", "ticket": a.request_id, "server": a.server, "timeout": a.timeout}
 
 
-def write_refuse(a: api.Refuse) -> dict[str, Any]:
+def write_refuse(a: Reject) -> dict[str, Any]:
     """A refusal, with advice if there is any."""
-    advice = {"coolDown": a.come_back} if a.come_back else {}
-    return {"op": "Reject", "ticket": a.request, **advice}
+    advice = {"coolDown": a.retry_after} if a.retry_after else {}
+    return {"op": "Reject", "ticket": a.request_id, **advice}
 
 
 WRITERS: dict[type, Callable[[Any], dict[str, Any]]] = {
-    api.Send: write_send,
-    api.Refuse: write_refuse,
-    api.Fail: lambda a: {"op": "GiveUp", "ticket": a.request},
-    api.Cancel: lambda a: {"op": "Cancel", "ticket": a.request, "sendNo": a.attempt},
-    api.Close: lambda a: {"op": "LetGo", "server": a.server},
-    api.SetTimer: lambda a: {"op": "Timer", "fromNow": a.delay, "ctx": a.token},
-    api.Subscribe: lambda a: {"op": "Listen", "enable": True},
-    api.Log: lambda a: {"op": "Record", "line": a.text},
+    Send: write_send,
+    Reject: write_refuse,
+    Fail: lambda a: {"op": "GiveUp", "ticket": a.request_id},
+    Cancel: lambda a: {"op": "Cancel", "ticket": a.request_id, "sendNo": a.attempt_number},
+    CloseIdleConnections: lambda a: {"op": "LetGo", "server": a.server},
+    SetTimer: lambda a: {"op": "Timer", "fromNow": a.delay, "ctx": a.token},
+    SubscribeToEndpoints: lambda a: {"op": "Listen", "enable": True},
+    LogMessage: lambda a: {"op": "Record", "line": a.message},
 }
 
 
-class Host:
+class SimulatorAdapter:
     """One router for each instance number; nothing is shared between them."""
 
     def __init__(self) -> None:
@@ -141,9 +163,9 @@
             if op in UNUSED:
                 return
             router = self.routers.get(number_)
-            report = router.settings.report if router is not None else ()
+            report = router.settings.load_report_fields if router is not None else ()
             read = read_outcome(event, report) if op == "Done" else READERS[op](event)
-        except api.SettingsError as e:
+        except SettingsError as e:
             print(f"cache_router: {e}", file=sys.stderr)
             commands.append({"op": "InternalError", "routerId": number_, "line": str(e)})
             return
@@ -159,10 +181,10 @@
 
 def main() -> int:
     """Answer line by line until the end of input."""
-    host = Host()
+    adapter = SimulatorAdapter()
     for line in sys.stdin.buffer:
         try:
-            reply = host.batch(line)
+            reply = adapter.batch(line)
         except WireError as e:
             print(f"cache_router: {e}", file=sys.stderr)
             return 2
--- a/scale_experiments/scenarios/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -93,7 +93,7 @@
     settings = site_settings(
         connection_price=parameters.connection_price,
         handshake_price=parameters.handshake_price,
-        connection_idle=parameters.connection_idle_s,
+        connection_idle_timeout=parameters.connection_idle_s,
     )
     fleet = Fleet(settings, model, seed)
     fleet.forget_timing()
