--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -14,10 +14,10 @@
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.endpoint import Endpoint
 from cache_router.net.cache_connection import CacheConnection
-from cache_router.net.client_connection import Listener
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.discovery import Discovery
 from cache_router.net.dispatcher import Dispatcher, NetworkEndpoint
+from cache_router.net.listener import Listener
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings, WatchBudget
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,6 +17,7 @@
 from cache_router.endpoint import EndpointState
 from cache_router.net import client_connection as clients
 from cache_router.net import connection_pool as pools
+from cache_router.net import listener
 from cache_router.net.connection_pool import AttemptInFlight, UpstreamConnection, is_hung_up
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import WatchBudget
@@ -447,7 +448,7 @@
 
 def test_a_client_that_never_takes_its_answer_does_not_stay_for_good(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(clients, "SWEEP", 0.01)
+        monkeypatch.setattr(listener, "SWEEP", 0.01)
         async with Router() as router:
             slow = await slow_client(router, b"x" * 60_000)
             router.listener.longest_wait = 0.0
@@ -560,7 +561,7 @@
         async with Router() as router:
             client = await router.client()
             await until(lambda: router.listener.awaited)
-            monkeypatch.setattr(clients, "GRACE", PATIENCE)
+            monkeypatch.setattr(listener, "GRACE", PATIENCE)
             ending = asyncio.create_task(router.listener.stop(0.0, PATIENCE))
             await until(lambda: router.listener.socket.fileno() < 0)
             client.write(read("r1"))
--- a/tests/test_net_dispatcher.py
+++ b/tests/test_net_dispatcher.py
@@ -15,6 +15,7 @@
 from cache_router.endpoint import EndpointState
 from cache_router.net import client_connection as clients
 from cache_router.net import dispatcher as hosts
+from cache_router.net import listener
 from cache_router.net.client_connection import MAX_PIPELINED
 from tests.loopback import HIT, MISS, SETTINGS, Link, Router, book, command, http, read, run
 
@@ -211,8 +212,8 @@
     """Connections that never send a whole command would fill the budget: nobody could connect any more."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(clients, "COMMAND_TIME", 0.5)
-        monkeypatch.setattr(clients, "SWEEP", 0.01)
+        monkeypatch.setattr(listener, "COMMAND_TIME", 0.5)
+        monkeypatch.setattr(listener, "SWEEP", 0.01)
         async with Router() as router:
             usual, silent, half = [await router.client() for _ in range(3)]
             usual.write(command("PING"))
@@ -420,7 +421,7 @@
     """Silent clients by hundreds would drive out the usual ones, which ask on connections that they keep."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(clients, "GRACE", 0.0)
+        monkeypatch.setattr(listener, "GRACE", 0.0)
         async with Router(clients=3) as router:
             usual = await asks(router, 1)
             silent, half = await router.client(), await router.client()
@@ -482,7 +483,7 @@
     """Clients that ask once and stay for good would take memory and descriptors without end."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(clients, "IDLE_TIME", 1.0)
+        monkeypatch.setattr(listener, "IDLE_TIME", 1.0)
         async with Router(clients=4) as router:
             usual = [await asks(router, 2) for _ in range(3)]
             once = await asks(router, 1)
@@ -512,7 +513,7 @@
             monkeypatch.setattr(socket.socket, "accept", failing)
             first = await router.client()
             first.write(command("PING"))
-            await asyncio.sleep(3 * clients.ACCEPT_PAUSE)
+            await asyncio.sleep(3 * listener.ACCEPT_PAUSE)
             assert 1 <= calls <= 10  # one a pause; a spin makes thousands
             full = False
             assert await first.resp() == b"PONG"
