--- a/cache_router/net/client_connection.py
+++ b/cache_router/net/client_connection.py
@@ -17,122 +17,122 @@
 if TYPE_CHECKING:
     from cache_router.net.listener import Listener
 
-MAX_COMMAND = MAX_VALUE + MAX_KEY + MAX_INFO + 4096  # bytes held for a command that is not whole
-MAX_PARTS = 16
-MAX_PIPELINED = 32  # commands of one connection that wait for their answers
-LINGER = 0.5  # seconds for a closing connection to take its last answer
-ERROR_PAUSE = 0.1  # seconds for which a connection is not read after an error
+MAX_COMMAND_SIZE = MAX_VALUE + MAX_KEY + MAX_INFO + 4096  # bytes held for a command that is not whole
+MAX_COMMAND_PARTS = 16
+MAX_PIPELINED_COMMANDS = 32  # commands of one connection that wait for their answers
+CLOSE_TIMEOUT = 0.5  # seconds for a closing connection to take its last answer
+ERROR_THROTTLE_TIME = 0.1  # seconds for which a connection is not read after an error
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True, eq=False)
-class Slot:
+class PipelinedReply:
     """A command's place in the order of answers."""
 
-    request: str | None = None
-    answer: bytes | None = None
+    request_id: str | None = None
+    data: bytes | None = None
 
 
 class ClientConnection(asyncio.BufferedProtocol):
     """One client's connection."""
 
-    def __init__(self, host: Dispatcher, listener: Listener) -> None:
-        self.host = host
+    def __init__(self, dispatcher: Dispatcher, listener: Listener) -> None:
+        self.dispatcher = dispatcher
         self.listener = listener
-        self.reader = Reader(MAX_PARTS, MAX_VALUE, MAX_COMMAND)
-        self.slots: deque[Slot] = deque()
-        self.commands = 0  # whole ones that have come
+        self.reader = Reader(MAX_COMMAND_PARTS, MAX_VALUE, MAX_COMMAND_SIZE)
+        self.replies: deque[PipelinedReply] = deque()
+        self.commands_received = 0  # whole ones that have come
         self.reading = True
         self.writable = True
-        self.paused = False  # after an error
-        self.ending = False  # no command is taken any more
+        self.throttled = False  # after an error
+        self.closing = False  # no command is taken any more
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.listener.connections[self] = None
-        self.listener.note(self)
+        self.listener.update_state(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.listener.buffer
+        return self.listener.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
         self.listener.idle.pop(self, None)
-        self.reader.feed(self.listener.buffer[:nbytes])
-        self._take_commands()
+        self.reader.feed(self.listener.read_buffer[:nbytes])
+        self._process_input()
 
-    def _take_commands(self) -> None:
+    def _process_input(self) -> None:
         try:
-            self._take_whole_ones()
+            self._process_commands()
         except Exception:
             # guards the router: a fault here ends this connection alone, and its requests are settled
             log.exception("connection of a client")
             self.transport.abort()
 
-    def _take_whole_ones(self) -> None:
+    def _process_commands(self) -> None:
         # a closing connection takes nothing more: nobody would hear that its client is gone
-        while self._wanted() and not self.transport.is_closing():
+        while self._accepts_commands() and not self.transport.is_closing():
             try:
                 parts = self.reader.next()
             except RespError as e:
-                self.end_with(f"-ERR {e}")
+                self.close_with_error(f"-ERR {e}")
                 return
             if parts is NOT_YET:
                 break
-            self.commands += 1
-            self._take(parts)
-        self._read_or_not()
-        self.listener.note(self)
-
-    def _take(self, parts: Message) -> None:
-        slot = Slot()
-        self.slots.append(slot)
-        answer = partial(self._answer, slot)
+            self.commands_received += 1
+            self._handle_command(parts)
+        self._update_reading()
+        self.listener.update_state(self)
+
+    def _handle_command(self, parts: Message) -> None:
+        reply = PipelinedReply()
+        self.replies.append(reply)
+        answer = partial(self._complete_reply, reply)
         if isinstance(parts, list) and len(parts) == 1 and parts[0] in (b"PING", b"ping"):
-            answer(b"+PONG\r\n" if self.host.ready() else b"-ERR no cache server is known\r\n")
+            answer(b"+PONG\r\n" if self.dispatcher.ready() else b"-ERR no cache server is known\r\n")
             return
         try:
             command = read_command(parts)
-            slot.request = command.request.decode()
-            self.host.take(command, answer, self.present)
+            reply.request_id = command.request.decode()
+            self.dispatcher.take(command, answer, self.is_connected)
         except CommandError as e:
-            slot.request = None
+            reply.request_id = None
             # guards the other clients: one that sends errors at full speed would take the core for itself
-            self.paused = True
-            asyncio.get_running_loop().call_later(ERROR_PAUSE, self._go_on)
+            self.throttled = True
+            asyncio.get_running_loop().call_later(ERROR_THROTTLE_TIME, self._end_throttling)
             answer(b"-ERR %b\r\n" % str(e).encode("ascii", "replace"))
 
-    def _go_on(self) -> None:
-        self.paused = False
-        self._take_commands()
-
-    def _answer(self, slot: Slot, answer: bytes) -> None:
-        slot.answer = answer
-        while self.slots and self.slots[0].answer is not None:
-            self.transport.write(self.slots.popleft().answer or b"")
-        if not self.slots:
-            self.listener.note(self)
-        if self.ending and not self.slots:
+    def _end_throttling(self) -> None:
+        self.throttled = False
+        self._process_input()
+
+    def _complete_reply(self, reply: PipelinedReply, answer: bytes) -> None:
+        reply.data = answer
+        while self.replies and self.replies[0].data is not None:
+            self.transport.write(self.replies.popleft().data or b"")
+        if not self.replies:
+            self.listener.update_state(self)
+        if self.closing and not self.replies:
             self.close()
-        elif self.listener.ending and not self.slots and self.writable:
+        elif self.listener.draining and not self.replies and self.writable:
             # at once, so that the next request is not on its way yet
-            self.end_between_requests()
-        elif not self.reading and not self.ending:
-            asyncio.get_running_loop().call_soon(self._take_commands)
+            self.close_if_between_requests()
+        elif not self.reading and not self.closing:
+            asyncio.get_running_loop().call_soon(self._process_input)
 
-    def end_with(self, error: str) -> None:
+    def close_with_error(self, error: str) -> None:
         """Answer with an error and close: where the next command begins can't be told any more."""
-        self.ending = True
+        self.closing = True
         # guards memory: what comes while earlier answers are owed would be kept for nobody
-        self._read_or_not()
+        self._update_reading()
         self.reader.buffer.clear()
-        slot = Slot()
-        self.slots.append(slot)
-        self._answer(slot, error.encode("ascii", "replace") + b"\r\n")
+        reply = PipelinedReply()
+        self.replies.append(reply)
+        self._complete_reply(reply, error.encode("ascii", "replace") + b"\r\n")
 
-    def end_between_requests(self) -> None:
+    def close_if_between_requests(self) -> None:
         """Close, unless a request has begun to come in."""
-        if not self.reader.buffer and not self.unread():
+        if not self.reader.buffer and not self.has_unread_input():
             self.close()
 
     def close(self) -> None:
@@ -140,28 +140,28 @@
         self.transport.close()
         if self.transport.get_write_buffer_size():
             # guards the descriptors: a client that takes no answers would keep its connection for good
-            asyncio.get_running_loop().call_later(LINGER, self.transport.abort)
+            asyncio.get_running_loop().call_later(CLOSE_TIMEOUT, self.transport.abort)
 
-    def _wanted(self) -> bool:
-        held_up = self.ending or self.paused or not self.writable
-        return not held_up and len(self.slots) < MAX_PIPELINED
+    def _accepts_commands(self) -> bool:
+        held_up = self.closing or self.throttled or not self.writable
+        return not held_up and len(self.replies) < MAX_PIPELINED_COMMANDS
 
-    def _read_or_not(self) -> None:
+    def _update_reading(self) -> None:
         """Bounds what a client can make the router hold: no reading while too much is unanswered."""
-        wanted = self._wanted()
+        wanted = self._accepts_commands()
         if wanted != self.reading and not self.transport.is_closing():
             self.reading = wanted
             (self.transport.resume_reading if wanted else self.transport.pause_reading)()
 
     def pause_writing(self) -> None:
         self.writable = False
-        self._read_or_not()
+        self._update_reading()
 
     def resume_writing(self) -> None:
         self.writable = True
-        self._take_commands()
+        self._process_input()
 
-    def present(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether the client has not left.
 
         Asked of the kernel: its end comes behind all that it sent, which the loop reads late or not at all.
@@ -170,21 +170,21 @@
             self.close()
         return not self.transport.is_closing()
 
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether a command may wait in the socket."""
         return has_unread_bytes(self.transport)
 
-    def unsent(self) -> bool:
+    def has_unsent_output(self) -> bool:
         """Whether an answer has not gone out whole."""
         return bool(self.transport.get_write_buffer_size())
 
-    def busy(self) -> bool:
+    def has_pending_io(self) -> bool:
         """Whether something is owed although no request is open: the rest of an answer, or a new one."""
-        return self.unsent() or self.unread()
+        return self.has_unsent_output() or self.has_unread_input()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.listener.forget(self)
-        for slot in self.slots:
-            if slot.answer is None and slot.request is not None:
-                self.host.client_gone(slot.request)
-        self.slots.clear()
+        self.listener.on_closed(self)
+        for reply in self.replies:
+            if reply.data is None and reply.request_id is not None:
+                self.dispatcher.client_gone(reply.request_id)
+        self.replies.clear()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -251,7 +251,7 @@
     """The end of a connection comes behind what is not read, and was not heard of either."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(clients, "ERROR_PAUSE", 60.0)
+        monkeypatch.setattr(clients, "ERROR_THROTTLE_TIME", 60.0)
         async with Router() as router:
             written = requests_written(monkeypatch)
             client = await router.client()
@@ -277,7 +277,7 @@
     is_read: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(clients, "ERROR_PAUSE", 60.0)
+        monkeypatch.setattr(clients, "ERROR_THROTTLE_TIME", 60.0)
         async with Router() as router:
             written = requests_written(monkeypatch)
             module = router.host.router
@@ -312,7 +312,7 @@
         async with Router() as router:
             written = requests_written(monkeypatch)
             client, cache = await router.begun("r0")
-            names = [f"r{n}" for n in range(1, 2 * clients.MAX_PIPELINED)]
+            names = [f"r{n}" for n in range(1, 2 * clients.MAX_PIPELINED_COMMANDS)]
             client.write(b"".join(read(n) for n in names))
             await until(lambda: not next(iter(router.listener.connections)).transport.is_reading())
             await left(router, client)
@@ -427,7 +427,7 @@
     (connection,) = router.listener.connections
     connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     cache.write(b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % (len(answer), answer))
-    await until(lambda: connection in router.listener.idle and connection.unsent())
+    await until(lambda: connection in router.listener.idle and connection.has_unsent_output())
     return client
 
 
@@ -448,10 +448,10 @@
 
 def test_a_client_that_never_takes_its_answer_does_not_stay_for_good(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(listener, "SWEEP", 0.01)
+        monkeypatch.setattr(listener, "OVERDUE_CHECK_INTERVAL", 0.01)
         async with Router() as router:
             slow = await slow_client(router, b"x" * 60_000)
-            router.listener.longest_wait = 0.0
+            router.listener.longest_client_timeout = 0.0
             await until(lambda: not router.listener.connections)
             slow.close()
 
@@ -527,7 +527,7 @@
             served = await router.cache()
             assert (await served.resp())[2] == b"r2"
             ending = asyncio.create_task(router.listener.stop(0.0, PATIENCE))
-            await until(lambda: router.listener.ending)
+            await until(lambda: router.listener.draining)
             cache.write(HIT)
             served.write(HIT)
             assert await first.resp() == await second.resp() == b"value"
@@ -560,8 +560,8 @@
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
-            await until(lambda: router.listener.awaited)
-            monkeypatch.setattr(listener, "GRACE", PATIENCE)
+            await until(lambda: router.listener.awaiting_command)
+            monkeypatch.setattr(listener, "FIRST_COMMAND_GRACE", PATIENCE)
             ending = asyncio.create_task(router.listener.stop(0.0, PATIENCE))
             await until(lambda: router.listener.socket.fileno() < 0)
             client.write(read("r1"))
@@ -583,7 +583,7 @@
             client, cache = await router.begun()
             (connection,) = router.listener.connections
             ending = asyncio.create_task(router.listener.stop(0.0, PATIENCE))
-            await until(lambda: router.listener.ending)
+            await until(lambda: router.listener.draining)
             router.host._close("r1", b"-ERR failed\r\n")
             assert connection.transport.is_closing()
             assert isinstance(await client.resp(), hiredis.ReplyError)
--- a/tests/test_net_dispatcher.py
+++ b/tests/test_net_dispatcher.py
@@ -16,7 +16,7 @@
 from cache_router.net import client_connection as clients
 from cache_router.net import dispatcher as hosts
 from cache_router.net import listener
-from cache_router.net.client_connection import MAX_PIPELINED
+from cache_router.net.client_connection import MAX_PIPELINED_COMMANDS
 from tests.loopback import HIT, MISS, SETTINGS, Link, Router, book, command, http, read, run
 
 
@@ -212,8 +212,8 @@
     """Connections that never send a whole command would fill the budget: nobody could connect any more."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(listener, "COMMAND_TIME", 0.5)
-        monkeypatch.setattr(listener, "SWEEP", 0.01)
+        monkeypatch.setattr(listener, "COMMAND_TIMEOUT", 0.5)
+        monkeypatch.setattr(listener, "OVERDUE_CHECK_INTERVAL", 0.01)
         async with Router() as router:
             usual, silent, half = [await router.client() for _ in range(3)]
             usual.write(command("PING"))
@@ -235,7 +235,7 @@
             client, cache = await router.begun()
             client.write(b"noise\r\n" + b"x" * 100_000)
             (connection,) = router.listener.connections
-            while not connection.ending:
+            while not connection.closing:
                 await asyncio.sleep(0)
             assert not connection.transport.is_reading() and not connection.reader.buffer
             cache.write(HIT)
@@ -257,7 +257,7 @@
             client.write(read("r1", info="c=unheard-of,d=900") * 3)
             for _ in range(3):
                 error(await client.resp())
-            assert loop.time() - began >= 2 * clients.ERROR_PAUSE - 0.01
+            assert loop.time() - began >= 2 * clients.ERROR_THROTTLE_TIME - 0.01
 
     run(scenario)
 
@@ -266,7 +266,7 @@
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
-            names = [f"r{n}" for n in range(3 * MAX_PIPELINED)]
+            names = [f"r{n}" for n in range(3 * MAX_PIPELINED_COMMANDS)]
             client.write(b"".join(read(n, info="c=read,t=x,d=1") for n in names) + read("last"))
             cache = await router.cache()
             assert (await cache.resp())[2] == b"last"
@@ -284,13 +284,13 @@
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
-            client.write(b"".join(read(f"r{n}") for n in range(2 * MAX_PIPELINED)))
+            client.write(b"".join(read(f"r{n}") for n in range(2 * MAX_PIPELINED_COMMANDS)))
             while not router.listener.connections:
                 await asyncio.sleep(0)
             (connection,) = router.listener.connections
-            while len(connection.slots) < MAX_PIPELINED:
+            while len(connection.replies) < MAX_PIPELINED_COMMANDS:
                 await asyncio.sleep(0)
-            assert len(connection.slots) == MAX_PIPELINED and not connection.transport.is_reading()
+            assert len(connection.replies) == MAX_PIPELINED_COMMANDS and not connection.transport.is_reading()
 
     run(scenario)
 
@@ -301,11 +301,11 @@
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
-            client.write(b"".join(read(f"r{n}") for n in range(2 * MAX_PIPELINED)))
+            client.write(b"".join(read(f"r{n}") for n in range(2 * MAX_PIPELINED_COMMANDS)))
             while not router.listener.connections:
                 await asyncio.sleep(0)
             (connection,) = router.listener.connections
-            while len(connection.slots) < MAX_PIPELINED:
+            while len(connection.replies) < MAX_PIPELINED_COMMANDS:
                 await asyncio.sleep(0)
             connection.transport.abort()
             router.host._close("r0", b"-ERR failed\r\n")
@@ -421,7 +421,7 @@
     """Silent clients by hundreds would drive out the usual ones, which ask on connections that they keep."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(listener, "GRACE", 0.0)
+        monkeypatch.setattr(listener, "FIRST_COMMAND_GRACE", 0.0)
         async with Router(clients=3) as router:
             usual = await asks(router, 1)
             silent, half = await router.client(), await router.client()
@@ -483,7 +483,7 @@
     """Clients that ask once and stay for good would take memory and descriptors without end."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(listener, "IDLE_TIME", 1.0)
+        monkeypatch.setattr(listener, "IDLE_TIMEOUT", 1.0)
         async with Router(clients=4) as router:
             usual = [await asks(router, 2) for _ in range(3)]
             once = await asks(router, 1)
@@ -513,7 +513,7 @@
             monkeypatch.setattr(socket.socket, "accept", failing)
             first = await router.client()
             first.write(command("PING"))
-            await asyncio.sleep(3 * listener.ACCEPT_PAUSE)
+            await asyncio.sleep(3 * listener.ACCEPT_RETRY_DELAY)
             assert 1 <= calls <= 10  # one a pause; a spin makes thousands
             full = False
             assert await first.resp() == b"PONG"
@@ -597,11 +597,11 @@
             client.write(read("r1", info="c=unheard-of,d=900"))
             error(await client.resp())
             next(iter(router.listener.connections)).transport.abort()
-            await asyncio.sleep(2 * clients.ERROR_PAUSE)
+            await asyncio.sleep(2 * clients.ERROR_THROTTLE_TIME)
             other.write(command("PING"))
             assert await other.resp() == b"PONG"
             (left,) = router.listener.connections
-            assert list(router.listener.idle) == [left] and not router.listener.awaited
+            assert list(router.listener.idle) == [left] and not router.listener.awaiting_command
 
     run(scenario)
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -100,7 +100,7 @@
     why: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The end of a connection comes behind what was sent on it, and is read later, or not for long."""
-    monkeypatch.setattr(clients, "ERROR_PAUSE", 600.0)
+    monkeypatch.setattr(clients, "ERROR_THROTTLE_TIME", 600.0)
 
     async def scenario() -> None:
         async with Router(clients=1 if why == "backlog" else 16) as router:
@@ -128,12 +128,12 @@
                 client = plain_client(router)
                 connection = await accepted(router, client)
                 if why == "pipeline":
-                    monkeypatch.setattr(clients, "MAX_PIPELINED", 1)
+                    monkeypatch.setattr(clients, "MAX_PIPELINED_COMMANDS", 1)
                     client.sendall(read("r0"))
                     assert (await cache.resp())[2] == b"r0"
                 elif why == "error":
                     client.sendall(command("GET", "k"))
-                    await until(lambda: connection.paused)
+                    await until(lambda: connection.throttled)
                 elif why == "slow":
                     connection.pause_writing()
                 client.sendall(read("r1"))
@@ -141,7 +141,7 @@
                 if why == "pipeline":
                     cache.write(HIT)
                 elif why == "error":
-                    connection._go_on()
+                    connection._end_throttling()
                 elif why == "slow":
                     connection.resume_writing()
                 await until(lambda: connection not in router.listener.connections)
