--- a/cache_router/net/client_connection.py
+++ b/cache_router/net/client_connection.py
@@ -7,70 +7,70 @@
 from collections import deque
 from dataclasses import dataclass
 from functools import partial
-from typing import TYPE_CHECKING
+from typing import cast
 
+from cache_router.net.client_connection_table import ClientConnectionTable
 from cache_router.net.command import MAX_INFO, MAX_KEY, MAX_VALUE, CommandError, read_command
 from cache_router.net.connection_pool import has_unread_bytes, is_hung_up
 from cache_router.net.dispatcher import Dispatcher
 from cache_router.net.resp import NOT_YET, Message, Reader, RespError
 
-if TYPE_CHECKING:
-    from cache_router.net.listener import Listener
-
-MAX_COMMAND_SIZE = MAX_VALUE + MAX_KEY + MAX_INFO + 4096  # bytes held for a command that is not whole
+MAX_COMMAND_SIZE = MAX_VALUE + MAX_KEY + MAX_INFO + 4096  # bytes buffered for an incomplete command
 MAX_COMMAND_PARTS = 16
-MAX_PIPELINED_COMMANDS = 32  # commands of one connection that wait for their answers
-CLOSE_TIMEOUT = 0.5  # seconds for a closing connection to take its last answer
+MAX_PIPELINED_COMMANDS = 32  # commands of one connection whose replies are pending
+CLOSE_TIMEOUT = 0.5  # seconds for the client of a closing connection to read its last reply
 ERROR_THROTTLE_TIME = 0.1  # seconds for which a connection is not read after an error
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True, eq=False)
 class PipelinedReply:
-    """A command's place in the order of answers."""
+    """The place of a command's reply among those of its connection, which go out in order."""
 
-    request_id: str | None = None
-    data: bytes | None = None
+    request_id: str | None = None  # of a request that the dispatcher has accepted
+    data: bytes | None = None  # None while the reply is pending
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """One client's connection."""
+    """One client's connection: reads commands, and writes their replies in order."""
 
-    def __init__(self, dispatcher: Dispatcher, listener: Listener) -> None:
+    def __init__(self, dispatcher: Dispatcher, table: ClientConnectionTable) -> None:
+        """Create a connection that sends requests to a dispatcher and notifies a table of its state."""
         self.dispatcher = dispatcher
-        self.listener = listener
+        self.table = table
         self.reader = Reader(MAX_COMMAND_PARTS, MAX_VALUE, MAX_COMMAND_SIZE)
         self.replies: deque[PipelinedReply] = deque()
-        self.commands_received = 0  # whole ones that have come
+        self.commands_received = 0  # complete ones
         self.reading = True
         self.writable = True
         self.throttled = False  # after an error
-        self.closing = False  # no command is taken any more
+        self.closing = False  # no command is read any more
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, asyncio.Transport)
-        self.transport = transport
-        self.listener.connections[self] = None
-        self.listener.update_state(self)
+        """Enter the table, to await the first command."""
+        self.transport = cast(asyncio.Transport, transport)
+        self.table.on_accepted(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.listener.read_buffer
+        """Return the buffer that all connections share."""
+        return self.table.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.listener.idle.pop(self, None)
-        self.reader.feed(self.listener.read_buffer[:nbytes])
+        """Process what has been read."""
+        self.table.on_data_received(self)
+        self.reader.feed(self.table.read_buffer[:nbytes])
         self._process_input()
 
     def _process_input(self) -> None:
         try:
             self._process_commands()
         except Exception:
-            # guards the router: a fault here ends this connection alone, and its requests are settled
-            log.exception("connection of a client")
+            # A fault here ends this connection alone: closing it settles its requests, others go on.
+            log.exception("connection of client %s", self.transport.get_extra_info("peername"))
             self.transport.abort()
 
     def _process_commands(self) -> None:
-        # a closing connection takes nothing more: nobody would hear that its client is gone
+        # A closing connection processes nothing more: nobody would be notified that its client has left.
         while self._accepts_commands() and not self.transport.is_closing():
             try:
                 parts = self.reader.next()
@@ -82,48 +82,64 @@
             self.commands_received += 1
             self._handle_command(parts)
         self._update_reading()
-        self.listener.update_state(self)
+        self._notify_state()
 
     def _handle_command(self, parts: Message) -> None:
         reply = PipelinedReply()
         self.replies.append(reply)
-        answer = partial(self._complete_reply, reply)
+        complete = partial(self._complete_reply, reply)
         if isinstance(parts, list) and len(parts) == 1 and parts[0] in (b"PING", b"ping"):
-            answer(b"+PONG\r\n" if self.dispatcher.ready() else b"-ERR no cache server is known\r\n")
+            complete(b"+PONG\r\n" if self.dispatcher.ready() else b"-ERR no cache server is known\r\n")
             return
         try:
             command = read_command(parts)
             reply.request_id = command.request.decode()
-            self.dispatcher.take(command, answer, self.is_connected)
+            self.dispatcher.take(command, complete, self.is_connected)
         except CommandError as e:
             reply.request_id = None
-            # guards the other clients: one that sends errors at full speed would take the core for itself
-            self.throttled = True
-            asyncio.get_running_loop().call_later(ERROR_THROTTLE_TIME, self._end_throttling)
-            answer(b"-ERR %b\r\n" % str(e).encode("ascii", "replace"))
+            self._throttle()
+            complete(b"-ERR %b\r\n" % str(e).encode("ascii", "replace"))
+
+    def _throttle(self) -> None:
+        """Stop reading for a while: a client that sends errors at full speed would take the whole core."""
+        self.throttled = True
+        asyncio.get_running_loop().call_later(ERROR_THROTTLE_TIME, self._end_throttling)
 
     def _end_throttling(self) -> None:
         self.throttled = False
         self._process_input()
 
-    def _complete_reply(self, reply: PipelinedReply, answer: bytes) -> None:
-        reply.data = answer
+    def _complete_reply(self, reply: PipelinedReply, data: bytes) -> None:
+        """Write a reply once all before it have been written."""
+        reply.data = data
         while self.replies and self.replies[0].data is not None:
             self.transport.write(self.replies.popleft().data or b"")
         if not self.replies:
-            self.listener.update_state(self)
+            self._notify_state()
         if self.closing and not self.replies:
             self.close()
-        elif self.listener.draining and not self.replies and self.writable:
-            # at once, so that the next request is not on its way yet
+        elif self.table.draining and not self.replies and self.writable:
+            # at once, before the client sends its next request
             self.close_if_between_requests()
         elif not self.reading and not self.closing:
             asyncio.get_running_loop().call_soon(self._process_input)
 
+    def _notify_state(self) -> None:
+        """Notify the table of the state that the connection is in now."""
+        if self.replies or self.closing or self.throttled:
+            self.table.on_busy(self)
+        elif self.reader.buffer or not self.commands_received:
+            self.table.on_awaiting_command(self)
+        else:
+            self.table.on_idle(self)
+
     def close_with_error(self, error: str) -> None:
-        """Answer with an error and close: where the next command begins can't be told any more."""
+        """Reply with an error line behind the pending replies, and close.
+
+        For a stream in which the start of the next command can't be told, or does not arrive.
+        """
         self.closing = True
-        # guards memory: what comes while earlier answers are owed would be kept for nobody
+        # What arrives while earlier replies are pending would fill memory and never be processed.
         self._update_reading()
         self.reader.buffer.clear()
         reply = PipelinedReply()
@@ -131,59 +147,67 @@
         self._complete_reply(reply, error.encode("ascii", "replace") + b"\r\n")
 
     def close_if_between_requests(self) -> None:
-        """Close, unless a request has begun to come in."""
+        """Close, unless a part of a command has arrived."""
         if not self.reader.buffer and not self.has_unread_input():
             self.close()
 
     def close(self) -> None:
-        """Close once what was written has gone out, or soon if it does not."""
+        """Close once what was written has gone out, and after CLOSE_TIMEOUT at the latest."""
         self.transport.close()
         if self.transport.get_write_buffer_size():
-            # guards the descriptors: a client that takes no answers would keep its connection for good
+            # A client that does not read its replies would hold the descriptor for good.
             asyncio.get_running_loop().call_later(CLOSE_TIMEOUT, self.transport.abort)
 
     def _accepts_commands(self) -> bool:
-        held_up = self.closing or self.throttled or not self.writable
-        return not held_up and len(self.replies) < MAX_PIPELINED_COMMANDS
+        blocked = self.closing or self.throttled or not self.writable
+        return not blocked and len(self.replies) < MAX_PIPELINED_COMMANDS
 
     def _update_reading(self) -> None:
-        """Bounds what a client can make the router hold: no reading while too much is unanswered."""
-        wanted = self._accepts_commands()
-        if wanted != self.reading and not self.transport.is_closing():
-            self.reading = wanted
-            (self.transport.resume_reading if wanted else self.transport.pause_reading)()
+        """Pause or resume reading: not reading while commands aren't accepted bounds a client's memory."""
+        reading = self._accepts_commands()
+        if reading != self.reading and not self.transport.is_closing():
+            self.reading = reading
+            (self.transport.resume_reading if reading else self.transport.pause_reading)()
 
     def pause_writing(self) -> None:
+        """Process no more commands while the client does not read its replies."""
         self.writable = False
         self._update_reading()
 
     def resume_writing(self) -> None:
+        """Go on with the commands that have arrived meanwhile."""
         self.writable = True
         self._process_input()
 
     def is_connected(self) -> bool:
-        """Whether the client has not left.
+        """Return whether the client has not disconnected, and start closing the connection if it has.
 
-        Asked of the kernel: its end comes behind all that it sent, which the loop reads late or not at all.
+        The kernel is asked, as the end of the stream comes behind all input: the event loop reads it late, or
+        never while reading is paused.
         """
         if not self.transport.is_closing() and is_hung_up(self.transport):
             self.close()
         return not self.transport.is_closing()
 
     def has_unread_input(self) -> bool:
-        """Whether a command may wait in the socket."""
+        """Return whether a command may wait in the socket."""
         return has_unread_bytes(self.transport)
 
     def has_unsent_output(self) -> bool:
-        """Whether an answer has not gone out whole."""
+        """Return whether a part of a reply has not gone out."""
         return bool(self.transport.get_write_buffer_size())
 
     def has_pending_io(self) -> bool:
-        """Whether something is owed although no request is open: the rest of an answer, or a new one."""
+        """Return whether a part of a reply is unsent, or a new command may wait in the socket."""
         return self.has_unsent_output() or self.has_unread_input()
 
+    def is_throttled_only(self) -> bool:
+        """Return whether the connection is throttled, has no reply pending and is not closing."""
+        return self.throttled and not self.replies and not self.closing
+
     def connection_lost(self, exc: Exception | None) -> None:
-        self.listener.on_closed(self)
+        """Leave the table, and notify the dispatcher for each request in flight."""
+        self.table.on_closed(self)
         for reply in self.replies:
             if reply.data is None and reply.request_id is not None:
                 self.dispatcher.client_gone(reply.request_id)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,8 +16,8 @@
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.endpoint import EndpointState
 from cache_router.net import client_connection as clients
+from cache_router.net import client_connection_table, eviction
 from cache_router.net import connection_pool as pools
-from cache_router.net import listener
 from cache_router.net.connection_pool import AttemptInFlight, UpstreamConnection, is_hung_up
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import WatchBudget
@@ -427,7 +427,7 @@
     (connection,) = router.listener.connections
     connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     cache.write(b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % (len(answer), answer))
-    await until(lambda: connection in router.listener.idle and connection.has_unsent_output())
+    await until(lambda: connection in router.listener.connections.idle and connection.has_unsent_output())
     return client
 
 
@@ -448,10 +448,10 @@
 
 def test_a_client_that_never_takes_its_answer_does_not_stay_for_good(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(listener, "OVERDUE_CHECK_INTERVAL", 0.01)
+        monkeypatch.setattr(eviction, "OVERDUE_CHECK_INTERVAL", 0.01)
         async with Router() as router:
             slow = await slow_client(router, b"x" * 60_000)
-            router.listener.longest_client_timeout = 0.0
+            router.listener.evictor.longest_client_timeout = 0.0
             await until(lambda: not router.listener.connections)
             slow.close()
 
@@ -527,7 +527,7 @@
             served = await router.cache()
             assert (await served.resp())[2] == b"r2"
             ending = asyncio.create_task(router.listener.stop(0.0, PATIENCE))
-            await until(lambda: router.listener.draining)
+            await until(lambda: router.listener.connections.draining)
             cache.write(HIT)
             served.write(HIT)
             assert await first.resp() == await second.resp() == b"value"
@@ -560,8 +560,8 @@
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
-            await until(lambda: router.listener.awaiting_command)
-            monkeypatch.setattr(listener, "FIRST_COMMAND_GRACE", PATIENCE)
+            await until(lambda: router.listener.connections.awaiting_command)
+            monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", PATIENCE)
             ending = asyncio.create_task(router.listener.stop(0.0, PATIENCE))
             await until(lambda: router.listener.socket.fileno() < 0)
             client.write(read("r1"))
@@ -583,7 +583,7 @@
             client, cache = await router.begun()
             (connection,) = router.listener.connections
             ending = asyncio.create_task(router.listener.stop(0.0, PATIENCE))
-            await until(lambda: router.listener.draining)
+            await until(lambda: router.listener.connections.draining)
             router.host._close("r1", b"-ERR failed\r\n")
             assert connection.transport.is_closing()
             assert isinstance(await client.resp(), hiredis.ReplyError)
--- a/tests/test_net_dispatcher.py
+++ b/tests/test_net_dispatcher.py
@@ -14,8 +14,8 @@
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, EndpointUpdateKind, Event, Request
 from cache_router.endpoint import EndpointState
 from cache_router.net import client_connection as clients
+from cache_router.net import client_connection_table, eviction, listener
 from cache_router.net import dispatcher as hosts
-from cache_router.net import listener
 from cache_router.net.client_connection import MAX_PIPELINED_COMMANDS
 from tests.loopback import HIT, MISS, SETTINGS, Link, Router, book, command, http, read, run
 
@@ -212,8 +212,8 @@
     """Connections that never send a whole command would fill the budget: nobody could connect any more."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(listener, "COMMAND_TIMEOUT", 0.5)
-        monkeypatch.setattr(listener, "OVERDUE_CHECK_INTERVAL", 0.01)
+        monkeypatch.setattr(eviction, "COMMAND_TIMEOUT", 0.5)
+        monkeypatch.setattr(eviction, "OVERDUE_CHECK_INTERVAL", 0.01)
         async with Router() as router:
             usual, silent, half = [await router.client() for _ in range(3)]
             usual.write(command("PING"))
@@ -421,7 +421,7 @@
     """Silent clients by hundreds would drive out the usual ones, which ask on connections that they keep."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(listener, "FIRST_COMMAND_GRACE", 0.0)
+        monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", 0.0)
         async with Router(clients=3) as router:
             usual = await asks(router, 1)
             silent, half = await router.client(), await router.client()
@@ -483,7 +483,7 @@
     """Clients that ask once and stay for good would take memory and descriptors without end."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(listener, "IDLE_TIMEOUT", 1.0)
+        monkeypatch.setattr(eviction, "IDLE_TIMEOUT", 1.0)
         async with Router(clients=4) as router:
             usual = [await asks(router, 2) for _ in range(3)]
             once = await asks(router, 1)
@@ -600,8 +600,9 @@
             await asyncio.sleep(2 * clients.ERROR_THROTTLE_TIME)
             other.write(command("PING"))
             assert await other.resp() == b"PONG"
-            (left,) = router.listener.connections
-            assert list(router.listener.idle) == [left] and not router.listener.awaiting_command
+            connections = router.listener.connections
+            (left,) = connections
+            assert list(connections.idle) == [left] and not connections.awaiting_command
 
     run(scenario)
 
