--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -17,7 +17,8 @@
 import orjson
 import pytest
 
-from cache_router import __main__ as program
+from cache_router import server
+from cache_router.config import ConfigError, read_config
 from cache_router.net.connection_pool import address_of
 from tests.loopback import HIT, PATIENCE, Link, Peer, command, http, read, run, spelled
 from tests.test_net_discovery import LINE, message
@@ -36,7 +37,7 @@
 
 
 def test_a_configuration_is_read() -> None:
-    config = program.read_config(orjson.dumps(GOOD))
+    config = read_config(orjson.dumps(GOOD))
     assert (config.listen, config.discovery) == (("127.0.0.1", 6379), "127.0.0.1:8500")
     assert (config.seed, config.sockets, config.known_index) == (0x8C1F30D27A5BE964, 1024, 41)
     assert [m.entry.name for m in config.known] == ["s-1"]
@@ -80,7 +81,7 @@
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps({**GOOD, **change}))
     monkeypatch.setenv("RELAY_CONFIG", str(path))
-    assert program.main() == 2
+    assert server.main() == 2
     (line,) = capsys.readouterr().err.splitlines()
     assert field in line
 
@@ -93,10 +94,10 @@
 ) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda _: (limit, resource.RLIM_INFINITY))
     if room is None:
-        with pytest.raises(program.ConfigError, match=r"^limits\.sockets"):
-            program.descriptors(1024)
+        with pytest.raises(ConfigError, match=r"^limits\.sockets"):
+            server.descriptors(1024)
     else:
-        assert program.descriptors(1024) == room
+        assert server.descriptors(1024) == room
 
 
 @pytest.mark.parametrize("text", [None, b"", b"{", b"[]"])
@@ -107,7 +108,7 @@
     if text is not None:
         path.write_bytes(text)
     monkeypatch.setenv("RELAY_CONFIG", str(path))
-    assert program.main() == 2
+    assert server.main() == 2
     assert len(capsys.readouterr().err.splitlines()) == 1
 
 
@@ -118,7 +119,7 @@
         path = tmp_path / "config.json"
         path.write_bytes(orjson.dumps({**GOOD, "listen": spelled(taken.getsockname())}))
         monkeypatch.setenv("RELAY_CONFIG", str(path))
-        assert program.main() == 2
+        assert server.main() == 2
     assert capsys.readouterr().err.splitlines()[-1].startswith("cache_router: listen: ")
 
 
@@ -250,7 +251,7 @@
     with socket.create_server(("127.0.0.1", 0)) as free:
         address: tuple[str, int] = free.getsockname()
     config = {**config, "listen": spelled(address)}
-    serving = asyncio.create_task(program.serve(program.read_config(orjson.dumps(config)), str(path)))
+    serving = asyncio.create_task(server.serve(read_config(orjson.dumps(config)), str(path)))
     try:
         yield address
     finally:
@@ -262,7 +263,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What the agent holds counts as told from the first moment; the list known may be long out of date."""
-    monkeypatch.setattr(program, "FIRST_LIST", PATIENCE)
+    monkeypatch.setattr(server, "FIRST_LIST", PATIENCE)
 
     async def scenario() -> None:
         async with Peer() as left, Peer() as stays, Peer() as agent:
@@ -276,7 +277,7 @@
                 with pytest.raises(ConnectionRefusedError):
                     await asyncio.open_connection(*address)
                 call.write(http("200 OK", message(2, False, {**gone, "status": "terminating"})))
-                budget = program.read_config(orjson.dumps(config)).settings.watch_budget
+                budget = read_config(orjson.dumps(config)).settings.watch_budget
                 call = await agent.link()
                 assert f"after=2&wait_ms={int(budget.long_poll_wait * 1000)} " in (await call.http())[0]
                 client = await ready(address)
@@ -294,7 +295,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Discovery may be down for long, and has told nothing then."""
-    monkeypatch.setattr(program, "FIRST_LIST", 0.01)
+    monkeypatch.setattr(server, "FIRST_LIST", 0.01)
 
     async def scenario() -> None:
         async with (
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -17,7 +17,7 @@
 import orjson
 import pytest
 
-from cache_router import __main__ as program
+from cache_router.config import read_config
 from cache_router.decisions.actions import Send
 from cache_router.decisions.events import EndpointUpdateKind, TimerFired
 from cache_router.net import client_connection as clients
@@ -343,7 +343,7 @@
         self.answer = message(2, True, *entries)
 
     def run(self) -> None:
-        config = program.read_config(self.text)
+        config = read_config(self.text)
         servers, origin = (
             ConnectionPool(CacheConnection, 8, 1.0, 60.0),
             ConnectionPool(OriginConnection, 8, 1.0, 60.0),
