--- a/cache_router/server.py
+++ b/cache_router/server.py
@@ -40,7 +40,9 @@
     if limit == resource.RLIM_INFINITY or limit >= allowed:
         return allowed
     if limit < FEWEST:
-        raise ConfigError(f"limits.sockets: this process may open {limit}, and needs {FEWEST}")
+        raise ConfigError(
+            f"limits.sockets: this process may open {limit}, and needs {FEWEST}", where="limits.sockets"
+        )
     logging.warning("limits.sockets is %d, but this process may open %d", allowed, limit)
     return limit
 
@@ -70,7 +72,7 @@
     try:
         listener.bind(config.listen)
     except (OSError, ValueError) as e:  # also a host that cannot be spelled
-        raise ConfigError(f"listen: {e}") from e
+        raise ConfigError(f"listen: {e}", where="listen") from e
     host.on_endpoint_update(EndpointUpdateKind.CACHED, config.known)
     if pushed:
         discovery.subscribe()  # the module does not ask for what is pushed; it comes by the same calls
--- a/cache_router/simulator_adapter.py
+++ b/cache_router/simulator_adapter.py
@@ -31,6 +31,7 @@
 )
 from cache_router.decisions.router import Router
 from cache_router.endpoint import Endpoint, EndpointState
+from cache_router.errors import RouterError
 from cache_router.settings import SettingsError
 from cache_router.settings_reader import read_load, read_settings
 
@@ -54,8 +55,8 @@
 }
 
 
-class WireError(ValueError):
-    """A line that breaks the wire's promises."""
+class WireError(RouterError, ValueError):
+    """A line of the simulator that is malformed; `where` is its batch or the event in it."""
 
 
 def read_entry(e: dict[str, Any]) -> Endpoint:
@@ -144,7 +145,7 @@
             if not isinstance(news, list):
                 raise TypeError("news is not a list")
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as e:
-            raise WireError(f"not a batch: {e!r}") from e
+            raise WireError(f"not a batch: {e!r}", where="batch") from e
         commands: list[dict[str, Any]] = []
         for event in news:
             self.event(now, event, commands)
@@ -170,7 +171,7 @@
             commands.append({"op": "InternalError", "routerId": number_, "line": str(e)})
             return
         except (KeyError, TypeError, ValueError, AttributeError) as e:
-            raise WireError(f"malformed event: {e!r} in {str(event)[:200]}") from e
+            raise WireError(f"malformed event: {e!r} in {str(event)[:200]}", where="event") from e
         if router is None:
             return
         for action in router.handle(now, read):
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -19,6 +19,7 @@
 
 from cache_router import server
 from cache_router.config import ConfigError, read_config
+from cache_router.errors import RouterError
 from cache_router.net.connection_pool import address_of
 from tests.loopback import HIT, PATIENCE, Link, Peer, command, http, read, run, spelled
 from tests.test_net_discovery import LINE, message
@@ -86,6 +87,23 @@
     assert field in line
 
 
+@pytest.mark.parametrize(
+    ("change", "where"),
+    [
+        ({"listen": "here"}, "listen"),
+        ({"seed": "xyz"}, "seed"),
+        ({"settings": {**CONF, "skus": 3}}, "settings"),
+        ({"limits": {"sockets": 1}}, "limits"),
+        ({"known": None}, "known"),
+    ],
+)
+def test_a_configuration_error_carries_its_field(change: dict[str, Any], where: str) -> None:
+    with pytest.raises(RouterError) as caught:
+        read_config(orjson.dumps({**GOOD, **change}))
+    assert isinstance(caught.value, ValueError)
+    assert caught.value.where == where
+
+
 @pytest.mark.parametrize(
     ("limit", "room"), [(resource.RLIM_INFINITY, 1024), (4096, 1024), (1024, 1024), (64, 64), (63, None)]
 )
