--- a/cache_router/config.py
+++ b/cache_router/config.py
@@ -17,7 +17,7 @@
 from cache_router.settings import Settings, SettingsError
 from cache_router.settings_reader import number, read_settings, section
 
-FEWEST = 64  # descriptors with which a router can serve
+MIN_DESCRIPTORS = 64  # descriptors with which a router can serve
 
 
 class ConfigError(RouterError, ValueError):
@@ -31,9 +31,9 @@
     listen: tuple[str, int]
     discovery: str
     seed: int
-    sockets: int
-    known_index: int
-    known: list[NetworkEndpoint]
+    max_descriptors: int
+    cached_index: int
+    cached_endpoints: list[NetworkEndpoint]
     settings: Settings
 
 
@@ -71,7 +71,7 @@
     with _errors_of("settings"):
         settings = read_settings(table.get("settings"))
     with _errors_of("limits"):
-        sockets = int(number(section(table, "limits"), "sockets", 1024, "limits.", FEWEST))
+        sockets = int(number(section(table, "limits"), "sockets", 1024, "limits.", MIN_DESCRIPTORS))
     with _errors_of("known"):
         index, _, known = read_list(table.get("known"), "known")
     listen = address_of(read_address(table, "listen"))
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -40,8 +40,8 @@
 def test_a_configuration_is_read() -> None:
     config = read_config(orjson.dumps(GOOD))
     assert (config.listen, config.discovery) == (("127.0.0.1", 6379), "127.0.0.1:8500")
-    assert (config.seed, config.sockets, config.known_index) == (0x8C1F30D27A5BE964, 1024, 41)
-    assert [m.entry.name for m in config.known] == ["s-1"]
+    assert (config.seed, config.max_descriptors, config.cached_index) == (0x8C1F30D27A5BE964, 1024, 41)
+    assert [m.entry.name for m in config.cached_endpoints] == ["s-1"]
     assert config.settings.classes["pay"].idempotency_window == 5.0
 
 
@@ -113,9 +113,9 @@
     monkeypatch.setattr(resource, "getrlimit", lambda _: (limit, resource.RLIM_INFINITY))
     if room is None:
         with pytest.raises(ConfigError, match=r"^limits\.sockets"):
-            server.descriptors(1024)
+            server.usable_descriptors(1024)
     else:
-        assert server.descriptors(1024) == room
+        assert server.usable_descriptors(1024) == room
 
 
 @pytest.mark.parametrize("text", [None, b"", b"{", b"[]"])
@@ -281,7 +281,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What the agent holds counts as told from the first moment; the list known may be long out of date."""
-    monkeypatch.setattr(server, "FIRST_LIST", PATIENCE)
+    monkeypatch.setattr(server, "FIRST_LIST_TIMEOUT", PATIENCE)
 
     async def scenario() -> None:
         async with Peer() as left, Peer() as stays, Peer() as agent:
@@ -313,7 +313,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Discovery may be down for long, and has told nothing then."""
-    monkeypatch.setattr(server, "FIRST_LIST", 0.01)
+    monkeypatch.setattr(server, "FIRST_LIST_TIMEOUT", 0.01)
 
     async def scenario() -> None:
         async with (
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -349,7 +349,7 @@
             ConnectionPool(OriginConnection, 8, 1.0, 60.0),
         )
         host = Dispatcher(config.settings, config.seed, servers, origin, lambda: None)
-        host.on_endpoint_update(EndpointUpdateKind.CACHED, config.known)
+        host.on_endpoint_update(EndpointUpdateKind.CACHED, config.cached_endpoints)
         host.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, read_list(orjson.loads(self.answer))[2])
 
     def calls(self) -> int:
