--- a/cache_router/config.py
+++ b/cache_router/config.py
@@ -1,4 +1,4 @@
-"""One router's configuration: how it is read and checked."""
+"""One router's configuration: its JSON form, read and checked."""
 
 from __future__ import annotations
 
@@ -17,7 +17,9 @@
 from cache_router.settings import Settings, SettingsError
 from cache_router.settings_reader import number, read_settings, section
 
-MIN_DESCRIPTORS = 64  # descriptors with which a router can serve
+CONFIG_VARIABLE = "RELAY_CONFIG"  # of the environment: the path of the configuration's file
+DEFAULT_DESCRIPTORS = 1024  # the platform's limit for a router
+MIN_DESCRIPTORS = 64  # with fewer a router cannot serve: half of them are reserved
 
 
 class ConfigError(RouterError, ValueError):
@@ -26,24 +28,55 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """What the platform tells a router."""
+    """What the platform configures for one router."""
 
-    listen: tuple[str, int]
-    discovery: str
-    seed: int
-    max_descriptors: int
-    cached_index: int
+    listen: tuple[str, int]  # host and port for clients
+    discovery: str  # host:port of discovery, or of the agent that stands in for it
+    seed: int  # of the router's random choices
+    max_descriptors: int  # file descriptors that the platform allows
+    cached_index: int  # version of the endpoint list that was known last
     cached_endpoints: list[NetworkEndpoint]
     settings: Settings
 
 
-def read_address(table: dict[str, Any], field: str) -> str:
-    """A field of the form host:port."""
-    value = table.get(field)
-    host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
-    if not host or not is_port(port):
-        raise ConfigError(f"{field} must be host:port, not {value!r}", where=field)
-    return str(value)
+def load_config(path: str) -> Config:
+    """Read and check the configuration in a file.
+
+    Raises:
+        ConfigError: the file cannot be read, or a field in it cannot be used.
+    """
+    try:
+        text = Path(path).read_bytes()
+    except OSError as error:
+        raise ConfigError(f"{CONFIG_VARIABLE}: {error}", where=CONFIG_VARIABLE) from error
+    return read_config(text)
+
+
+def read_config(text: bytes) -> Config:
+    """Check a configuration in its JSON form.
+
+    Raises:
+        ConfigError: it is not a JSON object, or a field cannot be used.
+    """
+    table = _read_object(text)
+    seed = _read_seed(table)
+    with _errors_of("settings"):
+        settings = read_settings(table.get("settings"))
+    with _errors_of("limits"):
+        max_descriptors = int(
+            number(section(table, "limits"), "sockets", DEFAULT_DESCRIPTORS, "limits.", MIN_DESCRIPTORS)
+        )
+    with _errors_of("known"):
+        index, _, endpoints = read_list(table.get("known"), "known")
+    return Config(
+        listen=address_of(_read_address(table, "listen")),
+        discovery=_read_address(table, "discovery"),
+        seed=seed,
+        max_descriptors=max_descriptors,
+        cached_index=index,
+        cached_endpoints=endpoints,
+        settings=settings,
+    )
 
 
 @contextmanager
@@ -55,32 +88,29 @@
         raise ConfigError(str(error), where=field) from error
 
 
-def read_config(text: bytes) -> Config:
-    """Check a configuration."""
+def _read_object(text: bytes) -> dict[str, Any]:
     try:
         table = orjson.loads(text)
-    except orjson.JSONDecodeError as e:
-        raise ConfigError(f"configuration is not JSON: {e}", where="configuration") from e
+    except orjson.JSONDecodeError as error:
+        raise ConfigError(f"configuration is not JSON: {error}", where="configuration") from error
     if not isinstance(table, dict):
         raise ConfigError("configuration is not an object", where="configuration")
+    return table
+
+
+def _read_seed(table: dict[str, Any]) -> int:
+    """The seed, in hex digits."""
     seed = table.get("seed")
     try:
-        seed_number = int(str(seed), 16)
+        return int(str(seed), 16)
     except ValueError:
         raise ConfigError(f"seed must be hex digits, not {seed!r}", where="seed") from None
-    with _errors_of("settings"):
-        settings = read_settings(table.get("settings"))
-    with _errors_of("limits"):
-        sockets = int(number(section(table, "limits"), "sockets", 1024, "limits.", MIN_DESCRIPTORS))
-    with _errors_of("known"):
-        index, _, known = read_list(table.get("known"), "known")
-    listen = address_of(read_address(table, "listen"))
-    return Config(listen, read_address(table, "discovery"), seed_number, sockets, index, known, settings)
 
 
-def read_file(path: str) -> bytes:
-    """The configuration's text."""
-    try:
-        return Path(path).read_bytes()
-    except OSError as e:
-        raise ConfigError(f"RELAY_CONFIG: {e}", where="RELAY_CONFIG") from e
+def _read_address(table: dict[str, Any], field: str) -> str:
+    """A field of the form host:port, checked."""
+    value = table.get(field)
+    host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
+    if not host or not is_port(port):
+        raise ConfigError(f"{field} must be host:port, not {value!r}", where=field)
+    return str(value)
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -21,6 +21,7 @@
 from cache_router.config import ConfigError, read_config
 from cache_router.errors import RouterError
 from cache_router.net.connection_pool import address_of
+from cache_router.settings import RequestClass, Settings
 from tests.loopback import HIT, PATIENCE, Link, Peer, command, http, read, run, spelled
 from tests.test_net_discovery import LINE, message
 from tests.test_simulator_adapter import CONF
@@ -118,6 +119,21 @@
         assert server.usable_descriptors(1024) == room
 
 
+def test_descriptors_are_divided_between_the_kinds_of_connections() -> None:
+    assert server.DescriptorBudget.divide(1024) == server.DescriptorBudget(372, 124, 496)
+    assert server.DescriptorBudget.divide(64) == server.DescriptorBudget(12, 4, 16)
+
+
+@pytest.mark.parametrize(("client_timeout", "sigkill_at"), [(0.6, 1.3), (3.0, 3.7), (9.0, 3.7)])
+def test_a_shutdown_is_over_before_sigkill(client_timeout: float, sigkill_at: float) -> None:
+    settings = Settings({"read": RequestClass("read", 0.3, client_timeout=client_timeout)})
+    schedule = server.ShutdownSchedule.from_settings(settings)
+    assert schedule.accept_until == 0.5
+    assert schedule.answer_until == pytest.approx(sigkill_at - 0.2)
+    assert schedule.close_until == pytest.approx(sigkill_at - 0.1)
+    assert schedule.sigkill_at == pytest.approx(sigkill_at)
+
+
 @pytest.mark.parametrize("text", [None, b"", b"{", b"[]"])
 def test_no_configuration_ends_the_start_in_one_line(
     text: bytes | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
