--- a/cache_router/config.py
+++ b/cache_router/config.py
@@ -15,7 +15,7 @@
 from cache_router.net.discovery import ListError, read_list
 from cache_router.net.dispatcher import NetworkEndpoint
 from cache_router.settings import Settings, SettingsError
-from cache_router.settings_reader import number, read_settings, section
+from cache_router.settings_reader import SectionReader, read_settings
 
 CONFIG_VARIABLE = "RELAY_CONFIG"  # of the environment: the path of the configuration's file
 DEFAULT_DESCRIPTORS = 1024  # the platform's limit for a router
@@ -63,9 +63,8 @@
     with _errors_of("settings"):
         settings = read_settings(table.get("settings"))
     with _errors_of("limits"):
-        max_descriptors = int(
-            number(section(table, "limits"), "sockets", DEFAULT_DESCRIPTORS, "limits.", MIN_DESCRIPTORS)
-        )
+        limits = SectionReader(table).section("limits")
+        max_descriptors = int(limits.number("sockets", DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS))
     with _errors_of("known"):
         index, _, endpoints = read_list(table.get("known"), "known")
     return Config(
--- a/cache_router/settings_reader.py
+++ b/cache_router/settings_reader.py
@@ -1,141 +1,208 @@
-"""Reads settings from the JSON form that the simulator and a deployment's configuration share."""
+"""Reads settings from the JSON form that the simulator and a deployment's configuration share.
+
+The JSON keys are those of the operators' pages. They appear in this module alone, each beside the field that
+holds its value.
+"""
 
 from __future__ import annotations
 
 import math
-from typing import Any
+from collections.abc import Mapping
+from typing import Any, TypeVar
 
 from cache_router.decisions.events import LoadReport
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings, SettingsError
 
-SHORTEST = 0.001  # seconds: what is divided by must not be nothing
-EFFECTS = {
+MIN_POSITIVE = 0.001  # seconds: the least value of what is divided by
+IDEMPOTENCIES = {
     "free": Idempotency.IDEMPOTENT,
     "guarded": Idempotency.WITH_KEY,
     "single_shot": Idempotency.NOT_IDEMPOTENT,
 }
+IDEMPOTENCY_SCOPES = {scope.value: scope for scope in IdempotencyScope}
+CACHE_ASIDE_MODES = {"aside": True, "through": False}
+SUBSCRIPTION_MODES = {"subscribe": True, "automatic": False}  # whether updates come only after subscribing
+LIVE_WEIGHTS = "live"
+# the names of the values in a load report that decisions use
+SERVICE_TIME_MS = "svc_ms"
+QUEUE_LENGTH = "pending"
+
+Choice = TypeVar("Choice")
+
+
+class SectionReader:
+    """Reads the fields of one JSON object; its errors name the field with the path to it.
+
+    Fields that are absent or null take their defaults, fields that nothing reads are ignored.
+    """
+
+    __slots__ = ("path", "values")
+
+    def __init__(self, values: dict[str, Any], path: str = "") -> None:
+        """Read from `values`; `path` is what stands before a field's name in errors, its dot included."""
+        self.values = values
+        self.path = path
+
+    def number(self, field: str, default: float, minimum: float = 0.0) -> float:
+        """A number, as it stands in the JSON.
+
+        Raises:
+            SettingsError: it is no number, or less than `minimum`.
+        """
+        value = self.values.get(field)
+        if value is None:
+            return default
+        if isinstance(value, bool) or not isinstance(value, (int, float)) or value < minimum:
+            raise self.unusable(field, f"must be a number of at least {minimum:g}, not {value!r}")
+        return value
+
+    def flag(self, field: str) -> bool:
+        """Whether something is allowed; not if absent.
+
+        Raises:
+            SettingsError: it is neither true nor false.
+        """
+        value = self.values.get(field)
+        if value not in (None, False, True):
+            raise self.unusable(field, f"must be true or false, not {value!r}")
+        return bool(value)
+
+    def choice(self, field: str, default: str, choices: Mapping[str, Choice]) -> Choice:
+        """What one of a few words stands for.
+
+        Raises:
+            SettingsError: it is none of the words in `choices`.
+        """
+        value = self.values.get(field)
+        word = default if value is None else value
+        if not isinstance(word, str) or word not in choices:
+            raise self.unusable(field, f"must be one of {', '.join(choices)}, not {word!r}")
+        return choices[word]
+
+    def names(self, field: str) -> tuple[str, ...]:
+        """A list of names, empty if absent.
+
+        Raises:
+            SettingsError: it is no list, or one of its entries is no string.
+        """
+        value = self.values.get(field)
+        names = [] if value is None else value
+        if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
+            raise self.unusable(field, f"must be a list of names, not {names!r}")
+        return tuple(names)
+
+    def section(self, field: str) -> SectionReader:
+        """A nested object, empty if absent.
+
+        Raises:
+            SettingsError: it is no object.
+        """
+        value = self.values.get(field)
+        section = {} if value is None else value
+        if not isinstance(section, dict):
+            raise self.unusable(field, f"must be an object, not {section!r}")
+        return SectionReader(section, f"{self.path}{field}.")
+
+    def named_sections(self, field: str) -> dict[str, SectionReader]:
+        """A list of objects by their `name`s, empty if absent.
+
+        Raises:
+            SettingsError: it is no list of objects, or a name is missing or repeated.
+        """
+        value = self.values.get(field)
+        rows = [] if value is None else value
+        if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
+            raise self.unusable(field, "must be a list of objects")
+        sections: dict[str, SectionReader] = {}
+        for index, row in enumerate(rows):
+            name = row.get("name")
+            if not isinstance(name, str):
+                raise self.unusable(f"{field}[{index}].name", "is missing")
+            if name in sections:
+                raise self.unusable(f"{field}[{index}].name", f"is there twice: {name!r}")
+            sections[name] = SectionReader(row, f"{self.path}{field}[{name}].")
+        return sections
+
+    def unusable(self, field: str, reason: str) -> SettingsError:
+        """The error of a field of this section."""
+        return SettingsError(f"settings: {self.path}{field} {reason}")
 
 
-def number(table: dict[str, Any], field: str, default: float, where: str, least: float = 0.0) -> float:
-    """Read a number of the settings, or its default when absent; name the field when it can't be used."""
-    value = table.get(field)
-    if value is None:
-        return default
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or value < least:
-        raise SettingsError(f"settings: {where}{field} must be a number of at least {least:g}, not {value!r}")
-    return value
-
-
-def flag(table: dict[str, Any], field: str, where: str) -> bool:
-    """Read whether something is allowed; absent it is not."""
-    value = table.get(field)
-    if value not in (None, False, True):
-        raise SettingsError(f"settings: {where}{field} must be true or false, not {value!r}")
-    return bool(value)
+def read_load(values: dict[str, Any]) -> LoadReport | None:
+    """A load report from its named values; None where it lacks one that decisions use, or one is no number.
 
+    Reports are noisy: what cannot be a load must not count as one.
+    """
+    service_time_ms: Any = values.get(SERVICE_TIME_MS)
+    queue_length: Any = values.get(QUEUE_LENGTH)
+    for value in (service_time_ms, queue_length):
+        if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < math.inf:
+            return None
+    return LoadReport(service_time_ms / 1000, queue_length)
 
-def choice(table: dict[str, Any], field: str, default: str, known: dict[str, Any], where: str) -> Any:
-    """Read one of a few known words."""
-    value = table.get(field)
-    value = default if value is None else value
-    if not isinstance(value, str) or value not in known:
-        raise SettingsError(f"settings: {where}{field} must be one of {', '.join(known)}, not {value!r}")
-    return known[value]
 
+def read_settings(conf: Any) -> Settings:
+    """The settings of a site, from their JSON object.
 
-def section(conf: dict[str, Any], field: str) -> dict[str, Any]:
-    """Read a nested object, empty when absent."""
-    value = conf.get(field)
-    if value is None:
-        return {}
-    if not isinstance(value, dict):
-        raise SettingsError(f"settings: {field} must be an object, not {value!r}")
-    return value
+    Raises:
+        SettingsError: they are no object, name no class of requests, or have a field that cannot be used.
+    """
+    if not isinstance(conf, dict):
+        raise SettingsError("settings: conf must be an object")
+    root = SectionReader(conf)
+    classes = _read_classes(root)
+    limits, rules, family = root.section("limits"), root.section("rules"), root.section("familyInfo")
+    prices = root.section("penalties")
+    return Settings(
+        classes=classes,
+        origin_kind=_read_origin_kind(root, family),
+        clock_resolution=root.number("resolution", 0.005),
+        cache_aside=family.choice("mode", "through", CACHE_ASIDE_MODES),
+        must_subscribe=root.choice("membershipMode", "automatic", SUBSCRIPTION_MODES),
+        live_weights=root.values.get("weights") == LIVE_WEIGHTS,
+        hedging_allowed=limits.flag("secondCopies"),
+        cancellation_allowed=limits.flag("mayCancel"),
+        max_attempts=max(1, int(limits.number("mostTries", 1))),
+        load_report_fields=root.section("loadReport").names("fields"),
+        router_count=max(1, int(root.number("siblings", 1))),
+        connection_idle_timeout=limits.number("connIdle", 60.0),
+        connect_timeout=limits.number("dialTimeout", 0.25),
+        max_retry_after=limits.number("maxRetryAfter", 0.0),
+        connection_price=prices.number("connection", 0.0),
+        handshake_price=prices.number("handshake", 0.0),
+        slow_start_initial_share=rules.number("coldFrom", 0.3),
+        slow_start_duration=max(MIN_POSITIVE, rules.number("rampTime", 10.0)),
+        overload_multiple=rules.number("fallMultiple", 2.0),
+        overload_window=rules.number("overloadFor", 1.0),
+        drain_grace_period=rules.number("stopSendingWithin", 0.5),
+    )
 
 
-def names(table: dict[str, Any], field: str, where: str) -> tuple[str, ...]:
-    """Read a list of names, empty when absent."""
-    value = table.get(field)
-    value = [] if value is None else value
-    if not isinstance(value, list) or not all(isinstance(n, str) for n in value):
-        raise SettingsError(f"settings: {where}{field} must be a list of names, not {value!r}")
-    return tuple(value)
+def _read_classes(root: SectionReader) -> dict[str, RequestClass]:
+    """The classes of requests by name; a site without any cannot be served."""
+    sections = root.named_sections("classes")
+    if not sections:
+        raise root.unusable("classes", "is empty")
+    return {name: _read_class(name, section) for name, section in sections.items()}
 
 
-def read_load(values: dict[str, Any]) -> LoadReport | None:
-    """A load report by the names of its values; None where it lacks one that decisions use."""
-    service, waiting = values.get("svc_ms"), values.get("pending")
-    for value in (service, waiting):
-        # guards decisions: noise in a report's place must not count as a load
-        if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < math.inf:
-            return None
-    assert service is not None and waiting is not None
-    return LoadReport(service / 1000, waiting)
-
-
-def rows(conf: dict[str, Any], field: str) -> list[dict[str, Any]]:
-    """Read a list of named objects, empty when absent."""
-    value = conf.get(field)
-    value = [] if value is None else value
-    if not isinstance(value, list) or not all(isinstance(r, dict) for r in value):
-        raise SettingsError(f"settings: {field} must be a list of objects")
-    for i, row in enumerate(value):
-        if not isinstance(row.get("name"), str):
-            raise SettingsError(f"settings: {field}[{i}].name is missing")
-        if row["name"] in (other["name"] for other in value[:i]):
-            raise SettingsError(f"settings: {field}[{i}].name is there twice: {row['name']!r}")
-    return value
-
-
-def read_class(row: dict[str, Any]) -> RequestClass:
-    """One class of the settings."""
-    where = f"classes[{row['name']}]."
-    groups = {g.value: g for g in IdempotencyScope}
-    aim = number(row, "aim", number(row, "giveUp", 1.0, where), where, SHORTEST)
+def _read_class(name: str, section: SectionReader) -> RequestClass:
+    """One class; a latency objective or client timeout that is absent takes the value of the other."""
+    objective_default = section.number("giveUp", 1.0)
+    latency_objective = section.number("aim", objective_default, MIN_POSITIVE)
     return RequestClass(
-        name=row["name"],
-        latency_objective=aim,
-        client_timeout=number(row, "giveUp", aim, where, SHORTEST),
-        idempotency=choice(row, "effect", "single_shot", EFFECTS, where),
-        idempotency_scope=choice(row, "group", "cell", groups, where),
-        idempotency_window=number(row, "repeatWindow", 0.0, where),
-        priority_weight=number(row, "value", 1.0, where),
+        name=name,
+        latency_objective=latency_objective,
+        client_timeout=section.number("giveUp", latency_objective, MIN_POSITIVE),
+        idempotency=section.choice("effect", "single_shot", IDEMPOTENCIES),
+        idempotency_scope=section.choice("group", "cell", IDEMPOTENCY_SCOPES),
+        idempotency_window=section.number("repeatWindow", 0.0),
+        priority_weight=section.number("value", 1.0),
     )
 
 
-def read_settings(conf: Any) -> Settings:
-    """The settings as the module's; unknown keys are ignored and absent ones take defaults."""
-    if not isinstance(conf, dict):
-        raise SettingsError("settings: conf must be an object")
-    classes = {row["name"]: read_class(row) for row in rows(conf, "classes")}
-    if not classes:
-        raise SettingsError("settings: classes is empty")
-    limits, rules, info = section(conf, "limits"), section(conf, "rules"), section(conf, "familyInfo")
-    prices = section(conf, "penalties")
-    kinds = names(conf, "skus", "")
-    origin = int(number(info, "originKind", -1, "familyInfo.", -1))
-    return Settings(
-        classes=classes,
-        clock_resolution=number(conf, "resolution", 0.005, ""),
-        cache_aside=choice(info, "mode", "through", {"aside": True, "through": False}, "familyInfo."),
-        origin_kind=kinds[origin] if 0 <= origin < len(kinds) else None,
-        must_subscribe=choice(
-            conf, "membershipMode", "automatic", {"subscribe": True, "automatic": False}, ""
-        ),
-        live_weights=conf.get("weights") == "live",
-        hedging_allowed=flag(limits, "secondCopies", "limits."),
-        cancellation_allowed=flag(limits, "mayCancel", "limits."),
-        max_attempts=max(1, int(number(limits, "mostTries", 1, "limits."))),
-        load_report_fields=names(section(conf, "loadReport"), "fields", "loadReport."),
-        router_count=max(1, int(number(conf, "siblings", 1, ""))),
-        connection_idle_timeout=number(limits, "connIdle", 60.0, "limits."),
-        connect_timeout=number(limits, "dialTimeout", 0.25, "limits."),
-        max_retry_after=number(limits, "maxRetryAfter", 0.0, "limits."),
-        connection_price=number(prices, "connection", 0.0, "penalties."),
-        handshake_price=number(prices, "handshake", 0.0, "penalties."),
-        slow_start_initial_share=number(rules, "coldFrom", 0.3, "rules."),
-        slow_start_duration=max(SHORTEST, number(rules, "rampTime", 10.0, "rules.")),
-        overload_multiple=number(rules, "fallMultiple", 2.0, "rules."),
-        overload_window=number(rules, "overloadFor", 1.0, "rules."),
-        drain_grace_period=number(rules, "stopSendingWithin", 0.5, "rules."),
-    )
+def _read_origin_kind(root: SectionReader, family: SectionReader) -> str | None:
+    """The kind of origin servers, given by its index in the list of kinds; None where there is none."""
+    kinds = root.names("skus")
+    index = int(family.number("originKind", -1, minimum=-1))
+    return kinds[index] if 0 <= index < len(kinds) else None
