--- a/cache_router/simulator_adapter.py
+++ b/cache_router/simulator_adapter.py
@@ -35,14 +35,18 @@
 from cache_router.settings import SettingsError
 from cache_router.settings_reader import read_load, read_settings
 
-STATES = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.REMOVED}
-KINDS = {
+ENDPOINT_STATES = {
+    "active": EndpointState.READY,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.REMOVED,
+}
+UPDATE_KINDS = {
     "INCREMENTAL": EndpointUpdateKind.DELTA,
     "FULL": EndpointUpdateKind.SNAPSHOT,
     "SAVED": EndpointUpdateKind.CACHED,
     "FAILED": EndpointUpdateKind.FAILED,
 }
-STATUSES = {
+ATTEMPT_STATUSES = {
     "delivered": AttemptStatus.OK,
     "app_error": AttemptStatus.ERROR,
     "shed": AttemptStatus.REJECTED,
@@ -59,11 +63,11 @@
     """A line of the simulator that is malformed; `where` is its batch or the event in it."""
 
 
-def read_entry(e: dict[str, Any]) -> Endpoint:
+def read_endpoint(e: dict[str, Any]) -> Endpoint:
     """One line of a list."""
     return Endpoint(
         name=e["server"],
-        state=STATES[e["readiness"]],
+        state=ENDPOINT_STATES[e["readiness"]],
         kind=e.get("generationHw") or "",
         zone=e.get("site") or "",
         cell=e.get("stripe") or 0,
@@ -72,9 +76,9 @@
     )
 
 
-def read_list(e: dict[str, Any]) -> Event:
+def read_endpoint_update(e: dict[str, Any]) -> Event:
     """News of the list."""
-    return EndpointUpdate(KINDS[e["scope"]], tuple(map(read_entry, e.get("lines") or ())))
+    return EndpointUpdate(UPDATE_KINDS[e["scope"]], tuple(map(read_endpoint, e.get("lines") or ())))
 
 
 def read_request(e: dict[str, Any]) -> Event:
@@ -89,21 +93,21 @@
     )
 
 
-def read_outcome(e: dict[str, Any], report: tuple[str, ...]) -> Event:
+def read_attempt_completed(e: dict[str, Any], report: tuple[str, ...]) -> Event:
     """The end of an attempt."""
     load = read_load(dict(zip(report, e.get("telemetry") or (), strict=False)))
-    status = STATUSES[e["outcome"]]
+    status = ATTEMPT_STATUSES[e["outcome"]]
     return AttemptCompleted(e["ticket"], e["sendNo"], status, bool(e.get("final")), e.get("lag") or 0.0, load)
 
 
-READERS: dict[str, Callable[[dict[str, Any]], Event]] = {
-    "Membership": read_list,
+EVENT_READERS: dict[str, Callable[[dict[str, Any]], Event]] = {
+    "Membership": read_endpoint_update,
     "Request": read_request,
     "Begun": lambda e: ResponseStarted(e["ticket"], e["sendNo"]),
     "Aborted": lambda e: ClientDisconnected(e["ticket"]),
     "Wake": lambda e: TimerFired(e["ctx"]),
 }
-UNUSED = {"Pong", "Heard"}  # answers to things no router here asks for
+IGNORED_EVENTS = {"Pong", "Heard"}  # answers to things no router here asks for
 
 
 def write_send(a: Send) -> dict[str, Any]:
@@ -113,15 +117,15 @@
     return {"op": "Send", "ticket": a.request_id, "server": a.server, "timeout": a.timeout}
 
 
-def write_refuse(a: Reject) -> dict[str, Any]:
+def write_reject(a: Reject) -> dict[str, Any]:
     """A refusal, with advice if there is any."""
     advice = {"coolDown": a.retry_after} if a.retry_after else {}
     return {"op": "Reject", "ticket": a.request_id, **advice}
 
 
-WRITERS: dict[type, Callable[[Any], dict[str, Any]]] = {
+ACTION_WRITERS: dict[type, Callable[[Any], dict[str, Any]]] = {
     Send: write_send,
-    Reject: write_refuse,
+    Reject: write_reject,
     Fail: lambda a: {"op": "GiveUp", "ticket": a.request_id},
     Cancel: lambda a: {"op": "Cancel", "ticket": a.request_id, "sendNo": a.attempt_number},
     CloseIdleConnections: lambda a: {"op": "LetGo", "server": a.server},
@@ -137,7 +141,7 @@
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
 
-    def batch(self, line: bytes) -> bytes:
+    def handle_line(self, line: bytes) -> bytes:
         """Answer one line of the wire."""
         try:
             message = orjson.loads(line)
@@ -148,35 +152,35 @@
             raise WireError(f"not a batch: {e!r}", where="batch") from e
         commands: list[dict[str, Any]] = []
         for event in news:
-            self.event(now, event, commands)
+            self.handle_event(now, event, commands)
         return orjson.dumps({"cmds": commands}) + b"\n"
 
-    def event(self, now: float, event: Any, commands: list[dict[str, Any]]) -> None:
+    def handle_event(self, now: float, event: Any, commands: list[dict[str, Any]]) -> None:
         """Hand one event to its router and append the actions in wire form."""
         try:
-            op, number_ = event["op"], event["routerId"]
+            op, router_id = event["op"], event["routerId"]
             if op == "Born":
-                self.routers[number_] = Router(read_settings(event["conf"]), event["initSeed"], now)
+                self.routers[router_id] = Router(read_settings(event["conf"]), event["initSeed"], now)
                 return
             if op == "Kill":
-                self.routers.pop(number_, None)
+                self.routers.pop(router_id, None)
                 return
-            if op in UNUSED:
+            if op in IGNORED_EVENTS:
                 return
-            router = self.routers.get(number_)
+            router = self.routers.get(router_id)
             report = router.settings.load_report_fields if router is not None else ()
-            read = read_outcome(event, report) if op == "Done" else READERS[op](event)
+            read = read_attempt_completed(event, report) if op == "Done" else EVENT_READERS[op](event)
         except SettingsError as e:
             print(f"cache_router: {e}", file=sys.stderr)
-            commands.append({"op": "InternalError", "routerId": number_, "line": str(e)})
+            commands.append({"op": "InternalError", "routerId": router_id, "line": str(e)})
             return
         except (KeyError, TypeError, ValueError, AttributeError) as e:
             raise WireError(f"malformed event: {e!r} in {str(event)[:200]}", where="event") from e
         if router is None:
             return
         for action in router.handle(now, read):
-            command = WRITERS[type(action)](action)
-            command["routerId"] = number_
+            command = ACTION_WRITERS[type(action)](action)
+            command["routerId"] = router_id
             commands.append(command)
 
 
@@ -185,7 +189,7 @@
     adapter = SimulatorAdapter()
     for line in sys.stdin.buffer:
         try:
-            reply = adapter.batch(line)
+            reply = adapter.handle_line(line)
         except WireError as e:
             print(f"cache_router: {e}", file=sys.stderr)
             return 2
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from cache_router import simulator_adapter as wirehost
+from cache_router import simulator_adapter
 from cache_router.decisions.actions import CloseIdleConnections, LogMessage, Reject, Send
 from cache_router.settings import Idempotency, IdempotencyScope
 from cache_router.settings_reader import read_settings
@@ -44,7 +44,7 @@
 
 def play(adapter: SimulatorAdapter, t: float, *news: dict[str, Any]) -> list[dict[str, Any]]:
     line = json.dumps({"t": t, "news": [{"routerId": 3, **e} for e in news]}).encode()
-    commands = json.loads(adapter.batch(line))["cmds"]
+    commands = json.loads(adapter.handle_line(line))["cmds"]
     assert all(c.pop("routerId") == 3 for c in commands)
     return list(commands)
 
@@ -135,7 +135,7 @@
     assert play(adapter, 1.3, done("1", 1, "delivered", True)) == []
 
 
-@pytest.mark.parametrize("outcome", sorted(wirehost.STATUSES))
+@pytest.mark.parametrize("outcome", sorted(simulator_adapter.ATTEMPT_STATUSES))
 def test_every_outcome_is_taken(outcome: str) -> None:
     adapter = born()
     play(adapter, 1.1, ask("1"))
@@ -188,12 +188,15 @@
 
 
 def test_actions_in_wire_form() -> None:
-    send = wirehost.WRITERS[Send](Send("1", "a", 0.5))
+    send = simulator_adapter.ACTION_WRITERS[Send](Send("1", "a", 0.5))
     assert send == {"op": "Send", "ticket": "1", "server": "a", "timeout": 0.5}
-    assert wirehost.WRITERS[CloseIdleConnections](CloseIdleConnections("a")) == {"op": "LetGo", "server": "a"}
-    refuse = wirehost.WRITERS[Reject]
+    assert simulator_adapter.ACTION_WRITERS[CloseIdleConnections](CloseIdleConnections("a")) == {
+        "op": "LetGo",
+        "server": "a",
+    }
+    refuse = simulator_adapter.ACTION_WRITERS[Reject]
     assert refuse(Reject("1", 0.25)) == {"op": "Reject", "ticket": "1", "coolDown": 0.25}
-    assert wirehost.WRITERS[LogMessage](LogMessage("x")) == {"op": "Record", "line": "x"}
+    assert simulator_adapter.ACTION_WRITERS[LogMessage](LogMessage("x")) == {"op": "Record", "line": "x"}
 
 
 @pytest.mark.parametrize(
@@ -212,7 +215,7 @@
 )
 def test_malformed_lines_are_told_plainly(line: bytes) -> None:
     with pytest.raises(WireError):
-        SimulatorAdapter().batch(line)
+        SimulatorAdapter().handle_line(line)
 
 
 def run(stdin: bytes, hash_seed: str = "0") -> subprocess.CompletedProcess[bytes]:
