--- a/cache_router/simulator_adapter.py
+++ b/cache_router/simulator_adapter.py
@@ -1,4 +1,9 @@
-"""Hosts routers on the JSON wire: translates both ways and decides nothing."""
+"""Runs routers for the simulator, whose wire is one JSON object a line; decides nothing itself.
+
+Each line holds the events of one moment, each answer the commands that the routers replied with. The names of
+the wire appear in this module alone: its tables and functions map them to the events and actions of the
+decisions.
+"""
 
 from __future__ import annotations
 
@@ -9,6 +14,7 @@
 import orjson
 
 from cache_router.decisions.actions import (
+    Action,
     Cancel,
     CloseIdleConnections,
     Fail,
@@ -57,81 +63,147 @@
     "unused": AttemptStatus.NOT_SENT,
     "empty": AttemptStatus.MISS,
 }
+IGNORED_EVENTS = {"Pong", "Heard"}  # replies to commands that no router here gives
+BROKEN_WIRE_STATUS = 2  # exit status of the process
+MAX_QUOTED_EVENT = 200  # characters of a malformed event that its error quotes
+
+WireObject = dict[str, Any]
 
 
 class WireError(RouterError, ValueError):
     """A line of the simulator that is malformed; `where` is its batch or the event in it."""
 
 
-def read_endpoint(e: dict[str, Any]) -> Endpoint:
-    """One line of a list."""
+# Events
+
+
+def read_endpoint(line: WireObject) -> Endpoint:
+    """One entry of an endpoint list."""
     return Endpoint(
-        name=e["server"],
-        state=ENDPOINT_STATES[e["readiness"]],
-        kind=e.get("generationHw") or "",
-        zone=e.get("site") or "",
-        cell=e.get("stripe") or 0,
-        weight=max(0.0, e.get("weight") or 0.0),
-        started_at=e.get("since") or 0.0,
+        name=line["server"],
+        state=ENDPOINT_STATES[line["readiness"]],
+        kind=line.get("generationHw") or "",
+        zone=line.get("site") or "",
+        cell=line.get("stripe") or 0,
+        weight=max(0.0, line.get("weight") or 0.0),
+        started_at=line.get("since") or 0.0,
     )
 
 
-def read_endpoint_update(e: dict[str, Any]) -> Event:
-    """News of the list."""
-    return EndpointUpdate(UPDATE_KINDS[e["scope"]], tuple(map(read_endpoint, e.get("lines") or ())))
+def read_endpoint_update(message: WireObject) -> EndpointUpdate:
+    """An endpoint list, its changes, or the failure to get any."""
+    kind = UPDATE_KINDS[message["scope"]]
+    return EndpointUpdate(kind, tuple(map(read_endpoint, message.get("lines") or ())))
 
 
-def read_request(e: dict[str, Any]) -> Event:
-    """A client's request; a budget of nothing is kept as 0."""
+def read_request(message: WireObject) -> Request:
+    """A client's request; a time budget that is absent or negative is 0."""
     return Request(
-        e["ticket"],
-        e["priority"],
-        max(0.0, float(e.get("timeBudget") or 0.0)),
-        e.get("partitionKey"),
-        e.get("effort"),
-        bool(e.get("update")),
+        request_id=message["ticket"],
+        request_class=message["priority"],
+        time_left=max(0.0, float(message.get("timeBudget") or 0.0)),
+        key=message.get("partitionKey"),
+        cost_hint=message.get("effort"),
+        is_write=bool(message.get("update")),
+    )
+
+
+def read_response_started(message: WireObject) -> ResponseStarted:
+    """The first part of an answer."""
+    return ResponseStarted(message["ticket"], message["sendNo"])
+
+
+def read_attempt_completed(message: WireObject, load_report_fields: tuple[str, ...]) -> AttemptCompleted:
+    """The end of an attempt; the values of its load report come without their names."""
+    load_report = read_load(dict(zip(load_report_fields, message.get("telemetry") or (), strict=False)))
+    status = ATTEMPT_STATUSES[message["outcome"]]
+    return AttemptCompleted(
+        request_id=message["ticket"],
+        attempt_number=message["sendNo"],
+        status=status,
+        request_closed=bool(message.get("final")),
+        latency=message.get("lag") or 0.0,
+        load_report=load_report,
     )
 
 
-def read_attempt_completed(e: dict[str, Any], report: tuple[str, ...]) -> Event:
-    """The end of an attempt."""
-    load = read_load(dict(zip(report, e.get("telemetry") or (), strict=False)))
-    status = ATTEMPT_STATUSES[e["outcome"]]
-    return AttemptCompleted(e["ticket"], e["sendNo"], status, bool(e.get("final")), e.get("lag") or 0.0, load)
+def read_client_disconnected(message: WireObject) -> ClientDisconnected:
+    """A client that left."""
+    return ClientDisconnected(message["ticket"])
+
+
+def read_timer_fired(message: WireObject) -> TimerFired:
+    """A timer that is due."""
+    return TimerFired(message["ctx"])
 
 
-EVENT_READERS: dict[str, Callable[[dict[str, Any]], Event]] = {
+# all but "Done", which needs the settings of its router as well
+EVENT_READERS: dict[str, Callable[[WireObject], Event]] = {
     "Membership": read_endpoint_update,
     "Request": read_request,
-    "Begun": lambda e: ResponseStarted(e["ticket"], e["sendNo"]),
-    "Aborted": lambda e: ClientDisconnected(e["ticket"]),
-    "Wake": lambda e: TimerFired(e["ctx"]),
+    "Begun": read_response_started,
+    "Aborted": read_client_disconnected,
+    "Wake": read_timer_fired,
 }
-IGNORED_EVENTS = {"Pong", "Heard"}  # answers to things no router here asks for
+
+# Actions
+
+
+def write_send(action: Send) -> WireObject:
+    """A new attempt; without a timeout it takes the simulator's."""
+    command = {"op": "Send", "ticket": action.request_id, "server": action.server}
+    if action.timeout is None:
+        return command
+    return {**command, "timeout": action.timeout}
 
 
-def write_send(a: Send) -> dict[str, Any]:
-    """A new attempt."""
-    if a.timeout is None:
-        return {"op": "Send", "ticket": a.request_id, "server": a.server}
-    return {"op": "Send", "ticket": a.request_id, "server": a.server, "timeout": a.timeout}
+def write_reject(action: Reject) -> WireObject:
+    """A rejection, with the time to wait before a retry if there is any."""
+    command = {"op": "Reject", "ticket": action.request_id}
+    if not action.retry_after:
+        return command
+    return {**command, "coolDown": action.retry_after}
 
 
-def write_reject(a: Reject) -> dict[str, Any]:
-    """A refusal, with advice if there is any."""
-    advice = {"coolDown": a.retry_after} if a.retry_after else {}
-    return {"op": "Reject", "ticket": a.request_id, **advice}
+def write_fail(action: Fail) -> WireObject:
+    """A final answer that promises nothing."""
+    return {"op": "GiveUp", "ticket": action.request_id}
 
 
-ACTION_WRITERS: dict[type, Callable[[Any], dict[str, Any]]] = {
+def write_cancel(action: Cancel) -> WireObject:
+    """The end of the wait for an attempt."""
+    return {"op": "Cancel", "ticket": action.request_id, "sendNo": action.attempt_number}
+
+
+def write_close_idle_connections(action: CloseIdleConnections) -> WireObject:
+    """The end of the idle connections to a server."""
+    return {"op": "LetGo", "server": action.server}
+
+
+def write_set_timer(action: SetTimer) -> WireObject:
+    """A timer; its token comes back when it is due."""
+    return {"op": "Timer", "fromNow": action.delay, "ctx": action.token}
+
+
+def write_subscribe(_: SubscribeToEndpoints) -> WireObject:
+    """A subscription to endpoint updates."""
+    return {"op": "Listen", "enable": True}
+
+
+def write_log_message(action: LogMessage) -> WireObject:
+    """A line for the operators."""
+    return {"op": "Record", "line": action.message}
+
+
+ACTION_WRITERS: dict[type[Action], Callable[[Any], WireObject]] = {
     Send: write_send,
     Reject: write_reject,
-    Fail: lambda a: {"op": "GiveUp", "ticket": a.request_id},
-    Cancel: lambda a: {"op": "Cancel", "ticket": a.request_id, "sendNo": a.attempt_number},
-    CloseIdleConnections: lambda a: {"op": "LetGo", "server": a.server},
-    SetTimer: lambda a: {"op": "Timer", "fromNow": a.delay, "ctx": a.token},
-    SubscribeToEndpoints: lambda a: {"op": "Listen", "enable": True},
-    LogMessage: lambda a: {"op": "Record", "line": a.message},
+    Fail: write_fail,
+    Cancel: write_cancel,
+    CloseIdleConnections: write_close_idle_connections,
+    SetTimer: write_set_timer,
+    SubscribeToEndpoints: write_subscribe,
+    LogMessage: write_log_message,
 }
 
 
@@ -139,60 +211,75 @@
     """One router for each instance number; nothing is shared between them."""
 
     def __init__(self) -> None:
+        """Begin without any router; the simulator starts and stops them."""
         self.routers: dict[int, Router] = {}
 
     def handle_line(self, line: bytes) -> bytes:
-        """Answer one line of the wire."""
+        """Answer one line of the simulator with one line.
+
+        Raises:
+            WireError: the line or an event in it is malformed.
+        """
         try:
-            message = orjson.loads(line)
-            now, news = float(message["t"]), message["news"]
-            if not isinstance(news, list):
+            batch = orjson.loads(line)
+            now, messages = float(batch["t"]), batch["news"]
+            if not isinstance(messages, list):
                 raise TypeError("news is not a list")
-        except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as e:
-            raise WireError(f"not a batch: {e!r}", where="batch") from e
-        commands: list[dict[str, Any]] = []
-        for event in news:
-            self.handle_event(now, event, commands)
+        except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as error:
+            raise WireError(f"not a batch: {error!r}", where="batch") from error
+        commands: list[WireObject] = []
+        for message in messages:
+            self._handle_message(now, message, commands)
         return orjson.dumps({"cmds": commands}) + b"\n"
 
-    def handle_event(self, now: float, event: Any, commands: list[dict[str, Any]]) -> None:
-        """Hand one event to its router and append the actions in wire form."""
+    def _handle_message(self, now: float, message: Any, commands: list[WireObject]) -> None:
+        """Hand one event to its router and append what it replies."""
         try:
-            op, router_id = event["op"], event["routerId"]
-            if op == "Born":
-                self.routers[router_id] = Router(read_settings(event["conf"]), event["initSeed"], now)
-                return
-            if op == "Kill":
-                self.routers.pop(router_id, None)
-                return
-            if op in IGNORED_EVENTS:
-                return
-            router = self.routers.get(router_id)
-            report = router.settings.load_report_fields if router is not None else ()
-            read = read_attempt_completed(event, report) if op == "Done" else EVENT_READERS[op](event)
-        except SettingsError as e:
-            print(f"cache_router: {e}", file=sys.stderr)
-            commands.append({"op": "InternalError", "routerId": router_id, "line": str(e)})
+            operation, router_id = message["op"], message["routerId"]
+            event = self._read_event(now, operation, router_id, message)
+        except SettingsError as error:
+            print(f"cache_router: {error}", file=sys.stderr)
+            commands.append({"op": "InternalError", "routerId": router_id, "line": str(error)})
+            return
+        except (KeyError, TypeError, ValueError, AttributeError) as error:
+            quoted = str(message)[:MAX_QUOTED_EVENT]
+            raise WireError(f"malformed event: {error!r} in {quoted}", where="event") from error
+        if event is None:
             return
-        except (KeyError, TypeError, ValueError, AttributeError) as e:
-            raise WireError(f"malformed event: {e!r} in {str(event)[:200]}", where="event") from e
+        router = self.routers.get(router_id)
         if router is None:
             return
-        for action in router.handle(now, read):
+        for action in router.handle(now, event):
             command = ACTION_WRITERS[type(action)](action)
             command["routerId"] = router_id
             commands.append(command)
 
+    def _read_event(self, now: float, operation: str, router_id: int, message: WireObject) -> Event | None:
+        """The event in a message, or None where the message leaves nothing to decide."""
+        if operation == "Born":
+            self.routers[router_id] = Router(read_settings(message["conf"]), message["initSeed"], now)
+            return None
+        if operation == "Kill":
+            self.routers.pop(router_id, None)
+            return None
+        if operation in IGNORED_EVENTS:
+            return None
+        router = self.routers.get(router_id)
+        if operation == "Done":
+            fields = router.settings.load_report_fields if router is not None else ()
+            return read_attempt_completed(message, fields)
+        return EVENT_READERS[operation](message)
+
 
 def main() -> int:
-    """Answer line by line until the end of input."""
+    """Answer line by line until the end of input; returns the exit status."""
     adapter = SimulatorAdapter()
     for line in sys.stdin.buffer:
         try:
             reply = adapter.handle_line(line)
-        except WireError as e:
-            print(f"cache_router: {e}", file=sys.stderr)
-            return 2
+        except WireError as error:
+            print(f"cache_router: {error}", file=sys.stderr)
+            return BROKEN_WIRE_STATUS
         sys.stdout.buffer.write(reply)
         sys.stdout.buffer.flush()
     return 0
