--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -36,7 +36,7 @@
     read,
     run,
 )
-from tests.test_main import configured, listening, program_run, ready
+from tests.test_main import config_with_cache, connected_client, listen_address, router_process
 from tests.test_net_discovery import LINE, message
 
 PUSHED = replace(
@@ -495,14 +495,14 @@
 
     async def scenario() -> None:
         async with Peer() as cache, Peer() as agent:
-            config = configured(cache, agent, "automatic")
+            config = config_with_cache(cache, agent, "automatic")
             classes = [{**row, "giveUp": 0.2, "aim": 0.2} for row in config["settings"]["classes"]]
             config["settings"]["classes"] = classes
-            async with program_run(config, tmp_path / "config.json") as process:
+            async with router_process(config, tmp_path / "config.json") as process:
                 watch = await agent.link()
                 await watch.http()
                 watch.write(http("200 OK", message(2, False)))
-                client = await ready(await listening(process.stderr))
+                client = await connected_client(await listen_address(process.stderr))
                 client.write(read("r1", info="c=read,t=t,d=600000"))
                 await (await cache.link()).resp()
                 process.send_signal(signal.SIGTERM)
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -26,20 +26,20 @@
 from tests.test_net_discovery import LINE, message
 from tests.test_simulator_adapter import CONF
 
-KNOWN = {"index": 41, "snapshot": True, "endpoints": [LINE]}
-GOOD: dict[str, Any] = {
+CACHED_LIST = {"index": 41, "snapshot": True, "endpoints": [LINE]}
+VALID_CONFIG: dict[str, Any] = {
     "name": "n3",
     "listen": "127.0.0.1:6379",
     "discovery": "127.0.0.1:8500",
     "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-    "known": KNOWN,
+    "known": CACHED_LIST,
     "settings": CONF,
 }
 
 
 def test_a_configuration_is_read() -> None:
-    config = read_config(orjson.dumps(GOOD))
+    config = read_config(orjson.dumps(VALID_CONFIG))
     assert (config.listen, config.discovery) == (("127.0.0.1", 6379), "127.0.0.1:8500")
     assert (config.seed, config.max_descriptors, config.cached_index) == (0x8C1F30D27A5BE964, 1024, 41)
     assert [m.entry.name for m in config.cached_endpoints] == ["s-1"]
@@ -64,10 +64,13 @@
         ({"settings": {**CONF, "classes": [{"name": "x", "aim": 0}]}}, "classes[x].aim"),
         ({"settings": {**CONF, "classes": [{"name": "x", "aim": 1, "giveUp": 0}]}}, "classes[x].giveUp"),
         ({"settings": {**CONF, "classes": [{"name": "x"}, {"name": "x"}]}}, "classes[1].name"),
-        ({"known": {**KNOWN, "endpoints": [{**LINE, "address": "127.0.0.1:\u00b2"}]}}, "known.endpoints[0]"),
+        (
+            {"known": {**CACHED_LIST, "endpoints": [{**LINE, "address": "127.0.0.1:\u00b2"}]}},
+            "known.endpoints[0]",
+        ),
         ({"known": None}, "known"),
-        ({"known": {**KNOWN, "index": "x"}}, "known.index"),
-        ({"known": {**KNOWN, "endpoints": [{}]}}, "known.endpoints[0].status"),
+        ({"known": {**CACHED_LIST, "index": "x"}}, "known.index"),
+        ({"known": {**CACHED_LIST, "endpoints": [{}]}}, "known.endpoints[0].status"),
         ({"settings": None}, "conf"),
         ({"settings": {**CONF, "classes": []}}, "classes"),
         ({"settings": {**CONF, "limits": {"dialTimeout": "x"}}}, "limits.dialTimeout"),
@@ -81,7 +84,7 @@
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     path = tmp_path / "config.json"
-    path.write_bytes(orjson.dumps({**GOOD, **change}))
+    path.write_bytes(orjson.dumps({**VALID_CONFIG, **change}))
     monkeypatch.setenv("RELAY_CONFIG", str(path))
     assert server.main() == 2
     (line,) = capsys.readouterr().err.splitlines()
@@ -100,7 +103,7 @@
 )
 def test_a_configuration_error_carries_its_field(change: dict[str, Any], where: str) -> None:
     with pytest.raises(RouterError) as caught:
-        read_config(orjson.dumps({**GOOD, **change}))
+        read_config(orjson.dumps({**VALID_CONFIG, **change}))
     assert isinstance(caught.value, ValueError)
     assert caught.value.where == where
 
@@ -151,13 +154,13 @@
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path = tmp_path / "config.json"
-        path.write_bytes(orjson.dumps({**GOOD, "listen": spelled(taken.getsockname())}))
+        path.write_bytes(orjson.dumps({**VALID_CONFIG, "listen": spelled(taken.getsockname())}))
         monkeypatch.setenv("RELAY_CONFIG", str(path))
         assert server.main() == 2
     assert capsys.readouterr().err.splitlines()[-1].startswith("cache_router: listen: ")
 
 
-async def ready(address: tuple[str, int]) -> Link:
+async def connected_client(address: tuple[str, int]) -> Link:
     """A client's connection that has been answered."""
     client = Link(*await asyncio.open_connection(*address))
     client.write(command("PING"))
@@ -165,7 +168,7 @@
     return client
 
 
-async def listening(log: asyncio.StreamReader | None) -> tuple[str, int]:
+async def listen_address(log: asyncio.StreamReader | None) -> tuple[str, int]:
     """Where the program says that it listens."""
     assert log is not None
     while (found := re.search(rb"listening on ([0-9.]+:\d+)", await log.readline())) is None:
@@ -174,7 +177,7 @@
 
 
 @asynccontextmanager
-async def program_run(
+async def router_process(
     config: dict[str, Any], path: Path, descriptors: int | None = None
 ) -> AsyncIterator[asyncio.subprocess.Process]:
     """The program with a configuration, and a limit on its descriptors."""
@@ -200,11 +203,11 @@
             await process.wait()
 
 
-def configured(cache: Peer, discovery: Peer, mode: str) -> dict[str, Any]:
+def config_with_cache(cache: Peer, discovery: Peer, mode: str) -> dict[str, Any]:
     """A configuration with one cache server known."""
     line = {**LINE, "address": cache.address, "type": "std", "since_ms": 0}
     return {
-        **GOOD,
+        **VALID_CONFIG,
         "listen": "127.0.0.1:0",
         "discovery": discovery.address,
         "settings": {**CONF, "membershipMode": mode},
@@ -220,18 +223,18 @@
         async with (
             Peer() as cache,
             Peer() as discovery,
-            program_run(configured(cache, discovery, mode), tmp_path / "config.json") as process,
+            router_process(config_with_cache(cache, discovery, mode), tmp_path / "config.json") as process,
         ):
             watch = await discovery.link()
             assert "after=1&" in (await watch.http())[0]
             watch.write(http("200 OK", message(2, False)))
-            address = await listening(process.stderr)
-            client = await ready(address)
+            address = await listen_address(process.stderr)
+            client = await connected_client(address)
             client.write(read("r1"))
             served = await cache.link()
             await served.resp()
             process.send_signal(signal.SIGTERM)
-            late = await ready(address)
+            late = await connected_client(address)
             assert await late.ended()
             served.write(HIT)
             assert await client.resp() == b"value"
@@ -248,11 +251,11 @@
     async def scenario() -> None:
         path = tmp_path / "config.json"
         async with Peer() as cache, Peer() as first, Peer() as second, Peer() as third:
-            config = configured(cache, first, mode)
-            async with program_run(config, path) as process:
-                old, address = await first.link(), await listening(process.stderr)
+            config = config_with_cache(cache, first, mode)
+            async with router_process(config, path) as process:
+                old, address = await first.link(), await listen_address(process.stderr)
                 await old.http()
-                client = await ready(address)
+                client = await connected_client(address)
                 client.write(read("r0"))
                 for number, discovery in enumerate((second, third), 1):
                     path.write_bytes(orjson.dumps({**config, "discovery": discovery.address}))
@@ -280,7 +283,7 @@
 
 
 @asynccontextmanager
-async def served(config: dict[str, Any], path: Path) -> AsyncIterator[tuple[str, int]]:
+async def serving_in_process(config: dict[str, Any], path: Path) -> AsyncIterator[tuple[str, int]]:
     """The program in this process, and where it will listen."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         address: tuple[str, int] = free.getsockname()
@@ -301,11 +304,11 @@
 
     async def scenario() -> None:
         async with Peer() as left, Peer() as stays, Peer() as agent:
-            config = configured(left, agent, "automatic")
+            config = config_with_cache(left, agent, "automatic")
             gone = config["known"]["endpoints"][0]
             other = {**gone, "name": "s-2", "address": stays.address}
             config["known"]["endpoints"].append(other)
-            async with served(config, tmp_path / "config.json") as address:
+            async with serving_in_process(config, tmp_path / "config.json") as address:
                 call = await agent.link()
                 assert "after=1&wait_ms=0 " in (await call.http())[0]  # so that no news is an answer as well
                 with pytest.raises(ConnectionRefusedError):
@@ -314,7 +317,7 @@
                 budget = read_config(orjson.dumps(config)).settings.watch_budget
                 call = await agent.link()
                 assert f"after=2&wait_ms={int(budget.long_poll_wait * 1000)} " in (await call.http())[0]
-                client = await ready(address)
+                client = await connected_client(address)
                 for n in range(8):
                     client.write(read(f"r{n}", f"k{n}"))
                     await stays.serve(HIT)
@@ -335,12 +338,14 @@
         async with (
             Peer() as cache,
             Peer() as agent,
-            served(configured(cache, agent, "automatic"), tmp_path / "config.json") as address,
+            serving_in_process(
+                config_with_cache(cache, agent, "automatic"), tmp_path / "config.json"
+            ) as address,
         ):
             await (await agent.link()).http()
             while True:
                 try:
-                    client = await ready(address)
+                    client = await connected_client(address)
                     break
                 except ConnectionRefusedError:
                     await asyncio.sleep(0)
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -190,10 +190,8 @@
 def test_actions_in_wire_form() -> None:
     send = simulator_adapter.ACTION_WRITERS[Send](Send("1", "a", 0.5))
     assert send == {"op": "Send", "ticket": "1", "server": "a", "timeout": 0.5}
-    assert simulator_adapter.ACTION_WRITERS[CloseIdleConnections](CloseIdleConnections("a")) == {
-        "op": "LetGo",
-        "server": "a",
-    }
+    write_close = simulator_adapter.ACTION_WRITERS[CloseIdleConnections]
+    assert write_close(CloseIdleConnections("a")) == {"op": "LetGo", "server": "a"}
     refuse = simulator_adapter.ACTION_WRITERS[Reject]
     assert refuse(Reject("1", 0.25)) == {"op": "Reject", "ticket": "1", "coolDown": 0.25}
     assert simulator_adapter.ACTION_WRITERS[LogMessage](LogMessage("x")) == {"op": "Record", "line": "x"}
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -29,7 +29,7 @@
 from cache_router.net.origin_connection import OriginConnection
 from tests.loopback import HIT, MISS, Link, Peer, Router, book, command, http, read, run, spelled
 from tests.test_endings import Dials, first_dial, requests_written, until
-from tests.test_main import GOOD, configured, listening, program_run, ready
+from tests.test_main import VALID_CONFIG, config_with_cache, connected_client, listen_address, router_process
 from tests.test_net_connection_pool import GET
 from tests.test_net_discovery import LINE, message
 
@@ -204,11 +204,11 @@
     run(scenario)
 
 
-# Full tables of descriptors
+# Descriptors: clients and attempts use all that they may
 
-PATIENT = 60.0  # seconds for a test with a process of its own, which starts on a busy machine
-SOCKETS = 64  # the fewest that a configuration may allow
-LONG = "c=read,t=t,d=600000"
+PROCESS_TEST_TIMEOUT = 60.0  # seconds for a test with a process of its own, which starts on a busy machine
+DESCRIPTOR_LIMIT = 64  # the fewest that a configuration may allow
+LONG_DEADLINE = "c=read,t=t,d=600000"
 
 
 async def eventually(holds: Callable[[], object]) -> None:
@@ -223,7 +223,7 @@
         yield [await stack.enter_async_context(Peer()) for _ in range(count)]
 
 
-def listed(name: str, peer: Peer, kind: str = "std") -> dict[str, Any]:
+def list_entry(name: str, peer: Peer, kind: str = "std") -> dict[str, Any]:
     return {**LINE, "name": name, "address": peer.address, "type": kind, "since_ms": 0, "weight": 1.0}
 
 
@@ -242,7 +242,7 @@
             links.create_task(answer(await peer.link()))
 
 
-class Agent(Peer):
+class UnavailableAgent(Peer):
     """Discovery on a port that refuses until it comes back."""
 
     def __init__(self) -> None:
@@ -251,57 +251,59 @@
         self.socket.bind(("127.0.0.1", 0))
         self.address = spelled(self.socket.getsockname())
 
-    async def come_back(self) -> None:
+    async def start_listening(self) -> None:
         self.server = await asyncio.start_server(self._accept, sock=self.socket)
 
 
-@pytest.mark.parametrize("allowed", [SOCKETS, 1024])  # by the configuration: the process's own limit counts
-@pytest.mark.parametrize("down", ["refused", "silent"])
+# what the configuration allows; the limit of the process counts in both cases
+@pytest.mark.parametrize("allowed", [DESCRIPTOR_LIMIT, 1024])
+@pytest.mark.parametrize("agent_state", ["refused", "silent"])
 def test_a_list_is_learnt_while_clients_and_attempts_fill_the_descriptors(
-    down: str, allowed: int, tmp_path: Path
+    agent_state: str, allowed: int, tmp_path: Path
 ) -> None:
     """Idle clients, silent ones and attempts that hang, as many as there may be of each."""
 
     async def scenario() -> None:
         async with peers(5) as (*caches, fresh, origin):
-            agent = Agent()
-            config = configured(caches[0], agent, "automatic")
-            known = [listed(f"s-{n}", c) for n, c in enumerate(caches)] + [listed("o", origin, "store")]
+            agent = UnavailableAgent()
+            config = config_with_cache(caches[0], agent, "automatic")
+            known = [list_entry(f"s-{n}", c) for n, c in enumerate(caches)]
+            known.append(list_entry("o", origin, "store"))
             config["known"]["endpoints"] = known
             config["limits"] = {"sockets": allowed}
-            if down == "silent":
-                await agent.come_back()
-            async with program_run(config, tmp_path / "config.json", SOCKETS) as process:
-                address = await listening(process.stderr)
-                drain = asyncio.create_task(drained(process.stderr))
-                room = SOCKETS - 32
-                busy = [await ready(address) for _ in range(3)]
+            if agent_state == "silent":
+                await agent.start_listening()
+            async with router_process(config, tmp_path / "config.json", DESCRIPTOR_LIMIT) as process:
+                address = await listen_address(process.stderr)
+                drain = asyncio.create_task(discard_log(process.stderr))
+                shared_descriptors = DESCRIPTOR_LIMIT - 32
+                busy = [await connected_client(address) for _ in range(3)]
                 for n in range(31):
                     for i in (0, 1):
-                        busy[i].write(read(f"r{i}-{n}", f"k{i}-{n}", LONG))
+                        busy[i].write(read(f"r{i}-{n}", f"k{i}-{n}", LONG_DEADLINE))
                     busy[2].write(command("C.SET", f"k{n}", f"w{n}", "c=pay,t=t,d=600000,k=1", "v"))
-                await eventually(lambda: sum(p.links.qsize() for p in caches) == room * 3 // 8)
-                await eventually(lambda: origin.links.qsize() == room // 8)
-                crowd = [await ready(address) for _ in range(SOCKETS)]
-                crowd += [await opened(address) for _ in range(SOCKETS)]
+                await eventually(lambda: sum(p.links.qsize() for p in caches) == shared_descriptors * 3 // 8)
+                await eventually(lambda: origin.links.qsize() == shared_descriptors // 8)
+                crowd = [await connected_client(address) for _ in range(DESCRIPTOR_LIMIT)]
+                crowd += [await idle_client(address) for _ in range(DESCRIPTOR_LIMIT)]
                 used = len(os.listdir(f"/proc/{process.pid}/fd"))
-                assert room < used <= SOCKETS
-                if down == "refused":
-                    await agent.come_back()
+                assert shared_descriptors < used <= DESCRIPTOR_LIMIT
+                if agent_state == "refused":
+                    await agent.start_listening()
                 else:
                     while not agent.links.empty():
                         (await agent.link()).reset()
                 call = await agent.link()
                 await call.http()
-                call.write(http("200 OK", message(50, True, *known, listed("s-new", fresh))))
+                call.write(http("200 OK", message(50, True, *known, list_entry("s-new", fresh))))
                 assert "after=50&" in (await (await agent.link()).http())[0]
-                client = await ready(address)
+                client = await connected_client(address)
                 served: list[Peer] = []
                 serving = [asyncio.create_task(serve_all(p, served)) for p in (*caches, fresh)]
                 keys = iter(range(200))
                 while not {caches[0], fresh} <= set(served):
                     n = next(keys)
-                    client.write(read(f"x{n}", f"x{n}", LONG))
+                    client.write(read(f"x{n}", f"x{n}", LONG_DEADLINE))
                     await client.resp()
                 for task in (*serving, drain):
                     task.cancel()
@@ -309,23 +311,23 @@
                     link.close()
             await agent.__aexit__(None, None, None)
 
-    run(scenario, PATIENT)
+    run(scenario, PROCESS_TEST_TIMEOUT)
 
 
-async def opened(address: tuple[str, int]) -> Link:
+async def idle_client(address: tuple[str, int]) -> Link:
     return Link(*await asyncio.open_connection(*address))
 
 
-async def drained(log: asyncio.StreamReader | None) -> None:
+async def discard_log(log: asyncio.StreamReader | None) -> None:
     """A log that nobody reads would stop its process."""
     while log is not None and await log.readline():
         pass
 
 
-# The start
+# Startup with a long endpoint list
 
 
-def lines(count: int) -> list[dict[str, Any]]:
+def cache_entries(count: int) -> list[dict[str, Any]]:
     """Entries of cache servers at addresses that nobody connects to here."""
     return [
         {**LINE, "name": f"s-{n:08x}", "address": f"10.1.{n // 200}.{n % 200 + 1}:6379", "type": "std"}
@@ -333,21 +335,19 @@
     ]
 
 
-class Start:
+class RouterStart:
     """What a host does with the list known and then, the same once more, with the first whole one."""
 
     def __init__(self, count: int) -> None:
-        entries = lines(count)
-        self.config = {**GOOD, "known": {"index": 1, "snapshot": True, "endpoints": entries}}
+        entries = cache_entries(count)
+        self.config = {**VALID_CONFIG, "known": {"index": 1, "snapshot": True, "endpoints": entries}}
         self.text = orjson.dumps(self.config)
         self.answer = message(2, True, *entries)
 
     def run(self) -> None:
         config = read_config(self.text)
-        servers, origin = (
-            ConnectionPool(CacheConnection, 8, 1.0, 60.0),
-            ConnectionPool(OriginConnection, 8, 1.0, 60.0),
-        )
+        servers = ConnectionPool(CacheConnection, 8, 1.0, 60.0)
+        origin = ConnectionPool(OriginConnection, 8, 1.0, 60.0)
         host = Dispatcher(config.settings, config.seed, servers, origin, lambda: None)
         host.on_endpoint_update(EndpointUpdateKind.CACHED, config.cached_endpoints)
         host.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, read_list(orjson.loads(self.answer))[2])
@@ -379,7 +379,7 @@
 
 def test_the_work_of_a_start_grows_no_faster_than_the_list() -> None:
     """On a shared core, with 840 entries, nine in ten have to be ready within 10 s."""
-    few, many = Start(210), Start(840)
+    few, many = RouterStart(210), RouterStart(840)
     assert many.calls() < 1.25 * 4 * few.calls()
     assert many.seconds() < 3.0 * 4 * few.seconds()  # also what no call shows
 
@@ -396,14 +396,14 @@
 
     async def scenario() -> None:
         async with Peer() as agent:
-            entries = lines(840)
-            config = configured(agent, agent, "automatic")
+            entries = cache_entries(840)
+            config = config_with_cache(agent, agent, "automatic")
             config["known"]["endpoints"] = entries
-            async with program_run(config, tmp_path / "config.json") as process:
+            async with router_process(config, tmp_path / "config.json") as process:
                 call = await agent.link()
                 assert "after=1&" in (await call.http())[0]
                 call.write(http("200 OK", message(2, True, *entries)))
-                client = await ready(await listening(process.stderr))
+                client = await connected_client(await listen_address(process.stderr))
                 record_property("processor_seconds", processor_seconds(process))
                 watch = await agent.link()  # on what comes after the list: no second call for it
                 first, _, _ = await watch.http()
@@ -413,4 +413,4 @@
                 assert agent.links.empty()
                 client.close()
 
-    run(scenario, PATIENT)
+    run(scenario, PROCESS_TEST_TIMEOUT)
