--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,7 @@
-"""Scripted peers on loopback: a test takes what the router sent and says what goes back."""
+"""Scripted servers and clients on loopback, and a router between them.
+
+A test reads what the router sent over a `Link` and writes what goes back.
+"""
 
 from __future__ import annotations
 
@@ -21,9 +24,11 @@
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings, WatchBudget
 
-PATIENCE = 10.0  # seconds until a test that waits for an event fails
+PATIENCE = 10.0  # seconds after which a test that still waits for an event fails
+# answers of a cache server: value, hit or miss, load report
 HIT = b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
+# an idempotent class, and one that is so with a key
 READ = RequestClass("read", latency_objective=1.0)
 BOOK = RequestClass(
     "book", 1.0, Idempotency.WITH_KEY, IdempotencyScope.ALL, idempotency_window=15.0, priority_weight=3.0
@@ -40,7 +45,7 @@
 
 
 def run(scenario: Callable[[], Awaitable[None]], patience: float = PATIENCE) -> None:
-    """Play a test to its end; it fails when it waits for what never comes, or a callback raises."""
+    """Run a scenario; it fails when it takes longer than `patience` seconds, or a callback raises."""
     faults: list[dict[str, Any]] = []
 
     async def bounded() -> None:
@@ -53,23 +58,28 @@
 
 
 def spelled(address: tuple[str, int]) -> str:
+    """An address as host:port."""
     return f"{address[0]}:{address[1]}"
 
 
 def http(status: str, body: bytes = b"", *headers: str) -> bytes:
+    """An HTTP response."""
     lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers, "", ""]
     return "\r\n".join(lines).encode() + body
 
 
 def command(*parts: str | bytes) -> bytes:
+    """A RESP command."""
     return bytes(hiredis.pack_command(parts))  # type: ignore[arg-type]
 
 
 def read(request: str, key: str = "k", info: str = "c=read,t=x,d=2000") -> bytes:
+    """A client's read; `info` has class, tenant and time left in ms."""
     return command("C.GET", key, request, info)
 
 
 def book(request: str, key: str = "k", value: bytes = b"slot") -> bytes:
+    """A client's write with an idempotency key."""
     return command("C.SET", key, request, "c=book,t=x,d=2000,k=5c0f", value)
 
 
@@ -82,6 +92,7 @@
         self.parser = hiredis.Reader(notEnoughData=Ellipsis)
 
     def write(self, data: bytes) -> None:
+        """Send bytes to the other end."""
         self.writer.write(data)
 
     async def resp(self) -> Any:
@@ -106,21 +117,22 @@
             return True
 
     def close(self) -> None:
+        """Close in order, after what was written."""
         self.writer.close()
 
     def reset(self) -> None:
-        """End with a reset."""
+        """Close with a reset."""
         peer = self.writer.get_extra_info("socket")
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
 
 class Peer:
-    """A server whose every connection the test takes in hand."""
+    """A listening server; the test answers on each of its connections itself."""
 
     def __init__(self) -> None:
         self.links: asyncio.Queue[Link] = asyncio.Queue()
-        self.held: list[Link] = []  # by `serve`
+        self.held: list[Link] = []  # connections on which `serve` reads
 
     async def __aenter__(self) -> Self:
         self.server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
@@ -140,7 +152,7 @@
         return await self.links.get()
 
     async def serve(self, answer: bytes) -> Any:
-        """Answer its next request, on whichever connection; those made so far stay open."""
+        """Answer the next request on any connection, and return it; all connections stay open."""
         while True:
             waits = {asyncio.ensure_future(link.resp()): link for link in self.held}
             fresh = asyncio.ensure_future(self.links.get())
@@ -158,11 +170,12 @@
 
 
 def member(name: str, address: str, kind: str = "std", **fields: Any) -> NetworkEndpoint:
+    """An entry of an endpoint list, ready at full weight."""
     return NetworkEndpoint(Endpoint(name, kind=kind, weight=1.0, **fields), address)
 
 
 class Router:
-    """A host with its listener between two caches and an origin."""
+    """A dispatcher with its listener, between the scripted cache servers `a` and `b` and an origin."""
 
     def __init__(
         self, settings: Settings = SETTINGS, listed: bool = True, clients: int = 16, rest: float = 0.0
@@ -183,7 +196,7 @@
             self.discovery.subscribe()
 
     def watch(self, agent: Peer, pushed: bool = False, budget: WatchBudget | None = None) -> None:
-        """Take the list from an agent from now on, as the program does."""
+        """Follow the endpoint list of an agent from now on, as the program does."""
         told, failed = self.host.on_endpoint_update, self.host.on_watch_failed
         self.discovery = Discovery(agent.address, 1, told, failed, pushed, budget=budget)
         self.discovery.subscribe()
@@ -198,6 +211,7 @@
         return self
 
     def list(self, *names: str) -> None:
+        """Tell an endpoint list of the origin and the named cache servers."""
         members = [member(n, self.caches[n].address) for n in names]
         origin = member("o", self.origin.address, "origin")
         self.host.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, [*members, origin])
@@ -228,7 +242,7 @@
         return done.pop().result()
 
     async def begun(self, request: str = "r1", info: str = "c=read,t=x,d=2000") -> tuple[Link, Link]:
-        """A client's read that a cache has in hand: the ends of both."""
+        """Begin a read that a cache server has received; the links of client and cache server."""
         client = await self.client()
         client.write(read(request, info=info))
         cache = await self.cache()
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,7 +1,8 @@
-"""The deploy file: what `build` leaves behind when it is broken off or has been overtaken."""
+"""The deploy file: the files that it names, and what `build` does after an interrupted or older build."""
 
 from __future__ import annotations
 
+import importlib.util
 import os
 import subprocess
 import tomllib
@@ -22,7 +23,7 @@
 
 
 class Checkout:
-    """A root with the requirements, and tools that note what was installed."""
+    """A checkout with its requirements, and stand-ins for the tools that note what was installed."""
 
     def __init__(self, root: Path) -> None:
         self.root = root
@@ -34,25 +35,29 @@
         self.require("one==1\n")
 
     def require(self, text: str) -> None:
+        """Write requirements.txt."""
         (self.root / "requirements.txt").write_text(text)
 
     def build(self) -> int:
+        """Run the build command; returns its exit status."""
         path = f"{self.tools}{os.pathsep}{os.environ['PATH']}"
         return subprocess.run(
             ["/bin/sh", "-c", DEPLOY["build"]], cwd=self.root, env={"PATH": path}, check=False
         ).returncode
 
     def installed(self) -> str:
+        """The requirements from which the environment was made."""
         return (self.root / ".venv" / "packages").read_text()
 
 
 @pytest.fixture
 def checkout(tmp_path: Path) -> Checkout:
+    """An empty checkout."""
     return Checkout(tmp_path)
 
 
 def test_a_build_broken_off_is_made_anew(checkout: Checkout) -> None:
-    """Half an environment taken for whole starts no router, on any later build either."""
+    """Taken for a complete environment, it would start no router after any later build either."""
     (checkout.root / "broken").touch()
     assert checkout.build() != 0
     (checkout.root / "broken").unlink()
@@ -78,6 +83,16 @@
     assert not kept.exists()
 
 
+@pytest.mark.parametrize("part", ["policy", "node"])
+def test_the_files_named_are_there(part: str) -> None:
+    assert DEPLOY[part] and all((ROOT / name).exists() for name in DEPLOY[part])
+
+
+@pytest.mark.parametrize("command", ["run", "sim"])
+def test_the_modules_started_are_there(command: str) -> None:
+    assert importlib.util.find_spec(DEPLOY[command].rpartition(" -m ")[2]) is not None
+
+
 def test_run_is_one_process_in_place_of_its_shell() -> None:
     """A shell that stays in front would take SIGTERM, and starting it costs a second process."""
     assert DEPLOY["run"].startswith("exec ") and not set("&|;") & set(DEPLOY["run"])
