--- a/cache_router/server.py
+++ b/cache_router/server.py
@@ -24,8 +24,8 @@
 
 # file descriptors for the event loop, the log, the listening socket and discovery
 RESERVED_DESCRIPTORS = 32
-# how the other descriptors are divided, in eighths: a client's request needs one towards the client, and one
-# towards a cache server or, seldom, the origin
+# how the other descriptors are divided, in eighths: as many for clients as for all upstream connections;
+# docs/CAPACITY.md lists the counts that follow
 CACHE_EIGHTHS = 3
 ORIGIN_EIGHTHS = 1
 CLIENT_EIGHTHS = 4
--- a/cache_router/simulator_adapter.py
+++ b/cache_router/simulator_adapter.py
@@ -150,7 +150,7 @@
 
 
 def write_send(action: Send) -> WireObject:
-    """A new attempt; without a timeout it takes the simulator's."""
+    """A new attempt; the field of a timeout is left out if there is none."""
     command = {"op": "Send", "ticket": action.request_id, "server": action.server}
     if action.timeout is None:
         return command
