--- /dev/null
+++ b/cache_router/config.py
@@ -0,0 +1,115 @@
+"""One router's configuration: its JSON form, read and checked."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from contextlib import contextmanager
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+import orjson
+
+from cache_router.errors import RouterError
+from cache_router.net.connection_pool import address_of, is_port
+from cache_router.net.discovery import ListError, read_list
+from cache_router.net.dispatcher import NetworkEndpoint
+from cache_router.settings import Settings, SettingsError
+from cache_router.settings_reader import SectionReader, read_settings
+
+CONFIG_VARIABLE = "RELAY_CONFIG"  # of the environment: the path of the configuration's file
+DEFAULT_DESCRIPTORS = 1024  # the platform's limit for a router
+MIN_DESCRIPTORS = 64  # with fewer a router cannot serve: half of them are reserved
+
+
+class ConfigError(RouterError, ValueError):
+    """A configuration that cannot be used; message and `where` name the field."""
+
+
+@dataclass(slots=True, frozen=True)
+class Config:
+    """What the platform configures for one router."""
+
+    listen: tuple[str, int]  # host and port for clients
+    discovery: str  # host:port of discovery, or of the agent that stands in for it
+    seed: int  # of the router's random choices
+    max_descriptors: int  # file descriptors that the platform allows
+    cached_index: int  # version of the endpoint list that was known last
+    cached_endpoints: list[NetworkEndpoint]
+    settings: Settings
+
+
+def load_config(path: str) -> Config:
+    """Read and check the configuration in a file.
+
+    Raises:
+        ConfigError: the file cannot be read, or a field in it cannot be used.
+    """
+    try:
+        text = Path(path).read_bytes()
+    except OSError as error:
+        raise ConfigError(f"{CONFIG_VARIABLE}: {error}", where=CONFIG_VARIABLE) from error
+    return read_config(text)
+
+
+def read_config(text: bytes) -> Config:
+    """Check a configuration in its JSON form.
+
+    Raises:
+        ConfigError: it is not a JSON object, or a field cannot be used.
+    """
+    table = _read_object(text)
+    seed = _read_seed(table)
+    with _errors_of("settings"):
+        settings = read_settings(table.get("settings"))
+    with _errors_of("limits"):
+        limits = SectionReader(table).section("limits")
+        max_descriptors = int(limits.number("sockets", DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS))
+    with _errors_of("known"):
+        index, _, endpoints = read_list(table.get("known"), "known")
+    return Config(
+        listen=address_of(_read_address(table, "listen")),
+        discovery=_read_address(table, "discovery"),
+        seed=seed,
+        max_descriptors=max_descriptors,
+        cached_index=index,
+        cached_endpoints=endpoints,
+        settings=settings,
+    )
+
+
+@contextmanager
+def _errors_of(field: str) -> Iterator[None]:
+    """Raise errors of the readers of a field as errors of the configuration."""
+    try:
+        yield
+    except (SettingsError, ListError) as error:
+        raise ConfigError(str(error), where=field) from error
+
+
+def _read_object(text: bytes) -> dict[str, Any]:
+    try:
+        table = orjson.loads(text)
+    except orjson.JSONDecodeError as error:
+        raise ConfigError(f"configuration is not JSON: {error}", where="configuration") from error
+    if not isinstance(table, dict):
+        raise ConfigError("configuration is not an object", where="configuration")
+    return table
+
+
+def _read_seed(table: dict[str, Any]) -> int:
+    """The seed, in hex digits."""
+    seed = table.get("seed")
+    try:
+        return int(str(seed), 16)
+    except ValueError:
+        raise ConfigError(f"seed must be hex digits, not {seed!r}", where="seed") from None
+
+
+def _read_address(table: dict[str, Any], field: str) -> str:
+    """A field of the form host:port, checked."""
+    value = table.get(field)
+    host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
+    if not host or not is_port(port):
+        raise ConfigError(f"{field} must be host:port, not {value!r}", where=field)
+    return str(value)
--- a/cache_router/simulator_adapter.py
+++ b/cache_router/simulator_adapter.py
@@ -1,4 +1,9 @@
-"""Hosts routers on the JSON wire: translates both ways and decides nothing."""
+"""Runs routers for the simulator, whose wire is one JSON object a line; decides nothing itself.
+
+Each line holds the events of one moment, each answer the commands that the routers replied with. The names of
+the wire appear in this module alone: its tables and functions map them to the events and actions of the
+decisions.
+"""
 
 from __future__ import annotations
 
@@ -9,6 +14,7 @@
 import orjson
 
 from cache_router.decisions.actions import (
+    Action,
     Cancel,
     CloseIdleConnections,
     Fail,
@@ -33,17 +39,22 @@
 )
 from cache_router.decisions.router import Router
 from cache_router.endpoint import Endpoint, EndpointState
+from cache_router.errors import RouterError
 from cache_router.settings import SettingsError
 from cache_router.settings_reader import read_load, read_settings
 
-STATES = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.REMOVED}
-KINDS = {
+ENDPOINT_STATES = {
+    "active": EndpointState.READY,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.REMOVED,
+}
+UPDATE_KINDS = {
     "INCREMENTAL": EndpointUpdateKind.DELTA,
     "FULL": EndpointUpdateKind.SNAPSHOT,
     "SAVED": EndpointUpdateKind.CACHED,
     "FAILED": EndpointUpdateKind.FAILED,
 }
-STATUSES = {
+ATTEMPT_STATUSES = {
     "delivered": AttemptStatus.OK,
     "app_error": AttemptStatus.ERROR,
     "shed": AttemptStatus.REJECTED,
@@ -54,98 +65,162 @@
     "unused": AttemptStatus.NOT_SENT,
     "empty": AttemptStatus.MISS,
 }
+TIMER_KINDS = {kind.value: kind for kind in TimerKind}
+IGNORED_EVENTS = {"Pong", "Heard"}  # replies to commands that no router here gives
+BROKEN_WIRE_STATUS = 2  # exit status of the process
+MAX_QUOTED_EVENT = 200  # characters of a malformed event that its error quotes
+
+WireObject = dict[str, Any]
 
 
-class WireError(ValueError):
-    """A line that breaks the wire's promises."""
+class WireError(RouterError, ValueError):
+    """A line of the simulator that is malformed; `where` is its batch or the event in it."""
 
 
-def read_entry(e: dict[str, Any]) -> Endpoint:
-    """One line of a list."""
+# Events
+
+
+def read_endpoint(line: WireObject) -> Endpoint:
+    """One entry of an endpoint list."""
     return Endpoint(
-        name=e["server"],
-        state=STATES[e["readiness"]],
-        kind=e.get("generationHw") or "",
-        zone=e.get("site") or "",
-        cell=e.get("stripe") or 0,
-        weight=max(0.0, e.get("weight") or 0.0),
-        started_at=e.get("since") or 0.0,
+        name=line["server"],
+        state=ENDPOINT_STATES[line["readiness"]],
+        kind=line.get("generationHw") or "",
+        zone=line.get("site") or "",
+        cell=line.get("stripe") or 0,
+        weight=max(0.0, line.get("weight") or 0.0),
+        started_at=line.get("since") or 0.0,
     )
 
 
-def read_list(e: dict[str, Any]) -> Event:
-    """News of the list."""
-    return EndpointUpdate(KINDS[e["scope"]], tuple(map(read_entry, e.get("lines") or ())))
+def read_endpoint_update(message: WireObject) -> EndpointUpdate:
+    """An endpoint list, its changes, or the failure to get any."""
+    kind = UPDATE_KINDS[message["scope"]]
+    return EndpointUpdate(kind, tuple(map(read_endpoint, message.get("lines") or ())))
 
 
-def read_request(e: dict[str, Any]) -> Event:
-    """A client's request; a budget of nothing is kept as 0."""
+def read_request(message: WireObject) -> Request:
+    """A client's request; a time budget that is absent or negative is 0."""
     return Request(
-        e["ticket"],
-        e["priority"],
-        max(0.0, float(e.get("timeBudget") or 0.0)),
-        e.get("partitionKey"),
-        e.get("effort"),
-        bool(e.get("update")),
+        request_id=message["ticket"],
+        request_class=message["priority"],
+        time_left=max(0.0, float(message.get("timeBudget") or 0.0)),
+        key=message.get("partitionKey"),
+        cost_hint=message.get("effort"),
+        is_write=bool(message.get("update")),
     )
 
 
-def read_outcome(e: dict[str, Any], report: tuple[str, ...]) -> Event:
-    """The end of an attempt."""
-    load = read_load(dict(zip(report, e.get("telemetry") or (), strict=False)))
-    status = STATUSES[e["outcome"]]
-    return AttemptCompleted(e["ticket"], e["sendNo"], status, bool(e.get("final")), e.get("lag") or 0.0, load)
+def read_response_started(message: WireObject) -> ResponseStarted:
+    """The first part of an answer."""
+    return ResponseStarted(message["ticket"], message["sendNo"])
+
+
+def read_attempt_completed(message: WireObject, load_report_fields: tuple[str, ...]) -> AttemptCompleted:
+    """The end of an attempt; the values of its load report come without their names."""
+    load_report = read_load(dict(zip(load_report_fields, message.get("telemetry") or (), strict=False)))
+    status = ATTEMPT_STATUSES[message["outcome"]]
+    return AttemptCompleted(
+        request_id=message["ticket"],
+        attempt_number=message["sendNo"],
+        status=status,
+        request_closed=bool(message.get("final")),
+        latency=message.get("lag") or 0.0,
+        load_report=load_report,
+    )
 
 
-def is_own_timer(context: str) -> bool:
-    """Whether a context on the wire is one that a router here has set."""
-    return context.partition(":")[0] in TIMER_KINDS
+def read_client_disconnected(message: WireObject) -> ClientDisconnected:
+    """A client that left."""
+    return ClientDisconnected(message["ticket"])
 
 
-def read_timer(context: str) -> Timer:
-    """A timer by the context that was given to the wire with it."""
+def read_timer(context: str) -> Timer | None:
+    """A timer by the context that `write_timer` gave to the wire; None for any other context."""
     kind, _, subject = context.partition(":")
+    if kind not in TIMER_KINDS:
+        return None
     return Timer(TIMER_KINDS[kind], subject)
 
 
-def write_timer(timer: Timer) -> str:
-    """A timer as the wire's context: its kind and its subject."""
-    return f"{timer.kind.value}:{timer.subject}"
+def read_timer_fired(message: WireObject) -> TimerFired | None:
+    """A timer that is due."""
+    timer = read_timer(message["ctx"])
+    return TimerFired(timer) if timer is not None else None
 
 
-READERS: dict[str, Callable[[dict[str, Any]], Event]] = {
-    "Membership": read_list,
+# all but "Done", which needs the settings of its router as well
+EVENT_READERS: dict[str, Callable[[WireObject], Event | None]] = {
+    "Membership": read_endpoint_update,
     "Request": read_request,
-    "Begun": lambda e: ResponseStarted(e["ticket"], e["sendNo"]),
-    "Aborted": lambda e: ClientDisconnected(e["ticket"]),
-    "Wake": lambda e: TimerFired(read_timer(e["ctx"])),
+    "Begun": read_response_started,
+    "Aborted": read_client_disconnected,
+    "Wake": read_timer_fired,
 }
-TIMER_KINDS = {kind.value: kind for kind in TimerKind}
-UNUSED = {"Pong", "Heard"}  # answers to things no router here asks for
 
+# Actions
+
+
+def write_send(action: Send) -> WireObject:
+    """A new attempt; the field of a timeout is left out if there is none."""
+    command = {"op": "Send", "ticket": action.request_id, "server": action.server}
+    if action.timeout is None:
+        return command
+    return {**command, "timeout": action.timeout}
+
+
+def write_reject(action: Reject) -> WireObject:
+    """A rejection, with the time to wait before a retry if there is any."""
+    command = {"op": "Reject", "ticket": action.request_id}
+    if not action.retry_after:
+        return command
+    return {**command, "coolDown": action.retry_after}
 
-def write_send(a: Send) -> dict[str, Any]:
-    """A new attempt."""
-    if a.timeout is None:
-        return {"op": "Send", "ticket": a.request_id, "server": a.server}
-    return {"op": "Send", "ticket": a.request_id, "server": a.server, "timeout": a.timeout}
 
+def write_fail(action: Fail) -> WireObject:
+    """A final answer that promises nothing."""
+    return {"op": "GiveUp", "ticket": action.request_id}
 
-def write_refuse(a: Reject) -> dict[str, Any]:
-    """A refusal, with advice if there is any."""
-    advice = {"coolDown": a.retry_after} if a.retry_after else {}
-    return {"op": "Reject", "ticket": a.request_id, **advice}
 
+def write_cancel(action: Cancel) -> WireObject:
+    """The end of the wait for an attempt."""
+    return {"op": "Cancel", "ticket": action.request_id, "sendNo": action.attempt_number}
 
-WRITERS: dict[type, Callable[[Any], dict[str, Any]]] = {
+
+def write_close_idle_connections(action: CloseIdleConnections) -> WireObject:
+    """The end of the idle connections to a server."""
+    return {"op": "LetGo", "server": action.server}
+
+
+def write_timer(timer: Timer) -> str:
+    """A timer as a context of the wire: its kind and its subject."""
+    return f"{timer.kind.value}:{timer.subject}"
+
+
+def write_set_timer(action: SetTimer) -> WireObject:
+    """A timer; its context comes back when it is due."""
+    return {"op": "Timer", "fromNow": action.delay, "ctx": write_timer(action.timer)}
+
+
+def write_subscribe(_: SubscribeToEndpoints) -> WireObject:
+    """A subscription to endpoint updates."""
+    return {"op": "Listen", "enable": True}
+
+
+def write_log_message(action: LogMessage) -> WireObject:
+    """A line for the operators."""
+    return {"op": "Record", "line": action.message}
+
+
+ACTION_WRITERS: dict[type[Action], Callable[[Any], WireObject]] = {
     Send: write_send,
-    Reject: write_refuse,
-    Fail: lambda a: {"op": "GiveUp", "ticket": a.request_id},
-    Cancel: lambda a: {"op": "Cancel", "ticket": a.request_id, "sendNo": a.attempt_number},
-    CloseIdleConnections: lambda a: {"op": "LetGo", "server": a.server},
-    SetTimer: lambda a: {"op": "Timer", "fromNow": a.delay, "ctx": write_timer(a.timer)},
-    SubscribeToEndpoints: lambda a: {"op": "Listen", "enable": True},
-    LogMessage: lambda a: {"op": "Record", "line": a.message},
+    Reject: write_reject,
+    Fail: write_fail,
+    Cancel: write_cancel,
+    CloseIdleConnections: write_close_idle_connections,
+    SetTimer: write_set_timer,
+    SubscribeToEndpoints: write_subscribe,
+    LogMessage: write_log_message,
 }
 
 
@@ -153,60 +228,75 @@
     """One router for each instance number; nothing is shared between them."""
 
     def __init__(self) -> None:
+        """Begin without any router; the simulator starts and stops them."""
         self.routers: dict[int, Router] = {}
 
-    def batch(self, line: bytes) -> bytes:
-        """Answer one line of the wire."""
+    def handle_line(self, line: bytes) -> bytes:
+        """Answer one line of the simulator with one line.
+
+        Raises:
+            WireError: the line or an event in it is malformed.
+        """
         try:
-            message = orjson.loads(line)
-            now, news = float(message["t"]), message["news"]
-            if not isinstance(news, list):
+            batch = orjson.loads(line)
+            now, messages = float(batch["t"]), batch["news"]
+            if not isinstance(messages, list):
                 raise TypeError("news is not a list")
-        except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as e:
-            raise WireError(f"not a batch: {e!r}") from e
-        commands: list[dict[str, Any]] = []
-        for event in news:
-            self.event(now, event, commands)
+        except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as error:
+            raise WireError(f"not a batch: {error!r}", where="batch") from error
+        commands: list[WireObject] = []
+        for message in messages:
+            self._handle_message(now, message, commands)
         return orjson.dumps({"cmds": commands}) + b"\n"
 
-    def event(self, now: float, event: Any, commands: list[dict[str, Any]]) -> None:
-        """Hand one event to its router and append the actions in wire form."""
+    def _handle_message(self, now: float, message: Any, commands: list[WireObject]) -> None:
+        """Hand one event to its router and append what it replies."""
         try:
-            op, number_ = event["op"], event["routerId"]
-            if op == "Born":
-                self.routers[number_] = Router(read_settings(event["conf"]), event["initSeed"], now)
-                return
-            if op == "Kill":
-                self.routers.pop(number_, None)
-                return
-            if op in UNUSED or op == "Wake" and not is_own_timer(event["ctx"]):
-                return
-            router = self.routers.get(number_)
-            report = router.settings.load_report_fields if router is not None else ()
-            read = read_outcome(event, report) if op == "Done" else READERS[op](event)
-        except SettingsError as e:
-            print(f"cache_router: {e}", file=sys.stderr)
-            commands.append({"op": "InternalError", "routerId": number_, "line": str(e)})
+            operation, router_id = message["op"], message["routerId"]
+            event = self._read_event(now, operation, router_id, message)
+        except SettingsError as error:
+            print(f"cache_router: {error}", file=sys.stderr)
+            commands.append({"op": "InternalError", "routerId": router_id, "line": str(error)})
             return
-        except (KeyError, TypeError, ValueError, AttributeError) as e:
-            raise WireError(f"malformed event: {e!r} in {str(event)[:200]}") from e
+        except (KeyError, TypeError, ValueError, AttributeError) as error:
+            quoted = str(message)[:MAX_QUOTED_EVENT]
+            raise WireError(f"malformed event: {error!r} in {quoted}", where="event") from error
+        if event is None:
+            return
+        router = self.routers.get(router_id)
         if router is None:
             return
-        for action in router.handle(now, read):
-            command = WRITERS[type(action)](action)
-            command["routerId"] = number_
+        for action in router.handle(now, event):
+            command = ACTION_WRITERS[type(action)](action)
+            command["routerId"] = router_id
             commands.append(command)
 
+    def _read_event(self, now: float, operation: str, router_id: int, message: WireObject) -> Event | None:
+        """The event in a message, or None where the message leaves nothing to decide."""
+        if operation == "Born":
+            self.routers[router_id] = Router(read_settings(message["conf"]), message["initSeed"], now)
+            return None
+        if operation == "Kill":
+            self.routers.pop(router_id, None)
+            return None
+        if operation in IGNORED_EVENTS:
+            return None
+        router = self.routers.get(router_id)
+        if operation == "Done":
+            fields = router.settings.load_report_fields if router is not None else ()
+            return read_attempt_completed(message, fields)
+        return EVENT_READERS[operation](message)
+
 
 def main() -> int:
-    """Answer line by line until the end of input."""
+    """Answer line by line until the end of input; returns the exit status."""
     adapter = SimulatorAdapter()
     for line in sys.stdin.buffer:
         try:
-            reply = adapter.batch(line)
-        except WireError as e:
-            print(f"cache_router: {e}", file=sys.stderr)
-            return 2
+            reply = adapter.handle_line(line)
+        except WireError as error:
+            print(f"cache_router: {error}", file=sys.stderr)
+            return BROKEN_WIRE_STATUS
         sys.stdout.buffer.write(reply)
         sys.stdout.buffer.flush()
     return 0
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -188,7 +188,9 @@
                 self.end(name, AttemptStatus.TIMEOUT, attempt, 1.0)
             else:
                 self.timers.remove((at, token))
-                self.feed(TimerFired(read_timer(token)))
+                timer = read_timer(token)
+                assert timer is not None
+                self.feed(TimerFired(timer))
             self.check_overdue()
         self.now = until
         self.check_overdue()
