--- a/cache_router/server.py
+++ b/cache_router/server.py
@@ -15,10 +15,10 @@
 from cache_router.config import CONFIG_VARIABLE, MIN_DESCRIPTORS, Config, ConfigError, load_config
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.net.cache_connection import CacheConnection
-from cache_router.net.listener import Listener
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.discovery import Discovery
 from cache_router.net.dispatcher import Dispatcher
+from cache_router.net.listener import Listener
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Settings
 
