--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,6 +10,7 @@
 import pytest
 
 from scale_experiments import fit, report
+from scale_experiments.capacity import formatting, model, paths, schema
 from scale_experiments.results import load_result
 from scale_experiments.target import load_target
 
@@ -124,32 +125,32 @@
 """
 
 
-def capacity(tmp_path: Path) -> report.Capacity:
+def capacity(tmp_path: Path) -> schema.Capacity:
     path = tmp_path / "capacity.toml"
     path.write_text(LINES)
-    return report.read_capacity(path)
+    return schema.read_capacity(path)
 
 
 def test_a_line_breaks_where_the_way_first_leaves_its_budget(tmp_path: Path) -> None:
     made_up(tmp_path / "cost.json", 0.002, most=400)
-    book = report.Book(capacity(tmp_path), load_target(), tmp_path)
+    book = model.Book(capacity(tmp_path), load_target(), tmp_path)
     cost, peers, missing = book.capacity.lines
     # 0.5 + 0.002 x caches is 1.34 at 420 caches, 220 of 640 on the way
     assert book.break_at(cost) == pytest.approx(220 / 640)
-    assert report.size_text(book.way, book.break_at(cost)) == "2,572 / 420"
+    assert formatting.size_text(book.way, book.break_at(cost)) == "2,572 / 420"
     assert book.basis(cost) == "extrapolated 2.1 times"
     assert book.break_at(peers) is None  # 7,100 / 840 is 8.5, and never more than 6,900 / 640
     assert book.basis(peers) == "given"
     assert book.ratio(peers, book.way.size(1.0)) == pytest.approx(7100 / 840 / 20)
-    with pytest.raises(report.NotMeasured):
+    with pytest.raises(model.NotMeasured):
         book.break_at(missing)
 
 
 def copy_of_the_page(tmp_path: Path) -> Path:
-    for part in (report.LINES, report.PAGE, report.TARGET):
+    for part in (paths.LINES, paths.PAGE, paths.TARGET):
         (tmp_path / part).parent.mkdir(parents=True, exist_ok=True)
-        shutil.copy(report.ROOT / part, tmp_path / part)
-    shutil.copytree(report.ROOT / report.RESULTS, tmp_path / report.RESULTS)
+        shutil.copy(paths.ROOT / part, tmp_path / part)
+    shutil.copytree(paths.ROOT / paths.RESULTS, tmp_path / paths.RESULTS)
     return tmp_path
 
 
@@ -161,7 +162,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     root = copy_of_the_page(tmp_path)
-    page = root / report.PAGE
+    page = root / paths.PAGE
     kept = page.read_text()
     lines = kept.splitlines()
     at = next(i for i, line in enumerate(lines) if line.startswith("| 1 |"))
@@ -177,7 +178,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     root = copy_of_the_page(tmp_path)
-    lines = root / report.LINES
+    lines = root / paths.LINES
     good = lines.read_text()
     for old, new, field in (
         ('kind = "given"', 'kind = "guessed"', "figures[0].kind"),
