--- a/scale_experiments/capacity/formatting.py
+++ b/scale_experiments/capacity/formatting.py
@@ -7,7 +7,7 @@
 from scale_experiments.capacity.breaking_point import MOST
 from scale_experiments.capacity.model import Way
 from scale_experiments.capacity.schema import MISSING, Unit
-from scale_experiments.fit import NOISE, number, with_error
+from scale_experiments.number_format import NOISE, number, with_error
 
 SCALES: dict[str, tuple[tuple[float, str], ...]] = {
     "bytes": ((1e12, " TB"), (1e9, " GB"), (1e6, " MB"), (1e3, " KB"), (1.0, " B")),
--- a/scale_experiments/capacity/model.py
+++ b/scale_experiments/capacity/model.py
@@ -13,21 +13,20 @@
 from scale_experiments.capacity.schema import Capacity, Carried, Line, Measured, in_code, in_target
 from scale_experiments.experiment import InputError
 from scale_experiments.expression import Expression
-from scale_experiments.fit import (
+from scale_experiments.fit import BEYOND
+from scale_experiments.fitting.least_squares import fit_form
+from scale_experiments.fitting.model import Fit, describe_slopes
+from scale_experiments.fitting.observations import (
     ALONG,
-    BEYOND,
     NEAR,
-    Fit,
     Size,
-    best_fit,
-    describe_slopes,
-    fit_form,
     largest_only,
     mean_near,
-    number,
     points_of,
     varying,
 )
+from scale_experiments.fitting.selection import best_fit
+from scale_experiments.number_format import number
 from scale_experiments.results import Result, load_result
 from scale_experiments.target import Target
 
--- a/scale_experiments/capacity/page.py
+++ b/scale_experiments/capacity/page.py
@@ -13,21 +13,12 @@
 from scale_experiments.capacity.paths import RESULTS
 from scale_experiments.capacity.schema import MISSING, Capacity, Comparison, Failure, Line, Unit
 from scale_experiments.expression import Expression
-from scale_experiments.fit import (
-    BEYOND,
-    NEAR,
-    PAIR,
-    Fit,
-    FitError,
-    Form,
-    Size,
-    best_fit,
-    describe_slopes,
-    fit_form,
-    number,
-    points_of,
-    varying,
-)
+from scale_experiments.fit import BEYOND
+from scale_experiments.fitting.least_squares import fit_form
+from scale_experiments.fitting.model import Fit, FitError, Form, describe_slopes
+from scale_experiments.fitting.observations import NEAR, PAIR, Size, points_of, varying
+from scale_experiments.fitting.selection import best_fit
+from scale_experiments.number_format import number
 from scale_experiments.results import Result
 from scale_experiments.target import Target
 
--- a/scale_experiments/capacity/schema.py
+++ b/scale_experiments/capacity/schema.py
@@ -11,7 +11,7 @@
 from scale_experiments.capacity.paths import TARGET
 from scale_experiments.experiment import InputError, fault, read_table
 from scale_experiments.expression import Expression
-from scale_experiments.fit import Form
+from scale_experiments.fitting.model import Form
 from scale_experiments.target import Target
 
 MISSING = "missing"
--- /dev/null
+++ b/scale_experiments/fitting/__init__.py
@@ -0,0 +1,1 @@
+"""Least-squares fits of what was measured against the sizes at which it was measured."""
--- a/scale_experiments/report.py
+++ b/scale_experiments/report.py
@@ -17,7 +17,7 @@
 from scale_experiments.capacity.schema import read_capacity
 from scale_experiments.experiment import InputError
 from scale_experiments.expression import ExpressionError
-from scale_experiments.fit import FitError
+from scale_experiments.fitting.model import FitError
 from scale_experiments.target import load_target
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -11,6 +11,8 @@
 
 from scale_experiments import fit, report
 from scale_experiments.capacity import formatting, model, paths, schema
+from scale_experiments.fitting import model as fitted
+from scale_experiments.fitting import observations, selection
 from scale_experiments.results import load_result
 from scale_experiments.target import load_target
 
@@ -50,8 +52,8 @@
 
 def test_a_fit_finds_the_slope_its_error_and_the_form(tmp_path: Path) -> None:
     result = load_result(made_up(tmp_path / "cost.json", 0.002, noise=0.05))
-    best = fit.best_fit("cost_s", fit.points_of(result, "cost_s"))
-    assert best.form is fit.Form.LINEAR
+    best = selection.best_fit("cost_s", observations.points_of(result, "cost_s"))
+    assert best.form is fitted.Form.LINEAR
     slope, error = best.slopes["caches"]
     # of a line through n points: the noise over the root of the sum of squares about the mean size
     expected = 0.05 / (25 * sum((100.0 * i - 450.0) ** 2 for i in range(1, 9))) ** 0.5
@@ -61,16 +63,19 @@
     assert abs(value - 3.7) < 3 * error
     assert best.residual == pytest.approx(0.05, rel=0.15)
     assert best.beyond({"caches": 1600.0}) == 2.0
-    assert fit.best_fit("same_count", fit.points_of(result, "same_count")).form is fit.Form.CONSTANT
+    assert (
+        selection.best_fit("same_count", observations.points_of(result, "same_count")).form
+        is fitted.Form.CONSTANT
+    )
 
 
 def test_a_fit_tells_a_power_and_a_product_from_a_line() -> None:
     grid = [{"routers": r, "caches": c} for r in (10.0, 20.0, 40.0) for c in (5.0, 10.0, 20.0)]
-    power = fit.best_fit("x", [(s, 3 * s["routers"] ** 1.5 * s["caches"] ** -0.5) for s in grid])
-    assert power.form is fit.Form.POWER
+    power = selection.best_fit("x", [(s, 3 * s["routers"] ** 1.5 * s["caches"] ** -0.5) for s in grid])
+    assert power.form is fitted.Form.POWER
     assert [slope for slope, _ in power.slopes.values()] == pytest.approx([-0.5, 1.5])  # caches, routers
-    product = fit.best_fit("x", [(s, 2 + 0.1 * s["routers"] * s["caches"]) for s in grid])
-    assert product.form is fit.Form.PRODUCT
+    product = selection.best_fit("x", [(s, 2 + 0.1 * s["routers"] * s["caches"]) for s in grid])
+    assert product.form is fitted.Form.PRODUCT
     assert product.value({"routers": 100.0, "caches": 100.0})[0] == pytest.approx(1002)
 
 
