--- a/scale_experiments/capacity/formatting.py
+++ b/scale_experiments/capacity/formatting.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Sequence
 
-from scale_experiments.capacity.breaking_point import MOST
-from scale_experiments.capacity.model import Way
-from scale_experiments.capacity.schema import MISSING, Unit
-from scale_experiments.number_format import NOISE, number, with_error
+from scale_experiments.capacity.breaking_point import MAX_PROGRESS
+from scale_experiments.capacity.model import GrowthPath
+from scale_experiments.capacity.schema import MISSING_MECHANISM, Unit
+from scale_experiments.number_format import ROUNDING_TOLERANCE, format_number, format_with_error
 
 SCALES: dict[str, tuple[tuple[float, str], ...]] = {
     "bytes": ((1e12, " TB"), (1e9, " GB"), (1e6, " MB"), (1e3, " KB"), (1.0, " B")),
@@ -21,32 +21,36 @@
 }
 
 
-def quantity(value: float, unit: Unit, error: float = 0.0, digits: int = 3) -> str:
+def format_quantity(value: float, unit: Unit, error: float = 0.0, digits: int = 3) -> str:
     """A number with its unit and, where there is one, its standard error."""
     scales = SCALES[unit]
     plain = next((s for s in scales if s[0] == 1.0), scales[-1])
     factor, name = next((s for s in scales if abs(value) >= s[0]), scales[-1]) if value else plain
-    told = error > NOISE * abs(value)
-    text = with_error(value / factor, error / factor) if told else number(value / factor, digits)
+    told = error > ROUNDING_TOLERANCE * abs(value)
+    text = (
+        format_with_error(value / factor, error / factor) if told else format_number(value / factor, digits)
+    )
     return text + (" core" if name == " cores" and text == "1" else name)
 
 
-def size_text(way: Way, t: float | None) -> str:
+def format_size(growth_path: GrowthPath, t: float | None) -> str:
     """A point of the way, as routers and caches."""
     if t is None:
-        return f"not before {MOST:g} times the way"
+        return f"not before {MAX_PROGRESS:g} times the way"
     if t == 0:
         return "at today's size"
-    size = way.size(t)
+    size = growth_path.size(t)
     return f"{size['routers']:,.0f} / {size['caches']:,.0f}"
 
 
-def table(header: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
+def markdown_table(header: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
     """A table in Markdown."""
     lines = ["| " + " | ".join(header) + " |", "| " + " | ".join("---" for _ in header) + " |"]
     return lines + ["| " + " | ".join(cell.replace("|", "\\|") for cell in row) + " |" for row in rows]
 
 
-def mechanism_text(mechanism: str) -> str:
+def format_mechanism(mechanism: str) -> str:
     """What carries a line, as on the page."""
-    return f"**{MISSING}**" if mechanism == MISSING else f"`{mechanism.replace(':', ', ')}`"
+    return (
+        f"**{MISSING_MECHANISM}**" if mechanism == MISSING_MECHANISM else f"`{mechanism.replace(':', ', ')}`"
+    )
--- a/scale_experiments/capacity/markers.py
+++ b/scale_experiments/capacity/markers.py
@@ -7,7 +7,7 @@
 from scale_experiments.experiment import InputError
 
 
-def fill(page: str, parts: Mapping[str, Sequence[str]], name: str) -> str:
+def replace_tables(page: str, parts: Mapping[str, Sequence[str]], name: str) -> str:
     """The page with the lines between its markers replaced; raises InputError where markers don't fit."""
     lines: list[str] = []
     inside: str | None = None
--- a/scale_experiments/capacity/model.py
+++ b/scale_experiments/capacity/model.py
@@ -8,33 +8,40 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from scale_experiments.capacity.breaking_point import first_above
-from scale_experiments.capacity.paths import LINES, RESULTS
-from scale_experiments.capacity.schema import Capacity, Carried, Line, Measured, in_code, in_target
+from scale_experiments.capacity.breaking_point import first_exceeding
+from scale_experiments.capacity.paths import CAPACITY_TABLE, RESULTS_FOLDER
+from scale_experiments.capacity.schema import (
+    CapacityItem,
+    CapacityTable,
+    Demand,
+    MeasuredTerm,
+    resolve_in_code,
+    resolve_in_target,
+)
 from scale_experiments.experiment import InputError
 from scale_experiments.expression import Expression
-from scale_experiments.fit import BEYOND
+from scale_experiments.fit import HEADROOM_FACTOR
+from scale_experiments.fitting.forms import Fit, describe_slopes
 from scale_experiments.fitting.least_squares import fit_form
-from scale_experiments.fitting.model import Fit, describe_slopes
 from scale_experiments.fitting.observations import (
-    ALONG,
-    NEAR,
+    CONFOUNDED_COLUMNS,
+    SAME_SIZE_TOLERANCE,
     Size,
-    largest_only,
-    mean_near,
-    points_of,
-    varying,
+    at_largest_size,
+    mean_at,
+    observations_of,
+    varying_columns,
 )
 from scale_experiments.fitting.selection import best_fit
-from scale_experiments.number_format import number
+from scale_experiments.number_format import format_number
 from scale_experiments.results import Result, load_result
 from scale_experiments.target import Target
 
-BEFORE = ".before"  # a result made before the mechanism was built
+BASELINE_SUFFIX = ".before"  # a result made before the mechanism was built
 
 
 @dataclass(slots=True, frozen=True)
-class Way:
+class GrowthPath:
     """The straight line from today's fleet (0) to the target (1), and on, in routers and caches."""
 
     today: tuple[float, float]
@@ -47,31 +54,35 @@
 
     def beyond(self) -> dict[str, float]:
         """So many times the target, in both; a little off the line."""
-        return {"t": BEYOND, "routers": BEYOND * self.target[0], "caches": BEYOND * self.target[1]}
+        return {
+            "t": HEADROOM_FACTOR,
+            "routers": HEADROOM_FACTOR * self.target[0],
+            "caches": HEADROOM_FACTOR * self.target[1],
+        }
 
 
 class NotMeasured(Exception):
     """A result that a line needs is not kept."""
 
 
-class Book:
+class CapacityModel:
     """The kept results, and what lines come to by them; with `before`, by the older where there are any."""
 
-    def __init__(self, capacity: Capacity, target: Target, results: Path, before: bool = False) -> None:
+    def __init__(self, capacity: CapacityTable, target: Target, results: Path, before: bool = False) -> None:
         self.capacity = capacity
         self.target = target
         today = float(target.today.routers), float(target.today.caches)
-        self.way = Way(today, (float(target.target.routers), float(target.target.caches)))
+        self.growth_path = GrowthPath(today, (float(target.target.routers), float(target.target.caches)))
         self.folder = results
         self.before = before
         self.results: dict[str, Result] = {}
         self.fits: dict[str, Fit] = {}
         self.breaks: dict[tuple[str, str, str, float], float | None] = {}
-        self.figures = {f.name: f for f in capacity.figures}
+        self.parameters = {f.name: f for f in capacity.parameters}
 
     def file(self, name: str) -> Path:
         """The file of a result: the older where it is asked for or is the only one; raises NotMeasured."""
-        kept = [f for f in (f"{name}.json", f"{name}{BEFORE}.json") if (self.folder / f).exists()]
+        kept = [f for f in (f"{name}.json", f"{name}{BASELINE_SUFFIX}.json") if (self.folder / f).exists()]
         if not kept:
             raise NotMeasured(name)
         return self.folder / kept[-1 if self.before else 0]
@@ -83,79 +94,83 @@
             self.results[path.name] = load_result(path)
         return self.results[path.name]
 
-    def fit(self, measured: Measured) -> Fit:
+    def fit(self, measured: MeasuredTerm) -> Fit:
         """The fit of a metric; raises NotMeasured where no sample holds it."""
         key = measured.model_dump_json(exclude={"at"})
         if key not in self.fits:
-            points = self.points(measured)
+            observations = self.observations(measured)
             self.fits[key] = (
-                best_fit(measured.metric, points)
+                best_fit(measured.metric, observations)
                 if measured.form is None
-                else fit_form(measured.metric, measured.form, points, measured.over)
+                else fit_form(measured.metric, measured.form, observations, measured.over)
             )
         return self.fits[key]
 
-    def points(self, measured: Measured) -> list[tuple[Size, float]]:
+    def observations(self, measured: MeasuredTerm) -> list[tuple[Size, float]]:
         """What of a metric is fitted; raises NotMeasured where no sample holds it."""
-        points = [
+        observations = [
             (size, value)
-            for size, value in points_of(self.result(measured.result), measured.metric)
+            for size, value in observations_of(self.result(measured.result), measured.metric)
             if all(size.get(column, 0) >= least for column, least in measured.least.items())
             and all(size.get(column, 0) <= most for column, most in measured.most.items())
             and all(size.get(column) == x for column, x in measured.where.items())
         ]
-        if not points:
+        if not observations:
             raise NotMeasured(f"{measured.metric} of {measured.result}")
-        return largest_only(points) if measured.largest_only else points
+        return at_largest_size(observations) if measured.at_largest_size else observations
 
-    def measured_there(self, line: Carried, size: Size) -> float | None:
+    def measured_at(self, line: CapacityItem, size: Size) -> float | None:
         """What a line takes by what was measured at a size itself; None where a term was not."""
         terms = {}
         for name in line.value.names & line.measured.keys():
             measured = line.measured[name]
-            points = self.points(measured)
-            if not (columns := varying(points)):
+            observations = self.observations(measured)
+            if not (columns := varying_columns(observations)):
                 return None
             at = {
-                c: measured.at[c].value(lambda n: self.figure(n, size))
+                c: measured.at[c].value(lambda n: self.parameter(n, size))
                 if c in measured.at
-                else self.figure(c, size)
+                else self.parameter(c, size)
                 for c in columns
-                if c not in ALONG
+                if c not in CONFOUNDED_COLUMNS
             }
-            mean = mean_near(points, at)
+            mean = mean_at(observations, at)
             if mean is None:
                 return None
             terms[name] = mean
         if not terms:
             return None
-        return line.value.value(lambda n: terms[n] if n in terms else self.figure(n, size))
+        return line.value.value(lambda n: terms[n] if n in terms else self.parameter(n, size))
 
-    def figure(self, name: str, size: Size) -> float:
+    def parameter(self, name: str, size: Size) -> float:
         """A size's routers, caches and t, or a figure; raises InputError for what is neither."""
         if name in size:
             return size[name]
-        if name not in self.figures:
-            raise InputError(f"{LINES}: {name!r} is no figure, no measured term and no size")
-        figure, where = self.figures[name], f"{LINES}: figures.{name}"
-        if figure.target is not None:
-            return in_target(self.target, figure.target, where)
-        if figure.code is not None:
-            return float(in_code(figure.code, where))
-        assert figure.value is not None
-        return figure.value.value(lambda n: self.figure(n, size))
-
-    def size_of(self, measured: Measured, size: Size) -> dict[str, float]:
+        if name not in self.parameters:
+            raise InputError(f"{CAPACITY_TABLE}: {name!r} is no figure, no measured term and no size")
+        parameter, where = self.parameters[name], f"{CAPACITY_TABLE}: figures.{name}"
+        if parameter.target is not None:
+            return resolve_in_target(self.target, parameter.target, where)
+        if parameter.code is not None:
+            return float(resolve_in_code(parameter.code, where))
+        assert parameter.value is not None
+        return parameter.value.value(lambda n: self.parameter(n, size))
+
+    def size_of(self, measured: MeasuredTerm, size: Size) -> dict[str, float]:
         """The columns that a fit needs."""
         return {
-            column: measured.at[column].value(lambda n: self.figure(n, size))
+            column: measured.at[column].value(lambda n: self.parameter(n, size))
             if column in measured.at
-            else self.figure(column, size)
+            else self.parameter(column, size)
             for column in self.fit(measured).columns
         }
 
     def estimate(
-        self, line: Carried, size: Size, formulas: Sequence[Expression], told: Callable[[list[float]], float]
+        self,
+        line: CapacityItem,
+        size: Size,
+        formulas: Sequence[Expression],
+        told: Callable[[list[float]], float],
     ) -> tuple[float, float]:
         """What is told of formulas of a line's terms, and the standard error that their fits leave in it."""
         names = set().union(*(f.names for f in formulas))
@@ -165,7 +180,7 @@
         def at(moved: str | None = None) -> float:
             def lookup(name: str) -> float:
                 if name not in terms:
-                    return self.figure(name, size)
+                    return self.parameter(name, size)
                 value, error = terms[name]
                 return value + error if name == moved else value
 
@@ -174,62 +189,70 @@
         value = at()
         return value, math.sqrt(sum((at(n) - value) ** 2 for n in terms))
 
-    def value(self, line: Carried, size: Size, formula: Expression | None = None) -> tuple[float, float]:
+    def value(self, line: CapacityItem, size: Size, formula: Expression | None = None) -> tuple[float, float]:
         """What a line takes at a size, and its standard error."""
         return self.estimate(line, size, [formula or line.value], sum)
 
-    def budget(self, line: Line, size: Size) -> float | None:
+    def budget(self, line: Demand, size: Size) -> float | None:
         """What a line may take at a size."""
         return None if line.budget is None else self.estimate(line, size, [line.budget], sum)[0]
 
-    def ratio(self, line: Line, size: Size, errors: float = 0.0) -> float:
+    def ratio(self, line: Demand, size: Size, errors: float = 0.0) -> float:
         """What a line takes over what it may take, and so many standard errors more."""
         if line.budget is None:
             return 0.0
         ratio, error = self.estimate(line, size, [line.value, line.budget], lambda both: both[0] / both[1])
         return ratio + errors * error
 
-    def break_at(self, line: Line, errors: float = 0.0) -> float | None:
+    def break_at(self, line: Demand, errors: float = 0.0) -> float | None:
         """The first point of the way, from today's fleet on, at which a line takes more than it may."""
         key = line.role, line.kind, line.what, errors
         if key not in self.breaks:
-            self.breaks[key] = first_above(lambda t: self.ratio(line, self.way.size(t), errors) - 1.0)
+            self.breaks[key] = first_exceeding(
+                lambda t: self.ratio(line, self.growth_path.size(t), errors) - 1.0
+            )
         return self.breaks[key]
 
-    def one_size(self, line: Carried) -> bool:
+    def is_single_size(self, line: CapacityItem) -> bool:
         """Whether any term of a line was measured at one size only, so that none of its slopes is known."""
         return any(self.fit(m).sizes == 1 for m in line.measured.values())
 
-    def beyond(self, line: Carried, formulas: Sequence[Expression], size: Size) -> float:
+    def extrapolation_factor(self, line: CapacityItem, formulas: Sequence[Expression], size: Size) -> float:
         """How far a size lies beyond what was measured of the terms of formulas, at most; 1 within."""
         names = set().union(*(f.names for f in formulas))
         used = [m for n, m in line.measured.items() if n in names]
-        return max((self.fit(m).beyond(self.size_of(m, size)) for m in used), default=1.0)
+        return max((self.fit(m).extrapolation_factor(self.size_of(m, size)) for m in used), default=1.0)
 
     def measured_names(self, formula: Expression) -> set[str]:
         """All names that a formula rests on, through figures."""
         names, waiting = set(formula.names), list(formula.names)
         while waiting:
             name = waiting.pop()
-            if name in self.figures and (value := self.figures[name].value) is not None:
+            if name in self.parameters and (value := self.parameters[name].value) is not None:
                 new = value.names - names
                 names |= new
                 waiting.extend(new)
         return names
 
-    def basis(self, line: Carried, formula: Expression | None = None) -> str:
+    def basis(self, line: CapacityItem, formula: Expression | None = None) -> str:
         """How a line is known: measured, extrapolated and how far, given, and what is assumed."""
         formula = formula or line.value
         parts = []
         used = {n: m for n, m in line.measured.items() if n in formula.names}
         fits = {n: self.fit(m) for n, m in used.items()}
-        far = self.beyond(line, [formula], self.way.size(1.0))
+        far = self.extrapolation_factor(line, [formula], self.growth_path.size(1.0))
         if any(f.sizes > 1 for f in fits.values()):
-            parts.append("measured" if far <= 1.0 + NEAR else f"extrapolated {number(far, 2)} times")
+            parts.append(
+                "measured"
+                if far <= 1.0 + SAME_SIZE_TOLERANCE
+                else f"extrapolated {format_number(far, 2)} times"
+            )
         for fixed in {json.dumps(f.fixed): f.fixed for f in fits.values() if f.sizes == 1}.values():
-            parts.append("measured only at " + ", ".join(f"{c} {number(x, 5)}" for c, x in fixed.items()))
+            parts.append(
+                "measured only at " + ", ".join(f"{c} {format_number(x, 5)}" for c, x in fixed.items())
+            )
         if not self.before and any(
-            self.file(m.result).name.endswith(f"{BEFORE}.json") for m in used.values()
+            self.file(m.result).name.endswith(f"{BASELINE_SUFFIX}.json") for m in used.values()
         ):
             parts.append("on the version before only")
         names = self.measured_names(formula)
@@ -240,12 +263,12 @@
                     if column in measured.at
                     else self.measured_names(Expression(column))
                 )
-        assumed = sorted(n for n in names if n in self.figures and self.figures[n].kind == "assumed")
+        assumed = sorted(n for n in names if n in self.parameters and self.parameters[n].kind == "assumed")
         if assumed:
             parts.append("assumed: " + ", ".join(f"`{n}`" for n in assumed))
         return "; ".join(parts) or "given"
 
-    def sources(self, line: Carried) -> str:
+    def sources(self, line: CapacityItem) -> str:
         """The slopes that a line was worked out from, each with its error and its result's file."""
         parts = []
         for measured in line.measured.values():
@@ -253,11 +276,13 @@
             file = self.file(measured.result).name
             whole = "" if result.complete else ", not complete"
             fit = self.fit(measured)
-            off = "" if math.isnan(fit.left_out) else f", off by {fit.left_out:.1%}"
-            span = [f" from {number(x, 5)} {column} on" for column, x in measured.least.items()]
-            span += [f" up to {number(x, 5)} {column}" for column, x in measured.most.items()]
+            off = (
+                "" if math.isnan(fit.cross_validation_error) else f", off by {fit.cross_validation_error:.1%}"
+            )
+            span = [f" from {format_number(x, 5)} {column} on" for column, x in measured.least.items()]
+            span += [f" up to {format_number(x, 5)} {column}" for column, x in measured.most.items()]
             parts.append(
                 f"`{measured.metric}`: {describe_slopes(fit)}{''.join(span)}{off}"
-                f" ([{file.removesuffix('.json')}](../{RESULTS}/{file}){whole})"
+                f" ([{file.removesuffix('.json')}](../{RESULTS_FOLDER}/{file}){whole})"
             )
         return "; ".join([*parts, f"`{line.value.text}`"])
--- a/scale_experiments/capacity/paths.py
+++ b/scale_experiments/capacity/paths.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[2]
-PAGE = Path("docs/CAPACITY.md")
-LINES = Path("scale_experiments/capacity.toml")
-RESULTS = Path("scale_experiments/results")
-TARGET = Path("scale_experiments/experiments/target.toml")
+CAPACITY_PAGE = Path("docs/CAPACITY.md")
+CAPACITY_TABLE = Path("scale_experiments/capacity.toml")
+RESULTS_FOLDER = Path("scale_experiments/results")
+TARGET_FILE = Path("scale_experiments/experiments/target.toml")
--- a/scale_experiments/capacity/schema.py
+++ b/scale_experiments/capacity/schema.py
@@ -8,13 +8,13 @@
 
 from pydantic import BaseModel, BeforeValidator, ConfigDict, Field, ValidationError, model_validator
 
-from scale_experiments.capacity.paths import TARGET
+from scale_experiments.capacity.paths import TARGET_FILE
 from scale_experiments.experiment import InputError, fault, read_table
 from scale_experiments.expression import Expression
-from scale_experiments.fitting.model import Form
+from scale_experiments.fitting.forms import Form
 from scale_experiments.target import Target
 
-MISSING = "missing"
+MISSING_MECHANISM = "missing"
 
 
 def _expression(value: Any) -> Any:
@@ -27,13 +27,13 @@
 Unit = Literal["cores", "share", "s", "bytes", "bytes_per_s", "per_s", "per_day", "count"]
 
 
-class Table(BaseModel):
+class StrictModel(BaseModel):
     """A part of capacity.toml; unknown fields are errors."""
 
     model_config = ConfigDict(extra="forbid", arbitrary_types_allowed=True, frozen=True)
 
 
-class Figure(Table):
+class Parameter(StrictModel):
     """A number that was not measured: `given` by the operators, in the `code`, or `assumed`.
 
     It stands in target.toml (`target`), in a module of the router (`code`, as module:name), or is worked out
@@ -49,13 +49,13 @@
     source: str = ""  # where it was given, or why it is assumed
 
     @model_validator(mode="after")
-    def _once(self) -> Figure:
+    def _once(self) -> Parameter:
         if [self.target, self.code, self.value].count(None) != 2:
             raise ValueError("wants one of target, code and value")
         return self
 
 
-class Measured(Table):
+class MeasuredTerm(StrictModel):
     """A metric of a kept result, fitted; `at` gives columns of its size other than routers and caches."""
 
     result: str
@@ -63,7 +63,7 @@
     form: Form | None = None  # the best of all where it is absent
     over: list[str] | None = None  # the columns of `form`; all that vary where it is absent
     at: dict[str, Formula] = {}
-    largest_only: bool = False  # what was measured at the largest size, and no fit
+    at_largest_size: bool = False  # what was measured at the largest size, and no fit
     least: dict[
         str, float
     ] = {}  # the smallest sizes that are fitted, by column: today's, where a slope bends
@@ -74,24 +74,24 @@
     where: dict[str, float] = {}  # the only sizes that are fitted, by column
 
     @model_validator(mode="after")
-    def _both(self) -> Measured:
+    def _both(self) -> MeasuredTerm:
         if self.over is not None and self.form is None:
             raise ValueError("over wants a form")
         return self
 
 
-class Carried(Table):
+class CapacityItem(StrictModel):
     """What lines of size and lines of failure have in common."""
 
     role: str
     what: str
     unit: Unit
     value: Formula
-    measured: dict[str, Measured] = {}
+    measured: dict[str, MeasuredTerm] = {}
     note: str = ""
 
 
-class Line(Carried):
+class Demand(CapacityItem):
     """Something that a role carries all day."""
 
     kind: Literal["state", "messages", "processor time", "memory", "bytes", "connections", "time"]
@@ -100,14 +100,14 @@
     contradiction: bool = False  # figures that can't all hold; no mechanism mends it
 
 
-class Failure(Carried):
+class FailureImpact(CapacityItem):
     """What an everyday failure costs a role, and how long it is until all is as before."""
 
     event: str
     recovery: Formula | None = None  # seconds
 
 
-class Comparison(Table):
+class Comparison(StrictModel):
     """Metrics of a result made before a mechanism was built, beside the same ones after.
 
     `reference` is a metric of a fixed piece of work, by which seconds of differently busy machines compare.
@@ -127,45 +127,45 @@
         return self
 
 
-class Named(Table):
+class Heading(StrictModel):
     name: str
     title: str
 
 
-class Capacity(Table):
+class CapacityTable(StrictModel):
     """The whole of capacity.toml."""
 
-    roles: list[Named]
-    events: list[Named]
-    figures: list[Figure]
-    lines: list[Line]
-    failures: list[Failure]
+    roles: list[Heading]
+    events: list[Heading]
+    parameters: list[Parameter] = Field(alias="figures")
+    lines: list[Demand]
+    failures: list[FailureImpact]
     comparisons: list[Comparison] = []
 
 
-def read_capacity(path: Path) -> Capacity:
+def read_capacity(path: Path) -> CapacityTable:
     """Read and check the table of lines; raises InputError with file and field."""
     try:
-        capacity = Capacity.model_validate(read_table(path))
+        capacity = CapacityTable.model_validate(read_table(path))
     except ValidationError as e:
         raise InputError(fault(path, e)) from e
     for i, line in enumerate(capacity.lines):
-        if line.mechanism != MISSING:
-            in_code(line.mechanism, f"{path}: lines[{i}].mechanism")
-    known: list[tuple[str, str, list[Named]]] = [
+        if line.mechanism != MISSING_MECHANISM:
+            resolve_in_code(line.mechanism, f"{path}: lines[{i}].mechanism")
+    known: list[tuple[str, str, list[Heading]]] = [
         *((f"lines[{i}].role", x.role, capacity.roles) for i, x in enumerate(capacity.lines)),
         *((f"failures[{i}].role", x.role, capacity.roles) for i, x in enumerate(capacity.failures)),
         *((f"failures[{i}].event", x.event, capacity.events) for i, x in enumerate(capacity.failures)),
     ]
-    formulas: list[Expression | None] = [f.value for f in capacity.figures]
+    formulas: list[Expression | None] = [f.value for f in capacity.parameters]
     formulas += [x for line in capacity.lines for x in (line.value, line.budget)]
     formulas += [x for failure in capacity.failures for x in (failure.value, failure.recovery)]
-    carried: list[Carried] = [*capacity.lines, *capacity.failures]
+    carried: list[CapacityItem] = [*capacity.lines, *capacity.failures]
     formulas += [x for c in carried for m in c.measured.values() for x in m.at.values()]
     titles = [(line.role, line.kind, line.what) for line in capacity.lines]
     if twice := next((t for i, t in enumerate(titles) if t in titles[:i]), None):
         raise InputError(f"{path}: lines: {', '.join(twice)} is there twice")
-    unused = {f.name for f in capacity.figures}.difference(*(f.names for f in formulas if f is not None))
+    unused = {f.name for f in capacity.parameters}.difference(*(f.names for f in formulas if f is not None))
     # a column of a size may be a figure of the same name
     if unused := unused - {"changes_per_s", "requests_per_s"}:
         raise InputError(f"{path}: figures: {min(unused)!r} is used by no line")
@@ -175,7 +175,7 @@
     return capacity
 
 
-def in_code(name: str, where: str) -> Any:
+def resolve_in_code(name: str, where: str) -> Any:
     """What stands at module:name; guards the page, as what it says stands must stand in the code."""
     module, _, path = name.partition(":")
     try:
@@ -187,7 +187,7 @@
     return found
 
 
-def in_target(target: Target, name: str, where: str) -> float:
+def resolve_in_target(target: Target, name: str, where: str) -> float:
     """A number of target.toml at table.name or table.name.index."""
     found: Any = target
     for part in name.split("."):
@@ -195,5 +195,5 @@
             found[int(part)] if part.isdigit() and isinstance(found, tuple) else getattr(found, part, None)
         )
     if not isinstance(found, (int, float)):
-        raise InputError(f"{where}: {name!r} is no number of {TARGET.name}")
+        raise InputError(f"{where}: {name!r} is no number of {TARGET_FILE.name}")
     return float(found)
--- a/scale_experiments/fitting/model.py
+++ b/scale_experiments/fitting/forms.py
@@ -12,7 +12,7 @@
 import numpy.typing as npt
 
 from scale_experiments.fitting.observations import Size
-from scale_experiments.number_format import number, with_error
+from scale_experiments.number_format import format_number, format_with_error
 
 Array = npt.NDArray[np.float64]
 
@@ -28,7 +28,9 @@
     LINEAR = "linear"  # a + the sum of b x over the columns x
     PRODUCT = "product"  # a + b times the product of the columns
     POWER = "power"  # a times the product of x ** b; fitted to the logarithms
-    BETWEEN = "between"  # from size to size along one column, where no form follows; never chosen by itself
+    INTERPOLATED = (
+        "between"  # from size to size along one column, where no form follows; never chosen by itself
+    )
 
 
 @dataclass(slots=True, frozen=True)
@@ -52,14 +54,14 @@
     coefficients: Array
     covariance: Array
     residual: float
-    left_out: (
+    cross_validation_error: (
         float  # root of the mean square error at sizes left out of the fit; not a number where none could be
     )
     samples: int
     sizes: int
     largest: dict[str, float]
     fixed: dict[str, float]
-    knots: tuple[float, ...] = ()
+    knot_sizes: tuple[float, ...] = ()
 
     @property
     def terms(self) -> tuple[str, ...]:
@@ -71,8 +73,8 @@
     @property
     def slopes(self) -> dict[str, tuple[float, float]]:
         """Term -> slope and its standard error; the exponent where the form is POWER."""
-        if self.form is Form.BETWEEN:
-            (x, last), (y, top) = self.knots[-2:], self.coefficients[-2:]
+        if self.form is Form.INTERPOLATED:
+            (x, last), (y, top) = self.knot_sizes[-2:], self.coefficients[-2:]
             return {self.columns[0]: (math.log(top / y) / math.log(last / x), math.nan)}
         errors = np.sqrt(np.maximum(np.diag(self.covariance), 0.0))
         pairs = zip(self.terms, self.coefficients[1:], errors[1:], strict=True)
@@ -80,22 +82,22 @@
 
     def value(self, size: Size) -> tuple[float, float]:
         """The fitted value at a size and its standard error, in the metric's unit."""
-        if self.form is Form.BETWEEN:
-            value = _between(self.knots, self.coefficients, float(size[self.columns[0]]))
-            return value, value * self.left_out
-        row = design(self.form, self.columns, [size])[0]
+        if self.form is Form.INTERPOLATED:
+            value = interpolate(self.knot_sizes, self.coefficients, float(size[self.columns[0]]))
+            return value, value * self.cross_validation_error
+        row = design_matrix(self.form, self.columns, [size])[0]
         value = float(row @ self.coefficients)
         error = math.sqrt(max(0.0, float(row @ self.covariance @ row)))
         if self.form is Form.POWER:
             return math.exp(value), math.exp(value) * error
         return value, error
 
-    def beyond(self, size: Size) -> float:
+    def extrapolation_factor(self, size: Size) -> float:
         """How far a size lies beyond the largest measured, as the largest ratio of its columns; 1 within."""
         return max((size[c] / self.largest[c] for c in self.columns if self.largest[c] > 0), default=1.0)
 
 
-def design(form: Form, columns: Sequence[str], sizes: Sequence[Size]) -> Array:
+def design_matrix(form: Form, columns: Sequence[str], sizes: Sequence[Size]) -> Array:
     """One row a size: 1 and what the form's slopes are multiplied by. n x k."""
     table = np.array([[float(size[c]) for c in columns] for size in sizes], dtype=np.float64)
     table = table.reshape(len(sizes), len(columns))
@@ -107,10 +109,10 @@
     return np.hstack([ones, np.log(table) if form is Form.POWER else table])
 
 
-def _between(knots: Sequence[float], values: Array, x: float) -> float:
+def interpolate(knot_sizes: Sequence[float], values: Array, x: float) -> float:
     """The value at x on the power through the two knots round it, or the nearest two."""
-    i = min(max(bisect.bisect_right(knots, x), 1), len(knots) - 1)
-    share = math.log(x / knots[i - 1]) / math.log(knots[i] / knots[i - 1])
+    i = min(max(bisect.bisect_right(knot_sizes, x), 1), len(knot_sizes) - 1)
+    share = math.log(x / knot_sizes[i - 1]) / math.log(knot_sizes[i] / knot_sizes[i - 1])
     return float(values[i - 1] * (values[i] / values[i - 1]) ** share)
 
 
@@ -118,10 +120,10 @@
     """The slopes of a fit with their standard errors, in words."""
     if fit.form is Form.CONSTANT:
         value, error = fit.value({c: fit.largest[c] for c in fit.columns})
-        return f"constant {with_error(value, error)}"
-    if fit.form is Form.BETWEEN:
+        return f"constant {format_with_error(value, error)}"
+    if fit.form is Form.INTERPOLATED:
         ((term, (slope, _)),) = fit.slopes.items()
-        return f"between sizes, at the largest exponent {number(slope)} over {term}"
+        return f"between sizes, at the largest exponent {format_number(slope)} over {term}"
     kind = "exponent" if fit.form is Form.POWER else "slope"
-    each = (f"{kind} {with_error(b, e)} over {term}" for term, (b, e) in fit.slopes.items())
+    each = (f"{kind} {format_with_error(b, e)} over {term}" for term, (b, e) in fit.slopes.items())
     return ", ".join(each)
--- a/scale_experiments/fitting/interpolation.py
+++ b/scale_experiments/fitting/interpolation.py
@@ -7,36 +7,44 @@
 
 import numpy as np
 
-from scale_experiments.fitting.model import Fit, FitError, Form, _between
+from scale_experiments.fitting.forms import Fit, FitError, Form, interpolate
 from scale_experiments.fitting.observations import Size
 
 
-def fit_between(metric: str, points: Sequence[tuple[Size, float]], column: str) -> Fit:
+def fit_interpolated(metric: str, observations: Sequence[tuple[Size, float]], column: str) -> Fit:
     """What was measured, from size to size along a column; raises FitError below three sizes, or at 0."""
-    found: dict[float, list[float]] = {}
-    for size, value in points:
-        found.setdefault(float(size[column]), []).append(value)
-    knots = tuple(sorted(found))
-    means = np.array([math.fsum(found[k]) / len(found[k]) for k in knots], dtype=np.float64)
-    if len(knots) < 3 or knots[0] <= 0 or means.min() <= 0:
+    values_by_size: dict[float, list[float]] = {}
+    for size, value in observations:
+        values_by_size.setdefault(float(size[column]), []).append(value)
+    knot_sizes = tuple(sorted(values_by_size))
+    means = np.array(
+        [math.fsum(values_by_size[k]) / len(values_by_size[k]) for k in knot_sizes], dtype=np.float64
+    )
+    if len(knot_sizes) < 3 or knot_sizes[0] <= 0 or means.min() <= 0:
         raise FitError(f"{metric}: wants three sizes and all above 0")
-    off = [
-        _between((*knots[:i], *knots[i + 1 :]), np.delete(means, i), knots[i]) / float(means[i]) - 1
-        for i in range(1, len(knots) - 1)
+    errors = [
+        interpolate((*knot_sizes[:i], *knot_sizes[i + 1 :]), np.delete(means, i), knot_sizes[i])
+        / float(means[i])
+        - 1
+        for i in range(1, len(knot_sizes) - 1)
+    ]
+    spread = [
+        value - float(mean) for k, mean in zip(knot_sizes, means, strict=True) for value in values_by_size[k]
     ]
-    spread = [value - float(mean) for k, mean in zip(knots, means, strict=True) for value in found[k]]
-    free = len(points) - len(knots)
+    degrees_of_freedom = len(observations) - len(knot_sizes)
     return Fit(
         metric=metric,
-        form=Form.BETWEEN,
+        form=Form.INTERPOLATED,
         columns=(column,),
         coefficients=means,
         covariance=np.zeros((0, 0)),
-        residual=math.sqrt(math.fsum(x * x for x in spread) / free) if free else 0.0,
-        left_out=math.sqrt(math.fsum(x * x for x in off) / len(off)),
-        samples=len(points),
-        sizes=len(knots),
-        largest={column: knots[-1]},
+        residual=math.sqrt(math.fsum(x * x for x in spread) / degrees_of_freedom)
+        if degrees_of_freedom
+        else 0.0,
+        cross_validation_error=math.sqrt(math.fsum(x * x for x in errors) / len(errors)),
+        samples=len(observations),
+        sizes=len(knot_sizes),
+        largest={column: knot_sizes[-1]},
         fixed={},
-        knots=knots,
+        knot_sizes=knot_sizes,
     )
--- a/scale_experiments/fitting/least_squares.py
+++ b/scale_experiments/fitting/least_squares.py
@@ -7,18 +7,24 @@
 
 import numpy as np
 
-from scale_experiments.fitting.interpolation import fit_between
-from scale_experiments.fitting.model import Array, Fit, FitError, Form, design
-from scale_experiments.fitting.observations import Size, varying
+from scale_experiments.fitting.forms import Array, Fit, FitError, Form, design_matrix
+from scale_experiments.fitting.interpolation import fit_interpolated
+from scale_experiments.fitting.observations import Size, varying_columns
 
-TOGETHER = 20.0  # condition number from which columns move together, and no slope is any one's own
+MAX_CONDITION_NUMBER = (
+    20.0  # condition number from which columns move together, and no slope is any one's own
+)
 
 
 def _solve(form: Form, rows: Array, values: Array) -> Array:
     """The coefficients; raises FitError where the rows do not tell them apart."""
     moved = rows[:, 1:] - rows[:, 1:].mean(axis=0)
     lengths = np.linalg.norm(moved, axis=0)
-    if not lengths.all() or moved.shape[1] > 1 and float(np.linalg.cond(moved / lengths)) > TOGETHER:
+    if (
+        not lengths.all()
+        or moved.shape[1] > 1
+        and float(np.linalg.cond(moved / lengths)) > MAX_CONDITION_NUMBER
+    ):
         raise FitError("columns move together")
     # guards against lost digits: routers x caches and 1 differ by millions
     scale = np.abs(rows).max(axis=0)
@@ -27,16 +33,16 @@
     return np.asarray(solution / scale, dtype=np.float64)
 
 
-def _foretold(form: Form, rows: Array, coefficients: Array) -> Array:
+def _predict(form: Form, rows: Array, coefficients: Array) -> Array:
     values = rows @ coefficients
     return np.asarray(np.exp(values) if form is Form.POWER else values, dtype=np.float64)
 
 
-def _left_out(form: Form, rows: Array, values: Array, groups: Sequence[int]) -> float:
+def _cross_validation_error(form: Form, rows: Array, values: Array, groups: Sequence[int]) -> float:
     """Root of the mean square error at each size, foretold from all others, as a share of the mean there."""
     errors = []
     labels = np.array(groups)
-    usual = float(np.abs(values).mean())
+    typical = float(np.abs(values).mean())
     for group in sorted(set(groups)):
         kept = labels != group
         try:
@@ -44,30 +50,30 @@
         except FitError:
             return math.nan
         # guards against a size at which there is nothing: its errors count as shares of what is usual
-        there = abs(float(values[~kept].mean())) or usual or 1.0
-        shares = (_foretold(form, rows[~kept], coefficients) - values[~kept]) / there
+        there = abs(float(values[~kept].mean())) or typical or 1.0
+        shares = (_predict(form, rows[~kept], coefficients) - values[~kept]) / there
         errors.append(float(np.mean(shares**2)))
     return math.sqrt(sum(errors) / len(errors))
 
 
 def fit_form(
-    metric: str, form: Form, points: Sequence[tuple[Size, float]], columns: Sequence[str] | None = None
+    metric: str, form: Form, observations: Sequence[tuple[Size, float]], columns: Sequence[str] | None = None
 ) -> Fit:
     """Fit one form over columns, all that vary unless given.
 
     Raises FitError where there are too few sizes for it, or where its columns move together.
     """
-    if not points:
+    if not observations:
         raise FitError(f"{metric}: no samples")
-    columns = tuple(varying(points) if columns is None else columns)
-    if form is Form.BETWEEN:
+    columns = tuple(varying_columns(observations) if columns is None else columns)
+    if form is Form.INTERPOLATED:
         if len(columns) != 1:
             raise FitError(f"{metric}: wants one column to go along")
-        return fit_between(metric, points, columns[0])
+        return fit_interpolated(metric, observations, columns[0])
     if form is not Form.CONSTANT and not columns:
         raise FitError(f"{metric}: only one size")
-    values = np.array([value for _, value in points], dtype=np.float64)
-    sizes = [size for size, _ in points]
+    values = np.array([value for _, value in observations], dtype=np.float64)
+    sizes = [size for size, _ in observations]
     if form is Form.POWER and (values.min() <= 0 or any(size[c] <= 0 for size in sizes for c in columns)):
         raise FitError(f"{metric}: not all above 0")
     # a product is told apart by its value, all others by their columns
@@ -78,14 +84,14 @@
         for size in sizes
     ]
     distinct = sorted(set(keys))
-    rows = design(form, columns, sizes)
-    free = len(points) - rows.shape[1]
-    if form is not Form.CONSTANT and (free < 1 or len(distinct) <= rows.shape[1]):
+    rows = design_matrix(form, columns, sizes)
+    degrees_of_freedom = len(observations) - rows.shape[1]
+    if form is not Form.CONSTANT and (degrees_of_freedom < 1 or len(distinct) <= rows.shape[1]):
         raise FitError(f"{metric}: too few sizes for an error")
     coefficients = _solve(form, rows, values)
-    residuals = values - _foretold(form, rows, coefficients)
+    residuals = values - _predict(form, rows, coefficients)
     fitted = np.log(values) - rows @ coefficients if form is Form.POWER else residuals
-    variance = float(fitted @ fitted) / free if free else 0.0
+    variance = float(fitted @ fitted) / degrees_of_freedom if degrees_of_freedom else 0.0
     scale = np.abs(rows).max(axis=0)
     scale[scale == 0] = 1.0
     scaled = rows / scale
@@ -96,11 +102,11 @@
         columns=columns,
         coefficients=coefficients,
         covariance=np.asarray(covariance, dtype=np.float64),
-        residual=math.sqrt(float(residuals @ residuals) / free) if free else 0.0,
-        left_out=_left_out(form, rows, values, [distinct.index(k) for k in keys])
+        residual=math.sqrt(float(residuals @ residuals) / degrees_of_freedom) if degrees_of_freedom else 0.0,
+        cross_validation_error=_cross_validation_error(form, rows, values, [distinct.index(k) for k in keys])
         if len(distinct) > 1
         else math.nan,
-        samples=len(points),
+        samples=len(observations),
         sizes=len(distinct),
         largest={c: max(float(size[c]) for size in sizes) for c in columns},
         fixed={c: float(x) for c, x in sorted(sizes[0].items()) if all(size.get(c) == x for size in sizes)},
--- a/scale_experiments/report.py
+++ b/scale_experiments/report.py
@@ -11,21 +11,21 @@
 import sys
 from pathlib import Path
 
-from scale_experiments.capacity.markers import fill
+from scale_experiments.capacity.markers import replace_tables
 from scale_experiments.capacity.page import Page
-from scale_experiments.capacity.paths import LINES, PAGE, RESULTS, ROOT, TARGET
+from scale_experiments.capacity.paths import CAPACITY_PAGE, CAPACITY_TABLE, RESULTS_FOLDER, ROOT, TARGET_FILE
 from scale_experiments.capacity.schema import read_capacity
 from scale_experiments.experiment import InputError
 from scale_experiments.expression import ExpressionError
-from scale_experiments.fitting.model import FitError
+from scale_experiments.fitting.forms import FitError
 from scale_experiments.target import load_target
 
 
 def render(root: Path = ROOT) -> tuple[str, str]:
     """The page as it is and as the results give it."""
-    page = Page(read_capacity(root / LINES), load_target(root / TARGET), root / RESULTS)
-    kept = (root / PAGE).read_text()
-    return kept, fill(kept, page.parts, str(PAGE))
+    page = Page(read_capacity(root / CAPACITY_TABLE), load_target(root / TARGET_FILE), root / RESULTS_FOLDER)
+    kept = (root / CAPACITY_PAGE).read_text()
+    return kept, replace_tables(kept, page.parts, str(CAPACITY_PAGE))
 
 
 def main(check: bool, root: Path = ROOT) -> int:
@@ -33,13 +33,13 @@
     try:
         kept, wanted = render(root)
     except (ExpressionError, FitError) as e:
-        print(f"{LINES}: {e}", file=sys.stderr)
+        print(f"{CAPACITY_TABLE}: {e}", file=sys.stderr)
         return 2
     except (InputError, OSError) as e:
         print(e, file=sys.stderr)
         return 2
     if not check:
-        (root / PAGE).write_text(wanted)
+        (root / CAPACITY_PAGE).write_text(wanted)
         return 0
     if kept == wanted:
         return 0
@@ -47,7 +47,8 @@
     at = next((i for i, (a, b) in enumerate(zip(old, new, strict=False)) if a != b), min(len(old), len(new)))
     have, want = (x[at] if at < len(x) else "(end)" for x in (old, new))
     print(
-        f"scale_experiments report: {PAGE}:{at + 1}: the page has {have!r}, the results give {want!r}",
+        f"scale_experiments report: {CAPACITY_PAGE}:{at + 1}: the page has {have!r},"
+        f" the results give {want!r}",
         file=sys.stderr,
     )
     return 1
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -11,7 +11,7 @@
 
 from scale_experiments import fit, report
 from scale_experiments.capacity import formatting, model, paths, schema
-from scale_experiments.fitting import model as fitted
+from scale_experiments.fitting import forms as fitted
 from scale_experiments.fitting import observations, selection
 from scale_experiments.results import load_result
 from scale_experiments.target import load_target
@@ -52,7 +52,7 @@
 
 def test_a_fit_finds_the_slope_its_error_and_the_form(tmp_path: Path) -> None:
     result = load_result(made_up(tmp_path / "cost.json", 0.002, noise=0.05))
-    best = selection.best_fit("cost_s", observations.points_of(result, "cost_s"))
+    best = selection.best_fit("cost_s", observations.observations_of(result, "cost_s"))
     assert best.form is fitted.Form.LINEAR
     slope, error = best.slopes["caches"]
     # of a line through n points: the noise over the root of the sum of squares about the mean size
@@ -62,9 +62,9 @@
     value, error = best.value({"caches": 1600.0})
     assert abs(value - 3.7) < 3 * error
     assert best.residual == pytest.approx(0.05, rel=0.15)
-    assert best.beyond({"caches": 1600.0}) == 2.0
+    assert best.extrapolation_factor({"caches": 1600.0}) == 2.0
     assert (
-        selection.best_fit("same_count", observations.points_of(result, "same_count")).form
+        selection.best_fit("same_count", observations.observations_of(result, "same_count")).form
         is fitted.Form.CONSTANT
     )
 
@@ -130,7 +130,7 @@
 """
 
 
-def capacity(tmp_path: Path) -> schema.Capacity:
+def capacity(tmp_path: Path) -> schema.CapacityTable:
     path = tmp_path / "capacity.toml"
     path.write_text(LINES)
     return schema.read_capacity(path)
@@ -138,24 +138,24 @@
 
 def test_a_line_breaks_where_the_way_first_leaves_its_budget(tmp_path: Path) -> None:
     made_up(tmp_path / "cost.json", 0.002, most=400)
-    book = model.Book(capacity(tmp_path), load_target(), tmp_path)
-    cost, peers, missing = book.capacity.lines
+    capacity_model = model.CapacityModel(capacity(tmp_path), load_target(), tmp_path)
+    cost, peers, missing = capacity_model.capacity.lines
     # 0.5 + 0.002 x caches is 1.34 at 420 caches, 220 of 640 on the way
-    assert book.break_at(cost) == pytest.approx(220 / 640)
-    assert formatting.size_text(book.way, book.break_at(cost)) == "2,572 / 420"
-    assert book.basis(cost) == "extrapolated 2.1 times"
-    assert book.break_at(peers) is None  # 7,100 / 840 is 8.5, and never more than 6,900 / 640
-    assert book.basis(peers) == "given"
-    assert book.ratio(peers, book.way.size(1.0)) == pytest.approx(7100 / 840 / 20)
+    assert capacity_model.break_at(cost) == pytest.approx(220 / 640)
+    assert formatting.format_size(capacity_model.growth_path, capacity_model.break_at(cost)) == "2,572 / 420"
+    assert capacity_model.basis(cost) == "extrapolated 2.1 times"
+    assert capacity_model.break_at(peers) is None  # 7,100 / 840 is 8.5, and never more than 6,900 / 640
+    assert capacity_model.basis(peers) == "given"
+    assert capacity_model.ratio(peers, capacity_model.growth_path.size(1.0)) == pytest.approx(7100 / 840 / 20)
     with pytest.raises(model.NotMeasured):
-        book.break_at(missing)
+        capacity_model.break_at(missing)
 
 
 def copy_of_the_page(tmp_path: Path) -> Path:
-    for part in (paths.LINES, paths.PAGE, paths.TARGET):
+    for part in (paths.CAPACITY_TABLE, paths.CAPACITY_PAGE, paths.TARGET_FILE):
         (tmp_path / part).parent.mkdir(parents=True, exist_ok=True)
         shutil.copy(paths.ROOT / part, tmp_path / part)
-    shutil.copytree(paths.ROOT / paths.RESULTS, tmp_path / paths.RESULTS)
+    shutil.copytree(paths.ROOT / paths.RESULTS_FOLDER, tmp_path / paths.RESULTS_FOLDER)
     return tmp_path
 
 
@@ -167,7 +167,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     root = copy_of_the_page(tmp_path)
-    page = root / paths.PAGE
+    page = root / paths.CAPACITY_PAGE
     kept = page.read_text()
     lines = kept.splitlines()
     at = next(i for i, line in enumerate(lines) if line.startswith("| 1 |"))
@@ -183,7 +183,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     root = copy_of_the_page(tmp_path)
-    lines = root / paths.LINES
+    lines = root / paths.CAPACITY_TABLE
     good = lines.read_text()
     for old, new, field in (
         ('kind = "given"', 'kind = "guessed"', "figures[0].kind"),
