--- a/scale_experiments/capacity/page.py
+++ b/scale_experiments/capacity/page.py
@@ -126,7 +126,8 @@
         if self.model.is_single_size(line):
             return text
         if at == 0:
-            return f"{text} ({format_number(self.model.ratio(line, self.growth_path.size(0.0)))} times the budget)"
+            today = self.model.ratio(line, self.growth_path.size(0.0))
+            return f"{text} ({format_number(today)} times the budget)"
         early, late = self.model.break_at(line, 1.0), self.model.break_at(line, -1.0)
         if at is None or early == late:
             return text
