--- a/scale_experiments/capacity/schema.py
+++ b/scale_experiments/capacity/schema.py
@@ -63,7 +63,9 @@
     form: Form | None = None  # the best of all where it is absent
     over: list[str] | None = None  # the columns of `form`; all that vary where it is absent
     at: dict[str, Formula] = {}
-    at_largest_size: bool = False  # what was measured at the largest size, and no fit
+    at_largest_size: bool = Field(
+        default=False, alias="largest_only"
+    )  # what was measured at the largest size, and no fit
     least: dict[
         str, float
     ] = {}  # the smallest sizes that are fitted, by column: today's, where a slope bends
