--- a/scale_experiments/capacity/formatting.py
+++ b/scale_experiments/capacity/formatting.py
@@ -7,7 +7,8 @@
 from scale_experiments.capacity.breaking_point import MAX_PROGRESS
 from scale_experiments.capacity.model import GrowthPath
 from scale_experiments.capacity.schema import MISSING_MECHANISM, Unit
-from scale_experiments.number_format import ROUNDING_TOLERANCE, format_number, format_with_error
+from scale_experiments.estimate import Estimate
+from scale_experiments.number_format import format_number, format_with_error
 
 SCALES: dict[str, tuple[tuple[float, str], ...]] = {
     "bytes": ((1e12, " TB"), (1e9, " GB"), (1e6, " MB"), (1e3, " KB"), (1.0, " B")),
@@ -26,9 +27,11 @@
     scales = SCALES[unit]
     plain = next((s for s in scales if s[0] == 1.0), scales[-1])
     factor, name = next((s for s in scales if abs(value) >= s[0]), scales[-1]) if value else plain
-    told = error > ROUNDING_TOLERANCE * abs(value)
+    estimate = Estimate(value, error)
     text = (
-        format_with_error(value / factor, error / factor) if told else format_number(value / factor, digits)
+        format_with_error(estimate.scaled(factor))
+        if estimate.has_error
+        else format_number(value / factor, digits)
     )
     return text + (" core" if name == " cores" and text == "1" else name)
 
--- a/scale_experiments/capacity/model.py
+++ b/scale_experiments/capacity/model.py
@@ -20,22 +20,21 @@
 )
 from scale_experiments.experiment import InputError
 from scale_experiments.expression import Expression
-from scale_experiments.fit import HEADROOM_FACTOR
-from scale_experiments.fitting.forms import Fit, describe_slopes
-from scale_experiments.fitting.least_squares import fit_form
+from scale_experiments.fitting.forms import Fit
 from scale_experiments.fitting.observations import (
     CONFOUNDED_COLUMNS,
     SAME_SIZE_TOLERANCE,
+    Observation,
     Size,
     at_largest_size,
     mean_at,
     observations_of,
     varying_columns,
 )
-from scale_experiments.fitting.selection import best_fit
+from scale_experiments.fitting.selection import best_fit, fit_form
 from scale_experiments.number_format import format_number
 from scale_experiments.results import Result, load_result
-from scale_experiments.target import Target
+from scale_experiments.target import HEADROOM_FACTOR, Target
 
 BASELINE_SUFFIX = ".before"  # a result made before the mechanism was built
 
@@ -106,14 +105,14 @@
             )
         return self.fits[key]
 
-    def observations(self, measured: MeasuredTerm) -> list[tuple[Size, float]]:
+    def observations(self, measured: MeasuredTerm) -> list[Observation]:
         """What of a metric is fitted; raises NotMeasured where no sample holds it."""
         observations = [
-            (size, value)
-            for size, value in observations_of(self.result(measured.result), measured.metric)
-            if all(size.get(column, 0) >= least for column, least in measured.least.items())
-            and all(size.get(column, 0) <= most for column, most in measured.most.items())
-            and all(size.get(column) == x for column, x in measured.where.items())
+            o
+            for o in observations_of(self.result(measured.result), measured.metric)
+            if all(o.size.get(column, 0) >= least for column, least in measured.least.items())
+            and all(o.size.get(column, 0) <= most for column, most in measured.most.items())
+            and all(o.size.get(column) == x for column, x in measured.where.items())
         ]
         if not observations:
             raise NotMeasured(f"{measured.metric} of {measured.result}")
@@ -125,7 +124,7 @@
         for name in line.value.names & line.measured.keys():
             measured = line.measured[name]
             observations = self.observations(measured)
-            if not (columns := varying_columns(observations)):
+            if not (columns := varying_columns([o.size for o in observations])):
                 return None
             at = {
                 c: measured.at[c].value(lambda n: self.parameter(n, size))
@@ -175,14 +174,14 @@
         """What is told of formulas of a line's terms, and the standard error that their fits leave in it."""
         names = set().union(*(f.names for f in formulas))
         used = {n: m for n, m in line.measured.items() if n in names}
-        terms = {n: self.fit(m).value(self.size_of(m, size)) for n, m in used.items()}
+        terms = {n: self.fit(m).predict(self.size_of(m, size)) for n, m in used.items()}
 
         def at(moved: str | None = None) -> float:
             def lookup(name: str) -> float:
                 if name not in terms:
                     return self.parameter(name, size)
-                value, error = terms[name]
-                return value + error if name == moved else value
+                term = terms[name]
+                return term.value + term.standard_error if name == moved else term.value
 
             return told([f.value(lookup) for f in formulas])
 
@@ -215,7 +214,7 @@
 
     def is_single_size(self, line: CapacityItem) -> bool:
         """Whether any term of a line was measured at one size only, so that none of its slopes is known."""
-        return any(self.fit(m).sizes == 1 for m in line.measured.values())
+        return any(self.fit(m).size_count == 1 for m in line.measured.values())
 
     def extrapolation_factor(self, line: CapacityItem, formulas: Sequence[Expression], size: Size) -> float:
         """How far a size lies beyond what was measured of the terms of formulas, at most; 1 within."""
@@ -241,13 +240,13 @@
         used = {n: m for n, m in line.measured.items() if n in formula.names}
         fits = {n: self.fit(m) for n, m in used.items()}
         far = self.extrapolation_factor(line, [formula], self.growth_path.size(1.0))
-        if any(f.sizes > 1 for f in fits.values()):
+        if any(f.size_count > 1 for f in fits.values()):
             parts.append(
                 "measured"
                 if far <= 1.0 + SAME_SIZE_TOLERANCE
                 else f"extrapolated {format_number(far, 2)} times"
             )
-        for fixed in {json.dumps(f.fixed): f.fixed for f in fits.values() if f.sizes == 1}.values():
+        for fixed in {json.dumps(f.fixed): f.fixed for f in fits.values() if f.size_count == 1}.values():
             parts.append(
                 "measured only at " + ", ".join(f"{c} {format_number(x, 5)}" for c, x in fixed.items())
             )
@@ -282,7 +281,7 @@
             span = [f" from {format_number(x, 5)} {column} on" for column, x in measured.least.items()]
             span += [f" up to {format_number(x, 5)} {column}" for column, x in measured.most.items()]
             parts.append(
-                f"`{measured.metric}`: {describe_slopes(fit)}{''.join(span)}{off}"
+                f"`{measured.metric}`: {fit.describe()}{''.join(span)}{off}"
                 f" ([{file.removesuffix('.json')}](../{RESULTS_FOLDER}/{file}){whole})"
             )
         return "; ".join([*parts, f"`{line.value.text}`"])
--- a/scale_experiments/capacity/page.py
+++ b/scale_experiments/capacity/page.py
@@ -25,20 +25,18 @@
     Unit,
 )
 from scale_experiments.expression import Expression
-from scale_experiments.fit import HEADROOM_FACTOR
-from scale_experiments.fitting.forms import Fit, FitError, Form, describe_slopes
-from scale_experiments.fitting.least_squares import fit_form
+from scale_experiments.fitting.forms import Fit, FitError, Form
 from scale_experiments.fitting.observations import (
     PRODUCT_COLUMNS,
     SAME_SIZE_TOLERANCE,
-    Size,
+    Observation,
     observations_of,
     varying_columns,
 )
-from scale_experiments.fitting.selection import best_fit
+from scale_experiments.fitting.selection import best_fit, fit_form
 from scale_experiments.number_format import format_number
 from scale_experiments.results import Result
-from scale_experiments.target import Target
+from scale_experiments.target import HEADROOM_FACTOR, Target
 
 EXCEEDED_WHERE_MEASURED, KEPT_WHERE_MEASURED = "broken where measured", "not broken where measured"
 
@@ -223,7 +221,7 @@
         rows = []
         for metric, unit in zip(comparison.metrics, comparison.units, strict=True):
             observations = [observations_of(result, metric) for result in (before, after)]
-            columns = varying_columns(observations[0])
+            columns = varying_columns([o.size for o in observations[0]])
             columns = tuple(c for c in columns if c in PRODUCT_COLUMNS) or columns
             first, second = _means(before, metric), _means(after, metric)
             for size in sorted(first.keys() & second.keys()):
@@ -242,11 +240,15 @@
                 fair = timed and all(size in w for w in work)
                 rows.append([*row, format_number(b / a * work[0][size] / work[1][size]) if fair else "-"])
             within = [
-                [(z, v) for z, v in p if all(z[c] <= max(xs) for c, xs in comparison.at.items() if c in z)]
-                for p in observations
+                [
+                    o
+                    for o in each
+                    if all(o.size[c] <= max(xs) for c, xs in comparison.at.items() if c in o.size)
+                ]
+                for each in observations
             ]
             if all(within):
-                fits = [describe_slopes(_growth(metric, p)) for p in within]
+                fits = [_growth(metric, each).describe() for each in within]
                 rows.append([f"`{metric}`", "all sizes up to the last, fitted", *fits, "-", "-"])
         return markdown_table(header, rows) if rows else unknown
 
@@ -255,7 +257,7 @@
         held = {**self.baseline_model.results, **self.model.results}
         rows = []
         for file, result in sorted(held.items()):
-            columns = varying_columns([(s.size, 0.0) for s in result.samples])
+            columns = varying_columns([s.size for s in result.samples])
             sizes = [
                 f"{c} {format_number(min(s.size[c] for s in result.samples), 5)} to"
                 f" {format_number(max(s.size[c] for s in result.samples), 5)}"
@@ -283,7 +285,7 @@
         return markdown_table(["figure", "at the target", "known by", "from", "why"], rows)
 
 
-def _growth(metric: str, observations: Sequence[tuple[Size, float]]) -> Fit:
+def _growth(metric: str, observations: Sequence[Observation]) -> Fit:
     """How a metric grows: the power, so that before and after compare, or the best where there is none."""
     try:
         return fit_form(metric, Form.POWER, observations)
@@ -294,6 +296,6 @@
 def _means(result: Result, metric: str) -> dict[tuple[tuple[str, float], ...], float]:
     """Size -> mean of a metric."""
     values: dict[tuple[tuple[str, float], ...], list[float]] = {}
-    for size, value in observations_of(result, metric):
-        values.setdefault(tuple(sorted((n, float(x)) for n, x in size.items())), []).append(value)
+    for o in observations_of(result, metric):
+        values.setdefault(tuple(sorted((n, float(x)) for n, x in o.size.items())), []).append(o.value)
     return {size: math.fsum(v) / len(v) for size, v in values.items()}
--- /dev/null
+++ b/scale_experiments/estimate.py
@@ -0,0 +1,25 @@
+"""A value with its standard error."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+# as a share of a value: smaller differences are rounding of the arithmetic and vary from machine to machine
+ROUNDING_TOLERANCE = 1e-9
+
+
+@dataclass(slots=True, frozen=True)
+class Estimate:
+    """A value and its standard error, both in the same unit."""
+
+    value: float
+    standard_error: float = 0.0
+
+    @property
+    def has_error(self) -> bool:
+        """Whether the standard error is more than rounding of the arithmetic."""
+        return self.standard_error > ROUNDING_TOLERANCE * abs(self.value)
+
+    def scaled(self, divisor: float) -> Estimate:
+        """The same estimate in a unit that is `divisor` times as large."""
+        return Estimate(self.value / divisor, self.standard_error / divisor)
--- a/scale_experiments/fitting/interpolation.py
+++ b/scale_experiments/fitting/interpolation.py
@@ -1,50 +1,94 @@
-"""What was measured, from size to size, where no form follows it."""
+"""Interpolation from size to size, for metrics that none of the other forms describes."""
 
 from __future__ import annotations
 
+import bisect
 import math
 from collections.abc import Sequence
+from dataclasses import dataclass
 
 import numpy as np
 
-from scale_experiments.fitting.forms import Fit, FitError, Form, interpolate
-from scale_experiments.fitting.observations import Size
+from scale_experiments.estimate import Estimate
+from scale_experiments.fitting.forms import Array, Fit, FitError, Form
+from scale_experiments.fitting.observations import Observation, Size
+from scale_experiments.number_format import format_number
 
+MIN_SIZES = 3  # the fewest of which one can be left out and interpolated between its neighbours
 
-def fit_interpolated(metric: str, observations: Sequence[tuple[Size, float]], column: str) -> Fit:
-    """What was measured, from size to size along a column; raises FitError below three sizes, or at 0."""
+
+@dataclass(slots=True, frozen=True, kw_only=True)
+class InterpolatedFit(Fit):
+    """The means at the measured sizes of one column, in rising order.
+
+    A value between two sizes lies on the power through both, beyond the last on that of the last two. Its
+    standard error is the share `cross_validation_error`, which is rather too large, as the nearest size is
+    left out for it.
+    """
+
+    sizes: tuple[float, ...]
+    means: Array
+
+    @property
+    def slopes(self) -> dict[str, Estimate]:
+        """The exponent between the last two sizes; its standard error is not known (NaN)."""
+        (last_size, top_size), (last_mean, top_mean) = self.sizes[-2:], self.means[-2:]
+        exponent = math.log(top_mean / last_mean) / math.log(top_size / last_size)
+        return {self.columns[0]: Estimate(exponent, math.nan)}
+
+    def predict(self, size: Size) -> Estimate:
+        """The interpolated value at a size, in the metric's unit."""
+        value = interpolate(self.sizes, self.means, float(size[self.columns[0]]))
+        return Estimate(value, value * self.cross_validation_error)
+
+    def describe(self) -> str:
+        """The exponent between the last two sizes, in words."""
+        ((column, exponent),) = self.slopes.items()
+        return f"between sizes, at the largest exponent {format_number(exponent.value)} over {column}"
+
+
+def interpolate(sizes: Sequence[float], means: Array, x: float) -> float:
+    """The value at x on the power through the two sizes around it, or through the nearest two."""
+    i = min(max(bisect.bisect_right(sizes, x), 1), len(sizes) - 1)
+    share = math.log(x / sizes[i - 1]) / math.log(sizes[i] / sizes[i - 1])
+    return float(means[i - 1] * (means[i] / means[i - 1]) ** share)
+
+
+def fit_interpolated(metric: str, observations: Sequence[Observation], column: str) -> InterpolatedFit:
+    """Interpolate a metric along a column; raises FitError below three sizes, or if any size or mean is 0."""
     values_by_size: dict[float, list[float]] = {}
-    for size, value in observations:
-        values_by_size.setdefault(float(size[column]), []).append(value)
-    knot_sizes = tuple(sorted(values_by_size))
-    means = np.array(
-        [math.fsum(values_by_size[k]) / len(values_by_size[k]) for k in knot_sizes], dtype=np.float64
-    )
-    if len(knot_sizes) < 3 or knot_sizes[0] <= 0 or means.min() <= 0:
-        raise FitError(f"{metric}: wants three sizes and all above 0")
-    errors = [
-        interpolate((*knot_sizes[:i], *knot_sizes[i + 1 :]), np.delete(means, i), knot_sizes[i])
-        / float(means[i])
-        - 1
-        for i in range(1, len(knot_sizes) - 1)
-    ]
-    spread = [
-        value - float(mean) for k, mean in zip(knot_sizes, means, strict=True) for value in values_by_size[k]
+    for observation in observations:
+        values_by_size.setdefault(float(observation.size[column]), []).append(observation.value)
+    sizes = tuple(sorted(values_by_size))
+    means = np.array([math.fsum(values_by_size[x]) / len(values_by_size[x]) for x in sizes], dtype=np.float64)
+    if len(sizes) < MIN_SIZES or sizes[0] <= 0 or means.min() <= 0:
+        raise FitError(
+            f"{metric}: form between: must be measured at {MIN_SIZES} sizes of {column} at least,"
+            " with all sizes and means above 0"
+        )
+    residuals = [
+        value - float(mean) for x, mean in zip(sizes, means, strict=True) for value in values_by_size[x]
     ]
-    degrees_of_freedom = len(observations) - len(knot_sizes)
-    return Fit(
+    degrees_of_freedom = len(observations) - len(sizes)
+    squares = math.fsum(x * x for x in residuals)
+    return InterpolatedFit(
         metric=metric,
         form=Form.INTERPOLATED,
         columns=(column,),
-        coefficients=means,
-        covariance=np.zeros((0, 0)),
-        residual=math.sqrt(math.fsum(x * x for x in spread) / degrees_of_freedom)
-        if degrees_of_freedom
-        else 0.0,
-        cross_validation_error=math.sqrt(math.fsum(x * x for x in errors) / len(errors)),
-        samples=len(observations),
-        sizes=len(knot_sizes),
-        largest={column: knot_sizes[-1]},
+        residual=math.sqrt(squares / degrees_of_freedom) if degrees_of_freedom else 0.0,
+        cross_validation_error=_cross_validation_error(sizes, means),
+        size_count=len(sizes),
+        largest={column: sizes[-1]},
         fixed={},
-        knot_sizes=knot_sizes,
+        sizes=sizes,
+        means=means,
     )
+
+
+def _cross_validation_error(sizes: tuple[float, ...], means: Array) -> float:
+    """Root mean square error at each inner size, interpolated from the others, as a share of its mean."""
+    errors = [
+        interpolate((*sizes[:i], *sizes[i + 1 :]), np.delete(means, i), sizes[i]) / float(means[i]) - 1
+        for i in range(1, len(sizes) - 1)
+    ]
+    return math.sqrt(math.fsum(x * x for x in errors) / len(errors))
--- a/scale_experiments/fitting/observations.py
+++ b/scale_experiments/fitting/observations.py
@@ -1,46 +1,59 @@
-"""What was measured of a metric, as sizes and values."""
+"""The observations of a metric: its values, and the sizes of the fleet at which they were measured."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
 
 from scale_experiments.results import Result
 
-Size = Mapping[str, float]
-PRODUCT_COLUMNS = ("routers", "caches")  # whose product may be what counts
-# columns that grow with the fleet, or that say how long was waited: no causes by themselves
+Size = Mapping[str, float]  # by column, such as `routers` or `caches`
+
+PRODUCT_COLUMNS = ("routers", "caches")  # connections, for one, grow with the product of the two
+# columns that grow along with the fleet, or that say how long a run waited: no causes by themselves
 CONFOUNDED_COLUMNS = ("regions", "sites", "warm_s", "zones")
-SAME_SIZE_TOLERANCE = 0.01  # of a size: no farther off, it is the same
+SAME_SIZE_TOLERANCE = 0.01  # sizes that differ by a smaller share than this count as the same
+
+
+@dataclass(slots=True, frozen=True)
+class Observation:
+    """One value of a metric, in the metric's unit."""
+
+    size: Size
+    value: float
+
+
+def observations_of(result: Result, metric: str) -> list[Observation]:
+    """The observations of a metric: one for each sample of a result that has it."""
+    return [Observation(s.size, s.metrics[metric]) for s in result.samples if metric in s.metrics]
 
 
-def varying_columns(observations: Sequence[tuple[Size, float]]) -> tuple[str, ...]:
-    """The columns that all sizes have and that vary."""
-    names = sorted(set.intersection(*(set(size) for size, _ in observations))) if observations else []
-    return tuple(c for c in names if len({float(size[c]) for size, _ in observations}) > 1)
+def varying_columns(sizes: Sequence[Size]) -> tuple[str, ...]:
+    """The columns that all sizes have and whose values differ, in alphabetical order."""
+    if not sizes:
+        return ()
+    shared = sorted(set.intersection(*map(set, sizes)))
+    return tuple(column for column in shared if len({float(size[column]) for size in sizes}) > 1)
 
 
-def at_largest_size(observations: Sequence[tuple[Size, float]]) -> list[tuple[Size, float]]:
-    """The values at the largest size, by the product of its columns that vary."""
-    columns = varying_columns(observations)
-    sizes = [math.prod(float(size[c]) for c in columns) for size, _ in observations]
-    return [point for point, size in zip(observations, sizes, strict=True) if size == max(sizes)]
+def at_largest_size(observations: Sequence[Observation]) -> list[Observation]:
+    """The observations at the largest size, by the product of its varying columns."""
+    columns = varying_columns([o.size for o in observations])
+    products = [math.prod(float(o.size[c]) for c in columns) for o in observations]
+    largest = max(products)
+    return [o for o, product in zip(observations, products, strict=True) if product == largest]
 
 
-def observations_of(result: Result, metric: str) -> list[tuple[Size, float]]:
-    """The samples of a result that hold a metric, as size and value."""
-    return [(s.size, s.metrics[metric]) for s in result.samples if metric in s.metrics]
+def mean_at(observations: Sequence[Observation], size: Size) -> float | None:
+    """The mean of the observations at a size, within SAME_SIZE_TOLERANCE; None if there are none."""
+    values = [o.value for o in observations if _is_same_size(o.size, size)]
+    return math.fsum(values) / len(values) if values else None
 
 
-def mean_at(observations: Sequence[tuple[Size, float]], size: Size) -> float | None:
-    """The mean of what was measured at a size, a hundredth more or less by column; None if nothing was."""
-    near = [
-        value
-        for measured, value in observations
-        if all(
-            abs(measured[column] - x) <= SAME_SIZE_TOLERANCE * abs(x)
-            for column, x in size.items()
-            if column in measured
-        )
-    ]
-    return math.fsum(near) / len(near) if near else None
+def _is_same_size(measured: Size, wanted: Size) -> bool:
+    return all(
+        abs(measured[column] - x) <= SAME_SIZE_TOLERANCE * abs(x)
+        for column, x in wanted.items()
+        if column in measured
+    )
--- /dev/null
+++ b/scale_experiments/fitting/regression.py
@@ -0,0 +1,187 @@
+"""Least-squares regression of one form."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+import numpy as np
+
+from scale_experiments.estimate import Estimate
+from scale_experiments.fitting.forms import Array, Fit, FitError, Form
+from scale_experiments.fitting.observations import Observation, Size
+from scale_experiments.number_format import format_with_error
+
+# of the columns: above it they grow together, and their slopes can't be told apart
+MAX_CONDITION_NUMBER = 20.0
+
+
+@dataclass(slots=True, frozen=True, kw_only=True)
+class RegressionFit(Fit):
+    """A form fitted by least squares; to the logarithms where the form is a power.
+
+    `coefficients` (k) and `covariance` (k x k) are of the constant term and then of `terms`.
+    """
+
+    coefficients: Array
+    covariance: Array
+
+    @property
+    def terms(self) -> tuple[str, ...]:
+        """The name of each term but the constant one."""
+        if self.form is Form.CONSTANT:
+            return ()
+        return (" x ".join(self.columns),) if self.form is Form.PRODUCT else self.columns
+
+    @property
+    def slopes(self) -> dict[str, Estimate]:
+        """The slope of each term, or its exponent where the form is a power."""
+        errors = np.sqrt(np.maximum(np.diag(self.covariance), 0.0))
+        slopes = zip(self.terms, self.coefficients[1:], errors[1:], strict=True)
+        return {term: Estimate(float(slope), float(error)) for term, slope, error in slopes}
+
+    def predict(self, size: Size) -> Estimate:
+        """The fitted value at a size, in the metric's unit."""
+        row = design_matrix(self.form, self.columns, [size])[0]
+        value = float(row @ self.coefficients)
+        error = math.sqrt(max(0.0, float(row @ self.covariance @ row)))
+        if self.form is Form.POWER:
+            return Estimate(math.exp(value), math.exp(value) * error)
+        return Estimate(value, error)
+
+    def describe(self) -> str:
+        """The slopes with their standard errors, in words."""
+        if self.form is Form.CONSTANT:
+            value = self.predict({c: self.largest[c] for c in self.columns})
+            return f"constant {format_with_error(value)}"
+        kind = "exponent" if self.form is Form.POWER else "slope"
+        return ", ".join(
+            f"{kind} {format_with_error(slope)} over {term}" for term, slope in self.slopes.items()
+        )
+
+
+def design_matrix(form: Form, columns: Sequence[str], sizes: Sequence[Size]) -> Array:
+    """The n x k matrix of the regression: one row a size, 1 and then the terms of the form."""
+    table = np.array([[float(size[c]) for c in columns] for size in sizes], dtype=np.float64)
+    table = table.reshape(len(sizes), len(columns))
+    ones = np.ones((len(sizes), 1))
+    if form is Form.CONSTANT:
+        return ones
+    if form is Form.PRODUCT:
+        return np.hstack([ones, table.prod(axis=1, keepdims=True)])
+    return np.hstack([ones, np.log(table) if form is Form.POWER else table])
+
+
+def fit_regression(
+    metric: str, form: Form, observations: Sequence[Observation], columns: tuple[str, ...]
+) -> RegressionFit:
+    """Fit one form over columns.
+
+    Raises FitError if there are too few sizes for it, if its columns grow together, or if the form is a power
+    and a size or value is not above 0.
+    """
+    if form is not Form.CONSTANT and not columns:
+        raise FitError(f"{metric}: form {form.value}: must be measured at more than one size")
+    values = np.array([o.value for o in observations], dtype=np.float64)
+    sizes = [o.size for o in observations]
+    if form is Form.POWER and (values.min() <= 0 or any(size[c] <= 0 for size in sizes for c in columns)):
+        raise FitError(f"{metric}: form power: all sizes and values must be above 0")
+    groups = _group_by_size(form, columns, sizes)
+    size_count = max(groups) + 1
+    rows = design_matrix(form, columns, sizes)
+    degrees_of_freedom = len(observations) - rows.shape[1]
+    if form is not Form.CONSTANT and (degrees_of_freedom < 1 or size_count <= rows.shape[1]):
+        raise FitError(f"{metric}: form {form.value}: must be measured at more than {rows.shape[1]} sizes")
+    coefficients = _solve(metric, form, rows, values)
+    residuals = values - _predict(form, rows, coefficients)
+    fitted = np.log(values) - rows @ coefficients if form is Form.POWER else residuals
+    return RegressionFit(
+        metric=metric,
+        form=form,
+        columns=columns,
+        coefficients=coefficients,
+        covariance=_covariance(rows, _mean_square(fitted, degrees_of_freedom)),
+        residual=math.sqrt(_mean_square(residuals, degrees_of_freedom)),
+        cross_validation_error=_cross_validation_error(metric, form, rows, values, groups),
+        size_count=size_count,
+        largest={c: max(float(size[c]) for size in sizes) for c in columns},
+        fixed={c: float(x) for c, x in sorted(sizes[0].items()) if all(size.get(c) == x for size in sizes)},
+    )
+
+
+def _group_by_size(form: Form, columns: Sequence[str], sizes: Sequence[Size]) -> list[int]:
+    """For each size the index of its group: those that the form can't tell apart share one."""
+    keys: list[tuple[float, ...]]
+    if form is Form.PRODUCT:
+        keys = [(math.prod(float(size[c]) for c in columns),) for size in sizes]
+    else:
+        keys = [tuple(float(size[c]) for c in columns) for size in sizes]
+    indices = {key: index for index, key in enumerate(sorted(set(keys)))}
+    return [indices[key] for key in keys]
+
+
+def _column_scales(rows: Array) -> Array:
+    """The largest absolute value of each column.
+
+    Columns are divided by it: 1 and routers x caches differ by a factor of millions, which would cost digits.
+    """
+    scales = np.asarray(np.abs(rows).max(axis=0), dtype=np.float64)
+    scales[scales == 0] = 1.0
+    return scales
+
+
+def _solve(metric: str, form: Form, rows: Array, values: Array) -> Array:
+    """The coefficients; raises FitError if the columns grow together."""
+    centred = rows[:, 1:] - rows[:, 1:].mean(axis=0)
+    lengths = np.linalg.norm(centred, axis=0)
+    collinear = not lengths.all()
+    if not collinear and centred.shape[1] > 1:
+        collinear = float(np.linalg.cond(centred / lengths)) > MAX_CONDITION_NUMBER
+    if collinear:
+        raise FitError(f"{metric}: form {form.value}: its columns must not grow together")
+    scales = _column_scales(rows)
+    targets = np.log(values) if form is Form.POWER else values
+    solution = np.linalg.lstsq(rows / scales, targets, rcond=None)[0]
+    return np.asarray(solution / scales, dtype=np.float64)
+
+
+def _predict(form: Form, rows: Array, coefficients: Array) -> Array:
+    values = rows @ coefficients
+    return np.asarray(np.exp(values) if form is Form.POWER else values, dtype=np.float64)
+
+
+def _mean_square(residuals: Array, degrees_of_freedom: int) -> float:
+    return float(residuals @ residuals) / degrees_of_freedom if degrees_of_freedom else 0.0
+
+
+def _covariance(rows: Array, variance: float) -> Array:
+    scales = _column_scales(rows)
+    scaled = rows / scales
+    covariance = variance * np.linalg.inv(scaled.T @ scaled) / np.outer(scales, scales)
+    return np.asarray(covariance, dtype=np.float64)
+
+
+def _cross_validation_error(
+    metric: str, form: Form, rows: Array, values: Array, groups: Sequence[int]
+) -> float:
+    """Root mean square error at each size, fitted from all others, as a share of the mean there.
+
+    NaN if there is only one size, or if one can't be left out.
+    """
+    labels = np.array(groups)
+    if not labels.any():
+        return math.nan
+    mean_magnitude = float(np.abs(values).mean())
+    errors = []
+    for group in range(max(groups) + 1):
+        kept = labels != group
+        try:
+            coefficients = _solve(metric, form, rows[kept], values[kept])
+        except FitError:
+            return math.nan
+        # where the mean is 0, errors count as shares of the mean magnitude over all sizes
+        scale = abs(float(values[~kept].mean())) or mean_magnitude or 1.0
+        shares = (_predict(form, rows[~kept], coefficients) - values[~kept]) / scale
+        errors.append(float(np.mean(shares**2)))
+    return math.sqrt(sum(errors) / len(errors))
--- a/scale_experiments/fitting/selection.py
+++ b/scale_experiments/fitting/selection.py
@@ -1,39 +1,44 @@
-"""The best form for a metric."""
+"""The choice of a form: all that can be fitted to a metric, and the best of them."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterator, Sequence
 
+from scale_experiments.estimate import ROUNDING_TOLERANCE
 from scale_experiments.fitting.forms import Fit, FitError, Form
-from scale_experiments.fitting.least_squares import fit_form
-from scale_experiments.fitting.observations import CONFOUNDED_COLUMNS, PRODUCT_COLUMNS, Size, varying_columns
-from scale_experiments.number_format import ROUNDING_TOLERANCE
+from scale_experiments.fitting.interpolation import fit_interpolated
+from scale_experiments.fitting.observations import (
+    CONFOUNDED_COLUMNS,
+    PRODUCT_COLUMNS,
+    Observation,
+    varying_columns,
+)
+from scale_experiments.fitting.regression import fit_regression
 
-SIGNIFICANCE_ERRORS = 2.0  # standard errors from nothing below which a slope counts as none
+SIGNIFICANT_ERRORS = 2.0  # a slope of fewer standard errors than this counts as none
 
 
-def _candidates(observations: Sequence[tuple[Size, float]]) -> Iterator[tuple[Form, tuple[str, ...]]]:
-    """The forms to try and the columns of each, the plainest first."""
-    columns = varying_columns(observations)
-    yield Form.CONSTANT, columns
-    alone = sorted(
-        (c for c in columns if c not in CONFOUNDED_COLUMNS), key=lambda c: (c not in PRODUCT_COLUMNS, c)
-    )
-    for form in (Form.LINEAR, Form.POWER):
-        for column in alone or columns:
-            yield form, (column,)
-        if len(alone) > 1:
-            yield form, tuple(alone)
-    if set(PRODUCT_COLUMNS) <= set(columns):
-        yield Form.PRODUCT, PRODUCT_COLUMNS
+def fit_form(
+    metric: str, form: Form, observations: Sequence[Observation], columns: Sequence[str] | None = None
+) -> Fit:
+    """Fit one form over columns, by default all that vary; raises FitError if that can't be done."""
+    if not observations:
+        raise FitError(f"{metric}: no samples")
+    if columns is None:
+        columns = varying_columns([o.size for o in observations])
+    if form is not Form.INTERPOLATED:
+        return fit_regression(metric, form, observations, tuple(columns))
+    if len(columns) != 1:
+        raise FitError(f"{metric}: form {form.value}: must have one column, not {list(columns)}")
+    return fit_interpolated(metric, observations, columns[0])
 
 
-def fit_all_forms(metric: str, observations: Sequence[tuple[Size, float]]) -> list[Fit]:
-    """All forms that can be fitted, the best first; raises FitError without samples.
+def fit_all_forms(metric: str, observations: Sequence[Observation]) -> list[Fit]:
+    """All forms that can be fitted, the best first; raises FitError without observations.
 
-    The best foretells a size left out with the smallest error as a share of what was measured there, so that
-    all sizes weigh alike. The constant is the best where no slope of a line stands out from its error.
+    The best has the smallest cross-validation error, a share of what was measured, so that all sizes weigh
+    alike. The constant is the best if no slope of a linear form is significant.
     """
     fits = []
     for form, columns in _candidates(observations):
@@ -44,24 +49,49 @@
     if not fits:
         raise FitError(f"{metric}: no samples")
     constant, others = fits[0], fits[1:]
-    # to few digits: of forms that say the same, the plainest is the best on every machine
-    others.sort(
-        key=lambda f: (
-            math.inf
-            if math.isnan(f.cross_validation_error)
-            else float(f"{max(f.cross_validation_error, ROUNDING_TOLERANCE):.4g}")
-        )
-    )
-    lines = [f for f in others if f.form is Form.LINEAR]
-    typical = max(abs(value) for _, value in observations)
-    flat = lines and not any(
-        abs(slope) > max(SIGNIFICANCE_ERRORS * error, ROUNDING_TOLERANCE * typical / f.largest[column])
-        for f in lines
-        for column, (slope, error) in f.slopes.items()
-    )
-    return [constant, *others] if flat else [*others, constant]
+    others.sort(key=_selection_error)
+    linear = [fit for fit in others if fit.form is Form.LINEAR]
+    magnitude = max(abs(o.value) for o in observations)
+    if linear and not any(_has_significant_slope(fit, magnitude) for fit in linear):
+        return [constant, *others]
+    return [*others, constant]
 
 
-def best_fit(metric: str, observations: Sequence[tuple[Size, float]]) -> Fit:
-    """The best form for a metric; raises FitError without samples."""
+def best_fit(metric: str, observations: Sequence[Observation]) -> Fit:
+    """The best form for a metric; raises FitError without observations."""
     return fit_all_forms(metric, observations)[0]
+
+
+def _candidates(observations: Sequence[Observation]) -> Iterator[tuple[Form, tuple[str, ...]]]:
+    """The forms to fit and the columns of each, the simplest first."""
+    columns = varying_columns([o.size for o in observations])
+    yield Form.CONSTANT, columns
+    independent = sorted(
+        (c for c in columns if c not in CONFOUNDED_COLUMNS), key=lambda c: (c not in PRODUCT_COLUMNS, c)
+    )
+    for form in (Form.LINEAR, Form.POWER):
+        for column in independent or columns:
+            yield form, (column,)
+        if len(independent) > 1:
+            yield form, tuple(independent)
+    if set(PRODUCT_COLUMNS) <= set(columns):
+        yield Form.PRODUCT, PRODUCT_COLUMNS
+
+
+def _selection_error(fit: Fit) -> float:
+    """The cross-validation error by which fits are sorted.
+
+    Rounded to four digits, so that of forms that say the same the simplest comes first on every machine.
+    """
+    if math.isnan(fit.cross_validation_error):
+        return math.inf
+    return float(f"{max(fit.cross_validation_error, ROUNDING_TOLERANCE):.4g}")
+
+
+def _has_significant_slope(fit: Fit, magnitude: float) -> bool:
+    """Whether any slope of a linear fit stands out from its error and from rounding of the arithmetic."""
+    return any(
+        abs(slope.value)
+        > max(SIGNIFICANT_ERRORS * slope.standard_error, ROUNDING_TOLERANCE * magnitude / fit.largest[column])
+        for column, slope in fit.slopes.items()
+    )
--- a/scale_experiments/number_format.py
+++ b/scale_experiments/number_format.py
@@ -4,23 +4,24 @@
 
 import math
 
-ROUNDING_TOLERANCE = (
-    1e-9  # of a value: below it is what arithmetic leaves, which differs from machine to machine
-)
+from scale_experiments.estimate import Estimate
+
 SIGNIFICANT_DIGITS = 3
+ERROR_DIGITS = 2
+MAX_PLAIN = 1e15  # larger numbers keep their exponent
 
 
 def format_number(value: float, digits: int = SIGNIFICANT_DIGITS) -> str:
-    """A number in plain digits where it is neither very large nor very small; the same on every machine."""
+    """A number in plain digits unless it is very large or very small; "not known" unless it is finite."""
     if not math.isfinite(value):
         return "not known"
     text = f"{value:.{digits}g}"
     if "e" not in text:
         return text
-    return f"{float(text):,.0f}" if 1 <= abs(value) < 1e15 else text
+    return f"{float(text):,.0f}" if 1 <= abs(value) < MAX_PLAIN else text
 
 
-def format_with_error(value: float, error: float) -> str:
-    """A number and its standard error, which is nothing where it is only noise of the arithmetic."""
-    error = error if error > ROUNDING_TOLERANCE * abs(value) else 0.0
-    return f"{format_number(value)} ± {format_number(error, 2)}"
+def format_with_error(estimate: Estimate) -> str:
+    """A number and its standard error; an error that is only rounding of the arithmetic is written as 0."""
+    error = estimate.standard_error if estimate.has_error else 0.0
+    return f"{format_number(estimate.value)} ± {format_number(error, ERROR_DIGITS)}"
--- a/scale_experiments/target.py
+++ b/scale_experiments/target.py
@@ -12,6 +12,7 @@
 TARGET = Path(__file__).parent / "experiments" / "target.toml"
 LIST_CHANGES_PER_REPLACEMENT = 4  # assumed: it drains, goes, joins, and one for its weight
 SECONDS_PER_DAY = 86_400
+HEADROOM_FACTOR = 1.5  # times the target: how far a mechanism must hold
 
 Count = Annotated[StrictInt, Field(ge=1)]
 Amount = Annotated[float, Field(gt=0, strict=True, allow_inf_nan=False)]
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -11,8 +11,9 @@
 
 from scale_experiments import fit, report
 from scale_experiments.capacity import formatting, model, paths, schema
-from scale_experiments.fitting import forms as fitted
 from scale_experiments.fitting import observations, selection
+from scale_experiments.fitting.forms import Form
+from scale_experiments.fitting.observations import Observation
 from scale_experiments.results import load_result
 from scale_experiments.target import load_target
 
@@ -53,30 +54,32 @@
 def test_a_fit_finds_the_slope_its_error_and_the_form(tmp_path: Path) -> None:
     result = load_result(made_up(tmp_path / "cost.json", 0.002, noise=0.05))
     best = selection.best_fit("cost_s", observations.observations_of(result, "cost_s"))
-    assert best.form is fitted.Form.LINEAR
-    slope, error = best.slopes["caches"]
+    assert best.form is Form.LINEAR
+    slope = best.slopes["caches"]
     # of a line through n points: the noise over the root of the sum of squares about the mean size
     expected = 0.05 / (25 * sum((100.0 * i - 450.0) ** 2 for i in range(1, 9))) ** 0.5
-    assert error == pytest.approx(expected, rel=0.15)
-    assert abs(slope - 0.002) < 3 * error
-    value, error = best.value({"caches": 1600.0})
-    assert abs(value - 3.7) < 3 * error
+    assert slope.standard_error == pytest.approx(expected, rel=0.15)
+    assert abs(slope.value - 0.002) < 3 * slope.standard_error
+    value = best.predict({"caches": 1600.0})
+    assert abs(value.value - 3.7) < 3 * value.standard_error
     assert best.residual == pytest.approx(0.05, rel=0.15)
     assert best.extrapolation_factor({"caches": 1600.0}) == 2.0
     assert (
         selection.best_fit("same_count", observations.observations_of(result, "same_count")).form
-        is fitted.Form.CONSTANT
+        is Form.CONSTANT
     )
 
 
 def test_a_fit_tells_a_power_and_a_product_from_a_line() -> None:
     grid = [{"routers": r, "caches": c} for r in (10.0, 20.0, 40.0) for c in (5.0, 10.0, 20.0)]
-    power = selection.best_fit("x", [(s, 3 * s["routers"] ** 1.5 * s["caches"] ** -0.5) for s in grid])
-    assert power.form is fitted.Form.POWER
-    assert [slope for slope, _ in power.slopes.values()] == pytest.approx([-0.5, 1.5])  # caches, routers
-    product = selection.best_fit("x", [(s, 2 + 0.1 * s["routers"] * s["caches"]) for s in grid])
-    assert product.form is fitted.Form.PRODUCT
-    assert product.value({"routers": 100.0, "caches": 100.0})[0] == pytest.approx(1002)
+    power = selection.best_fit(
+        "x", [Observation(s, 3 * s["routers"] ** 1.5 * s["caches"] ** -0.5) for s in grid]
+    )
+    assert power.form is Form.POWER
+    assert [slope.value for slope in power.slopes.values()] == pytest.approx([-0.5, 1.5])  # caches, routers
+    product = selection.best_fit("x", [Observation(s, 2 + 0.1 * s["routers"] * s["caches"]) for s in grid])
+    assert product.form is Form.PRODUCT
+    assert product.predict({"routers": 100.0, "caches": 100.0}).value == pytest.approx(1002)
 
 
 def test_bad_results_end_with_2_and_one_line_that_names_file_and_field(
