--- a/scale_experiments/capacity/breaking_point.py
+++ b/scale_experiments/capacity/breaking_point.py
@@ -1,31 +1,42 @@
-"""The first point of a growth path at which a limit is exceeded."""
+"""The first point of a growth path at which a budget is exceeded."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-MAX_PROGRESS = 10.0  # ways from today to the target, after which a break is no longer looked for
-SCAN_STEPS = 80  # at which a break is looked for on the way
+MAX_PROGRESS = 10.0  # times the way from today to the target: no breaking point is looked for beyond it
+SCAN_STEPS = 80  # points at which the path is scanned: one half up to the target, the other beyond it
 BISECTION_STEPS = 60
 
 
 def first_exceeding(excess: Callable[[float], float]) -> float | None:
-    """The first t from 0 to MOST at which an excess is above 0; None where it is at none of many steps."""
+    """The first progress from 0 to MAX_PROGRESS at which an excess is above 0; None if there is none.
+
+    An excess that comes and goes between two neighbouring points of the scan is not seen.
+    """
     if excess(0.0) > 0:
         return 0.0
     below = 0.0
     for step in range(1, SCAN_STEPS + 1):
-        # as many steps between 0 and 1 as beyond
-        t = (
-            step / (SCAN_STEPS / 2)
-            if step <= SCAN_STEPS / 2
-            else MAX_PROGRESS ** ((step - SCAN_STEPS / 2) / (SCAN_STEPS / 2))
-        )
-        if excess(t) > 0:
-            above = t
-            for _ in range(BISECTION_STEPS):
-                middle = (below + above) / 2
-                below, above = (below, middle) if excess(middle) > 0 else (middle, above)
-            return above
-        below = t
+        progress = _scan_point(step)
+        if excess(progress) > 0:
+            return _bisect(excess, below, progress)
+        below = progress
     return None
+
+
+def _scan_point(step: int) -> float:
+    """Evenly spaced points up to the target (progress 1), points at even ratios beyond it."""
+    half = SCAN_STEPS / 2
+    return step / half if step <= half else MAX_PROGRESS ** ((step - half) / half)
+
+
+def _bisect(excess: Callable[[float], float], below: float, above: float) -> float:
+    """The crossing between a point without an excess and one with it."""
+    for _ in range(BISECTION_STEPS):
+        middle = (below + above) / 2
+        if excess(middle) > 0:
+            above = middle
+        else:
+            below = middle
+    return above
--- /dev/null
+++ b/scale_experiments/capacity/failure_table.py
@@ -0,0 +1,36 @@
+"""The table of an event: what a failure costs each role."""
+
+from __future__ import annotations
+
+from scale_experiments.capacity.formatting import format_estimate, markdown_table
+from scale_experiments.capacity.kept_results import NotMeasuredError
+from scale_experiments.capacity.model import CapacityModel
+from scale_experiments.capacity.provenance import describe_basis, describe_sources
+from scale_experiments.capacity.schema import FailureImpact
+
+HEADER = ("role", "cost", "at the target", "until all is as before", "worked out from", "known by")
+NOT_MEASURED = "not measured"
+
+
+def failure_table(model: CapacityModel, event: str) -> list[str]:
+    """What an event costs each role at the target, and how long it takes to recover."""
+    return markdown_table(HEADER, [_row(model, f) for f in model.table.failures if f.event == event])
+
+
+def _row(model: CapacityModel, failure: FailureImpact) -> list[str]:
+    title = model.table.role_titles()[failure.role]
+    description = failure.description + (f" ({failure.note})" if failure.note else "")
+    try:
+        return [title, description, *_measured_cells(model, failure)]
+    except NotMeasuredError as e:
+        return [title, description, NOT_MEASURED, NOT_MEASURED, f"wants {e}", NOT_MEASURED]
+
+
+def _measured_cells(model: CapacityModel, failure: FailureImpact) -> list[str]:
+    """Cost, recovery time, sources and basis."""
+    target = model.growth_path.size(1.0)
+    cost = format_estimate(model.estimate(failure, target), failure.unit)
+    recovery = "-"
+    if failure.recovery is not None:
+        recovery = format_estimate(model.estimate(failure, target, failure.recovery), "s")
+    return [cost, recovery, describe_sources(model, failure), describe_basis(model, failure)]
--- a/scale_experiments/capacity/formatting.py
+++ b/scale_experiments/capacity/formatting.py
@@ -3,57 +3,92 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
+from dataclasses import dataclass
 
 from scale_experiments.capacity.breaking_point import MAX_PROGRESS
-from scale_experiments.capacity.model import GrowthPath
+from scale_experiments.capacity.growth_path import GrowthPath
 from scale_experiments.capacity.schema import MISSING_MECHANISM, Unit
 from scale_experiments.estimate import Estimate
-from scale_experiments.number_format import format_number, format_with_error
-
-SCALES: dict[str, tuple[tuple[float, str], ...]] = {
-    "bytes": ((1e12, " TB"), (1e9, " GB"), (1e6, " MB"), (1e3, " KB"), (1.0, " B")),
-    "bytes_per_s": ((1e12, " TB/s"), (1e9, " GB/s"), (1e6, " MB/s"), (1e3, " KB/s"), (1.0, " B/s")),
-    "s": ((86_400.0, " d"), (3_600.0, " h"), (60.0, " min"), (1.0, " s"), (1e-3, " ms"), (1e-6, " µs")),
-    "share": ((0.01, "%"),),
-    "cores": ((1.0, " cores"), (0.01, "% of a core")),
-    "per_s": ((1.0, "/s"),),
-    "per_day": ((1.0, "/day"),),
-    "count": ((1.0, ""),),
+from scale_experiments.number_format import SIGNIFICANT_DIGITS, format_number, format_with_error
+
+
+@dataclass(slots=True, frozen=True)
+class Scale:
+    """A multiple of a unit, and the suffix with which numbers in it are written."""
+
+    factor: float
+    suffix: str
+
+
+# the largest first; a number is written in the first that it reaches
+SCALES: dict[Unit, tuple[Scale, ...]] = {
+    "bytes": (Scale(1e12, " TB"), Scale(1e9, " GB"), Scale(1e6, " MB"), Scale(1e3, " KB"), Scale(1.0, " B")),
+    "bytes_per_s": (
+        Scale(1e12, " TB/s"),
+        Scale(1e9, " GB/s"),
+        Scale(1e6, " MB/s"),
+        Scale(1e3, " KB/s"),
+        Scale(1.0, " B/s"),
+    ),
+    "s": (
+        Scale(86_400.0, " d"),
+        Scale(3_600.0, " h"),
+        Scale(60.0, " min"),
+        Scale(1.0, " s"),
+        Scale(1e-3, " ms"),
+        Scale(1e-6, " µs"),
+    ),
+    "share": (Scale(0.01, "%"),),
+    "cores": (Scale(1.0, " cores"), Scale(0.01, "% of a core")),
+    "per_s": (Scale(1.0, "/s"),),
+    "per_day": (Scale(1.0, "/day"),),
+    "count": (Scale(1.0, ""),),
 }
 
 
-def format_quantity(value: float, unit: Unit, error: float = 0.0, digits: int = 3) -> str:
+def format_quantity(value: float, unit: Unit, digits: int = SIGNIFICANT_DIGITS) -> str:
+    """A number with its unit, in the largest multiple of the unit that it reaches."""
+    scale = _scale_for(value, unit)
+    return _with_suffix(format_number(value / scale.factor, digits), scale)
+
+
+def format_estimate(estimate: Estimate, unit: Unit) -> str:
     """A number with its unit and, where there is one, its standard error."""
+    if not estimate.has_error:
+        return format_quantity(estimate.value, unit)
+    scale = _scale_for(estimate.value, unit)
+    return _with_suffix(format_with_error(estimate.scaled(scale.factor)), scale)
+
+
+def _scale_for(value: float, unit: Unit) -> Scale:
     scales = SCALES[unit]
-    plain = next((s for s in scales if s[0] == 1.0), scales[-1])
-    factor, name = next((s for s in scales if abs(value) >= s[0]), scales[-1]) if value else plain
-    estimate = Estimate(value, error)
-    text = (
-        format_with_error(estimate.scaled(factor))
-        if estimate.has_error
-        else format_number(value / factor, digits)
-    )
-    return text + (" core" if name == " cores" and text == "1" else name)
-
-
-def format_size(growth_path: GrowthPath, t: float | None) -> str:
-    """A point of the way, as routers and caches."""
-    if t is None:
+    if value:
+        return next((scale for scale in scales if abs(value) >= scale.factor), scales[-1])
+    return next((scale for scale in scales if scale.factor == 1.0), scales[-1])
+
+
+def _with_suffix(text: str, scale: Scale) -> str:
+    return "1 core" if text == "1" and scale.suffix == " cores" else text + scale.suffix
+
+
+def format_progress(growth_path: GrowthPath, progress: float | None) -> str:
+    """A point of the growth path, as routers and caches; None is beyond the path."""
+    if progress is None:
         return f"not before {MAX_PROGRESS:g} times the way"
-    if t == 0:
+    if progress == 0:
         return "at today's size"
-    size = growth_path.size(t)
+    size = growth_path.size(progress)
     return f"{size['routers']:,.0f} / {size['caches']:,.0f}"
 
 
+def format_mechanism(mechanism: str) -> str:
+    """The code that carries a demand, as on the page."""
+    if mechanism == MISSING_MECHANISM:
+        return f"**{MISSING_MECHANISM}**"
+    return f"`{mechanism.replace(':', ', ')}`"
+
+
 def markdown_table(header: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
-    """A table in Markdown."""
+    """The lines of a Markdown table; bars in its cells are escaped."""
     lines = ["| " + " | ".join(header) + " |", "| " + " | ".join("---" for _ in header) + " |"]
     return lines + ["| " + " | ".join(cell.replace("|", "\\|") for cell in row) + " |" for row in rows]
-
-
-def format_mechanism(mechanism: str) -> str:
-    """What carries a line, as on the page."""
-    return (
-        f"**{MISSING_MECHANISM}**" if mechanism == MISSING_MECHANISM else f"`{mechanism.replace(':', ', ')}`"
-    )
--- /dev/null
+++ b/scale_experiments/capacity/kept_results.py
@@ -0,0 +1,80 @@
+"""The kept results, and the fits of their metrics."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+from scale_experiments.capacity.schema import MeasuredTerm
+from scale_experiments.fitting.forms import Fit
+from scale_experiments.fitting.observations import Observation, Size, at_largest_size, observations_of
+from scale_experiments.fitting.selection import best_fit, fit_form
+from scale_experiments.results import Result, load_result
+
+BASELINE_SUFFIX = ".before"  # of a result made before the mechanism was built
+
+
+class NotMeasuredError(Exception):
+    """A result that an entry needs is not kept, or has no sample of its metric."""
+
+
+class KeptResults:
+    """Results of a folder, loaded and fitted once each.
+
+    A result may have a baseline, made before the mechanism was built: `baseline` says which of them is used.
+    """
+
+    def __init__(self, folder: Path, baseline: bool) -> None:
+        self.folder = folder
+        self.baseline = baseline
+        # by file name
+        self.loaded: dict[str, Result] = {}
+        self._fits: dict[str, Fit] = {}
+
+    def path(self, name: str) -> Path:
+        """The file of a result; raises NotMeasuredError if there is none."""
+        candidates = (f"{name}.json", f"{name}{BASELINE_SUFFIX}.json")
+        existing = [file for file in candidates if (self.folder / file).exists()]
+        if not existing:
+            raise NotMeasuredError(name)
+        return self.folder / existing[-1 if self.baseline else 0]
+
+    def is_only_baseline(self, name: str) -> bool:
+        """Whether the baseline stands in for a later result that is not kept."""
+        return not self.baseline and self.path(name).stem.endswith(BASELINE_SUFFIX)
+
+    def load(self, name: str) -> Result:
+        """A kept result; raises NotMeasuredError if there is none, InputError if it can't be used."""
+        path = self.path(name)
+        if path.name not in self.loaded:
+            self.loaded[path.name] = load_result(path)
+        return self.loaded[path.name]
+
+    def observations(self, term: MeasuredTerm) -> list[Observation]:
+        """The observations to which a term is fitted; raises NotMeasuredError if there are none."""
+        observations = [
+            observation
+            for observation in observations_of(self.load(term.result), term.metric)
+            if _is_fitted(observation.size, term)
+        ]
+        if not observations:
+            raise NotMeasuredError(f"{term.metric} of {term.result}")
+        return at_largest_size(observations) if term.at_largest_size else observations
+
+    def fit(self, term: MeasuredTerm) -> Fit:
+        """The fit of a term; raises NotMeasuredError without observations, FitError if it can't be fitted."""
+        key = term.model_dump_json(exclude={"column_formulas"})
+        if key not in self._fits:
+            observations = self.observations(term)
+            if term.form is None:
+                self._fits[key] = best_fit(term.metric, observations)
+            else:
+                self._fits[key] = fit_form(term.metric, term.form, observations, term.columns)
+        return self._fits[key]
+
+
+def _is_fitted(size: Size, term: MeasuredTerm) -> bool:
+    return (
+        all(size.get(column, 0) >= smallest for column, smallest in term.min_sizes.items())
+        and all(size.get(column, 0) <= largest for column, largest in term.max_sizes.items())
+        and all(size.get(column) == x for column, x in term.only_sizes.items())
+    )
--- /dev/null
+++ b/scale_experiments/capacity/provenance.py
@@ -0,0 +1,90 @@
+"""How an entry of the capacity table is known: its sources, and how far it is measured."""
+
+from __future__ import annotations
+
+import json
+import math
+from collections.abc import Iterator, Sequence
+
+from scale_experiments.capacity.model import CapacityModel
+from scale_experiments.capacity.paths import RESULTS_FOLDER
+from scale_experiments.capacity.schema import CapacityItem, MeasuredTerm
+from scale_experiments.expression import Expression
+from scale_experiments.fitting.forms import Fit
+from scale_experiments.fitting.observations import SAME_SIZE_TOLERANCE
+from scale_experiments.number_format import FACTOR_DIGITS, SIZE_DIGITS, format_number
+
+
+def describe_basis(model: CapacityModel, item: CapacityItem) -> str:
+    """How an item is known: measured, extrapolated and how far, given, and what is assumed."""
+    terms = [term for name, term in item.terms.items() if name in item.formula.names]
+    fits = [model.results.fit(term) for term in terms]
+    parts = [*_describe_extrapolation(model, item, fits), *_describe_single_sizes(fits)]
+    if any(model.results.is_only_baseline(term.result) for term in terms):
+        parts.append("on the version before only")
+    if assumed := _assumed_parameters(model, item.formula, terms):
+        parts.append("assumed: " + ", ".join(f"`{name}`" for name in assumed))
+    return "; ".join(parts) or "given"
+
+
+def _describe_extrapolation(model: CapacityModel, item: CapacityItem, fits: Sequence[Fit]) -> Iterator[str]:
+    factor = model.extrapolation_factor(item, model.growth_path.size(1.0))
+    if any(fit.size_count > 1 for fit in fits):
+        if factor <= 1.0 + SAME_SIZE_TOLERANCE:
+            yield "measured"
+        else:
+            yield f"extrapolated {format_number(factor, FACTOR_DIGITS)} times"
+
+
+def _describe_single_sizes(fits: Sequence[Fit]) -> Iterator[str]:
+    """The size of each term that was measured at one only; terms of the same size share one."""
+    single_sizes = {json.dumps(fit.fixed): fit.fixed for fit in fits if fit.size_count == 1}
+    for size in single_sizes.values():
+        columns = (f"{column} {format_number(x, SIZE_DIGITS)}" for column, x in size.items())
+        yield "measured only at " + ", ".join(columns)
+
+
+def _assumed_parameters(
+    model: CapacityModel, formula: Expression, terms: Sequence[MeasuredTerm]
+) -> list[str]:
+    """The assumed parameters on which a formula rests, itself or through the sizes of its terms."""
+    names = _all_names(model, formula)
+    for term in terms:
+        for column in model.results.fit(term).columns:
+            names |= _all_names(model, term.column_formulas.get(column) or Expression(column))
+    parameters = (model.parameters[name] for name in sorted(names) if name in model.parameters)
+    return [parameter.name for parameter in parameters if parameter.origin == "assumed"]
+
+
+def _all_names(model: CapacityModel, formula: Expression) -> set[str]:
+    """All names on which a formula rests, through the formulas of parameters."""
+    names, pending = set(formula.names), list(formula.names)
+    while pending:
+        parameter = model.parameters.get(pending.pop())
+        if parameter is not None and parameter.formula is not None:
+            new = parameter.formula.names - names
+            names |= new
+            pending.extend(new)
+    return names
+
+
+def describe_sources(model: CapacityModel, item: CapacityItem) -> str:
+    """The slopes from which an item was worked out, each with its error and a link to its result."""
+    sources = [_describe_source(model, term) for term in item.terms.values()]
+    return "; ".join([*sources, f"`{item.formula.text}`"])
+
+
+def _describe_source(model: CapacityModel, term: MeasuredTerm) -> str:
+    result = model.results.load(term.result)
+    incomplete = "" if result.complete else ", not complete"
+    fit = model.results.fit(term)
+    error = "" if math.isnan(fit.cross_validation_error) else f", off by {fit.cross_validation_error:.1%}"
+    limits = [f" from {format_number(x, SIZE_DIGITS)} {column} on" for column, x in term.min_sizes.items()]
+    limits += [f" up to {format_number(x, SIZE_DIGITS)} {column}" for column, x in term.max_sizes.items()]
+    link = link_to_result(model.results.path(term.result).name)
+    return f"`{term.metric}`: {fit.describe()}{''.join(limits)}{error} ({link}{incomplete})"
+
+
+def link_to_result(file: str) -> str:
+    """A link from the page to the file of a kept result."""
+    return f"[{file.removesuffix('.json')}](../{RESULTS_FOLDER}/{file})"
--- /dev/null
+++ b/scale_experiments/capacity/ranking_table.py
@@ -0,0 +1,107 @@
+"""The tables of breaking points: all demands, the smallest breaking point first."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+
+from scale_experiments.capacity.formatting import format_mechanism, format_progress, markdown_table
+from scale_experiments.capacity.kept_results import NotMeasuredError
+from scale_experiments.capacity.model import CapacityModel
+from scale_experiments.capacity.provenance import describe_basis
+from scale_experiments.capacity.schema import MISSING_MECHANISM, Demand
+from scale_experiments.fitting.observations import SAME_SIZE_TOLERANCE
+from scale_experiments.number_format import FACTOR_DIGITS, format_number
+from scale_experiments.target import HEADROOM_FACTOR
+
+HEADER = (
+    "",
+    "role",
+    "what",
+    "breaks at (routers / caches)",
+    "ratio today",
+    "ratio at the target",
+    f"ratio at {HEADROOM_FACTOR:g} times the target",
+    "known by",
+    "carried by",
+)
+EXCEEDED_WHERE_MEASURED = "broken where measured"
+KEPT_WHERE_MEASURED = "not broken where measured"
+
+
+@dataclass(slots=True, frozen=True)
+class RankedDemand:
+    """A demand with its breaking point, and its utilization of the budget at three sizes."""
+
+    demand: Demand
+    # progress along the growth path; None if the budget is not exceeded on it
+    breaking_point: float | None
+    today: float
+    target: float
+    with_headroom: float
+
+    def sort_key(self) -> tuple[float, float]:
+        """The smallest breaking point first, and the highest utilization where several are the same."""
+        if self.breaking_point is None:
+            return math.inf, -self.target
+        return self.breaking_point, -self.today if self.breaking_point == 0 else -self.target
+
+
+def ranking_table(model: CapacityModel, contradictions: bool = False) -> list[str]:
+    """The demands that have a budget, those that break at any size first.
+
+    Either those whose given figures contradict each other, or all others.
+    """
+    demands = [
+        d for d in model.table.demands if d.budget is not None and d.is_contradiction == contradictions
+    ]
+    ranked: list[RankedDemand] = []
+    without_mechanism: list[Demand] = []
+    for demand in demands:
+        try:
+            ranked.append(_rank(model, demand))
+        except NotMeasuredError:
+            if demand.mechanism == MISSING_MECHANISM:
+                without_mechanism.append(demand)
+    cells = [(demand, ["at any size", "-", "-", "-", "not measured"]) for demand in without_mechanism]
+    cells += [(r.demand, _cells(model, r)) for r in sorted(ranked, key=RankedDemand.sort_key)]
+    titles = model.table.role_titles()
+    rows = [
+        [str(rank), titles[demand.role], demand.title, *middle, format_mechanism(demand.mechanism)]
+        for rank, (demand, middle) in enumerate(cells, 1)
+    ]
+    return markdown_table(HEADER, rows)
+
+
+def _rank(model: CapacityModel, demand: Demand) -> RankedDemand:
+    path = model.growth_path
+    return RankedDemand(
+        demand,
+        breaking_point=model.breaking_point(demand),
+        today=model.utilization(demand, path.size(0.0)),
+        target=model.utilization(demand, path.size(1.0)),
+        with_headroom=model.utilization(demand, path.size_with_headroom()),
+    )
+
+
+def _cells(model: CapacityModel, ranked: RankedDemand) -> list[str]:
+    return [
+        format_breaking_point(model, ranked.demand, ranked.breaking_point),
+        format_number(ranked.today),
+        format_number(ranked.target),
+        format_number(ranked.with_headroom),
+        describe_basis(model, ranked.demand),
+    ]
+
+
+def format_breaking_point(model: CapacityModel, demand: Demand, progress: float | None) -> str:
+    """The size at which a demand breaks, and how far that lies beyond what was measured."""
+    if model.is_measured_at_one_size(demand):
+        return EXCEEDED_WHERE_MEASURED if progress == 0 else KEPT_WHERE_MEASURED
+    text = format_progress(model.growth_path, progress)
+    if progress is None:
+        return text
+    factor = model.extrapolation_factor(demand, model.growth_path.size(progress))
+    if factor <= 1.0 + SAME_SIZE_TOLERANCE:
+        return text
+    return f"{text}, {format_number(factor, FACTOR_DIGITS)} times beyond what was measured"
--- /dev/null
+++ b/scale_experiments/capacity/reader.py
@@ -0,0 +1,80 @@
+"""Reads capacity.toml and checks what its schema can't: that names refer to something, and to one thing."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from pathlib import Path
+
+from pydantic import ValidationError
+
+from scale_experiments.capacity.references import resolve_in_code
+from scale_experiments.capacity.schema import MISSING_MECHANISM, CapacityTable, Heading
+from scale_experiments.experiment import InputError, fault, read_table
+from scale_experiments.expression import Expression
+
+# parameters that may stand for a column of a result's size, and so need not occur in a formula
+COLUMN_PARAMETERS = {"changes_per_s", "requests_per_s"}
+
+
+def read_capacity(path: Path) -> CapacityTable:
+    """Read and check a capacity table; raises InputError with file and field."""
+    try:
+        table = CapacityTable.model_validate(read_table(path))
+    except ValidationError as e:
+        raise InputError(fault(path, e)) from e
+    _check_mechanisms(table, path)
+    _check_demands_differ(table, path)
+    _check_parameters_are_used(table, path)
+    _check_headings_exist(table, path)
+    return table
+
+
+def _check_mechanisms(table: CapacityTable, path: Path) -> None:
+    for i, demand in enumerate(table.demands):
+        if demand.mechanism != MISSING_MECHANISM:
+            resolve_in_code(demand.mechanism, f"{path}: lines[{i}].mechanism")
+
+
+def _check_demands_differ(table: CapacityTable, path: Path) -> None:
+    first: dict[tuple[str, str, str], int] = {}
+    for i, demand in enumerate(table.demands):
+        j = first.setdefault((demand.role, demand.resource, demand.description), i)
+        if j != i:
+            raise InputError(
+                f"{path}: lines[{i}].what: must differ from lines[{j}].what, which has the same role and"
+                f" kind: {demand.description!r}"
+            )
+
+
+def _check_parameters_are_used(table: CapacityTable, path: Path) -> None:
+    used = {name for formula in _formulas(table) for name in formula.names}
+    unused = {parameter.name for parameter in table.parameters} - used - COLUMN_PARAMETERS
+    if unused:
+        raise InputError(f"{path}: figures: {min(unused)!r} must be used by a formula, or be removed")
+
+
+def _formulas(table: CapacityTable) -> Iterator[Expression]:
+    """All formulas of the table."""
+    optional = [parameter.formula for parameter in table.parameters]
+    optional += [demand.budget for demand in table.demands]
+    optional += [failure.recovery for failure in table.failures]
+    yield from (formula for formula in optional if formula is not None)
+    for item in (*table.demands, *table.failures):
+        yield item.formula
+        for term in item.terms.values():
+            yield from term.column_formulas.values()
+
+
+def _check_headings_exist(table: CapacityTable, path: Path) -> None:
+    for i, demand in enumerate(table.demands):
+        _check_heading_exists(demand.role, table.roles, f"{path}: lines[{i}].role")
+    for i, failure in enumerate(table.failures):
+        _check_heading_exists(failure.role, table.roles, f"{path}: failures[{i}].role")
+    for i, failure in enumerate(table.failures):
+        _check_heading_exists(failure.event, table.events, f"{path}: failures[{i}].event")
+
+
+def _check_heading_exists(name: str, headings: list[Heading], location: str) -> None:
+    known = [heading.name for heading in headings]
+    if name not in known:
+        raise InputError(f"{location}: must be one of {', '.join(known)}, not {name!r}")
--- /dev/null
+++ b/scale_experiments/capacity/references.py
@@ -0,0 +1,42 @@
+"""Names in capacity.toml that refer to the router's code and to target.toml."""
+
+from __future__ import annotations
+
+import importlib
+from typing import Any
+
+from scale_experiments.capacity.paths import TARGET_FILE
+from scale_experiments.experiment import InputError
+from scale_experiments.target import Target
+
+
+def resolve_in_code(reference: str, location: str) -> Any:
+    """The object at module:name; raises InputError, with the location, if there is none.
+
+    The page names the code that carries a demand, so that code has to exist.
+    """
+    module, _, path = reference.partition(":")
+    try:
+        found: Any = importlib.import_module(module)
+        for name in path.split("."):
+            found = getattr(found, name)
+    except (ImportError, AttributeError, ValueError) as e:
+        raise InputError(f"{location}: must be module:name of the code, not {reference!r}: {e}") from e
+    return found
+
+
+def resolve_in_target(target: Target, reference: str, location: str) -> float:
+    """The number of target.toml at table.name or table.name.index; raises InputError if there is none."""
+    found: Any = target
+    for name in reference.split("."):
+        found = _element(found, name)
+    if not isinstance(found, (int, float)):
+        raise InputError(f"{location}: must name a number of {TARGET_FILE.name}, not {reference!r}")
+    return float(found)
+
+
+def _element(container: Any, name: str) -> Any:
+    if name.isdigit() and isinstance(container, tuple):
+        index = int(name)
+        return container[index] if index < len(container) else None
+    return getattr(container, name, None)
--- a/scale_experiments/capacity/schema.py
+++ b/scale_experiments/capacity/schema.py
@@ -1,135 +1,144 @@
-"""The schema of `capacity.toml`, and reading it."""
+"""The schema of capacity.toml.
+
+Where a key of the file is not the code's term for it, the field's alias names the key; errors name the key.
+"""
 
 from __future__ import annotations
 
-import importlib
-from pathlib import Path
 from typing import Annotated, Any, Literal
 
-from pydantic import BaseModel, BeforeValidator, ConfigDict, Field, ValidationError, model_validator
+from pydantic import BaseModel, BeforeValidator, ConfigDict, Field, model_validator
 
-from scale_experiments.capacity.paths import TARGET_FILE
-from scale_experiments.experiment import InputError, fault, read_table
 from scale_experiments.expression import Expression
 from scale_experiments.fitting.forms import Form
-from scale_experiments.target import Target
 
 MISSING_MECHANISM = "missing"
 
 
-def _expression(value: Any) -> Any:
+def _parse_formula(value: Any) -> Any:
+    """An expression from a string or a number; anything else is left for the schema to reject."""
     if isinstance(value, (int, float)) and not isinstance(value, bool):
         return Expression(repr(value))
     return Expression(value) if isinstance(value, str) else value
 
 
-Formula = Annotated[Expression, BeforeValidator(_expression)]
+Formula = Annotated[Expression, BeforeValidator(_parse_formula)]
 Unit = Literal["cores", "share", "s", "bytes", "bytes_per_s", "per_s", "per_day", "count"]
+ParameterOrigin = Literal["given", "code", "assumed"]
+Resource = Literal["state", "messages", "processor time", "memory", "bytes", "connections", "time"]
 
 
 class StrictModel(BaseModel):
-    """A part of capacity.toml; unknown fields are errors."""
+    """A part of capacity.toml; unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", arbitrary_types_allowed=True, frozen=True)
 
 
 class Parameter(StrictModel):
-    """A number that was not measured: `given` by the operators, in the `code`, or `assumed`.
+    """A number that was not measured: given by the operators, set in the code, or assumed.
 
-    It stands in target.toml (`target`), in a module of the router (`code`, as module:name), or is worked out
-    from others (`value`).
+    It is a number of target.toml (`target_path`, table.name or table.name.index), a constant of the router
+    (`code_path`, module:name), or worked out from other parameters (`formula`).
     """
 
     name: str
-    target: str | None = None
-    code: str | None = None
-    value: Formula | None = None
-    kind: Literal["given", "code", "assumed"]
+    target_path: str | None = Field(default=None, alias="target")
+    code_path: str | None = Field(default=None, alias="code")
+    formula: Formula | None = Field(default=None, alias="value")
+    origin: ParameterOrigin = Field(alias="kind")
     unit: Unit
-    source: str = ""  # where it was given, or why it is assumed
+    # where it was given, or why it is assumed
+    source: str = ""
 
     @model_validator(mode="after")
-    def _once(self) -> Parameter:
-        if [self.target, self.code, self.value].count(None) != 2:
-            raise ValueError("wants one of target, code and value")
+    def _has_one_definition(self) -> Parameter:
+        if [self.target_path, self.code_path, self.formula].count(None) != 2:
+            raise ValueError("must have exactly one of target, code and value")
         return self
 
 
 class MeasuredTerm(StrictModel):
-    """A metric of a kept result, fitted; `at` gives columns of its size other than routers and caches."""
+    """A term of a formula: a metric of a kept result, fitted against the size."""
 
     result: str
     metric: str
-    form: Form | None = None  # the best of all where it is absent
-    over: list[str] | None = None  # the columns of `form`; all that vary where it is absent
-    at: dict[str, Formula] = {}
-    at_largest_size: bool = Field(
-        default=False, alias="largest_only"
-    )  # what was measured at the largest size, and no fit
-    least: dict[
-        str, float
-    ] = {}  # the smallest sizes that are fitted, by column: today's, where a slope bends
-
-    most: dict[
-        str, float
-    ] = {}  # the largest sizes that are fitted, by column: beyond, the rig was at its end
-    where: dict[str, float] = {}  # the only sizes that are fitted, by column
+    # the best of all forms where it is not given
+    form: Form | None = None
+    # the columns of `form`; all that vary where they are not given
+    columns: list[str] | None = Field(default=None, alias="over")
+    # columns of the size that are neither `routers`, `caches` nor a parameter of the same name
+    column_formulas: dict[str, Formula] = Field(default={}, alias="at")
+    # take the mean at the largest measured size, without a fit
+    at_largest_size: bool = Field(default=False, alias="largest_only")
+    # the smallest sizes that are fitted, by column: today's, where a slope bends below it
+    min_sizes: dict[str, float] = Field(default={}, alias="least")
+    # the largest sizes that are fitted, by column: beyond, the machine that measured was at its limit
+    max_sizes: dict[str, float] = Field(default={}, alias="most")
+    # the only sizes that are fitted, by column
+    only_sizes: dict[str, float] = Field(default={}, alias="where")
 
     @model_validator(mode="after")
-    def _both(self) -> MeasuredTerm:
-        if self.over is not None and self.form is None:
-            raise ValueError("over wants a form")
+    def _columns_need_a_form(self) -> MeasuredTerm:
+        if self.columns is not None and self.form is None:
+            raise ValueError("over must come with a form")
         return self
 
 
 class CapacityItem(StrictModel):
-    """What lines of size and lines of failure have in common."""
+    """What steady demands and failure impacts have in common."""
 
     role: str
-    what: str
+    description: str = Field(alias="what")
     unit: Unit
-    value: Formula
-    measured: dict[str, MeasuredTerm] = {}
+    formula: Formula = Field(alias="value")
+    terms: dict[str, MeasuredTerm] = Field(default={}, alias="measured")
     note: str = ""
 
 
 class Demand(CapacityItem):
-    """Something that a role carries all day."""
+    """What a role has to carry all day, and the budget that it may take for it."""
 
-    kind: Literal["state", "messages", "processor time", "memory", "bytes", "connections", "time"]
+    resource: Resource = Field(alias="kind")
     budget: Formula | None = None
-    mechanism: str  # module:function, or `missing`
-    contradiction: bool = False  # figures that can't all hold; no mechanism mends it
+    # module:name of the code that carries it, or MISSING_MECHANISM
+    mechanism: str
+    # whether the given figures contradict each other, so that no mechanism can keep the budget
+    is_contradiction: bool = Field(default=False, alias="contradiction")
+
+    @property
+    def title(self) -> str:
+        """The resource and the description, as on the page."""
+        return f"{self.resource}: {self.description}"
 
 
 class FailureImpact(CapacityItem):
-    """What an everyday failure costs a role, and how long it is until all is as before."""
+    """What an everyday failure costs a role, and the seconds until all is as before."""
 
     event: str
-    recovery: Formula | None = None  # seconds
+    recovery: Formula | None = None
 
 
 class Comparison(StrictModel):
-    """Metrics of a result made before a mechanism was built, beside the same ones after.
-
-    `reference` is a metric of a fixed piece of work, by which seconds of differently busy machines compare.
-    `at` names the sizes that are shown, by a column each; all where it is empty.
-    """
+    """Metrics of a baseline result, made before a mechanism was built, beside the same ones after."""
 
     result: str
     metrics: list[str] = Field(min_length=1)
     units: list[Unit] = Field(min_length=1)
-    reference: str | None = None
-    at: dict[str, list[float]] = {}
+    # a metric of a fixed piece of work, by which seconds of differently busy machines compare
+    reference_metric: str | None = Field(default=None, alias="reference")
+    # the sizes that are shown, by column; all where it is empty
+    sizes: dict[str, list[float]] = Field(default={}, alias="at")
 
     @model_validator(mode="after")
-    def _pairs(self) -> Comparison:
+    def _has_a_unit_for_each_metric(self) -> Comparison:
         if len(self.metrics) != len(self.units):
-            raise ValueError("wants a unit for each metric")
+            raise ValueError("units must be as many as metrics")
         return self
 
 
 class Heading(StrictModel):
+    """The name by which entries refer to a role or an event, and its title on the page."""
+
     name: str
     title: str
 
@@ -140,62 +149,18 @@
     roles: list[Heading]
     events: list[Heading]
     parameters: list[Parameter] = Field(alias="figures")
-    lines: list[Demand]
+    demands: list[Demand] = Field(alias="lines")
     failures: list[FailureImpact]
     comparisons: list[Comparison] = []
 
-
-def read_capacity(path: Path) -> CapacityTable:
-    """Read and check the table of lines; raises InputError with file and field."""
-    try:
-        capacity = CapacityTable.model_validate(read_table(path))
-    except ValidationError as e:
-        raise InputError(fault(path, e)) from e
-    for i, line in enumerate(capacity.lines):
-        if line.mechanism != MISSING_MECHANISM:
-            resolve_in_code(line.mechanism, f"{path}: lines[{i}].mechanism")
-    known: list[tuple[str, str, list[Heading]]] = [
-        *((f"lines[{i}].role", x.role, capacity.roles) for i, x in enumerate(capacity.lines)),
-        *((f"failures[{i}].role", x.role, capacity.roles) for i, x in enumerate(capacity.failures)),
-        *((f"failures[{i}].event", x.event, capacity.events) for i, x in enumerate(capacity.failures)),
-    ]
-    formulas: list[Expression | None] = [f.value for f in capacity.parameters]
-    formulas += [x for line in capacity.lines for x in (line.value, line.budget)]
-    formulas += [x for failure in capacity.failures for x in (failure.value, failure.recovery)]
-    carried: list[CapacityItem] = [*capacity.lines, *capacity.failures]
-    formulas += [x for c in carried for m in c.measured.values() for x in m.at.values()]
-    titles = [(line.role, line.kind, line.what) for line in capacity.lines]
-    if twice := next((t for i, t in enumerate(titles) if t in titles[:i]), None):
-        raise InputError(f"{path}: lines: {', '.join(twice)} is there twice")
-    unused = {f.name for f in capacity.parameters}.difference(*(f.names for f in formulas if f is not None))
-    # a column of a size may be a figure of the same name
-    if unused := unused - {"changes_per_s", "requests_per_s"}:
-        raise InputError(f"{path}: figures: {min(unused)!r} is used by no line")
-    for where, name, names in known:
-        if name not in {n.name for n in names}:
-            raise InputError(f"{path}: {where}: {name!r} is not known")
-    return capacity
-
-
-def resolve_in_code(name: str, where: str) -> Any:
-    """What stands at module:name; guards the page, as what it says stands must stand in the code."""
-    module, _, path = name.partition(":")
-    try:
-        found: Any = importlib.import_module(module)
-        for part in path.split("."):
-            found = getattr(found, part)
-    except (ImportError, AttributeError, ValueError) as e:
-        raise InputError(f"{where}: {name!r} does not exist: {e}") from e
-    return found
-
-
-def resolve_in_target(target: Target, name: str, where: str) -> float:
-    """A number of target.toml at table.name or table.name.index."""
-    found: Any = target
-    for part in name.split("."):
-        found = (
-            found[int(part)] if part.isdigit() and isinstance(found, tuple) else getattr(found, part, None)
-        )
-    if not isinstance(found, (int, float)):
-        raise InputError(f"{where}: {name!r} is no number of {TARGET_FILE.name}")
-    return float(found)
+    def location(self, item: CapacityItem) -> str:
+        """Where an item stands in the file, such as `lines[3]`."""
+        for key, items in (("lines", self.demands), ("failures", self.failures)):
+            for i, each in enumerate(items):
+                if each is item:
+                    return f"{key}[{i}]"
+        raise LookupError(f"no item of the table: {item.description}")
+
+    def role_titles(self) -> dict[str, str]:
+        """The title of each role, by name."""
+        return {role.name: role.title for role in self.roles}
--- a/scale_experiments/fit.py
+++ b/scale_experiments/fit.py
@@ -15,12 +15,11 @@
 from scale_experiments.fitting.forms import Fit, FitError
 from scale_experiments.fitting.observations import Size, observations_of
 from scale_experiments.fitting.selection import fit_all_forms
-from scale_experiments.number_format import ERROR_DIGITS, format_number
+from scale_experiments.number_format import ERROR_DIGITS, SIZE_DIGITS, format_number
 from scale_experiments.results import Result, load_result
 from scale_experiments.target import HEADROOM_FACTOR, Target, load_target
 
 METRIC_WIDTH = 28  # characters
-SIZE_DIGITS = 5  # significant digits of a size
 
 
 def target_columns(target: Target) -> dict[str, float]:
--- a/scale_experiments/number_format.py
+++ b/scale_experiments/number_format.py
@@ -8,6 +8,8 @@
 
 SIGNIFICANT_DIGITS = 3
 ERROR_DIGITS = 2
+FACTOR_DIGITS = 2  # of how far a size lies beyond what was measured
+SIZE_DIGITS = 5
 MAX_PLAIN = 1e15  # larger numbers keep their exponent
 
 
--- a/scale_experiments/report.py
+++ b/scale_experiments/report.py
@@ -1,54 +1,73 @@
-"""Writes the tables of docs/CAPACITY.md from kept results and from the lines of `capacity.toml`.
+"""The command `report`: writes the tables of docs/CAPACITY.md, or checks them.
 
-A line is something that a role has to carry: what it takes at a size, worked out by a small expression from
-metrics that were measured and fitted, figures that the operators gave, and assumptions; what it may take; and
-the module and function that carries it. Its break is the size on the straight line from today's fleet to the
-target, and beyond, at which it first takes more than it may.
+The tables are worked out from kept results and from capacity.toml. An entry of it says what a role has to
+carry, as a formula of fitted metrics and of figures that were given or assumed; the budget that it may take;
+and the code that carries it. Its breaking point is the size on the straight line from today's fleet to the
+target, and beyond, at which it first exceeds its budget.
 """
 
 from __future__ import annotations
 
 import sys
+from dataclasses import dataclass
+from itertools import zip_longest
 from pathlib import Path
 
 from scale_experiments.capacity.markers import replace_tables
-from scale_experiments.capacity.page import Page
+from scale_experiments.capacity.page import page_tables
 from scale_experiments.capacity.paths import CAPACITY_PAGE, CAPACITY_TABLE, RESULTS_FOLDER, ROOT, TARGET_FILE
-from scale_experiments.capacity.schema import read_capacity
+from scale_experiments.capacity.reader import read_capacity
 from scale_experiments.experiment import InputError
 from scale_experiments.expression import ExpressionError
 from scale_experiments.fitting.forms import FitError
 from scale_experiments.target import load_target
 
+SAME, DIFFERENT, BAD_INPUT = 0, 1, 2  # exit statuses
+END_OF_PAGE = "(end)"
 
-def render(root: Path = ROOT) -> tuple[str, str]:
-    """The page as it is and as the results give it."""
-    page = Page(read_capacity(root / CAPACITY_TABLE), load_target(root / TARGET_FILE), root / RESULTS_FOLDER)
+
+@dataclass(slots=True, frozen=True)
+class Rendering:
+    """The page as it is kept, and as the results give it."""
+
+    kept: str
+    expected: str
+
+
+def render(root: Path = ROOT) -> Rendering:
+    """Work out the tables of the page below a root.
+
+    Raises InputError, ExpressionError, FitError or OSError if the page or what it rests on can't be used.
+    """
+    table = read_capacity(root / CAPACITY_TABLE)
+    tables = page_tables(table, load_target(root / TARGET_FILE), root / RESULTS_FOLDER)
     kept = (root / CAPACITY_PAGE).read_text()
-    return kept, replace_tables(kept, page.parts, str(CAPACITY_PAGE))
+    return Rendering(kept, replace_tables(kept, tables, str(CAPACITY_PAGE)))
+
+
+def describe_first_difference(page: Rendering) -> str:
+    """The first line in which the page as kept differs from the expected one."""
+    pairs = zip_longest(page.kept.splitlines(), page.expected.splitlines(), fillvalue=END_OF_PAGE)
+    for number, (kept, expected) in enumerate(pairs, 1):
+        if kept != expected:
+            return f"{CAPACITY_PAGE}:{number}: the page has {kept!r}, the results give {expected!r}"
+    return f"{CAPACITY_PAGE}: the page and the results differ in the ends of lines"
 
 
 def main(check: bool, root: Path = ROOT) -> int:
-    """Write the tables, or with `check` compare only. 0; 1 where page and results differ; 2 for bad input."""
+    """Write the tables, or with `check` compare only; returns the exit status."""
     try:
-        kept, wanted = render(root)
+        page = render(root)
     except (ExpressionError, FitError) as e:
         print(f"{CAPACITY_TABLE}: {e}", file=sys.stderr)
-        return 2
+        return BAD_INPUT
     except (InputError, OSError) as e:
         print(e, file=sys.stderr)
-        return 2
+        return BAD_INPUT
     if not check:
-        (root / CAPACITY_PAGE).write_text(wanted)
-        return 0
-    if kept == wanted:
-        return 0
-    old, new = kept.splitlines(), wanted.splitlines()
-    at = next((i for i, (a, b) in enumerate(zip(old, new, strict=False)) if a != b), min(len(old), len(new)))
-    have, want = (x[at] if at < len(x) else "(end)" for x in (old, new))
-    print(
-        f"scale_experiments report: {CAPACITY_PAGE}:{at + 1}: the page has {have!r},"
-        f" the results give {want!r}",
-        file=sys.stderr,
-    )
-    return 1
+        (root / CAPACITY_PAGE).write_text(page.expected)
+        return SAME
+    if page.kept == page.expected:
+        return SAME
+    print(f"scale_experiments report: {describe_first_difference(page)}", file=sys.stderr)
+    return DIFFERENT
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,10 +10,16 @@
 import pytest
 
 from scale_experiments import fit, report
-from scale_experiments.capacity import formatting, model, paths, schema
-from scale_experiments.fitting import observations, selection
+from scale_experiments.capacity.formatting import format_progress
+from scale_experiments.capacity.kept_results import NotMeasuredError
+from scale_experiments.capacity.model import CapacityModel
+from scale_experiments.capacity.paths import CAPACITY_PAGE, CAPACITY_TABLE, RESULTS_FOLDER, ROOT, TARGET_FILE
+from scale_experiments.capacity.provenance import describe_basis
+from scale_experiments.capacity.reader import read_capacity
+from scale_experiments.capacity.schema import CapacityTable
 from scale_experiments.fitting.forms import Form
-from scale_experiments.fitting.observations import Observation
+from scale_experiments.fitting.observations import Observation, observations_of
+from scale_experiments.fitting.selection import best_fit
 from scale_experiments.results import load_result
 from scale_experiments.target import load_target
 
@@ -53,7 +59,7 @@
 
 def test_a_fit_finds_the_slope_its_error_and_the_form(tmp_path: Path) -> None:
     result = load_result(made_up(tmp_path / "cost.json", 0.002, noise=0.05))
-    best = selection.best_fit("cost_s", observations.observations_of(result, "cost_s"))
+    best = best_fit("cost_s", observations_of(result, "cost_s"))
     assert best.form is Form.LINEAR
     slope = best.slopes["caches"]
     # of a line through n points: the noise over the root of the sum of squares about the mean size
@@ -64,20 +70,15 @@
     assert abs(value.value - 3.7) < 3 * value.standard_error
     assert best.residual == pytest.approx(0.05, rel=0.15)
     assert best.extrapolation_factor({"caches": 1600.0}) == 2.0
-    assert (
-        selection.best_fit("same_count", observations.observations_of(result, "same_count")).form
-        is Form.CONSTANT
-    )
+    assert best_fit("same_count", observations_of(result, "same_count")).form is Form.CONSTANT
 
 
 def test_a_fit_tells_a_power_and_a_product_from_a_line() -> None:
     grid = [{"routers": r, "caches": c} for r in (10.0, 20.0, 40.0) for c in (5.0, 10.0, 20.0)]
-    power = selection.best_fit(
-        "x", [Observation(s, 3 * s["routers"] ** 1.5 * s["caches"] ** -0.5) for s in grid]
-    )
+    power = best_fit("x", [Observation(s, 3 * s["routers"] ** 1.5 * s["caches"] ** -0.5) for s in grid])
     assert power.form is Form.POWER
     assert [slope.value for slope in power.slopes.values()] == pytest.approx([-0.5, 1.5])  # caches, routers
-    product = selection.best_fit("x", [Observation(s, 2 + 0.1 * s["routers"] * s["caches"]) for s in grid])
+    product = best_fit("x", [Observation(s, 2 + 0.1 * s["routers"] * s["caches"]) for s in grid])
     assert product.form is Form.PRODUCT
     assert product.predict({"routers": 100.0, "caches": 100.0}).value == pytest.approx(1002)
 
@@ -96,7 +97,7 @@
     assert "samples[3].metrics.cost_s" in said
 
 
-LINES = """
+ENTRIES = """
 roles = [{ name = "router", title = "Router" }]
 events = []
 failures = []
@@ -133,32 +134,33 @@
 """
 
 
-def capacity(tmp_path: Path) -> schema.CapacityTable:
+def read_entries(tmp_path: Path) -> CapacityTable:
     path = tmp_path / "capacity.toml"
-    path.write_text(LINES)
-    return schema.read_capacity(path)
+    path.write_text(ENTRIES)
+    return read_capacity(path)
 
 
-def test_a_line_breaks_where_the_way_first_leaves_its_budget(tmp_path: Path) -> None:
+def test_a_demand_breaks_where_the_growth_path_first_leaves_its_budget(tmp_path: Path) -> None:
     made_up(tmp_path / "cost.json", 0.002, most=400)
-    capacity_model = model.CapacityModel(capacity(tmp_path), load_target(), tmp_path)
-    cost, peers, missing = capacity_model.capacity.lines
-    # 0.5 + 0.002 x caches is 1.34 at 420 caches, 220 of 640 on the way
-    assert capacity_model.break_at(cost) == pytest.approx(220 / 640)
-    assert formatting.format_size(capacity_model.growth_path, capacity_model.break_at(cost)) == "2,572 / 420"
-    assert capacity_model.basis(cost) == "extrapolated 2.1 times"
-    assert capacity_model.break_at(peers) is None  # 7,100 / 840 is 8.5, and never more than 6,900 / 640
-    assert capacity_model.basis(peers) == "given"
-    assert capacity_model.ratio(peers, capacity_model.growth_path.size(1.0)) == pytest.approx(7100 / 840 / 20)
-    with pytest.raises(model.NotMeasured):
-        capacity_model.break_at(missing)
+    model = CapacityModel(read_entries(tmp_path), load_target(), tmp_path)
+    path = model.growth_path
+    cost, peers, missing = model.table.demands
+    # 0.5 + 0.002 x caches is 1.34 at 420 caches, 220 of 640 on the path
+    assert model.breaking_point(cost) == pytest.approx(220 / 640)
+    assert format_progress(path, model.breaking_point(cost)) == "2,572 / 420"
+    assert describe_basis(model, cost) == "extrapolated 2.1 times"
+    assert model.breaking_point(peers) is None  # 7,100 / 840 is 8.5, and never more than 6,900 / 640
+    assert describe_basis(model, peers) == "given"
+    assert model.utilization(peers, path.size(1.0)) == pytest.approx(7100 / 840 / 20)
+    with pytest.raises(NotMeasuredError):
+        model.breaking_point(missing)
 
 
 def copy_of_the_page(tmp_path: Path) -> Path:
-    for part in (paths.CAPACITY_TABLE, paths.CAPACITY_PAGE, paths.TARGET_FILE):
+    for part in (CAPACITY_TABLE, CAPACITY_PAGE, TARGET_FILE):
         (tmp_path / part).parent.mkdir(parents=True, exist_ok=True)
-        shutil.copy(paths.ROOT / part, tmp_path / part)
-    shutil.copytree(paths.ROOT / paths.RESULTS_FOLDER, tmp_path / paths.RESULTS_FOLDER)
+        shutil.copy(ROOT / part, tmp_path / part)
+    shutil.copytree(ROOT / RESULTS_FOLDER, tmp_path / RESULTS_FOLDER)
     return tmp_path
 
 
@@ -170,7 +172,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     root = copy_of_the_page(tmp_path)
-    page = root / paths.CAPACITY_PAGE
+    page = root / CAPACITY_PAGE
     kept = page.read_text()
     lines = kept.splitlines()
     at = next(i for i, line in enumerate(lines) if line.startswith("| 1 |"))
@@ -186,14 +188,14 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     root = copy_of_the_page(tmp_path)
-    lines = root / paths.CAPACITY_TABLE
-    good = lines.read_text()
+    table = root / CAPACITY_TABLE
+    good = table.read_text()
     for old, new, field in (
         ('kind = "given"', 'kind = "guessed"', "figures[0].kind"),
         ('target = "', 'aim = "', "figures[0].aim"),
     ):
         assert old in good
-        lines.write_text(good.replace(old, new, 1))
+        table.write_text(good.replace(old, new, 1))
         assert report.main(check=True, root=root) == 2
         said = capsys.readouterr().err
         assert said.count("\n") == 1
