--- a/scale_experiments/cpu.py
+++ b/scale_experiments/cpu.py
@@ -1,4 +1,4 @@
-"""CPU seconds of other processes, finer than the kernel's ticks of 10 ms."""
+"""CPU time of other processes, finer than the kernel's ticks of 10 ms."""
 
 from __future__ import annotations
 
@@ -6,17 +6,16 @@
 import os
 import time
 
-LIBC = ctypes.CDLL(None, use_errno=True)
+C_LIBRARY = ctypes.CDLL(None, use_errno=True)
 
 
-def process_cpu_s(process: int) -> float:
-    """CPU seconds of a process, all threads, user and system; raises OSError where there is none.
+def process_cpu_s(process_id: int) -> float:
+    """CPU seconds of a process, all threads, user and system; raises OSError if there is no such process.
 
-
-    By POSIX `clock_getcpuclockid`; the resolution is the scheduler's, well under a microsecond.
+    Read by POSIX `clock_getcpuclockid`; the resolution is the scheduler's, well under a microsecond.
     """
     clock = ctypes.c_int()
-    error = LIBC.clock_getcpuclockid(ctypes.c_int(process), ctypes.byref(clock))
+    error = C_LIBRARY.clock_getcpuclockid(ctypes.c_int(process_id), ctypes.byref(clock))
     if error:
-        raise OSError(error, os.strerror(error), f"process {process}")
+        raise OSError(error, os.strerror(error), f"process {process_id}")
     return time.clock_gettime(clock.value)
--- a/scale_experiments/expression.py
+++ b/scale_experiments/expression.py
@@ -22,63 +22,71 @@
     "exp": math.exp,
     "log": math.log,
 }
+ALLOWED = f"numbers, names, + - * / **, brackets and the functions {', '.join(FUNCTIONS)}"
 
 
 class ExpressionError(ValueError):
-    """An expression that can't be used; the message says why."""
+    """An expression that can't be parsed or evaluated; the message says why."""
 
 
 class Expression:
-    """An expression of numbers, names, + - * / **, brackets and the functions min, max, sqrt, exp and log."""
+    """An expression of numbers, names, + - * / **, brackets and the functions min, max, sqrt, exp and log.
+
+    `text` is the source, `names` are the names that it needs a value for.
+    """
 
     def __init__(self, text: str) -> None:
+        """Parse an expression; raises ExpressionError if it is too long or holds anything else."""
         self.text = text
         if len(text) > MAX_LENGTH:
-            raise ExpressionError(f"longer than {MAX_LENGTH} characters")
+            raise ExpressionError(f"must have at most {MAX_LENGTH} characters")
         try:
-            self.tree = ast.parse(text, mode="eval").body
+            self._tree = ast.parse(text, mode="eval").body
         except (SyntaxError, ValueError, RecursionError) as e:
-            raise ExpressionError(f"not an expression: {text!r}") from e
-        self.names: set[str] = set()  # that it needs
-        self._check(self.tree)
+            raise ExpressionError("must be an arithmetic expression") from e
+        self.names: set[str] = set()
+        self._check(self._tree)
+
+    def value(self, lookup: Callable[[str], float]) -> float:
+        """The value, with each name looked up; raises ExpressionError if the arithmetic fails."""
+        return self._evaluate(self._tree, lookup)
 
     def _check(self, node: ast.AST) -> None:
+        """Collect the names below a node; raises ExpressionError for nodes that are not allowed."""
         match node:
-            case ast.Constant(value=bool()):
-                pass
-            case ast.Constant(value=int() | float()):
-                return None
+            case ast.Constant(value=int() | float() as number) if not isinstance(number, bool):
+                return
             case ast.Name(id=name):
                 self.names.add(name)
-                return None
+                return
             case ast.UnaryOp(op=ast.USub() | ast.UAdd(), operand=operand):
-                return self._check(operand)
+                self._check(operand)
+                return
             case ast.BinOp(left=left, op=op, right=right) if type(op) in OPERATORS:
                 self._check(left)
-                return self._check(right)
+                self._check(right)
+                return
             case ast.Call(func=ast.Name(id=name), args=args, keywords=[]) if name in FUNCTIONS and args:
                 for arg in args:
                     self._check(arg)
-                return None
-        raise ExpressionError(f"{ast.unparse(node) if isinstance(node, ast.expr) else node!r} is not allowed")
-
-    def value(self, lookup: Callable[[str], float]) -> float:
-        """Its value, with each name looked up; raises ExpressionError where arithmetic fails."""
-        return self._value(self.tree, lookup)
+                return
+        source = ast.unparse(node) if isinstance(node, ast.expr) else repr(node)
+        raise ExpressionError(f"{source} is not allowed; must be of {ALLOWED}")
 
-    def _value(self, node: ast.AST, lookup: Callable[[str], float]) -> float:
+    def _evaluate(self, node: ast.AST, lookup: Callable[[str], float]) -> float:
         match node:
             case ast.Constant(value=int() | float() as number):
                 return float(number)
             case ast.Name(id=name):
                 return float(lookup(name))
             case ast.UnaryOp(op=op, operand=operand):
-                value = self._value(operand, lookup)
+                value = self._evaluate(operand, lookup)
                 return -value if isinstance(op, ast.USub) else value
             case ast.BinOp(left=left, op=op, right=right):
-                return self._apply(OPERATORS[type(op)], self._value(left, lookup), self._value(right, lookup))
+                operands = self._evaluate(left, lookup), self._evaluate(right, lookup)
+                return self._apply(OPERATORS[type(op)], *operands)
             case ast.Call(func=ast.Name(id=name), args=args):
-                return self._apply(FUNCTIONS[name], *(self._value(a, lookup) for a in args))
+                return self._apply(FUNCTIONS[name], *(self._evaluate(arg, lookup) for arg in args))
         raise ExpressionError(f"{self.text!r} can't be evaluated")
 
     def _apply(self, function: Callable[..., float], *values: float) -> float:
--- a/scale_experiments/target.py
+++ b/scale_experiments/target.py
@@ -1,4 +1,7 @@
-"""The size of today's fleet and the one planned for, from `scale_experiments/experiments/target.toml`."""
+"""The size of today's fleet and the one planned for, from target.toml.
+
+Fields have the names of the file's keys, as capacity.toml refers to them by these.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 from scale_experiments.experiment import InputError, fault, read_table
 
 TARGET = Path(__file__).parent / "experiments" / "target.toml"
-LIST_CHANGES_PER_REPLACEMENT = 4  # assumed: it drains, goes, joins, and one for its weight
+LIST_CHANGES_PER_REPLACEMENT = 4  # assumed: the cache drains, leaves and joins, and its weight changes once
 SECONDS_PER_DAY = 86_400
 HEADROOM_FACTOR = 1.5  # times the target: how far a mechanism must hold
 
@@ -18,20 +21,20 @@
 Amount = Annotated[float, Field(gt=0, strict=True, allow_inf_nan=False)]
 
 
-class Table(BaseModel):
-    """A table of the file: nothing is left out, and nothing is unknown."""
+class StrictTable(BaseModel):
+    """A table of the file: all keys must be given, and unknown ones are errors."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Today(Table):
+class TodaysFleet(StrictTable):
     """The fleet of the standing test."""
 
     routers: Count
     caches: Count
 
 
-class Planned(Table):
+class PlannedFleet(StrictTable):
     """The fleet planned for, and what it has to carry."""
 
     routers: Count
@@ -44,12 +47,13 @@
     objects: Count
     purges_per_s: Amount
     purge_done_everywhere_s: Amount
-    changes_per_day: Amount  # of configuration
+    # of configuration
+    changes_per_day: Amount
     change_in_force_everywhere_s: Amount
 
 
-class Budget(Table):
-    """What control may cost: each router, and all control machines."""
+class ControlBudget(StrictTable):
+    """What control may cost each router, and on how many machines of its own."""
 
     router_core_share: Annotated[Amount, Field(le=1)]
     router_memory_mb: Amount
@@ -57,40 +61,41 @@
     control_machines: Count
 
 
-class Failures(Table):
-    """How often what fails."""
+class FailureRates(StrictTable):
+    """How often which part of the fleet fails."""
 
     machines_failing_per_day: Amount
     machines_restarted_or_replaced_per_day: Amount
     rack_or_switch_per_week: Amount
+    # the fewest and the most
     zones_per_year: tuple[Count, Count]
     regions_cut_off: str
 
 
-class Rig(Table):
-    """What a run may take of its machine."""
+class MachineLimits(StrictTable):
+    """What a run may take of the machine on which it measures."""
 
     memory_share: Annotated[Amount, Field(le=1)]
     processes: str
 
 
-class Target(Table):
+class Target(StrictTable):
     """The whole file."""
 
-    today: Today
-    target: Planned
-    budget: Budget
-    failures: Failures
-    rig: Rig
+    today: TodaysFleet
+    target: PlannedFleet
+    budget: ControlBudget
+    failures: FailureRates
+    rig: MachineLimits
 
     def list_changes_per_s(self) -> float:
-        """Changes of the list a second: those of configuration, and four for each restart or replacement."""
+        """Changes of the endpoint list a second: those of configuration, and those of each replacement."""
         restarts = self.failures.machines_restarted_or_replaced_per_day
         return (self.target.changes_per_day + LIST_CHANGES_PER_REPLACEMENT * restarts) / SECONDS_PER_DAY
 
 
 def load_target(file: Path = TARGET) -> Target:
-    """The sizes; raises InputError with file and field."""
+    """Read and check the file; raises InputError with file and field."""
     try:
         return Target.model_validate(read_table(file))
     except ValidationError as e:
