--- a/scale_experiments/__main__.py
+++ b/scale_experiments/__main__.py
@@ -11,154 +11,194 @@
 from pydantic import BaseModel
 
 from scale_experiments import log
+from scale_experiments.exit_status import ExitStatus
 from scale_experiments.experiment import InputError, kind_named, kind_names, load_experiment, size_schema
+from scale_experiments.runner import RunOutcome
 from scale_experiments.runner import run as run_experiment
 
-KEPT, BROKEN, BAD_INPUT, FAILED, INTERRUPTED = 0, 1, 2, 3, 130
 RESULTS = Path(__file__).parent / "results"
+NAME_WIDTH = 22  # characters of the first column of lists
 
-STATUSES = """\b
+RUN_STATUSES = """\b
 Exit status:
-  0    measured, and every budget is kept
-  1    a budget is broken, or the time limit came before all was measured
-  2    bad input: one line names the file and the field
-  3    a measurement failed; the log says how
-  130  Ctrl-C or SIGTERM; what was measured until then is kept
+  0    everything was measured, and every budget is kept
+  1    a budget is exceeded, or the time limit came before everything was measured
+  2    bad input: one line on standard error names the file and the field
+  3    a measurement failed: the log says how
+  130  Ctrl-C or SIGTERM: the samples until then are kept
+"""
+KINDS_STATUSES = """\b
+Exit status:
+  0  the list was printed
+  2  KIND is no scenario: one line on standard error names all
+"""
+FIT_STATUSES = """\b
+Exit status:
+  0  all fits were printed
+  2  bad input: one line on standard error names the file and the field
+"""
+REPORT_STATUSES = """\b
+Exit status:
+  0  the tables were written, or --check found no difference
+  1  --check found a difference: one line on standard error names the first
+  2  bad input: one line on standard error names the file and the field
 """
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
 def cli() -> None:
-    """Measure what routers, and what surrounds them, cost at growing sizes.
+    """Measure what routers, and the services around them, cost as the fleet grows.
+
+    An experiment is a TOML file that names a scenario (a kind of measurement), its parameters and the fleet
+    sizes. `run` measures each size and keeps the result; `fit` and `report` work out what that means for
+    larger fleets.
 
     \b
     python -m scale_experiments kinds
-        what can be measured
+        list the scenarios
     python -m scale_experiments run scale_experiments/experiments/list-change.toml
         measure, and keep the result
     python -m scale_experiments fit scale_experiments/results/list-change.json
-        slopes of a result, with errors
+        print how each metric of a result grows with the fleet
     python -m scale_experiments report
         write the tables of docs/CAPACITY.md
 
-    Everything stays on this machine's loopback. The log goes to standard error, a JSON object a line.
+    Servers and routers are started on this machine and use its loopback only. The log goes to standard
+    error, one JSON object a line. `COMMAND --help` tells the options and exit statuses of a command.
     """
     log.configure()
 
 
-@cli.command(epilog=STATUSES)
+@cli.command(epilog=RUN_STATUSES, short_help="Measure an experiment, and keep its result.")
 @click.argument("experiment", type=click.Path(path_type=Path))
 @click.option(
     "--out",
     type=click.Path(path_type=Path, file_okay=False),
     default=RESULTS,
-    help="Folder of the result; scale_experiments/results unless given.",
+    help="Folder of the result, made if absent; by default scale_experiments/results.",
+)
+@click.option(
+    "--label", default="", help="Keep the result as NAME.LABEL.json, such as a trial; by default NAME.json."
 )
-@click.option("--label", default="", help="Keep the result as NAME.LABEL.json: a trial, or `before`.")
 def run(experiment: Path, out: Path, label: str) -> None:
     """Run EXPERIMENT, a TOML file, and keep its result as OUT/NAME.json.
 
     \b
-    name = "list-change"      # the file's name, without .toml
-    kind = "list_change"      # what is measured: see `python -m scale_experiments kinds`
-    seed = 1                  # of the first repeat; the next takes 2
-    repeats = 3
+    name = "list-change"      # the name of the file, without .toml
+    kind = "list_change"      # the scenario: see `python -m scale_experiments kinds`
+    seed = 1                  # of the first repeat; each further one adds 1
+    repeats = 3               # how often each size is measured; 1 by default
     time_limit_s = 600        # of the whole run
-    [parameters]              # of the kind
+    [parameters]              # of the scenario: see `python -m scale_experiments kinds list_change`
     changes = 8
-    [[sizes]]                 # one or more; their columns depend on the kind
+    [[sizes]]                 # one or more; their columns depend on the scenario
     caches = 200
     changes_per_s = 0.4
-    [[budgets]]               # any number; of the median over repeats
+    [[budgets]]               # any number: limits of the median over repeats
     metric = "core_share"
     most = 0.002
-    at = { caches = 200 }
+    at = { caches = 200 }     # the sizes that it holds for; all by default
 
-    The result is written after each sample. Ctrl-C ends the run and all that it has started; what was
-    measured until then, or until the time limit, is kept with "complete": false.
+    The result is written after each sample. Ctrl-C ends the run and all processes that it has started. What
+    was measured until then, or until the time limit, is kept with "complete": false.
     """
     checked, kind, parameters = load_experiment(experiment)
     if label and not label.replace("-", "").isalnum():
-        raise InputError(f"{experiment}: --label: letters, digits and - only, not {label!r}")
+        raise InputError(f"{experiment}: --label: must be of letters, digits and -, not {label!r}")
     try:
         out.mkdir(parents=True, exist_ok=True)
     except OSError as e:
-        raise InputError(f"{out}: --out: {e.strerror or e}") from e
+        raise InputError(f"{out}: --out: must be a folder that can be made: {e.strerror or e}") from e
     path = out / f"{checked.name}{'.' if label else ''}{label}.json"
     try:
-        result, broken_off = run_experiment(checked, kind, parameters, path)
-    except InputError:  # that only measuring could find
+        outcome = run_experiment(checked, kind, parameters, path)
+    except InputError:  # bad input that only a measurement could find
         raise
     except Exception:
         structlog.get_logger().exception("measurement failed", experiment=checked.name)
-        sys.exit(FAILED)
+        sys.exit(ExitStatus.MEASUREMENT_FAILED)
+    sys.exit(_report_outcome(outcome, path))
+
+
+def _report_outcome(outcome: RunOutcome, path: Path) -> ExitStatus:
+    """Print what a run has measured and which budgets it exceeds; returns the exit status."""
+    result = outcome.result
     click.echo(f"{path}: {len(result.samples)} samples, {'complete' if result.complete else 'not complete'}")
-    if broken_off:
-        sys.exit(INTERRUPTED)
-    broken = result.broken_budgets()
-    for line in broken:
+    if outcome.interrupted:
+        return ExitStatus.INTERRUPTED
+    exceeded = result.exceeded_budgets()
+    for line in exceeded:
         click.echo(f"budget broken: {line}")
-    sys.exit(KEPT if result.complete and not broken else BROKEN)
+    return ExitStatus.SUCCESS if result.complete and not exceeded else ExitStatus.CHECK_FAILED
 
 
-@cli.command()
+@cli.command(epilog=KINDS_STATUSES, short_help="List the scenarios that an experiment can name.")
 @click.argument("kind", required=False)
 def kinds(kind: str | None) -> None:
-    """List what can be measured; with KIND its parameters, columns of sizes and metrics."""
+    """List the scenarios; with KIND, print what one of them measures.
+
+    That is its description, its parameters with their defaults, the columns of its sizes, and its metrics.
+    """
     if kind is None:
         for name in kind_names():
-            click.echo(f"{name:22}{(kind_named(name).__doc__ or '').partition(chr(10))[0]}")
+            summary, _, _ = (kind_named(name).__doc__ or "").partition("\n")
+            click.echo(f"{name:{NAME_WIDTH}}{summary}")
         return
     if kind not in kind_names():
         raise InputError(f"kinds: KIND: must be one of {', '.join(kind_names())}, not {kind!r}")
     module = kind_named(kind)
     click.echo((module.__doc__ or "").strip())
     click.echo("\n[parameters]")
-    _fields(module.Parameters)
+    _print_fields(module.Parameters)
     if (size := size_schema(module)) is not None:
         click.echo("\n[[sizes]]")
-        _fields(size)
+        _print_fields(size)
     click.echo("\nMetrics")
-    for name, meaning in module.METRICS.items():
-        click.echo(f"  {name:22}{meaning}")
+    for name, description in module.METRICS.items():
+        click.echo(f"  {name:{NAME_WIDTH}}{description}")
 
 
-def _fields(model: type[BaseModel]) -> None:
+def _print_fields(model: type[BaseModel]) -> None:
+    """Print each key of a table, with its meaning and its default."""
     for name, field in model.model_fields.items():
-        default = (
-            "must be given" if field.is_required() else f"{field.get_default(call_default_factory=True)!r}"
-        )
-        click.echo(f"  {name:22}{field.description or ''} ({default})")
+        default = "must be given"
+        if not field.is_required():
+            default = repr(field.get_default(call_default_factory=True))
+        click.echo(f"  {field.alias or name:{NAME_WIDTH}}{field.description or ''} ({default})")
 
 
-@cli.command(epilog="Exit status: 0, or 2 for bad input, with one line that names the file and the field.")
+@cli.command(epilog=FIT_STATUSES, short_help="Print how the metrics of results grow with the fleet.")
 @click.argument("results", nargs=-1, required=True, type=click.Path(path_type=Path))
 def fit(results: tuple[Path, ...]) -> None:
-    """Fit slopes, with their errors, to the samples of RESULTS, files that `run` has kept."""
+    """Print how each metric of RESULTS, files that `run` has kept, grows with the fleet.
+
+    Several forms (constant, linear, product, power) are fitted to each metric by least squares, with their
+    standard errors. The best is marked with * and followed by its value at the size of target.toml.
+    """
+    # imported here, as numpy takes long to import and the other commands don't need it
     sys.exit(import_module("scale_experiments.fit").main(list(results)))
 
 
-@cli.command(
-    epilog="Exit status: 0, 1 where --check finds a difference, 2 for bad input, with one line that names it."
-)
-@click.option("--check", is_flag=True, help="Write nothing; fail where page and results differ.")
+@cli.command(epilog=REPORT_STATUSES, short_help="Write or check the tables of docs/CAPACITY.md.")
+@click.option("--check", is_flag=True, help="Write nothing; fail if the page differs from the results.")
 def report(check: bool) -> None:
-    """Write the tables of docs/CAPACITY.md from the kept results."""
+    """Write the tables of docs/CAPACITY.md from the kept results and scale_experiments/capacity.toml."""
+    # imported here for the same reason
     sys.exit(import_module("scale_experiments.report").main(check))
 
 
 def main() -> None:
-    """The program; bad input ends it with one line."""
+    """Run the command line; bad input ends it with one line on standard error."""
     try:
         status = cli.main(standalone_mode=False)
     except click.ClickException as e:
         e.show()
         status = e.exit_code
     except click.Abort:
-        status = INTERRUPTED
+        status = ExitStatus.INTERRUPTED
     except InputError as e:
         click.echo(str(e), err=True)
-        status = BAD_INPUT
+        status = ExitStatus.BAD_INPUT
     sys.exit(status)
 
 
--- a/scale_experiments/capacity/source_tables.py
+++ b/scale_experiments/capacity/source_tables.py
@@ -42,10 +42,10 @@
 
 
 def _result_row(file: str, result: Result) -> list[str]:
-    revision = result.versions.project
+    revision = result.versions.revision
     return [
         link_to_result(file),
-        result.started,
+        result.started_at,
         revision[:SHORT_REVISION_LENGTH] + revision[REVISION_LENGTH:],
         str(len(result.samples)),
         ", ".join(_ranges(result)),
--- /dev/null
+++ b/scale_experiments/exit_status.py
@@ -0,0 +1,15 @@
+"""The exit statuses of the command line."""
+
+from __future__ import annotations
+
+from enum import IntEnum
+
+
+class ExitStatus(IntEnum):
+    """How a command ended."""
+
+    SUCCESS = 0
+    CHECK_FAILED = 1  # a budget is exceeded, a run is incomplete, or the page differs from the results
+    BAD_INPUT = 2
+    MEASUREMENT_FAILED = 3
+    INTERRUPTED = 130  # 128 + SIGINT, as shells report it
--- a/scale_experiments/fit.py
+++ b/scale_experiments/fit.py
@@ -11,6 +11,7 @@
 from collections.abc import Iterator, Sequence
 from pathlib import Path
 
+from scale_experiments.exit_status import ExitStatus
 from scale_experiments.experiment import InputError
 from scale_experiments.fitting.forms import Fit, FitError
 from scale_experiments.fitting.observations import Size, observations_of
@@ -59,8 +60,8 @@
         )
 
 
-def main(paths: Sequence[Path]) -> int:
-    """Print the fits of results; 0, or 2 with one line on standard error if a file can't be used."""
+def main(paths: Sequence[Path]) -> ExitStatus:
+    """Print the fits of results; one line on standard error if a file can't be used."""
     try:
         target = target_columns(load_target())
         for path in paths:
@@ -68,5 +69,5 @@
                 print(line)
     except (InputError, FitError) as e:
         print(e, file=sys.stderr)
-        return 2
-    return 0
+        return ExitStatus.BAD_INPUT
+    return ExitStatus.SUCCESS
--- a/scale_experiments/log.py
+++ b/scale_experiments/log.py
@@ -1,4 +1,4 @@
-"""The log of runs: structured lines, JSON, on standard error; and progress."""
+"""The log of runs, as lines of JSON on standard error, and the display of a run's progress."""
 
 from __future__ import annotations
 
@@ -7,12 +7,14 @@
 
 import structlog
 
-BETWEEN_LINES_S = 5.0
-BETWEEN_DRAWS_S = 0.1
+SECONDS_BETWEEN_LOG_LINES = 5.0
+SECONDS_BETWEEN_REDRAWS = 0.1
+TERMINAL_WIDTH = 118  # characters
+ERASE_LINE = "\r\033[K"
 
 
 def configure() -> None:
-    """One JSON object a line, with time and level."""
+    """Log one JSON object a line, with time and level."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -24,45 +26,49 @@
 
 
 class Progress:
-    """How far a run is: one line drawn over on a terminal, else a log line every few seconds."""
+    """The progress of a run: one line that is redrawn on a terminal, else a log line every few seconds."""
 
     def __init__(self, steps: int, time_limit_s: float) -> None:
         self.steps = steps
-        self.step = 0
-        self.what = ""
-        self.began = time.monotonic()
         self.time_limit_s = time_limit_s
-        self.told_at = -float("inf")
-        self.terminal = sys.stderr.isatty()
-        self.log = structlog.get_logger()
+        self._step = 0
+        self._description = ""
+        self._started_at = time.monotonic()
+        self._shown_at = -float("inf")
+        self._is_terminal = sys.stderr.isatty()
+        self._interval_s = SECONDS_BETWEEN_REDRAWS if self._is_terminal else SECONDS_BETWEEN_LOG_LINES
+        self._log = structlog.get_logger()
 
-    def begin(self, step: int, what: str) -> None:
-        """The next measurement, counted from 1."""
-        self.step, self.what = step, what
-        self.tell("")
+    def start_step(self, step: int, description: str) -> None:
+        """Start the next measurement, counted from 1."""
+        self._step, self._description = step, description
+        self.update("")
 
-    def tell(self, text: str) -> None:
-        """What it is at."""
+    def update(self, activity: str) -> None:
+        """Show what the measurement is doing, unless something was shown just before."""
         now = time.monotonic()
-        if now - self.told_at < (BETWEEN_DRAWS_S if self.terminal else BETWEEN_LINES_S):
+        if now - self._shown_at < self._interval_s:
             return
-        self.told_at = now
-        spent, most = round(now - self.began), round(self.time_limit_s)
-        if self.terminal:
-            line = f"{self.step}/{self.steps}  {self.what}  {text}  {spent} s of {most} s at most"
-            print(f"\r\033[K{line[:118]}", end="", file=sys.stderr, flush=True)
-        else:
-            self.log.info(
-                "progress",
-                step=self.step,
-                steps=self.steps,
-                at=self.what,
-                doing=text,
-                spent_s=spent,
-                most_s=most,
+        self._shown_at = now
+        elapsed_s, limit_s = round(now - self._started_at), round(self.time_limit_s)
+        if self._is_terminal:
+            line = (
+                f"{self._step}/{self.steps}  {self._description}  {activity}"
+                f"  {elapsed_s} s of {limit_s} s at most"
             )
+            print(f"{ERASE_LINE}{line[:TERMINAL_WIDTH]}", end="", file=sys.stderr, flush=True)
+            return
+        self._log.info(
+            "progress",
+            step=self._step,
+            steps=self.steps,
+            at=self._description,
+            doing=activity,
+            spent_s=elapsed_s,
+            most_s=limit_s,
+        )
 
     def clear(self) -> None:
         """Leave the terminal's line empty."""
-        if self.terminal:
-            print("\r\033[K", end="", file=sys.stderr, flush=True)
+        if self._is_terminal:
+            print(ERASE_LINE, end="", file=sys.stderr, flush=True)
--- a/scale_experiments/report.py
+++ b/scale_experiments/report.py
@@ -17,12 +17,12 @@
 from scale_experiments.capacity.page import page_tables
 from scale_experiments.capacity.paths import CAPACITY_PAGE, CAPACITY_TABLE, RESULTS_FOLDER, ROOT, TARGET_FILE
 from scale_experiments.capacity.reader import read_capacity
+from scale_experiments.exit_status import ExitStatus
 from scale_experiments.experiment import InputError
 from scale_experiments.expression import ExpressionError
 from scale_experiments.fitting.forms import FitError
 from scale_experiments.target import load_target
 
-SAME, DIFFERENT, BAD_INPUT = 0, 1, 2  # exit statuses
 END_OF_PAGE = "(end)"
 
 
@@ -54,20 +54,20 @@
     return f"{CAPACITY_PAGE}: the page and the results differ in the ends of lines"
 
 
-def main(check: bool, root: Path = ROOT) -> int:
+def main(check: bool, root: Path = ROOT) -> ExitStatus:
     """Write the tables, or with `check` compare only; returns the exit status."""
     try:
         page = render(root)
     except (ExpressionError, FitError) as e:
         print(f"{CAPACITY_TABLE}: {e}", file=sys.stderr)
-        return BAD_INPUT
+        return ExitStatus.BAD_INPUT
     except (InputError, OSError) as e:
         print(e, file=sys.stderr)
-        return BAD_INPUT
+        return ExitStatus.BAD_INPUT
     if not check:
         (root / CAPACITY_PAGE).write_text(page.expected)
-        return SAME
+        return ExitStatus.SUCCESS
     if page.kept == page.expected:
-        return SAME
+        return ExitStatus.SUCCESS
     print(f"scale_experiments report: {describe_first_difference(page)}", file=sys.stderr)
-    return DIFFERENT
+    return ExitStatus.CHECK_FAILED
--- a/scale_experiments/results.py
+++ b/scale_experiments/results.py
@@ -1,4 +1,7 @@
-"""Results: what a run measured, as JSON, written anew and whole after each sample."""
+"""Results: what a run measured, stored as JSON and rewritten after each sample.
+
+Where a key of the file is not the code's term for it, the field's alias names the key.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +10,7 @@
 import platform
 import statistics
 import subprocess
+from collections.abc import Mapping
 from datetime import UTC, datetime
 from pathlib import Path
 from typing import Any
@@ -19,10 +23,17 @@
 from scale_experiments.experiment import Budget, Experiment, InputError, fault
 
 ROOT = Path(__file__).parent.parent
+CPU_INFO = Path("/proc/cpuinfo")
+# of which a result names the version
 PACKAGES = ("click", "h11", "hdrhistogram", "numpy", "orjson", "psutil", "pydantic", "structlog")
+# files that count as the measured version
+MEASURED_FILES = ("cache_router", "scale_experiments/*.py")
+CHANGES_SUFFIX = "+changes"  # of a revision from which files differed
+GIT_TIMEOUT_S = 10.0
+STORED_DIGITS = 6  # significant digits of metrics
 
 
-class Measured(BaseModel):
+class StoredSample(BaseModel):
     """One sample."""
 
     model_config = ConfigDict(extra="forbid")
@@ -31,14 +42,16 @@
     seed: int
     repeat: int
     metrics: dict[str, float]
-    histograms: dict[str, str] = Field(default_factory=dict)  # HDR, base64; microseconds
+    # HDR histograms of microseconds, as base64
+    histograms: dict[str, str] = Field(default_factory=dict)
 
 
 class Versions(BaseModel):
-    """What was measured, on what."""
+    """The program that was measured, and the machine."""
 
     python: str
-    project: str  # git revision, with `+changes` where files differed from it
+    # git revision, with CHANGES_SUFFIX where files differed from it
+    revision: str = Field(alias="project")
     packages: dict[str, str]
     processor: str = ""
 
@@ -49,108 +62,113 @@
     model_config = ConfigDict(extra="forbid")
 
     experiment: str
-    kind: str
+    scenario: str = Field(alias="kind")
     seed: int
-    started: str  # ISO 8601, UTC
-    complete: bool  # whether each size was measured as often as the experiment says
+    # ISO 8601, UTC
+    started_at: str = Field(alias="started")
+    # whether each size was measured as often as the experiment says
+    complete: bool
     versions: Versions
     parameters: dict[str, Any]
-    metrics: dict[str, str]  # their meanings, with units
+    # the meaning of each metric, with its unit
+    metric_descriptions: dict[str, str] = Field(alias="metrics")
     budgets: list[Budget]
-    samples: list[Measured]
-
-    def broken_budgets(self) -> list[str]:
-        """A line for each budget that the median breaks, or for which a size was not measured."""
-        broken = []
-        for budget in self.budgets:
-            values = [
-                s.metrics[budget.metric]
-                for s in self.samples
-                if budget.metric in s.metrics and budget.holds_at(s.size)
-            ]
-            at = ", ".join(f"{column} {value:g}" for column, value in budget.at.items()) or "all sizes"
-            if not values:
-                broken.append(f"{budget.metric} at {at}: not measured, at most {budget.most:g} allowed")
-            elif (median := statistics.median(values)) > budget.most:
-                broken.append(f"{budget.metric} at {at}: {median:.4g}, at most {budget.most:g} allowed")
-        return broken
-
-
-def git(*args: str) -> str:
-    """What git says of the project; nothing where it can't."""
+    samples: list[StoredSample]
+
+    def exceeded_budgets(self) -> list[str]:
+        """A line for each budget that the median exceeds, or whose sizes were not measured."""
+        lines = (self._describe_excess(budget) for budget in self.budgets)
+        return [line for line in lines if line is not None]
+
+    def _describe_excess(self, budget: Budget) -> str | None:
+        values = [
+            sample.metrics[budget.metric]
+            for sample in self.samples
+            if budget.metric in sample.metrics and budget.holds_at(sample.size)
+        ]
+        sizes = ", ".join(f"{column} {value:g}" for column, value in budget.at.items()) or "all sizes"
+        limit = f"at most {budget.most:g} allowed"
+        if not values:
+            return f"{budget.metric} at {sizes}: not measured, {limit}"
+        median = statistics.median(values)
+        return f"{budget.metric} at {sizes}: {median:.4g}, {limit}" if median > budget.most else None
+
+
+def new_result(experiment: Experiment, parameters: BaseModel, metric_descriptions: dict[str, str]) -> Result:
+    """A result without samples yet."""
+    return Result(
+        experiment=experiment.name,
+        kind=experiment.kind,
+        seed=experiment.seed,
+        started=datetime.now(UTC).isoformat(timespec="seconds"),
+        complete=False,
+        versions=current_versions(),
+        parameters=parameters.model_dump(mode="json", by_alias=True),
+        metrics=metric_descriptions,
+        budgets=experiment.budgets,
+        samples=[],
+    )
+
+
+def current_versions() -> Versions:
+    """The versions of this program, its interpreter and packages, and the machine's processor."""
+    revision = _git("rev-parse", "HEAD") or "unknown"
+    if _git("status", "--porcelain", "--untracked-files=no", "--", *MEASURED_FILES):
+        revision += CHANGES_SUFFIX
+    return Versions(
+        python=platform.python_version(),
+        project=revision,
+        packages={name: importlib.metadata.version(name) for name in PACKAGES},
+        processor=_processor(),
+    )
+
+
+def _git(*args: str) -> str:
+    """The output of git in the repository; empty if git fails or there is none."""
     try:
         done = subprocess.run(
-            ["git", *args], cwd=ROOT, capture_output=True, text=True, timeout=10.0, check=True
+            ["git", *args], cwd=ROOT, capture_output=True, text=True, timeout=GIT_TIMEOUT_S, check=True
         )
     except (OSError, subprocess.SubprocessError):
         return ""
     return done.stdout.strip()
 
 
-def processor() -> str:
-    """The processor's name and how many of its cores there are, as CPU seconds are its own."""
+def _processor() -> str:
+    """The processor's name and the number of its cores, as CPU seconds compare only on the same one."""
     names = [
         line.partition(":")[2].strip()
-        for line in Path("/proc/cpuinfo").read_text().splitlines()
+        for line in CPU_INFO.read_text().splitlines()
         if line.startswith("model name")
     ]
     return f"{os.cpu_count()} x {names[0] if names else platform.machine()}"
 
 
-def versions() -> Versions:
-    """Of this program, its interpreter and packages, and the machine."""
-    revision = git("rev-parse", "HEAD") or "unknown"
-    if git("status", "--porcelain", "--untracked-files=no", "--", "cache_router", "scale_experiments/*.py"):
-        revision += "+changes"
-    return Versions(
-        python=platform.python_version(),
-        project=revision,
-        packages={name: importlib.metadata.version(name) for name in PACKAGES},
-        processor=processor(),
-    )
-
-
-def new_result(experiment: Experiment, parameters: BaseModel, metrics: dict[str, str]) -> Result:
-    """A result without samples yet."""
-    return Result(
-        experiment=experiment.name,
-        kind=experiment.kind,
-        seed=experiment.seed,
-        started=datetime.now(UTC).isoformat(timespec="seconds"),
-        complete=False,
-        versions=versions(),
-        parameters=parameters.model_dump(mode="json"),
-        metrics=metrics,
-        budgets=experiment.budgets,
-        samples=[],
-    )
-
-
-def measured(sample: Sample, size: dict[str, float | int], seed: int, repeat: int) -> Measured:
-    """A sample as it is kept, figures to six digits."""
-    return Measured(
-        size=size,
+def stored_sample(sample: Sample, size: Mapping[str, float | int], seed: int, repeat: int) -> StoredSample:
+    """A sample as it is stored, metrics to STORED_DIGITS."""
+    return StoredSample(
+        size=dict(size),
         seed=seed,
         repeat=repeat,
-        metrics={name: float(f"{value:.6g}") for name, value in sample.metrics.items()},
-        histograms={name: encode(histogram) for name, histogram in sample.histograms.items()},
+        metrics={name: float(f"{value:.{STORED_DIGITS}g}") for name, value in sample.metrics.items()},
+        histograms={name: encode_histogram(histogram) for name, histogram in sample.histograms.items()},
     )
 
 
-def encode(histogram: HdrHistogram) -> str:
-    """A histogram in HDR's own form, base64."""
+def encode_histogram(histogram: HdrHistogram) -> str:
+    """A histogram in HDR's own encoding, as base64."""
     return bytes(histogram.encode()).decode("ascii")
 
 
-def decode(text: str) -> HdrHistogram:
-    """A kept histogram."""
+def decode_histogram(text: str) -> HdrHistogram:
+    """A stored histogram."""
     return HdrHistogram.decode(text)
 
 
 def write_result(result: Result, path: Path) -> None:
-    """Replace the file in one step, so that it is always whole."""
+    """Replace the file atomically, so that it is complete at any time."""
     text = orjson.dumps(
-        result.model_dump(mode="json"), option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE
+        result.model_dump(mode="json", by_alias=True), option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE
     )
     path.parent.mkdir(parents=True, exist_ok=True)
     temporary = path.with_name(path.name + ".tmp")
@@ -162,12 +180,12 @@
 
 
 def load_result(path: Path) -> Result:
-    """A result file, checked; raises InputError."""
+    """Read and check a result file; raises InputError with file and field."""
     try:
         return Result.model_validate(orjson.loads(path.read_bytes()))
     except OSError as e:
         raise InputError(f"{path}: file: {e.strerror or e}") from e
     except orjson.JSONDecodeError as e:
-        raise InputError(f"{path}: file: is not JSON: {e}") from e
+        raise InputError(f"{path}: file: must be JSON: {e}") from e
     except ValidationError as e:
         raise InputError(fault(path, e)) from e
--- a/scale_experiments/runner.py
+++ b/scale_experiments/runner.py
@@ -5,7 +5,8 @@
 import contextlib
 import math
 import signal
-from collections.abc import Iterator
+from collections.abc import Iterator, Mapping
+from dataclasses import dataclass
 from pathlib import Path
 from types import FrameType
 
@@ -15,71 +16,116 @@
 from scale_experiments.context import Lab, Sample, TimeLimit
 from scale_experiments.experiment import Experiment, Kind
 from scale_experiments.log import Progress
-from scale_experiments.results import Result, measured, new_result, write_result
+from scale_experiments.results import Result, new_result, stored_sample, write_result
 
-TO_STOP_S = 1.0  # for a kind to end by itself once its time is over, before it is broken off
+# for a scenario to end by itself once its time is over, before it is interrupted
+TIME_LIMIT_GRACE_S = 1.0
+
+
+@dataclass(slots=True, frozen=True)
+class RunOutcome:
+    """A result, and whether Ctrl-C or SIGTERM ended its run before all was measured."""
+
+    result: Result
+    interrupted: bool
+
+
+def run(experiment: Experiment, kind: Kind, parameters: BaseModel, path: Path) -> RunOutcome:
+    """Measure, and write each sample to `path` as it comes.
+
+    Raises what the scenario raises; the samples before it are kept. Raises ValueError for a metric that the
+    scenario doesn't declare or that is not finite.
+    """
+    return _Run(experiment, kind, parameters, path).execute()
+
+
+class _Run:
+    """One run of an experiment, and the result that it writes."""
+
+    def __init__(self, experiment: Experiment, kind: Kind, parameters: BaseModel, path: Path) -> None:
+        self.experiment = experiment
+        self.kind = kind
+        self.parameters = parameters
+        self.path = path
+        self.result = new_result(experiment, parameters, kind.METRICS)
+        self.steps = experiment.repeats * len(experiment.sizes)
+        self.progress = Progress(self.steps, experiment.time_limit_s)
+        self.context = Lab(experiment.time_limit_s, self.progress.update)
+        self.log = structlog.get_logger().bind(experiment=experiment.name, kind=experiment.kind)
+
+    def execute(self) -> RunOutcome:
+        """Measure until all is done, the time limit or a signal."""
+        time_limit_s = self.experiment.time_limit_s
+        self.log.info("start", result=str(self.path), measurements=self.steps, time_limit_s=time_limit_s)
+        interrupted = False
+        with interruptible(self.context, time_limit_s):
+            try:
+                with self.context:
+                    self._measure_all()
+            except TimeLimit:
+                self._log_warning("time limit")
+            except KeyboardInterrupt:
+                interrupted = not self.result.complete
+                self._log_warning("interrupted")
+            finally:
+                self.progress.clear()
+        self.log.info("end", complete=self.result.complete, samples=len(self.result.samples))
+        return RunOutcome(self.result, interrupted)
+
+    def _measure_all(self) -> None:
+        """Measure each size; raises TimeLimit if the time is over before the last."""
+        for step, (repeat, size) in enumerate(self._steps(), 1):
+            columns = " ".join(f"{column}={value:g}" for column, value in size.items())
+            self.progress.start_step(step, f"{columns} repeat={repeat}")
+            self._measure(repeat, size)
+            if self.context.expired() and step < self.steps:
+                raise TimeLimit
+        with self.context.shielded():
+            self.result.complete = True
+            write_result(self.result, self.path)
+
+    def _steps(self) -> Iterator[tuple[int, Mapping[str, float | int]]]:
+        """The repeats and sizes: all sizes once before any again, as the machine may change meanwhile."""
+        for repeat in range(self.experiment.repeats):
+            for size in self.experiment.sizes:
+                yield repeat, size
+
+    def _measure(self, repeat: int, size: Mapping[str, float | int]) -> None:
+        seed = self.experiment.seed + repeat
+        for sample in self.kind.measure(self.parameters, size, seed, self.context):
+            check_metrics(sample, self.kind)
+            with self.context.shielded():
+                self.result.samples.append(stored_sample(sample, size, seed, repeat))
+                write_result(self.result, self.path)
+
+    def _log_warning(self, event: str) -> None:
+        self.log.warning(event, complete=self.result.complete, samples=len(self.result.samples))
 
 
 @contextlib.contextmanager
-def interruptible(lab: Lab, time_limit_s: float) -> Iterator[None]:
-    """Ctrl-C, SIGTERM and the time limit end the run, once, and what it has started."""
+def interruptible(context: Lab, time_limit_s: float) -> Iterator[None]:
+    """Let Ctrl-C, SIGTERM and the time limit end the run, once, and the processes that it has started."""
 
-    def stop(number: int, frame: FrameType | None) -> None:
-        lab.interrupt(TimeLimit() if number == signal.SIGALRM else KeyboardInterrupt())
+    def interrupt(number: int, frame: FrameType | None) -> None:
+        context.interrupt(TimeLimit() if number == signal.SIGALRM else KeyboardInterrupt())
 
-    before = {each: signal.signal(each, stop) for each in (signal.SIGINT, signal.SIGTERM, signal.SIGALRM)}
-    signal.setitimer(signal.ITIMER_REAL, time_limit_s + TO_STOP_S)
+    signals = (signal.SIGINT, signal.SIGTERM, signal.SIGALRM)
+    previous_handlers = {each: signal.signal(each, interrupt) for each in signals}
+    signal.setitimer(signal.ITIMER_REAL, time_limit_s + TIME_LIMIT_GRACE_S)
     try:
         yield
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0)
-        for each, handler in before.items():
+        for each, handler in previous_handlers.items():
             signal.signal(each, handler)
 
 
-def check(sample: Sample, kind: Kind) -> None:
-    """A kind that breaks its own word is a fault of the program."""
+def check_metrics(sample: Sample, kind: Kind) -> None:
+    """Raise ValueError for a metric that the scenario doesn't declare, or that is not finite."""
     for name, value in sample.metrics.items():
-        if name not in kind.METRICS or not math.isfinite(value):
-            raise ValueError(f"metric {name} = {value} is not among the kind's, or no number")
-
-
-def run(experiment: Experiment, kind: Kind, parameters: BaseModel, path: Path) -> tuple[Result, bool]:
-    """Measure, and keep each sample at `path` as it comes: the result, and whether a signal broke it off.
-
-    Sizes are gone through once before any is repeated, so that what changes on the machine meets all alike.
-    Raises what the kind raises, with the samples before it kept.
-    """
-    log = structlog.get_logger().bind(experiment=experiment.name, kind=experiment.kind)
-    result = new_result(experiment, parameters, kind.METRICS)
-    steps = [(repeat, size) for repeat in range(experiment.repeats) for size in experiment.sizes]
-    progress = Progress(len(steps), experiment.time_limit_s)
-    lab = Lab(experiment.time_limit_s, progress.tell)
-    log.info("start", result=str(path), measurements=len(steps), time_limit_s=experiment.time_limit_s)
-    broken_off = False
-    with interruptible(lab, experiment.time_limit_s):
-        try:
-            with lab:
-                for number, (repeat, size) in enumerate(steps, 1):
-                    at = " ".join(f"{column}={value:g}" for column, value in size.items())
-                    progress.begin(number, f"{at} repeat={repeat}")
-                    seed = experiment.seed + repeat
-                    for sample in kind.measure(parameters, size, seed, lab):
-                        check(sample, kind)
-                        with lab.shielded():
-                            result.samples.append(measured(sample, dict(size), seed, repeat))
-                            write_result(result, path)
-                    if lab.expired() and number < len(steps):
-                        raise TimeLimit
-                with lab.shielded():
-                    result.complete = True
-                    write_result(result, path)
-        except TimeLimit:
-            log.warning("time limit", complete=result.complete, samples=len(result.samples))
-        except KeyboardInterrupt:
-            broken_off = not result.complete
-            log.warning("interrupted", complete=result.complete, samples=len(result.samples))
-        finally:
-            progress.clear()
-    log.info("end", complete=result.complete, samples=len(result.samples))
-    return result, broken_off
+        if name not in kind.METRICS:
+            raise ValueError(
+                f"metric {name} must be one of the scenario's METRICS: {', '.join(kind.METRICS)}"
+            )
+        if not math.isfinite(value):
+            raise ValueError(f"metric {name} must be finite, not {value}")
--- /dev/null
+++ b/tests/test_kept_results.py
@@ -0,0 +1,29 @@
+"""Kept results stay readable: each can be loaded, and is written with the keys that it was read from."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import orjson
+import pytest
+
+from scale_experiments.results import decode_histogram, load_result, write_result
+
+RESULTS = sorted((Path(__file__).parent.parent / "scale_experiments" / "results").glob("*.json"))
+
+
+def test_results_are_kept() -> None:
+    assert RESULTS
+
+
+@pytest.mark.parametrize("path", RESULTS, ids=lambda path: path.stem)
+def test_a_kept_result_is_read_and_written_with_the_same_keys(path: Path, tmp_path: Path) -> None:
+    result = load_result(path)
+    assert result.samples
+    assert all(set(sample.metrics) <= set(result.metric_descriptions) for sample in result.samples)
+    for sample in result.samples:
+        for histogram in sample.histograms.values():
+            assert decode_histogram(histogram).get_total_count() > 0
+    rewritten = tmp_path / path.name
+    write_result(result, rewritten)
+    assert orjson.loads(rewritten.read_bytes()) == orjson.loads(path.read_bytes())
--- a/tests/test_scale_experiments.py
+++ b/tests/test_scale_experiments.py
@@ -17,8 +17,8 @@
 
 from scale_experiments.context import Lab, Sample
 from scale_experiments.experiment import Experiment, InputError, load_experiment
-from scale_experiments.results import Result, decode, load_result
-from scale_experiments.runner import run
+from scale_experiments.results import decode_histogram, load_result
+from scale_experiments.runner import RunOutcome, run
 from scale_experiments.target import TARGET, load_target
 
 ROOT = Path(__file__).parent.parent
@@ -112,12 +112,12 @@
     assert result.complete
     assert [s.size["caches"] for s in result.samples] == [5, 20]
     small, large = (s.metrics for s in result.samples)
-    assert set(small) == set(large) == set(result.metrics)
+    assert set(small) == set(large) == set(result.metric_descriptions)
     assert all(value > 0 for value in large.values())
     assert small["whole_list_bytes"] < large["whole_list_bytes"]
     assert small["router_bytes"] < large["router_bytes"]
     # five sorts, once each
-    assert decode(result.samples[0].histograms["change_us"]).get_total_count() == 5
+    assert decode_histogram(result.samples[0].histograms["change_us"]).get_total_count() == 5
 
 
 def test_a_broken_budget_is_status_1_and_the_result_stays(tmp_path: Path) -> None:
@@ -188,7 +188,7 @@
         await asyncio.sleep(600)
 
 
-def played(stub: Stub, path: Path, time_limit_s: float) -> tuple[Result, bool]:
+def played(stub: Stub, path: Path, time_limit_s: float) -> RunOutcome:
     experiment = Experiment(
         name="stub", kind="stub", seed=1, time_limit_s=time_limit_s, sizes=[{"routers": 1}]
     )
@@ -204,11 +204,12 @@
 ) -> None:
     stub = Stub(number)
     before = signal.getsignal(signal.SIGINT)
-    result, broken_off = played(stub, tmp_path / "stub.json", time_limit_s)
-    assert broken_off is by_signal
+    outcome = played(stub, tmp_path / "stub.json", time_limit_s)
+    result = outcome.result
+    assert outcome.interrupted is by_signal
     assert not result.complete
     assert load_result(tmp_path / "stub.json") == result
-    assert decode(result.samples[0].histograms["wait_us"]).get_max_value() == 7
+    assert decode_histogram(result.samples[0].histograms["wait_us"]).get_max_value() == 7
     assert stub.process is not None and stub.process.returncode is not None
     assert signal.getsignal(signal.SIGINT) is before
 
