--- a/scale_experiments/capacity/kept_results.py
+++ b/scale_experiments/capacity/kept_results.py
@@ -24,6 +24,7 @@
     """
 
     def __init__(self, folder: Path, baseline: bool) -> None:
+        """Use the results in a folder; nothing is read before it is asked for."""
         self.folder = folder
         self.baseline = baseline
         # by file name
--- a/scale_experiments/capacity/model.py
+++ b/scale_experiments/capacity/model.py
@@ -37,6 +37,7 @@
     def __init__(
         self, table: CapacityTable, target: Target, results_folder: Path, baseline: bool = False
     ) -> None:
+        """Work out a table by the results in a folder, which are read as they are needed."""
         self.table = table
         self.target = target
         self.growth_path = GrowthPath.to_target(target)
--- a/scale_experiments/log.py
+++ b/scale_experiments/log.py
@@ -29,6 +29,7 @@
     """The progress of a run: one line that is redrawn on a terminal, else a log line every few seconds."""
 
     def __init__(self, steps: int, time_limit_s: float) -> None:
+        """Start the clock of a run of so many measurements."""
         self.steps = steps
         self.time_limit_s = time_limit_s
         self._step = 0
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,9 +1,10 @@
-"""The fits, the size at which a line breaks, and the page against the results kept."""
+"""The fits, the breaking points of demands, and the capacity page against the kept results."""
 
 from __future__ import annotations
 
 import json
 import random
+import re
 import shutil
 from pathlib import Path
 
@@ -12,27 +13,29 @@
 from scale_experiments import fit, report
 from scale_experiments.capacity.formatting import format_progress
 from scale_experiments.capacity.kept_results import NotMeasuredError
+from scale_experiments.capacity.markers import replace_tables
 from scale_experiments.capacity.model import CapacityModel
 from scale_experiments.capacity.paths import CAPACITY_PAGE, CAPACITY_TABLE, RESULTS_FOLDER, ROOT, TARGET_FILE
 from scale_experiments.capacity.provenance import describe_basis
 from scale_experiments.capacity.reader import read_capacity
 from scale_experiments.capacity.schema import CapacityTable
-from scale_experiments.fitting.forms import Form
+from scale_experiments.experiment import InputError
+from scale_experiments.fitting.forms import FitError, Form
 from scale_experiments.fitting.observations import Observation, observations_of
-from scale_experiments.fitting.selection import best_fit
+from scale_experiments.fitting.selection import best_fit, fit_form
 from scale_experiments.results import load_result
 from scale_experiments.target import load_target
 
 
-def made_up(path: Path, slope: float, noise: float = 0.0, most: int = 800) -> Path:
+def write_linear_result(path: Path, slope: float, noise: float = 0.0, most: int = 800) -> Path:
     """A result whose `cost_s` is 0.5 + slope x caches and some noise."""
-    drawn = random.Random(1)
+    generator = random.Random(1)
     samples = [
         {
             "size": {"routers": 1, "caches": caches},
             "seed": repeat,
             "repeat": repeat,
-            "metrics": {"cost_s": 0.5 + slope * caches + drawn.gauss(0, noise), "same_count": 7.0},
+            "metrics": {"cost_s": 0.5 + slope * caches + generator.gauss(0, noise), "same_count": 7.0},
             "histograms": {},
         }
         for caches in range(most // 8, most + 1, most // 8)
@@ -58,7 +61,7 @@
 
 
 def test_a_fit_finds_the_slope_its_error_and_the_form(tmp_path: Path) -> None:
-    result = load_result(made_up(tmp_path / "cost.json", 0.002, noise=0.05))
+    result = load_result(write_linear_result(tmp_path / "cost.json", 0.002, noise=0.05))
     best = best_fit("cost_s", observations_of(result, "cost_s"))
     assert best.form is Form.LINEAR
     slope = best.slopes["caches"]
@@ -83,18 +86,36 @@
     assert product.predict({"routers": 100.0, "caches": 100.0}).value == pytest.approx(1002)
 
 
+def test_a_fit_interpolates_along_one_column_and_beyond_its_end() -> None:
+    observations = [Observation({"routers": x}, 2 * x**0.5) for x in (10.0, 40.0, 160.0)]
+    between = fit_form("x", Form.INTERPOLATED, observations)
+    assert between.predict({"routers": 20.0}).value == pytest.approx(2 * 20**0.5)
+    assert between.predict({"routers": 640.0}).value == pytest.approx(2 * 640**0.5)
+    assert between.slopes["routers"].value == pytest.approx(0.5)
+    assert between.cross_validation_error == pytest.approx(0.0, abs=1e-12)
+    assert between.describe() == "between sizes, at the largest exponent 0.5 over routers"
+    with pytest.raises(FitError, match="3 sizes of routers"):
+        fit_form("x", Form.INTERPOLATED, observations[:2])
+
+
+def test_columns_that_grow_together_are_not_told_apart() -> None:
+    observations = [Observation({"routers": x, "caches": 3 * x}, x) for x in (1.0, 2.0, 3.0, 4.0)]
+    with pytest.raises(FitError, match="grow together"):
+        fit_form("x", Form.LINEAR, observations)
+
+
 def test_bad_results_end_with_2_and_one_line_that_names_file_and_field(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    path = made_up(tmp_path / "cost.json", 0.002)
+    path = write_linear_result(tmp_path / "cost.json", 0.002)
     table = json.loads(path.read_text())
     table["samples"][3]["metrics"]["cost_s"] = "much"
     path.write_text(json.dumps(table))
     assert fit.main([path]) == 2
-    said = capsys.readouterr().err
-    assert said.count("\n") == 1
-    assert "cost.json" in said
-    assert "samples[3].metrics.cost_s" in said
+    message = capsys.readouterr().err
+    assert message.count("\n") == 1
+    assert "cost.json" in message
+    assert "samples[3].metrics.cost_s" in message
 
 
 ENTRIES = """
@@ -141,7 +162,7 @@
 
 
 def test_a_demand_breaks_where_the_growth_path_first_leaves_its_budget(tmp_path: Path) -> None:
-    made_up(tmp_path / "cost.json", 0.002, most=400)
+    write_linear_result(tmp_path / "cost.json", 0.002, most=400)
     model = CapacityModel(read_entries(tmp_path), load_target(), tmp_path)
     path = model.growth_path
     cost, peers, missing = model.table.demands
@@ -184,19 +205,65 @@
     assert page.read_text() == kept
 
 
-def test_a_bad_table_of_lines_ends_with_2_and_names_the_field(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+@pytest.mark.parametrize(
+    ("old", "new", "expected"),
+    [
+        ('kind = "given"', 'kind = "guessed"', "figures[0].kind: "),
+        ('target = "', 'aim = "', "figures[0].aim: "),
+        ('target = "target.requests_per_s"', 'target = "target.sites.0"', "figures.target_requests_per_s: "),
+        ('name = "objects"', 'name = "objets"', "figures: 'objets' must be used by a formula"),
+        ('mechanism = "cache_router', 'mechanism = "cache_rooter', "lines[0].mechanism: must be module:name"),
+        (
+            '[[lines]]\nrole = "router"',
+            '[[lines]]\nrole = "rooter"',
+            "lines[0].role: must be one of router, ",
+        ),
+        ("value = ", 'value = "1 +" # ', ".value: must be an arithmetic expression"),
+        ("measured.change = ", "measured.changes = ", "lines[0]: 'change' must be a figure, a term "),
+        ('[[lines]]\nrole = "router"', '[[lines]]\nvalues = 1\nrole = "router"', "lines[0].values: "),
+    ],
+)
+def test_a_bad_capacity_table_ends_with_2_and_names_the_field(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], old: str, new: str, expected: str
 ) -> None:
     root = copy_of_the_page(tmp_path)
     table = root / CAPACITY_TABLE
     good = table.read_text()
-    for old, new, field in (
-        ('kind = "given"', 'kind = "guessed"', "figures[0].kind"),
-        ('target = "', 'aim = "', "figures[0].aim"),
-    ):
-        assert old in good
-        table.write_text(good.replace(old, new, 1))
-        assert report.main(check=True, root=root) == 2
-        said = capsys.readouterr().err
-        assert said.count("\n") == 1
-        assert f"capacity.toml: {field}" in said
+    assert old in good
+    table.write_text(good.replace(old, new, 1))
+    assert report.main(check=True, root=root) == 2
+    message = capsys.readouterr().err
+    assert message.count("\n") == 1
+    assert "capacity.toml: " in message
+    assert expected in message
+
+
+@pytest.mark.parametrize(
+    ("page", "expected"),
+    [
+        ("<!-- table: a -->\n<!-- end -->", "page.md: must have <!-- table: b -->"),
+        (
+            "<!-- table: a -->\n<!-- end -->\n<!-- table: c -->\n<!-- end -->",
+            "page.md:3: table 'c' is not known",
+        ),
+        (
+            "<!-- table: a -->\n<!-- end -->\n<!-- table: a -->\n<!-- end -->",
+            "page.md:3: table 'a' must start once",
+        ),
+        (
+            "<!-- table: a -->\n<!-- table: b -->\n<!-- end -->",
+            "page.md:2: table 'b' must start after the end",
+        ),
+        ("<!-- table: a -->\n<!-- end -->\n<!-- table: b -->", "page.md: table 'b' must end"),
+        ("text\n<!-- end -->", "page.md:2: <!-- end --> must follow"),
+    ],
+)
+def test_bad_markers_are_named_by_page_and_line(page: str, expected: str) -> None:
+    with pytest.raises(InputError, match=re.escape(expected)):
+        replace_tables(page, {"a": ["1"], "b": ["2"]}, "page.md")
+
+
+def test_tables_are_replaced_between_their_markers_only() -> None:
+    page = "head\n<!-- table: a -->\nold\n<!-- end -->\nmiddle\n<!-- table: b -->\n<!-- end -->\n"
+    expected = page.replace("old", "new").replace("<!-- table: b -->\n", "<!-- table: b -->\n1\n2\n")
+    assert replace_tables(page, {"a": ["new"], "b": ["1", "2"]}, "page.md") == expected
--- a/tests/test_scale_experiments.py
+++ b/tests/test_scale_experiments.py
@@ -1,4 +1,4 @@
-"""The rig of the scale experiments: what it refuses, its exit statuses, and that what it measured stays."""
+"""The command line: input that is rejected, exit statuses, and samples that are kept however a run ends."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 """
 
 
-def written(folder: Path, old: str = "", new: str = "") -> Path:
+def write_experiment(folder: Path, old: str = "", new: str = "") -> Path:
     """The small experiment, with one thing changed."""
     assert old in SMALL
     file = folder / "small.toml"
@@ -56,7 +56,7 @@
     return [sys.executable, "-m", "scale_experiments", *map(str, args)]
 
 
-def called(*args: str | Path) -> subprocess.CompletedProcess[str]:
+def run_command(*args: str | Path) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         command(*args), cwd=ROOT, capture_output=True, text=True, timeout=PATIENCE_S, check=False
     )
@@ -83,11 +83,11 @@
     ],
 )
 def test_a_fault_is_named_by_file_and_field(tmp_path: Path, old: str, new: str, field: str) -> None:
-    file = written(tmp_path, old, new)
-    with pytest.raises(InputError) as refused:
+    file = write_experiment(tmp_path, old, new)
+    with pytest.raises(InputError) as rejected:
         load_experiment(file)
-    assert str(refused.value).startswith(f"{file}: {field}: ")
-    assert "\n" not in str(refused.value)
+    assert str(rejected.value).startswith(f"{file}: {field}: ")
+    assert "\n" not in str(rejected.value)
 
 
 def test_every_experiment_of_the_repository_can_be_run() -> None:
@@ -106,7 +106,7 @@
 
 
 def test_a_small_run_measures_both_sizes(tmp_path: Path) -> None:
-    done = called("run", written(tmp_path), "--out", tmp_path)
+    done = run_command("run", write_experiment(tmp_path), "--out", tmp_path)
     assert done.returncode == 0, done.stderr
     result = load_result(tmp_path / "small.json")
     assert result.complete
@@ -121,7 +121,9 @@
 
 
 def test_a_broken_budget_is_status_1_and_the_result_stays(tmp_path: Path) -> None:
-    done = called("run", written(tmp_path, "most = 1e6", "most = 1"), "--out", tmp_path, "--label", "trial")
+    done = run_command(
+        "run", write_experiment(tmp_path, "most = 1e6", "most = 1"), "--out", tmp_path, "--label", "trial"
+    )
     assert done.returncode == 1
     assert "whole_list_bytes at caches 20" in done.stdout
     assert load_result(tmp_path / "small.trial.json").complete
@@ -129,8 +131,8 @@
 
 def test_bad_input_is_status_2_and_one_line(tmp_path: Path) -> None:
     for name in ("small.toml", "absent.toml"):
-        written(tmp_path, "seed = 3", "seed = 0.5")
-        done = called("run", tmp_path / name)
+        write_experiment(tmp_path, "seed = 3", "seed = 0.5")
+        done = run_command("run", tmp_path / name)
         assert done.returncode == 2
         assert len(done.stderr.splitlines()) == 1
         assert name in done.stderr
@@ -138,15 +140,15 @@
 
 def test_ctrl_c_keeps_what_was_measured(tmp_path: Path) -> None:
     """The second size is too large to end by itself in this test."""
-    file = written(tmp_path, "whole_lists = 1\n", "whole_lists = 100\n")
+    file = write_experiment(tmp_path, "whole_lists = 1\n", "whole_lists = 100\n")
     file.write_text(file.read_text().replace("caches = 20", "caches = 2000"))
     path = tmp_path / "small.json"
     with subprocess.Popen(
         command("run", file, "--out", tmp_path), cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE
     ) as process:
         try:
-            until = time.monotonic() + PATIENCE_S
-            while not path.exists() and time.monotonic() < until:
+            deadline = time.monotonic() + PATIENCE_S
+            while not path.exists() and time.monotonic() < deadline:
                 time.sleep(0.02)
             process.send_signal(signal.SIGINT)
             process.communicate(timeout=PATIENCE_S)
@@ -167,9 +169,9 @@
     """A kind that yields one sample, starts a process, and waits in an event loop."""
 
     Parameters = NoParameters
-    METRICS = {"waits_count": "waits begun"}
 
     def __init__(self, number: signal.Signals | None) -> None:
+        self.METRICS = {"waits_count": "waits begun"}
         self.number = number
         self.process: subprocess.Popen[bytes] | None = None
 
@@ -188,7 +190,7 @@
         await asyncio.sleep(600)
 
 
-def played(stub: Stub, path: Path, time_limit_s: float) -> RunOutcome:
+def run_stub(stub: Stub, path: Path, time_limit_s: float) -> RunOutcome:
     experiment = Experiment(
         name="stub", kind="stub", seed=1, time_limit_s=time_limit_s, sizes=[{"routers": 1}]
     )
@@ -204,13 +206,14 @@
 ) -> None:
     stub = Stub(number)
     before = signal.getsignal(signal.SIGINT)
-    outcome = played(stub, tmp_path / "stub.json", time_limit_s)
+    outcome = run_stub(stub, tmp_path / "stub.json", time_limit_s)
     result = outcome.result
     assert outcome.interrupted is by_signal
     assert not result.complete
     assert load_result(tmp_path / "stub.json") == result
     assert decode_histogram(result.samples[0].histograms["wait_us"]).get_max_value() == 7
-    assert stub.process is not None and stub.process.returncode is not None
+    assert stub.process is not None
+    assert stub.process.returncode is not None
     assert signal.getsignal(signal.SIGINT) is before
 
 
@@ -218,5 +221,5 @@
     stub = Stub(None)
     stub.METRICS = {"other_count": "something else"}
     with pytest.raises(ValueError, match="waits_count"):
-        played(stub, tmp_path / "stub.json", 60.0)
+        run_stub(stub, tmp_path / "stub.json", 60.0)
     assert not (tmp_path / "stub.json").exists()
