--- /dev/null
+++ b/scale_experiments/capacity/formatting.py
@@ -0,0 +1,94 @@
+"""How quantities, sizes and tables are written on the page."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+from scale_experiments.capacity.breaking_point import MAX_PROGRESS
+from scale_experiments.capacity.growth_path import GrowthPath
+from scale_experiments.capacity.schema import MISSING_MECHANISM, Unit
+from scale_experiments.estimate import Estimate
+from scale_experiments.number_format import SIGNIFICANT_DIGITS, format_number, format_with_error
+
+
+@dataclass(slots=True, frozen=True)
+class Scale:
+    """A multiple of a unit, and the suffix with which numbers in it are written."""
+
+    factor: float
+    suffix: str
+
+
+# the largest first; a number is written in the first that it reaches
+SCALES: dict[Unit, tuple[Scale, ...]] = {
+    "bytes": (Scale(1e12, " TB"), Scale(1e9, " GB"), Scale(1e6, " MB"), Scale(1e3, " KB"), Scale(1.0, " B")),
+    "bytes_per_s": (
+        Scale(1e12, " TB/s"),
+        Scale(1e9, " GB/s"),
+        Scale(1e6, " MB/s"),
+        Scale(1e3, " KB/s"),
+        Scale(1.0, " B/s"),
+    ),
+    "s": (
+        Scale(86_400.0, " d"),
+        Scale(3_600.0, " h"),
+        Scale(60.0, " min"),
+        Scale(1.0, " s"),
+        Scale(1e-3, " ms"),
+        Scale(1e-6, " µs"),
+    ),
+    "share": (Scale(0.01, "%"),),
+    "cores": (Scale(1.0, " cores"), Scale(0.01, "% of a core")),
+    "per_s": (Scale(1.0, "/s"),),
+    "per_day": (Scale(1.0, "/day"),),
+    "count": (Scale(1.0, ""),),
+}
+
+
+def format_quantity(value: float, unit: Unit, digits: int = SIGNIFICANT_DIGITS) -> str:
+    """A number with its unit, in the largest multiple of the unit that it reaches."""
+    scale = _scale_for(value, unit)
+    return _with_suffix(format_number(value / scale.factor, digits), scale)
+
+
+def format_estimate(estimate: Estimate, unit: Unit) -> str:
+    """A number with its unit and, where there is one, its standard error."""
+    if not estimate.has_error:
+        return format_quantity(estimate.value, unit)
+    scale = _scale_for(estimate.value, unit)
+    return _with_suffix(format_with_error(estimate.scaled(scale.factor)), scale)
+
+
+def _scale_for(value: float, unit: Unit) -> Scale:
+    scales = SCALES[unit]
+    if value:
+        return next((scale for scale in scales if abs(value) >= scale.factor), scales[-1])
+    return next((scale for scale in scales if scale.factor == 1.0), scales[-1])
+
+
+def _with_suffix(text: str, scale: Scale) -> str:
+    return "1 core" if text == "1" and scale.suffix == " cores" else text + scale.suffix
+
+
+def format_progress(growth_path: GrowthPath, progress: float | None) -> str:
+    """A point of the growth path, as routers and caches; None is beyond the path."""
+    if progress is None:
+        return f"not before {MAX_PROGRESS:g} times the way"
+    if progress == 0:
+        return "at today's size"
+    size = growth_path.size(progress)
+    return f"{size['routers']:,.0f} / {size['caches']:,.0f}"
+
+
+def format_mechanism(mechanism: str) -> str:
+    """The code that carries a demand, as on the page."""
+    if mechanism == MISSING_MECHANISM:
+        return f"**{MISSING_MECHANISM}**"
+    return f"`{mechanism.replace(':', ', ')}`"
+
+
+def markdown_table(header: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
+    """The lines of a Markdown table; bars in its cells are escaped."""
+    lines = ["| " + " | ".join(header) + " |", "| " + " | ".join("---" for _ in header) + " |"]
+    return lines + ["| " + " | ".join(cell.replace("|", "\\|") for cell in row) + " |" for row in rows]
--- /dev/null
+++ b/scale_experiments/capacity/schema.py
@@ -0,0 +1,166 @@
+"""The schema of capacity.toml.
+
+Where a key of the file is not the code's term for it, the field's alias names the key; errors name the key.
+"""
+
+from __future__ import annotations
+
+from typing import Annotated, Any, Literal
+
+from pydantic import BaseModel, BeforeValidator, ConfigDict, Field, model_validator
+
+from scale_experiments.expression import Expression
+from scale_experiments.fitting.forms import Form
+
+MISSING_MECHANISM = "missing"
+
+
+def _parse_formula(value: Any) -> Any:
+    """An expression from a string or a number; anything else is left for the schema to reject."""
+    if isinstance(value, (int, float)) and not isinstance(value, bool):
+        return Expression(repr(value))
+    return Expression(value) if isinstance(value, str) else value
+
+
+Formula = Annotated[Expression, BeforeValidator(_parse_formula)]
+Unit = Literal["cores", "share", "s", "bytes", "bytes_per_s", "per_s", "per_day", "count"]
+ParameterOrigin = Literal["given", "code", "assumed"]
+Resource = Literal["state", "messages", "processor time", "memory", "bytes", "connections", "time"]
+
+
+class StrictModel(BaseModel):
+    """A part of capacity.toml; unknown keys are errors."""
+
+    model_config = ConfigDict(extra="forbid", arbitrary_types_allowed=True, frozen=True)
+
+
+class Parameter(StrictModel):
+    """A number that was not measured: given by the operators, set in the code, or assumed.
+
+    It is a number of target.toml (`target_path`, table.name or table.name.index), a constant of the router
+    (`code_path`, module:name), or worked out from other parameters (`formula`).
+    """
+
+    name: str
+    target_path: str | None = Field(default=None, alias="target")
+    code_path: str | None = Field(default=None, alias="code")
+    formula: Formula | None = Field(default=None, alias="value")
+    origin: ParameterOrigin = Field(alias="kind")
+    unit: Unit
+    # where it was given, or why it is assumed
+    source: str = ""
+
+    @model_validator(mode="after")
+    def _has_one_definition(self) -> Parameter:
+        if [self.target_path, self.code_path, self.formula].count(None) != 2:
+            raise ValueError("must have exactly one of target, code and value")
+        return self
+
+
+class MeasuredTerm(StrictModel):
+    """A term of a formula: a metric of a kept result, fitted against the size."""
+
+    result: str
+    metric: str
+    # the best of all forms where it is not given
+    form: Form | None = None
+    # the columns of `form`; all that vary where they are not given
+    columns: list[str] | None = Field(default=None, alias="over")
+    # columns of the size that are neither `routers`, `caches` nor a parameter of the same name
+    column_formulas: dict[str, Formula] = Field(default={}, alias="at")
+    # take the mean at the largest measured size, without a fit
+    at_largest_size: bool = Field(default=False, alias="largest_only")
+    # the smallest sizes that are fitted, by column: today's, where a slope bends below it
+    min_sizes: dict[str, float] = Field(default={}, alias="least")
+    # the largest sizes that are fitted, by column: beyond, the machine that measured was at its limit
+    max_sizes: dict[str, float] = Field(default={}, alias="most")
+    # the only sizes that are fitted, by column
+    only_sizes: dict[str, float] = Field(default={}, alias="where")
+
+    @model_validator(mode="after")
+    def _columns_need_a_form(self) -> MeasuredTerm:
+        if self.columns is not None and self.form is None:
+            raise ValueError("over must come with a form")
+        return self
+
+
+class CapacityItem(StrictModel):
+    """What steady demands and failure impacts have in common."""
+
+    role: str
+    description: str = Field(alias="what")
+    unit: Unit
+    formula: Formula = Field(alias="value")
+    terms: dict[str, MeasuredTerm] = Field(default={}, alias="measured")
+    note: str = ""
+
+
+class Demand(CapacityItem):
+    """What a role has to carry all day, and the budget that it may take for it."""
+
+    resource: Resource = Field(alias="kind")
+    budget: Formula | None = None
+    # module:name of the code that carries it, or MISSING_MECHANISM
+    mechanism: str
+    # whether the given figures contradict each other, so that no mechanism can keep the budget
+    is_contradiction: bool = Field(default=False, alias="contradiction")
+
+    @property
+    def title(self) -> str:
+        """The resource and the description, as on the page."""
+        return f"{self.resource}: {self.description}"
+
+
+class FailureImpact(CapacityItem):
+    """What an everyday failure costs a role, and the seconds until all is as before."""
+
+    event: str
+    recovery: Formula | None = None
+
+
+class Comparison(StrictModel):
+    """Metrics of a baseline result, made before a mechanism was built, beside the same ones after."""
+
+    result: str
+    metrics: list[str] = Field(min_length=1)
+    units: list[Unit] = Field(min_length=1)
+    # a metric of a fixed piece of work, by which seconds of differently busy machines compare
+    reference_metric: str | None = Field(default=None, alias="reference")
+    # the sizes that are shown, by column; all where it is empty
+    sizes: dict[str, list[float]] = Field(default={}, alias="at")
+
+    @model_validator(mode="after")
+    def _has_a_unit_for_each_metric(self) -> Comparison:
+        if len(self.metrics) != len(self.units):
+            raise ValueError("units must be as many as metrics")
+        return self
+
+
+class Heading(StrictModel):
+    """The name by which entries refer to a role or an event, and its title on the page."""
+
+    name: str
+    title: str
+
+
+class CapacityTable(StrictModel):
+    """The whole of capacity.toml."""
+
+    roles: list[Heading]
+    events: list[Heading]
+    parameters: list[Parameter] = Field(alias="figures")
+    demands: list[Demand] = Field(alias="lines")
+    failures: list[FailureImpact]
+    comparisons: list[Comparison] = []
+
+    def location(self, item: CapacityItem) -> str:
+        """Where an item stands in the file, such as `lines[3]`."""
+        for key, items in (("lines", self.demands), ("failures", self.failures)):
+            for i, each in enumerate(items):
+                if each is item:
+                    return f"{key}[{i}]"
+        raise LookupError(f"no item of the table: {item.description}")
+
+    def role_titles(self) -> dict[str, str]:
+        """The title of each role, by name."""
+        return {role.name: role.title for role in self.roles}
--- /dev/null
+++ b/scale_experiments/number_format.py
@@ -0,0 +1,29 @@
+"""Numbers as text, the same on every machine."""
+
+from __future__ import annotations
+
+import math
+
+from scale_experiments.estimate import Estimate
+
+SIGNIFICANT_DIGITS = 3
+ERROR_DIGITS = 2
+FACTOR_DIGITS = 2  # of how far a size lies beyond what was measured
+SIZE_DIGITS = 5
+MAX_PLAIN = 1e15  # larger numbers keep their exponent
+
+
+def format_number(value: float, digits: int = SIGNIFICANT_DIGITS) -> str:
+    """A number in plain digits unless it is very large or very small; "not known" unless it is finite."""
+    if not math.isfinite(value):
+        return "not known"
+    text = f"{value:.{digits}g}"
+    if "e" not in text:
+        return text
+    return f"{float(text):,.0f}" if 1 <= abs(value) < MAX_PLAIN else text
+
+
+def format_with_error(estimate: Estimate) -> str:
+    """A number and its standard error; an error that is only rounding of the arithmetic is written as 0."""
+    error = estimate.standard_error if estimate.has_error else 0.0
+    return f"{format_number(estimate.value)} ± {format_number(error, ERROR_DIGITS)}"
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,28 +1,41 @@
-"""The fits, the size at which a line breaks, and the page against the results kept."""
+"""The fits, the breaking points of demands, and the capacity page against the kept results."""
 
 from __future__ import annotations
 
 import json
 import random
+import re
 import shutil
 from pathlib import Path
 
 import pytest
 
 from scale_experiments import fit, report
+from scale_experiments.capacity.formatting import format_progress
+from scale_experiments.capacity.kept_results import NotMeasuredError
+from scale_experiments.capacity.markers import replace_tables
+from scale_experiments.capacity.model import CapacityModel
+from scale_experiments.capacity.paths import CAPACITY_PAGE, CAPACITY_TABLE, RESULTS_FOLDER, ROOT, TARGET_FILE
+from scale_experiments.capacity.provenance import describe_basis
+from scale_experiments.capacity.reader import read_capacity
+from scale_experiments.capacity.schema import CapacityTable
+from scale_experiments.experiment import InputError
+from scale_experiments.fitting.forms import FitError, Form
+from scale_experiments.fitting.observations import Observation, observations_of
+from scale_experiments.fitting.selection import best_fit, fit_form
 from scale_experiments.results import load_result
 from scale_experiments.target import load_target
 
 
-def made_up(path: Path, slope: float, noise: float = 0.0, most: int = 800) -> Path:
+def write_linear_result(path: Path, slope: float, noise: float = 0.0, most: int = 800) -> Path:
     """A result whose `cost_s` is 0.5 + slope x caches and some noise."""
-    drawn = random.Random(1)
+    generator = random.Random(1)
     samples = [
         {
             "size": {"routers": 1, "caches": caches},
             "seed": repeat,
             "repeat": repeat,
-            "metrics": {"cost_s": 0.5 + slope * caches + drawn.gauss(0, noise), "same_count": 7.0},
+            "metrics": {"cost_s": 0.5 + slope * caches + generator.gauss(0, noise), "same_count": 7.0},
             "histograms": {},
         }
         for caches in range(most // 8, most + 1, most // 8)
@@ -48,46 +61,64 @@
 
 
 def test_a_fit_finds_the_slope_its_error_and_the_form(tmp_path: Path) -> None:
-    result = load_result(made_up(tmp_path / "cost.json", 0.002, noise=0.05))
-    best = fit.best_fit("cost_s", fit.points_of(result, "cost_s"))
-    assert best.form is fit.Form.LINEAR
-    slope, error = best.slopes["caches"]
+    result = load_result(write_linear_result(tmp_path / "cost.json", 0.002, noise=0.05))
+    best = best_fit("cost_s", observations_of(result, "cost_s"))
+    assert best.form is Form.LINEAR
+    slope = best.slopes["caches"]
     # of a line through n points: the noise over the root of the sum of squares about the mean size
     expected = 0.05 / (25 * sum((100.0 * i - 450.0) ** 2 for i in range(1, 9))) ** 0.5
-    assert error == pytest.approx(expected, rel=0.15)
-    assert abs(slope - 0.002) < 3 * error
-    value, error = best.value({"caches": 1600.0})
-    assert abs(value - 3.7) < 3 * error
+    assert slope.standard_error == pytest.approx(expected, rel=0.15)
+    assert abs(slope.value - 0.002) < 3 * slope.standard_error
+    value = best.predict({"caches": 1600.0})
+    assert abs(value.value - 3.7) < 3 * value.standard_error
     assert best.residual == pytest.approx(0.05, rel=0.15)
-    assert best.beyond({"caches": 1600.0}) == 2.0
-    assert fit.best_fit("same_count", fit.points_of(result, "same_count")).form is fit.Form.CONSTANT
+    assert best.extrapolation_factor({"caches": 1600.0}) == 2.0
+    assert best_fit("same_count", observations_of(result, "same_count")).form is Form.CONSTANT
 
 
 def test_a_fit_tells_a_power_and_a_product_from_a_line() -> None:
     grid = [{"routers": r, "caches": c} for r in (10.0, 20.0, 40.0) for c in (5.0, 10.0, 20.0)]
-    power = fit.best_fit("x", [(s, 3 * s["routers"] ** 1.5 * s["caches"] ** -0.5) for s in grid])
-    assert power.form is fit.Form.POWER
-    assert [slope for slope, _ in power.slopes.values()] == pytest.approx([-0.5, 1.5])  # caches, routers
-    product = fit.best_fit("x", [(s, 2 + 0.1 * s["routers"] * s["caches"]) for s in grid])
-    assert product.form is fit.Form.PRODUCT
-    assert product.value({"routers": 100.0, "caches": 100.0})[0] == pytest.approx(1002)
+    power = best_fit("x", [Observation(s, 3 * s["routers"] ** 1.5 * s["caches"] ** -0.5) for s in grid])
+    assert power.form is Form.POWER
+    assert [slope.value for slope in power.slopes.values()] == pytest.approx([-0.5, 1.5])  # caches, routers
+    product = best_fit("x", [Observation(s, 2 + 0.1 * s["routers"] * s["caches"]) for s in grid])
+    assert product.form is Form.PRODUCT
+    assert product.predict({"routers": 100.0, "caches": 100.0}).value == pytest.approx(1002)
+
+
+def test_a_fit_interpolates_along_one_column_and_beyond_its_end() -> None:
+    observations = [Observation({"routers": x}, 2 * x**0.5) for x in (10.0, 40.0, 160.0)]
+    between = fit_form("x", Form.INTERPOLATED, observations)
+    assert between.predict({"routers": 20.0}).value == pytest.approx(2 * 20**0.5)
+    assert between.predict({"routers": 640.0}).value == pytest.approx(2 * 640**0.5)
+    assert between.slopes["routers"].value == pytest.approx(0.5)
+    assert between.cross_validation_error == pytest.approx(0.0, abs=1e-12)
+    assert between.describe() == "between sizes, at the largest exponent 0.5 over routers"
+    with pytest.raises(FitError, match="3 sizes of routers"):
+        fit_form("x", Form.INTERPOLATED, observations[:2])
+
+
+def test_columns_that_grow_together_are_not_told_apart() -> None:
+    observations = [Observation({"routers": x, "caches": 3 * x}, x) for x in (1.0, 2.0, 3.0, 4.0)]
+    with pytest.raises(FitError, match="grow together"):
+        fit_form("x", Form.LINEAR, observations)
 
 
 def test_bad_results_end_with_2_and_one_line_that_names_file_and_field(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    path = made_up(tmp_path / "cost.json", 0.002)
+    path = write_linear_result(tmp_path / "cost.json", 0.002)
     table = json.loads(path.read_text())
     table["samples"][3]["metrics"]["cost_s"] = "much"
     path.write_text(json.dumps(table))
     assert fit.main([path]) == 2
-    said = capsys.readouterr().err
-    assert said.count("\n") == 1
-    assert "cost.json" in said
-    assert "samples[3].metrics.cost_s" in said
+    message = capsys.readouterr().err
+    assert message.count("\n") == 1
+    assert "cost.json" in message
+    assert "samples[3].metrics.cost_s" in message
 
 
-LINES = """
+ENTRIES = """
 roles = [{ name = "router", title = "Router" }]
 events = []
 failures = []
@@ -124,32 +155,33 @@
 """
 
 
-def capacity(tmp_path: Path) -> report.Capacity:
+def read_entries(tmp_path: Path) -> CapacityTable:
     path = tmp_path / "capacity.toml"
-    path.write_text(LINES)
-    return report.read_capacity(path)
+    path.write_text(ENTRIES)
+    return read_capacity(path)
 
 
-def test_a_line_breaks_where_the_way_first_leaves_its_budget(tmp_path: Path) -> None:
-    made_up(tmp_path / "cost.json", 0.002, most=400)
-    book = report.Book(capacity(tmp_path), load_target(), tmp_path)
-    cost, peers, missing = book.capacity.lines
-    # 0.5 + 0.002 x caches is 1.34 at 420 caches, 220 of 640 on the way
-    assert book.break_at(cost) == pytest.approx(220 / 640)
-    assert report.size_text(book.way, book.break_at(cost)) == "2,572 / 420"
-    assert book.basis(cost) == "extrapolated 2.1 times"
-    assert book.break_at(peers) is None  # 7,100 / 840 is 8.5, and never more than 6,900 / 640
-    assert book.basis(peers) == "given"
-    assert book.ratio(peers, book.way.size(1.0)) == pytest.approx(7100 / 840 / 20)
-    with pytest.raises(report.NotMeasured):
-        book.break_at(missing)
+def test_a_demand_breaks_where_the_growth_path_first_leaves_its_budget(tmp_path: Path) -> None:
+    write_linear_result(tmp_path / "cost.json", 0.002, most=400)
+    model = CapacityModel(read_entries(tmp_path), load_target(), tmp_path)
+    path = model.growth_path
+    cost, peers, missing = model.table.demands
+    # 0.5 + 0.002 x caches is 1.34 at 420 caches, 220 of 640 on the path
+    assert model.breaking_point(cost) == pytest.approx(220 / 640)
+    assert format_progress(path, model.breaking_point(cost)) == "2,572 / 420"
+    assert describe_basis(model, cost) == "extrapolated 2.1 times"
+    assert model.breaking_point(peers) is None  # 7,100 / 840 is 8.5, and never more than 6,900 / 640
+    assert describe_basis(model, peers) == "given"
+    assert model.utilization(peers, path.size(1.0)) == pytest.approx(7100 / 840 / 20)
+    with pytest.raises(NotMeasuredError):
+        model.breaking_point(missing)
 
 
 def copy_of_the_page(tmp_path: Path) -> Path:
-    for part in (report.LINES, report.PAGE, report.TARGET):
+    for part in (CAPACITY_TABLE, CAPACITY_PAGE, TARGET_FILE):
         (tmp_path / part).parent.mkdir(parents=True, exist_ok=True)
-        shutil.copy(report.ROOT / part, tmp_path / part)
-    shutil.copytree(report.ROOT / report.RESULTS, tmp_path / report.RESULTS)
+        shutil.copy(ROOT / part, tmp_path / part)
+    shutil.copytree(ROOT / RESULTS_FOLDER, tmp_path / RESULTS_FOLDER)
     return tmp_path
 
 
@@ -161,7 +193,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     root = copy_of_the_page(tmp_path)
-    page = root / report.PAGE
+    page = root / CAPACITY_PAGE
     kept = page.read_text()
     lines = kept.splitlines()
     at = next(i for i, line in enumerate(lines) if line.startswith("| 1 |"))
@@ -173,19 +205,65 @@
     assert page.read_text() == kept
 
 
-def test_a_bad_table_of_lines_ends_with_2_and_names_the_field(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+@pytest.mark.parametrize(
+    ("old", "new", "expected"),
+    [
+        ('kind = "given"', 'kind = "guessed"', "figures[0].kind: "),
+        ('target = "', 'aim = "', "figures[0].aim: "),
+        ('target = "target.requests_per_s"', 'target = "target.sites.0"', "figures.target_requests_per_s: "),
+        ('name = "objects"', 'name = "objets"', "figures: 'objets' must be used by a formula"),
+        ('mechanism = "cache_router', 'mechanism = "cache_rooter', "lines[0].mechanism: must be module:name"),
+        (
+            '[[lines]]\nrole = "router"',
+            '[[lines]]\nrole = "rooter"',
+            "lines[0].role: must be one of router, ",
+        ),
+        ("value = ", 'value = "1 +" # ', ".value: must be an arithmetic expression"),
+        ("measured.change = ", "measured.changes = ", "lines[0]: 'change' must be a figure, a term "),
+        ('[[lines]]\nrole = "router"', '[[lines]]\nvalues = 1\nrole = "router"', "lines[0].values: "),
+    ],
+)
+def test_a_bad_capacity_table_ends_with_2_and_names_the_field(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], old: str, new: str, expected: str
 ) -> None:
     root = copy_of_the_page(tmp_path)
-    lines = root / report.LINES
-    good = lines.read_text()
-    for old, new, field in (
-        ('kind = "given"', 'kind = "guessed"', "figures[0].kind"),
-        ('target = "', 'aim = "', "figures[0].aim"),
-    ):
-        assert old in good
-        lines.write_text(good.replace(old, new, 1))
-        assert report.main(check=True, root=root) == 2
-        said = capsys.readouterr().err
-        assert said.count("\n") == 1
-        assert f"capacity.toml: {field}" in said
+    table = root / CAPACITY_TABLE
+    good = table.read_text()
+    assert old in good
+    table.write_text(good.replace(old, new, 1))
+    assert report.main(check=True, root=root) == 2
+    message = capsys.readouterr().err
+    assert message.count("\n") == 1
+    assert "capacity.toml: " in message
+    assert expected in message
+
+
+@pytest.mark.parametrize(
+    ("page", "expected"),
+    [
+        ("<!-- table: a -->\n<!-- end -->", "page.md: must have <!-- table: b -->"),
+        (
+            "<!-- table: a -->\n<!-- end -->\n<!-- table: c -->\n<!-- end -->",
+            "page.md:3: table 'c' is not known",
+        ),
+        (
+            "<!-- table: a -->\n<!-- end -->\n<!-- table: a -->\n<!-- end -->",
+            "page.md:3: table 'a' must start once",
+        ),
+        (
+            "<!-- table: a -->\n<!-- table: b -->\n<!-- end -->",
+            "page.md:2: table 'b' must start after the end",
+        ),
+        ("<!-- table: a -->\n<!-- end -->\n<!-- table: b -->", "page.md: table 'b' must end"),
+        ("text\n<!-- end -->", "page.md:2: <!-- end --> must follow"),
+    ],
+)
+def test_bad_markers_are_named_by_page_and_line(page: str, expected: str) -> None:
+    with pytest.raises(InputError, match=re.escape(expected)):
+        replace_tables(page, {"a": ["1"], "b": ["2"]}, "page.md")
+
+
+def test_tables_are_replaced_between_their_markers_only() -> None:
+    page = "head\n<!-- table: a -->\nold\n<!-- end -->\nmiddle\n<!-- table: b -->\n<!-- end -->\n"
+    expected = page.replace("old", "new").replace("<!-- table: b -->\n", "<!-- table: b -->\n1\n2\n")
+    assert replace_tables(page, {"a": ["new"], "b": ["1", "2"]}, "page.md") == expected
