--- a/cache_router/__main__.py
+++ b/cache_router/__main__.py
@@ -16,9 +16,10 @@
 import orjson
 
 from cache_router.decisions.events import EndpointUpdateKind
+from cache_router.net.address import address_of, is_port
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.client_connection import Listener
-from cache_router.net.connection_pool import ConnectionPool, address_of, is_port
+from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.discovery import Discovery, ListError, read_list
 from cache_router.net.dispatcher import Dispatcher, NetworkEndpoint
 from cache_router.net.origin_connection import OriginConnection
--- a/cache_router/net/cache_connection.py
+++ b/cache_router/net/cache_connection.py
@@ -4,13 +4,9 @@
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net.command import MAX_VALUE, Command
-from cache_router.net.connection_pool import (
-    ConnectionPool,
-    MalformedResponseError,
-    UpstreamConnection,
-    UpstreamResponse,
-)
+from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.resp import NOT_YET, ErrorLine, Reader, RespError, pack
+from cache_router.net.upstream_connection import MalformedResponseError, UpstreamConnection, UpstreamResponse
 
 MAX_ITEMS = 16  # of an answer's three and of whatever stands in a load report's place
 MAX_ANSWER = MAX_VALUE + 8192  # the value and what stands round it
--- a/cache_router/net/client_connection.py
+++ b/cache_router/net/client_connection.py
@@ -11,9 +11,9 @@
 from functools import partial
 
 from cache_router.net.command import MAX_INFO, MAX_KEY, MAX_VALUE, CommandError, read_command
-from cache_router.net.connection_pool import has_unread_bytes, is_hung_up
 from cache_router.net.dispatcher import Dispatcher
 from cache_router.net.resp import NOT_YET, Message, Reader, RespError
+from cache_router.net.socket_state import has_unread_bytes, is_hung_up
 
 MAX_COMMAND = MAX_VALUE + MAX_KEY + MAX_INFO + 4096  # bytes held for a command that is not whole
 MAX_PARTS = 16
--- a/cache_router/net/discovery.py
+++ b/cache_router/net/discovery.py
@@ -12,7 +12,7 @@
 
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.endpoint import Endpoint, EndpointState
-from cache_router.net.connection_pool import address_of, is_port
+from cache_router.net.address import address_of, is_port
 from cache_router.net.dispatcher import NetworkEndpoint
 from cache_router.net.http import HttpClient, HttpError
 from cache_router.settings import WatchBudget
--- a/cache_router/net/dispatcher.py
+++ b/cache_router/net/dispatcher.py
@@ -41,7 +41,8 @@
 from cache_router.decisions.router import Router
 from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.net.command import Command, CommandError
-from cache_router.net.connection_pool import AttemptInFlight, ConnectionPool
+from cache_router.net.connection_pool import ConnectionPool
+from cache_router.net.upstream_connection import AttemptInFlight
 from cache_router.settings import Idempotency, Settings
 from cache_router.settings_reader import read_load
 
--- a/cache_router/net/origin_connection.py
+++ b/cache_router/net/origin_connection.py
@@ -6,13 +6,9 @@
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net.command import MAX_VALUE, Command
-from cache_router.net.connection_pool import (
-    ConnectionPool,
-    MalformedResponseError,
-    UpstreamConnection,
-    UpstreamResponse,
-)
+from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.http import HttpClient, HttpError
+from cache_router.net.upstream_connection import MalformedResponseError, UpstreamConnection, UpstreamResponse
 
 
 class OriginConnection(UpstreamConnection):
--- a/scale_experiments/hollow.py
+++ b/scale_experiments/hollow.py
@@ -24,8 +24,9 @@
 
 from cache_router.decisions.events import EndpointUpdate, EndpointUpdateKind, Event
 from cache_router.endpoint import Endpoint
+from cache_router.net.address import address_of
 from cache_router.net.cache_connection import CacheConnection
-from cache_router.net.connection_pool import ConnectionPool, address_of
+from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.discovery import MAX_LIST, Discovery, ListError, read_list
 from cache_router.net.dispatcher import Dispatcher, NetworkEndpoint
 from cache_router.net.origin_connection import OriginConnection
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,9 +16,10 @@
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.endpoint import EndpointState
 from cache_router.net import client_connection as clients
-from cache_router.net import connection_pool as pools
-from cache_router.net.connection_pool import AttemptInFlight, UpstreamConnection, is_hung_up
+from cache_router.net import upstream_connection
 from cache_router.net.origin_connection import OriginConnection
+from cache_router.net.socket_state import is_hung_up
+from cache_router.net.upstream_connection import AttemptInFlight, UpstreamConnection
 from cache_router.settings import WatchBudget
 from tests.loopback import (
     BOOK,
@@ -358,7 +359,7 @@
     """The origin says at once that it goes on, and answers when its work is done: no answer has begun."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(pools, "ANSWER_TIME", 0.0)
+        monkeypatch.setattr(upstream_connection, "ANSWER_TIME", 0.0)
         came = asyncio.Event()
         take = OriginConnection.data_received
 
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -18,7 +18,7 @@
 import pytest
 
 from cache_router import __main__ as program
-from cache_router.net.connection_pool import address_of
+from cache_router.net.address import address_of
 from tests.loopback import HIT, PATIENCE, Link, Peer, command, http, read, run, spelled
 from tests.test_net_discovery import LINE, message
 from tests.test_simulator_adapter import CONF
--- a/tests/test_net_connection_pool.py
+++ b/tests/test_net_connection_pool.py
@@ -9,10 +9,12 @@
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net import connection_pool as pools
+from cache_router.net import upstream_connection
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.command import Command
-from cache_router.net.connection_pool import AttemptInFlight, ConnectionPool, UpstreamConnection
+from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.origin_connection import OriginConnection
+from cache_router.net.upstream_connection import AttemptInFlight, UpstreamConnection
 from tests.loopback import HIT, MISS, Link, Peer, http, run, spelled
 
 GET = Command(b"C.GET", b"k", b"r1", {"c": "read", "d": "900"}, 900)
@@ -119,7 +121,7 @@
     """Said to be longer than it is, it would hold its request to the deadline, on a connection of no use."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(pools, "ANSWER_TIME", 0.02)
+        monkeypatch.setattr(upstream_connection, "ANSWER_TIME", 0.02)
         async with Peer() as peer:
             ends = Ends(ConnectionPool(kind, 8, 1.0, 60.0, 0.0))
             ends.start(peer.address)
