--- a/cache_router/net/address.py
+++ b/cache_router/net/address.py
@@ -1,7 +1,29 @@
-"""Addresses of the form `host:port`."""
+"""Network addresses of the form `host:port`, as endpoint lists and the configuration give them."""
 
 from __future__ import annotations
 
+MAX_PORT = 65535
+MAX_PORT_DIGITS = len(str(MAX_PORT))
+
+
+class AddressError(ValueError):
+    """A text that is not `host:port`."""
+
+
+def parse_address(text: str) -> tuple[str, int]:
+    """Split `host:port` at its last colon.
+
+    The host is taken as it stands and may not be empty. Port 0 is accepted: for a listener the kernel then
+    chooses one.
+
+    Raises:
+        AddressError: The host is empty, or the port is not a number of up to five ASCII digits below 65536.
+    """
+    host, _, port = text.rpartition(":")
+    if not host or not is_port(port):
+        raise AddressError(f"not host:port: {text[:40]!r}")
+    return host, int(port)
+
 
 def address_of(text: str) -> tuple[str, int]:
     """Split `host:port`."""
@@ -10,5 +32,5 @@
 
 
 def is_port(text: str) -> bool:
-    """Whether it is a port's number, in the digits that `int` reads."""
-    return text.isascii() and text.isdigit() and len(text) <= 5 and int(text) < 65536
+    """Whether a text is a port's number, without a sign, spaces or digits of other scripts."""
+    return text.isascii() and text.isdigit() and len(text) <= MAX_PORT_DIGITS and int(text) <= MAX_PORT
--- a/cache_router/net/connection_pool.py
+++ b/cache_router/net/connection_pool.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from cache_router.decisions.events import AttemptStatus
-from cache_router.net.address import address_of
+from cache_router.net.address import parse_address
 from cache_router.net.command import Command
 from cache_router.net.socket_state import has_unread_bytes
 from cache_router.net.upstream_connection import (
@@ -78,9 +78,9 @@
         try:
             async with asyncio.timeout(self.dial_timeout):
                 _, connection = await asyncio.get_running_loop().create_connection(
-                    lambda: self.make(self, address), *address_of(address)
+                    lambda: self.make(self, address), *parse_address(address)
                 )
-        except (OSError, ValueError) as e:  # a time-out is the one, a host that cannot be spelled the other
+        except (OSError, ValueError) as e:  # a time-out is the one, an address that cannot be used the other
             full = isinstance(e, OSError) and e.errno in (errno.EMFILE, errno.ENFILE)
             exchange.finish(AttemptStatus.NOT_SENT if full else AttemptStatus.CONNECT_FAILED)
             return
