--- a/cache_router/net/cache_connection.py
+++ b/cache_router/net/cache_connection.py
@@ -35,10 +35,12 @@
         match reply:
             case ErrorLine(text):
                 status = AttemptStatus.REJECTED if text.split(" ")[0] == "BUSY" else AttemptStatus.ERROR
-                return status, b"", text.rpartition(" ")[2].encode("latin-1")
+                return UpstreamResponse(status, load_report=text.rpartition(" ")[2].encode("latin-1"))
             case [bytes() | None as value, bytes() | None, report]:
-                told = report if isinstance(report, bytes) else b""
-                return (AttemptStatus.MISS, b"", told) if value is None else (AttemptStatus.OK, value, told)
+                load_report = report if isinstance(report, bytes) else b""
+                if value is None:
+                    return UpstreamResponse(AttemptStatus.MISS, load_report=load_report)
+                return UpstreamResponse(AttemptStatus.OK, value, load_report)
         if reply is NOT_YET:
             return None
         raise MalformedResponseError(f"not an answer: {repr(reply)[:80]}")
--- a/cache_router/net/connection_pool.py
+++ b/cache_router/net/connection_pool.py
@@ -15,6 +15,7 @@
     Done,
     Precondition,
     UpstreamConnection,
+    UpstreamResponse,
     always_allowed,
 )
 
@@ -69,7 +70,7 @@
             exchange.dial.add_done_callback(self.dials.discard)
         else:
             # guards against running out of descriptors, which would stop new clients as well
-            exchange.finish(AttemptStatus.NOT_SENT)  # not the server's fault
+            exchange.finish(UpstreamResponse(AttemptStatus.NOT_SENT))  # not the server's fault
         return exchange
 
     async def _dial(
@@ -82,7 +83,8 @@
                 )
         except (OSError, ValueError) as e:  # a time-out is the one, an address that cannot be used the other
             full = isinstance(e, OSError) and e.errno in (errno.EMFILE, errno.ENFILE)
-            exchange.finish(AttemptStatus.NOT_SENT if full else AttemptStatus.CONNECT_FAILED)
+            failure = AttemptStatus.NOT_SENT if full else AttemptStatus.CONNECT_FAILED
+            exchange.finish(UpstreamResponse(failure))
             return
         connection.process = process
         exchange.dial = None
@@ -94,7 +96,7 @@
             self.keep(connection)  # it is the request that is over
         else:
             connection.drop()
-        exchange.finish(status)
+        exchange.finish(UpstreamResponse(status))
 
     def _take(self, address: str, process: object) -> UpstreamConnection | None:
         """The kept connection idle for longest, if one still stands and has had its rest.
--- a/cache_router/net/dispatcher.py
+++ b/cache_router/net/dispatcher.py
@@ -42,7 +42,7 @@
 from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.net.command import Command, CommandError
 from cache_router.net.connection_pool import ConnectionPool
-from cache_router.net.upstream_connection import AttemptInFlight
+from cache_router.net.upstream_connection import AttemptInFlight, UpstreamResponse
 from cache_router.settings import Idempotency, Settings
 from cache_router.settings_reader import read_load
 
@@ -323,8 +323,8 @@
             loop = asyncio.get_running_loop()
             attempt.timer = loop.call_later(time_left, self._time_out, taken, attempt)
 
-        def done(status: AttemptStatus, value: bytes, report: bytes) -> None:
-            self._finish(taken, attempt, status, value, report)
+        def done(response: UpstreamResponse) -> None:
+            self._finish(taken, attempt, response.status, response.value, response.load_report)
 
         attempt.exchange = self._pool(member).start(
             member.address,
--- a/cache_router/net/origin_connection.py
+++ b/cache_router/net/origin_connection.py
@@ -36,9 +36,9 @@
         if response is None:
             return None
         if response.status == 200:
-            return AttemptStatus.OK, response.body, b""
+            return UpstreamResponse(AttemptStatus.OK, response.body)
         not_started = response.status in (503, 504) and response.headers.get(b"not-started") == b"1"
-        return (AttemptStatus.REJECTED if not_started else AttemptStatus.ERROR), b"", b""
+        return UpstreamResponse(AttemptStatus.REJECTED if not_started else AttemptStatus.ERROR)
 
     def begun(self) -> bool:
         return self.client.begun()
--- a/cache_router/net/upstream_connection.py
+++ b/cache_router/net/upstream_connection.py
@@ -6,6 +6,7 @@
 import logging
 from abc import abstractmethod
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
 from cache_router.decisions.events import AttemptStatus
@@ -17,8 +18,17 @@
 ANSWER_TIME = 0.1  # seconds for the rest of an answer once it has begun: it is sent in one go
 log = logging.getLogger(__name__)
 
-UpstreamResponse = tuple[AttemptStatus, bytes, bytes]  # with the value and the load report
-Done = Callable[[AttemptStatus, bytes, bytes], None]
+
+@dataclass(slots=True, frozen=True)
+class UpstreamResponse:
+    """How an attempt ended, with the value and the load report where the server sent them."""
+
+    status: AttemptStatus
+    value: bytes = b""
+    load_report: bytes = b""
+
+
+Done = Callable[[UpstreamResponse], None]
 Precondition = Callable[[], AttemptStatus | None]  # how an attempt ends that must not be written any more
 
 
@@ -46,10 +56,11 @@
         """For how long the router still waits, in seconds: a dial may have taken much of it."""
         return max(0.0, self.ends_at - asyncio.get_running_loop().time())
 
-    def finish(self, status: AttemptStatus, value: bytes = b"", report: bytes = b"") -> None:
+    def finish(self, response: UpstreamResponse) -> None:
+        """Report how the attempt ended, unless it has ended or was abandoned."""
         if self.open:
             self.open = False
-            self.done(status, value, report)
+            self.done(response)
 
     def abandon(self) -> None:
         """Stop waiting. Closing tells the server to stop work, and an answer can't meet a later request."""
@@ -121,12 +132,12 @@
             self.drop()
             return
         try:
-            answer = self.decode(data)
+            response = self.decode(data)
         except Exception as e:
             # guards the router: whatever a server sends costs its connection and no more
             self._spoilt(exchange, e)
             return
-        if answer is None:
+        if response is None:
             if self.expiry is None and self.begun():
                 loop = asyncio.get_running_loop()
                 stalled = MalformedResponseError("begun and not ended")
@@ -139,7 +150,7 @@
                 self.pool.keep(self)
             else:
                 self.drop()
-            exchange.finish(*answer)
+            exchange.finish(response)
 
     def _spoilt(self, exchange: AttemptInFlight, fault: Exception) -> None:
         """An answer that can't be used: the request may have run, and what follows belongs to nobody."""
@@ -147,7 +158,7 @@
         log.log(level, "answer of %s: %.200r", self.address, fault)
         self.exchange = None
         self.drop()
-        exchange.finish(AttemptStatus.ERROR)
+        exchange.finish(UpstreamResponse(AttemptStatus.ERROR))
 
     def stop_expiry(self) -> None:
         if self.expiry is not None:
@@ -163,7 +174,8 @@
         self.pool.forget(self)
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
-            exchange.finish(AttemptStatus.RESET if self.written else AttemptStatus.CONNECT_FAILED)
+            status = AttemptStatus.RESET if self.written else AttemptStatus.CONNECT_FAILED
+            exchange.finish(UpstreamResponse(status))
 
     def drop(self) -> None:
         """Close at once, without sending what is still held back."""
--- a/tests/test_net_connection_pool.py
+++ b/tests/test_net_connection_pool.py
@@ -14,7 +14,7 @@
 from cache_router.net.command import Command
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.origin_connection import OriginConnection
-from cache_router.net.upstream_connection import AttemptInFlight, UpstreamConnection
+from cache_router.net.upstream_connection import AttemptInFlight, UpstreamConnection, UpstreamResponse
 from tests.loopback import HIT, MISS, Link, Peer, http, run, spelled
 
 GET = Command(b"C.GET", b"k", b"r1", {"c": "read", "d": "900"}, 900)
@@ -37,7 +37,10 @@
         return link
 
     def start(self, address: str, command: Command = GET) -> AttemptInFlight:
-        return self.pool.start(address, command, 0.5, lambda s, v, r: self.results.put_nowait((s, v)))
+        return self.pool.start(address, command, 0.5, self.note)
+
+    def note(self, response: UpstreamResponse) -> None:
+        self.results.put_nowait((response.status, response.value))
 
     async def end(self) -> tuple[AttemptStatus, bytes]:
         return await self.results.get()
@@ -164,7 +167,7 @@
             link = await ends.begun(peer)
             link.write(HIT)
             await ends.end()
-            ends.pool.start(peer.address, GET, 0.5, lambda s, v, r: None, process="another")
+            ends.pool.start(peer.address, GET, 0.5, lambda response: None, process="another")
             assert await link.ended()
             assert (await (await peer.link()).resp())[2] == b"r1"
             ends.pool.close()
