--- a/cache_router/net/cache_connection.py
+++ b/cache_router/net/cache_connection.py
@@ -45,5 +45,5 @@
             return None
         raise MalformedResponseError(f"not an answer: {repr(reply)[:80]}")
 
-    def reusable(self) -> bool:
+    def is_reusable(self) -> bool:
         return not self.reader.buffer
--- a/cache_router/net/origin_connection.py
+++ b/cache_router/net/origin_connection.py
@@ -40,8 +40,8 @@
         not_started = response.status in (503, 504) and response.headers.get(b"not-started") == b"1"
         return UpstreamResponse(AttemptStatus.REJECTED if not_started else AttemptStatus.ERROR)
 
-    def begun(self) -> bool:
+    def response_started(self) -> bool:
         return self.client.begun()
 
-    def reusable(self) -> bool:
+    def is_reusable(self) -> bool:
         return self.client.reusable()
--- a/cache_router/net/upstream_connection.py
+++ b/cache_router/net/upstream_connection.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from cache_router.net.connection_pool import ConnectionPool
 
-ANSWER_TIME = 0.1  # seconds for the rest of an answer once it has begun: it is sent in one go
+RESPONSE_COMPLETION_TIMEOUT = 0.1  # seconds for the rest of an answer once it has begun: it is sent in one go
 log = logging.getLogger(__name__)
 
 
@@ -36,7 +36,7 @@
     """Bytes that are no answer; what they answer may have run."""
 
 
-def always_allowed() -> AttemptStatus | None:
+def no_precondition() -> AttemptStatus | None:
     """What may be written whenever its connection is up."""
     return None
 
@@ -46,15 +46,15 @@
 
     def __init__(self, command: Command, time_left: float, done: Done) -> None:
         self.command = command
-        self.ends_at = asyncio.get_running_loop().time() + time_left
+        self.deadline = asyncio.get_running_loop().time() + time_left
         self.done = done
         self.open = True
-        self.dial: asyncio.Task[None] | None = None
+        self.connecting: asyncio.Task[None] | None = None
         self.connection: UpstreamConnection | None = None
 
     def time_left(self) -> float:
         """For how long the router still waits, in seconds: a dial may have taken much of it."""
-        return max(0.0, self.ends_at - asyncio.get_running_loop().time())
+        return max(0.0, self.deadline - asyncio.get_running_loop().time())
 
     def finish(self, response: UpstreamResponse) -> None:
         """Report how the attempt ended, unless it has ended or was abandoned."""
@@ -67,10 +67,10 @@
         if not self.open:
             return
         self.open = False
-        if self.dial is not None:
-            self.dial.cancel()
+        if self.connecting is not None:
+            self.connecting.cancel()
         if self.connection is not None:
-            self.connection.drop()
+            self.connection.abort()
 
 
 class UpstreamConnection(asyncio.Protocol):
@@ -79,11 +79,11 @@
     def __init__(self, pool: ConnectionPool, address: str) -> None:
         self.pool = pool
         self.address = address
-        self.exchange: AttemptInFlight | None = None
-        self.written = False  # whether the request's last byte is
-        self.process: object = None  # that it was made to: another may come to its address
-        self.kept_at = 0.0  # since when it is idle
-        self.expiry: asyncio.TimerHandle | None = None  # of its idle time, or of an answer begun
+        self.attempt: AttemptInFlight | None = None
+        self.request_written = False  # whether the request's last byte is
+        self.incarnation: object = None  # that it was made to: another may come to its address
+        self.idle_since = 0.0  # since when it is idle
+        self.timeout: asyncio.TimerHandle | None = None  # of its idle time, or of an answer begun
 
     @abstractmethod
     def encode(self, command: Command, time_left: float) -> bytes:
@@ -94,10 +94,10 @@
         """Take bytes of the answer; None until it is whole."""
 
     @abstractmethod
-    def reusable(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether nothing is left over after an answer."""
 
-    def begun(self) -> bool:
+    def response_started(self) -> bool:
         """Whether what has come is a part of the answer, and not something ahead of it."""
         return True
 
@@ -108,76 +108,76 @@
         transport.set_write_buffer_limits(high=0)
         self.pool.connections.add(self)
 
-    def begin(self, exchange: AttemptInFlight) -> None:
-        exchange.connection = self
-        self.exchange = exchange
-        self.written = False
+    def begin(self, attempt: AttemptInFlight) -> None:
+        attempt.connection = self
+        self.attempt = attempt
+        self.request_written = False
         try:
-            data = self.encode(exchange.command, exchange.time_left())
+            data = self.encode(attempt.command, attempt.time_left())
         except Exception:
             # guards the router: what can't be sent costs its connection, and the attempt ends at once
             log.exception("request to %s", self.address)
-            self.drop()
+            self.abort()
             return
         self.transport.write(data)
         # guards against a second effect: `write` returns also when bytes are kept back or the write failed
-        self.written = not self.transport.is_closing() and not self.transport.get_write_buffer_size()
+        self.request_written = not self.transport.is_closing() and not self.transport.get_write_buffer_size()
 
     def resume_writing(self) -> None:
-        self.written = True
+        self.request_written = True
 
     def data_received(self, data: bytes) -> None:
-        exchange = self.exchange
-        if exchange is None:  # bytes that nobody asked for: the next answer could not be told from them
-            self.drop()
+        attempt = self.attempt
+        if attempt is None:  # bytes that nobody asked for: the next answer could not be told from them
+            self.abort()
             return
         try:
             response = self.decode(data)
         except Exception as e:
             # guards the router: whatever a server sends costs its connection and no more
-            self._spoilt(exchange, e)
+            self._fail(attempt, e)
             return
         if response is None:
-            if self.expiry is None and self.begun():
+            if self.timeout is None and self.response_started():
                 loop = asyncio.get_running_loop()
                 stalled = MalformedResponseError("begun and not ended")
                 # guards the request: an answer said to be longer than it is never ends
-                self.expiry = loop.call_later(ANSWER_TIME, self._spoilt, exchange, stalled)
+                self.timeout = loop.call_later(RESPONSE_COMPLETION_TIMEOUT, self._fail, attempt, stalled)
         else:
-            self.stop_expiry()
-            self.exchange = None
-            if self.written and self.reusable() and not self.transport.is_closing():
-                self.pool.keep(self)
+            self.cancel_timeout()
+            self.attempt = None
+            if self.request_written and self.is_reusable() and not self.transport.is_closing():
+                self.pool.release(self)
             else:
-                self.drop()
-            exchange.finish(response)
+                self.abort()
+            attempt.finish(response)
 
-    def _spoilt(self, exchange: AttemptInFlight, fault: Exception) -> None:
+    def _fail(self, attempt: AttemptInFlight, fault: Exception) -> None:
         """An answer that can't be used: the request may have run, and what follows belongs to nobody."""
         level = logging.WARNING if isinstance(fault, MalformedResponseError) else logging.ERROR
         log.log(level, "answer of %s: %.200r", self.address, fault)
-        self.exchange = None
-        self.drop()
-        exchange.finish(UpstreamResponse(AttemptStatus.ERROR))
+        self.attempt = None
+        self.abort()
+        attempt.finish(UpstreamResponse(AttemptStatus.ERROR))
 
-    def stop_expiry(self) -> None:
-        if self.expiry is not None:
-            self.expiry.cancel()
-            self.expiry = None
+    def cancel_timeout(self) -> None:
+        if self.timeout is not None:
+            self.timeout.cancel()
+            self.timeout = None
 
-    def expire_in(self, seconds: float) -> None:
+    def abort_after(self, seconds: float) -> None:
         """Close a connection that is idle for so long."""
-        self.stop_expiry()
-        self.expiry = asyncio.get_running_loop().call_later(seconds, self.drop)
+        self.cancel_timeout()
+        self.timeout = asyncio.get_running_loop().call_later(seconds, self.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.pool.forget(self)
-        exchange, self.exchange = self.exchange, None
-        if exchange is not None:
-            status = AttemptStatus.RESET if self.written else AttemptStatus.CONNECT_FAILED
-            exchange.finish(UpstreamResponse(status))
+        self.pool.remove(self)
+        attempt, self.attempt = self.attempt, None
+        if attempt is not None:
+            status = AttemptStatus.RESET if self.request_written else AttemptStatus.CONNECT_FAILED
+            attempt.finish(UpstreamResponse(status))
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """Close at once, without sending what is still held back."""
-        self.pool.forget(self)
+        self.pool.remove(self)
         self.transport.abort()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -226,7 +226,7 @@
             client.close()
             await until(lambda: not router.listener.connections)
             dials.up.set()
-            await until(lambda: not router.servers.dials)
+            await until(lambda: not router.servers.connecting)
             assert not written and not router.host.router.held
 
     run(scenario)
@@ -359,7 +359,7 @@
     """The origin says at once that it goes on, and answers when its work is done: no answer has begun."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(upstream_connection, "ANSWER_TIME", 0.0)
+        monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_TIMEOUT", 0.0)
         came = asyncio.Event()
         take = OriginConnection.data_received
 
@@ -407,7 +407,7 @@
                 assert await client.resp() == b"receipt"
             else:
                 assert str(await client.resp()).startswith("BUSY")
-                assert router.origin.links.empty() and not router.origins.dials
+                assert router.origin.links.empty() and not router.origins.connecting
 
     run(scenario)
 
--- a/tests/test_net_connection_pool.py
+++ b/tests/test_net_connection_pool.py
@@ -124,7 +124,7 @@
     """Said to be longer than it is, it would hold its request to the deadline, on a connection of no use."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(upstream_connection, "ANSWER_TIME", 0.02)
+        monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_TIMEOUT", 0.02)
         async with Peer() as peer:
             ends = Ends(ConnectionPool(kind, 8, 1.0, 60.0, 0.0))
             ends.start(peer.address)
@@ -167,7 +167,7 @@
             link = await ends.begun(peer)
             link.write(HIT)
             await ends.end()
-            ends.pool.start(peer.address, GET, 0.5, lambda response: None, process="another")
+            ends.pool.start(peer.address, GET, 0.5, lambda response: None, incarnation="another")
             assert await link.ended()
             assert (await (await peer.link()).resp())[2] == b"r1"
             ends.pool.close()
@@ -301,10 +301,10 @@
     async def scenario() -> None:
         async with Peer() as peer:
             ends = caches()
-            exchange = ends.start(peer.address)
+            attempt = ends.start(peer.address)
             link = await peer.link()
             await link.resp()
-            exchange.abandon()
+            attempt.abandon()
             assert await link.ended() and ends.results.empty()
 
     run(scenario)
@@ -314,10 +314,10 @@
     async def scenario() -> None:
         async with Peer() as peer:
             ends = caches()
-            exchange = ends.start(peer.address)
-            exchange.abandon()
-            assert exchange.dial is not None
-            await asyncio.wait([exchange.dial])
+            attempt = ends.start(peer.address)
+            attempt.abandon()
+            assert attempt.connecting is not None
+            await asyncio.wait([attempt.connecting])
             ends.start(peer.address)
             link = await peer.link()
             assert (await link.resp())[2] == b"r1"
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -67,7 +67,7 @@
 async def settled(router: Router) -> None:
     """Nothing is out and nothing is held, so that no attempt can follow."""
     host = router.host
-    await until(lambda: not (host.requests or router.servers.dials or router.origins.dials))
+    await until(lambda: not (host.requests or router.servers.connecting or router.origins.connecting))
     assert not host.router.held and not host.router.attempts
 
 
@@ -169,7 +169,7 @@
             await accepted(router, client)
             if why == "dial":
                 for idle in list(router.servers.idle):
-                    idle.drop()
+                    idle.abort()
                 client.sendall(read("r1"))
                 await first_dial(router)
                 leave(client, how)
