--- a/cache_router/net/cache_connection.py
+++ b/cache_router/net/cache_connection.py
@@ -1,4 +1,9 @@
-"""Attempts on cache servers, which speak RESP2."""
+"""Connections to cache servers, which speak RESP2.
+
+A request is an array of the verb, the key, the request's id, its info fields and, for a write, the value. The
+response is an array of the value (null for a miss), a text, and the server's load report; or an error line,
+whose first word is `BUSY` if the server rejected the request.
+"""
 
 from __future__ import annotations
 
@@ -8,42 +13,56 @@
 from cache_router.net.resp import NOT_YET, ErrorLine, Reader, RespError, pack
 from cache_router.net.upstream_connection import MalformedResponseError, UpstreamConnection, UpstreamResponse
 
-MAX_ITEMS = 16  # of an answer's three and of whatever stands in a load report's place
-MAX_ANSWER = MAX_VALUE + 8192  # the value and what stands round it
+# of a response's three, and of whatever stands in the place of its load report
+MAX_ITEMS = 16
+# bytes of a response: the value, and all that stands around it
+MAX_RESPONSE = MAX_VALUE + 8192
+# first word of the error line with which a server rejects a request
+BUSY = "BUSY"
 
 
 class CacheConnection(UpstreamConnection):
     """A connection to a cache server."""
 
     def __init__(self, pool: ConnectionPool, address: str) -> None:
+        """Prepare a connection of `pool` to `address` (`host:port`)."""
         super().__init__(pool, address)
-        self.reader = Reader(MAX_ITEMS, MAX_VALUE, MAX_ANSWER)
+        self.reader = Reader(MAX_ITEMS, MAX_VALUE, MAX_RESPONSE)
 
     def encode(self, command: Command, time_left: float) -> bytes:
+        """Encode a request as an array of bulk strings; `time_left` is in seconds."""
         parts = [command.verb, command.key, command.request, command.info_for(time_left)]
         if command.value is not None:
             parts.append(command.value)
         return pack(parts)
 
     def decode(self, data: bytes) -> UpstreamResponse | None:
+        """Take bytes of a response, and return the response once it is complete.
+
+        Raises:
+            MalformedResponseError: The bytes are not RESP2, are too many, or are no response to a request.
+        """
         self.reader.feed(data)
         try:
             reply = self.reader.next()
-        except RespError as e:
-            raise MalformedResponseError(str(e)) from e
-        # a third item that is no report, or can't be read, does not spoil the value
+        except RespError as error:
+            raise MalformedResponseError(str(error)) from error
         match reply:
             case ErrorLine(text):
-                status = AttemptStatus.REJECTED if text.split(" ")[0] == "BUSY" else AttemptStatus.ERROR
-                return UpstreamResponse(status, load_report=text.rpartition(" ")[2].encode("latin-1"))
+                # the load report is the last word, where there is one
+                load_report = text.rpartition(" ")[2].encode("latin-1")
+                status = AttemptStatus.REJECTED if text.split(" ")[0] == BUSY else AttemptStatus.ERROR
+                return UpstreamResponse(status, load_report=load_report)
             case [bytes() | None as value, bytes() | None, report]:
+                # a third item that is no report, or can't be read, does not spoil the value
                 load_report = report if isinstance(report, bytes) else b""
                 if value is None:
                     return UpstreamResponse(AttemptStatus.MISS, load_report=load_report)
                 return UpstreamResponse(AttemptStatus.OK, value, load_report)
         if reply is NOT_YET:
             return None
-        raise MalformedResponseError(f"not an answer: {repr(reply)[:80]}")
+        raise MalformedResponseError(f"not a response: {repr(reply)[:80]}")
 
     def is_reusable(self) -> bool:
+        """Whether nothing came after the response."""
         return not self.reader.buffer
--- a/cache_router/net/connection_pool.py
+++ b/cache_router/net/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections kept open to servers, for the attempts that follow."""
+"""Connections to the servers of one protocol, kept open between attempts."""
 
 from __future__ import annotations
 
@@ -19,14 +19,19 @@
     no_precondition,
 )
 
-IDLE_MARGIN = 0.5  # seconds before the peer may close an idle connection at which it is no longer used
-# seconds for which a connection rests after an answer: a second one may follow some milliseconds late, and
-# would be taken for the answer to the next request (seen: 19 of them, 1.1 to 3.2 ms behind)
+# seconds before the server may close an idle connection at which the pool closes it
+IDLE_MARGIN = 0.5
+# seconds for which a connection is not used after a response: a second one may follow some milliseconds late,
+# and would be taken for the response to the next request (19 were seen, 1.1 to 3.2 ms after the first)
 REUSE_DELAY = 0.01
+DESCRIPTORS_EXHAUSTED = (errno.EMFILE, errno.ENFILE)
 
 
 class ConnectionPool:
-    """The connections to servers that speak one protocol."""
+    """The connections to servers that speak one protocol.
+
+    A connection is up or being opened (`connecting`); one that is up carries an attempt or is idle.
+    """
 
     def __init__(
         self,
@@ -36,15 +41,25 @@
         idle_timeout: float,
         reuse_delay: float = REUSE_DELAY,
     ) -> None:
+        """Create an empty pool.
+
+        Args:
+            make_connection: Makes the protocol of a connection of this pool to an address.
+            max_connections: How many may be up or being opened at once, to all servers together.
+            connect_timeout: Seconds that opening one may take.
+            idle_timeout: Seconds after which servers close a connection that is idle.
+            reuse_delay: Seconds after a response for which its connection is not used.
+        """
         self.make_connection = make_connection
-        self.max_connections = max_connections  # of descriptors
+        self.max_connections = max_connections
         self.connect_timeout = connect_timeout
         self.reuse_delay = reuse_delay
         self.idle_time = max(0.0, idle_timeout - IDLE_MARGIN)
         self.connections: set[UpstreamConnection] = set()
         self.connecting: set[asyncio.Task[None]] = set()
-        self.idle: dict[UpstreamConnection, None] = {}  # of all addresses, longest first
-        self.idle_by_address: dict[str, dict[UpstreamConnection, None]] = {}  # of each
+        # ordered sets: the connection that has been idle for longest comes first
+        self.idle: dict[UpstreamConnection, None] = {}
+        self.idle_by_address: dict[str, dict[UpstreamConnection, None]] = {}
 
     def start(
         self,
@@ -56,36 +71,46 @@
         *,
         precondition: Precondition = no_precondition,
     ) -> AttemptInFlight:
-        """Start an attempt on the process that is at an address now.
-
-        A connection may be long in coming up: what has changed meanwhile is asked before the first byte.
+        """Start an attempt on a server.
+
+        Opening a connection may take long. What may have changed meanwhile is asked by `precondition` before
+        the first byte is written.
+
+        Args:
+            address: The server's `host:port`.
+            command: What is requested.
+            time_left: Seconds for which the router waits.
+            done: Called with the end of the attempt, unless it is abandoned, possibly before this returns.
+            incarnation: Tells a server from the one before it at the same address; compared by equality.
+            precondition: Asked once a new connection is up.
         """
         attempt = AttemptInFlight(command, time_left, done)
         connection = self._take_idle(address, incarnation)
         if connection is not None:
             connection.begin(attempt)
         elif self._ensure_capacity():
-            attempt.connecting = asyncio.create_task(
-                self._connect(address, incarnation, attempt, precondition)
-            )
-            self.connecting.add(attempt.connecting)
-            attempt.connecting.add_done_callback(self.connecting.discard)
+            connecting = asyncio.create_task(self._connect(address, incarnation, attempt, precondition))
+            attempt.connecting = connecting
+            self.connecting.add(connecting)
+            connecting.add_done_callback(self.connecting.discard)
         else:
-            # guards against running out of descriptors, which would stop new clients as well
-            attempt.finish(UpstreamResponse(AttemptStatus.NOT_SENT))  # not the server's fault
+            # with more descriptors the pool would keep clients from connecting; the server is not at fault
+            attempt.finish(UpstreamResponse(AttemptStatus.NOT_SENT))
         return attempt
 
     async def _connect(
         self, address: str, incarnation: object, attempt: AttemptInFlight, precondition: Precondition
     ) -> None:
+        """Open a connection for an attempt, and begin the attempt if its precondition still holds."""
         try:
             async with asyncio.timeout(self.connect_timeout):
                 _, connection = await asyncio.get_running_loop().create_connection(
                     lambda: self.make_connection(self, address), *parse_address(address)
                 )
-        except (OSError, ValueError) as e:  # a time-out is the one, an address that cannot be used the other
-            full = isinstance(e, OSError) and e.errno in (errno.EMFILE, errno.ENFILE)
-            failure = AttemptStatus.NOT_SENT if full else AttemptStatus.CONNECT_FAILED
+        # a time-out is an OSError, an address that can't be used a ValueError
+        except (OSError, ValueError) as error:
+            exhausted = isinstance(error, OSError) and error.errno in DESCRIPTORS_EXHAUSTED
+            failure = AttemptStatus.NOT_SENT if exhausted else AttemptStatus.CONNECT_FAILED
             attempt.finish(UpstreamResponse(failure))
             return
         connection.incarnation = incarnation
@@ -95,65 +120,70 @@
             connection.begin(attempt)
             return
         if status is AttemptStatus.NOT_SENT:
-            self.release(connection)  # it is the request that is over
+            # the request is over, not the server: the connection serves another attempt
+            self.release(connection)
         else:
             connection.abort()
         attempt.finish(UpstreamResponse(status))
 
     def _take_idle(self, address: str, incarnation: object) -> UpstreamConnection | None:
-        """The kept connection idle for longest, if one still stands and has had its rest.
+        """The connection to a server that has been idle for longest, past its reuse delay and still open.
 
-        Guards against what follows a good answer after a while: on the one used last it would more likely
-        come behind the next request, and be taken for its answer.
+        The one used last would be more likely to carry something that follows its last response late, which
+        would be taken for the response to the next request.
         """
         idle_before = asyncio.get_running_loop().time() - self.reuse_delay
         while (connection := next(iter(self.idle_by_address.get(address, ())), None)) is not None:
             if connection.incarnation == incarnation and connection.idle_since > idle_before:
-                return None  # and the others were kept later
+                # all others became idle later
+                return None
             self._remove_idle(connection)
             usable = connection.incarnation == incarnation and not connection.transport.is_closing()
-            # guards against resets: a close that came in since the loop last looked would lose the request
+            # a close that arrived since the event loop last looked would lose the request
             if usable and not has_unread_bytes(connection.transport):
                 return connection
             connection.abort()
         return None
 
     def _ensure_capacity(self) -> bool:
+        """Whether another connection may be opened; one that is idle is closed for it if need be."""
         if len(self.connections) + len(self.connecting) < self.max_connections:
             return True
-        for connection in self.idle:
-            connection.abort()
-            return True
-        return False
+        idle_longest = next(iter(self.idle), None)
+        if idle_longest is None:
+            return False
+        idle_longest.abort()
+        return True
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Hold a connection for the next attempt until the server would close it."""
+        """Keep a connection for the next attempt, until shortly before its server would close it."""
         connection.idle_since = asyncio.get_running_loop().time()
         connection.abort_after(self.idle_time)
         self.idle[connection] = None
         self.idle_by_address.setdefault(connection.address, {})[connection] = None
 
     def _remove_idle(self, connection: UpstreamConnection) -> None:
+        """Take a connection from those that are idle, and stop its timer."""
         connection.cancel_timeout()
         if connection in self.idle:
             del self.idle[connection]
-            at = self.idle_by_address[connection.address]
-            del at[connection]
-            if not at:
+            same_address = self.idle_by_address[connection.address]
+            del same_address[connection]
+            if not same_address:
                 del self.idle_by_address[connection.address]
 
     def remove(self, connection: UpstreamConnection) -> None:
-        """Note that a connection is closed."""
+        """Forget a connection that is closed or about to be."""
         self.connections.discard(connection)
         self._remove_idle(connection)
 
     def close_idle(self, address: str) -> None:
-        """Close the kept connections to one address."""
+        """Close the idle connections to one address."""
         for connection in list(self.idle_by_address.get(address, ())):
             connection.abort()
 
     def close(self) -> None:
-        """Close everything."""
+        """Close all connections and stop opening those that are not yet up."""
         for connection in list(self.connections):
             connection.abort()
         for connecting in self.connecting:
--- a/cache_router/net/origin_connection.py
+++ b/cache_router/net/origin_connection.py
@@ -1,4 +1,4 @@
-"""Attempts on the origin, which speaks HTTP/1.1."""
+"""Connections to the origin, which speaks HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -10,38 +10,56 @@
 from cache_router.net.http import HttpClient, HttpError
 from cache_router.net.upstream_connection import MalformedResponseError, UpstreamConnection, UpstreamResponse
 
+OK = 200
+SERVICE_UNAVAILABLE = 503
+GATEWAY_TIMEOUT = 504
+# statuses with which this header may tell that the origin has not started on a request
+REJECTING_STATUSES = (SERVICE_UNAVAILABLE, GATEWAY_TIMEOUT)
+NOT_STARTED_HEADER = b"not-started"
+
 
 class OriginConnection(UpstreamConnection):
     """A connection to the origin.
 
-    It gives the length of what it sends: a body that only the connection's end would end may be cut short,
-    and counts as broken.
+    The origin gives the length of what it sends. A body that only the end of the connection would end may
+    have been cut short, and is not accepted.
     """
 
     def __init__(self, pool: ConnectionPool, address: str) -> None:
+        """Prepare a connection of `pool` to `address` (`host:port`)."""
         super().__init__(pool, address)
         self.client = HttpClient(address, MAX_VALUE)
 
     def encode(self, command: Command, time_left: float) -> bytes:
-        # guards against a key that spells another path or a query: all but unreserved letters is escaped
+        """Encode a request: GET or PUT of the key's path; `time_left` is in seconds."""
+        # all but unreserved letters is escaped, as a key could otherwise spell another path or a query
         target = "/" + quote_from_bytes(command.key, safe="")
         headers = [(b"Request-Id", command.request), (b"Request-Info", command.info_for(time_left))]
         return self.client.request("PUT" if command.write else "GET", target, headers, command.value)
 
     def decode(self, data: bytes) -> UpstreamResponse | None:
+        """Take bytes of a response, and return the response once it is complete.
+
+        Raises:
+            MalformedResponseError: The bytes are not HTTP/1.1, or the response is too large.
+        """
         try:
             response = self.client.receive(data)
-        except HttpError as e:
-            raise MalformedResponseError(str(e)) from e
+        except HttpError as error:
+            raise MalformedResponseError(str(error)) from error
         if response is None:
             return None
-        if response.status == 200:
+        if response.status == OK:
             return UpstreamResponse(AttemptStatus.OK, response.body)
-        not_started = response.status in (503, 504) and response.headers.get(b"not-started") == b"1"
-        return UpstreamResponse(AttemptStatus.REJECTED if not_started else AttemptStatus.ERROR)
+        not_started = response.headers.get(NOT_STARTED_HEADER) == b"1"
+        if not_started and response.status in REJECTING_STATUSES:
+            return UpstreamResponse(AttemptStatus.REJECTED)
+        return UpstreamResponse(AttemptStatus.ERROR)
 
     def response_started(self) -> bool:
+        """Whether a part of the response has come: informational ones may long precede it."""
         return self.client.begun()
 
     def is_reusable(self) -> bool:
+        """Whether another request may follow on this connection."""
         return self.client.reusable()
--- a/cache_router/net/upstream_connection.py
+++ b/cache_router/net/upstream_connection.py
@@ -1,4 +1,9 @@
-"""A connection that carries one attempt at a time, and what became of each attempt."""
+"""A connection to a cache server or the origin, which carries one attempt at a time.
+
+`UpstreamConnection` is what the protocols have in common: when a request counts as written, when a response
+can no longer be trusted, and whether the connection may be used again. How an attempt ends turns on one
+question: may the server have run the request?
+"""
 
 from __future__ import annotations
 
@@ -7,7 +12,7 @@
 from abc import abstractmethod
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, cast
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net.command import Command
@@ -15,7 +20,9 @@
 if TYPE_CHECKING:
     from cache_router.net.connection_pool import ConnectionPool
 
-RESPONSE_COMPLETION_TIMEOUT = 0.1  # seconds for the rest of an answer once it has begun: it is sent in one go
+# seconds for the rest of a response once it has begun: servers send it in one piece
+RESPONSE_COMPLETION_TIMEOUT = 0.1
+
 log = logging.getLogger(__name__)
 
 
@@ -28,23 +35,26 @@
     load_report: bytes = b""
 
 
+# called with the end of an attempt, once at most
 Done = Callable[[UpstreamResponse], None]
-Precondition = Callable[[], AttemptStatus | None]  # how an attempt ends that must not be written any more
+# asked just before a request is written: the status with which the attempt ends instead, or None
+Precondition = Callable[[], AttemptStatus | None]
 
 
 class MalformedResponseError(Exception):
-    """Bytes that are no answer; what they answer may have run."""
+    """A response that can't be used. The request that it answers may have run."""
 
 
 def no_precondition() -> AttemptStatus | None:
-    """What may be written whenever its connection is up."""
+    """Let every request be written as soon as its connection is up."""
     return None
 
 
 class AttemptInFlight:
-    """One attempt: it ends once, by `done` or by being abandoned."""
+    """One attempt. It ends once: through `done`, or by being abandoned."""
 
     def __init__(self, command: Command, time_left: float, done: Done) -> None:
+        """Begin an attempt for which the router waits `time_left` seconds."""
         self.command = command
         self.deadline = asyncio.get_running_loop().time() + time_left
         self.done = done
@@ -53,7 +63,7 @@
         self.connection: UpstreamConnection | None = None
 
     def time_left(self) -> float:
-        """For how long the router still waits, in seconds: a dial may have taken much of it."""
+        """For how many seconds the router still waits: connecting may have taken much of the time."""
         return max(0.0, self.deadline - asyncio.get_running_loop().time())
 
     def finish(self, response: UpstreamResponse) -> None:
@@ -63,7 +73,11 @@
             self.done(response)
 
     def abandon(self) -> None:
-        """Stop waiting. Closing tells the server to stop work, and an answer can't meet a later request."""
+        """Stop waiting, and report nothing.
+
+        The connection is closed: that tells the server to stop working, and a late response can't be taken
+        for that of a later request.
+        """
         if not self.open:
             return
         self.open = False
@@ -74,103 +88,123 @@
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """A connection to one address."""
+    """A connection to one address; subclasses encode requests and decode responses."""
+
+    transport: asyncio.Transport
 
     def __init__(self, pool: ConnectionPool, address: str) -> None:
+        """Prepare a connection of `pool` to `address` (`host:port`)."""
         self.pool = pool
         self.address = address
         self.attempt: AttemptInFlight | None = None
-        self.request_written = False  # whether the request's last byte is
-        self.incarnation: object = None  # that it was made to: another may come to its address
-        self.idle_since = 0.0  # since when it is idle
-        self.timeout: asyncio.TimerHandle | None = None  # of its idle time, or of an answer begun
+        # whether the kernel has the last byte of the request
+        self.request_written = False
+        # of the server that it was made to: another may be started at the same address
+        self.incarnation: object = None
+        # the event loop's time at which it became idle, in seconds
+        self.idle_since = 0.0
+        # runs out while it is idle, or while a response is incomplete
+        self.timeout: asyncio.TimerHandle | None = None
 
     @abstractmethod
     def encode(self, command: Command, time_left: float) -> bytes:
-        """A request's bytes."""
+        """Encode a request, for whose response the router waits `time_left` seconds."""
 
     @abstractmethod
     def decode(self, data: bytes) -> UpstreamResponse | None:
-        """Take bytes of the answer; None until it is whole."""
+        """Take bytes of a response, and return the response once it is complete.
+
+        Raises:
+            MalformedResponseError: The bytes are no response, or one that is too large.
+        """
 
     @abstractmethod
     def is_reusable(self) -> bool:
-        """Whether nothing is left over after an answer."""
+        """Whether another request may follow: the response was complete and nothing came after it."""
 
     def response_started(self) -> bool:
-        """Whether what has come is a part of the answer, and not something ahead of it."""
+        """Whether what has come is a part of the response, and not something that precedes it."""
         return True
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, asyncio.Transport)
-        self.transport = transport
-        # so that `resume_writing` comes just when the last byte has gone to the kernel
-        transport.set_write_buffer_limits(high=0)
+        """Register with the pool; the event loop calls this once the connection is up."""
+        self.transport = cast(asyncio.Transport, transport)
+        # so that `resume_writing` is called just when the last byte has gone to the kernel
+        self.transport.set_write_buffer_limits(high=0)
         self.pool.connections.add(self)
 
     def begin(self, attempt: AttemptInFlight) -> None:
+        """Write the request of an attempt. The connection must be idle."""
         attempt.connection = self
         self.attempt = attempt
         self.request_written = False
         try:
             data = self.encode(attempt.command, attempt.time_left())
         except Exception:
-            # guards the router: what can't be sent costs its connection, and the attempt ends at once
-            log.exception("request to %s", self.address)
+            # whatever is wrong with a request, its attempt must end: the router waits for that
+            log.exception("request for %s can't be encoded", self.address)
             self.abort()
             return
         self.transport.write(data)
-        # guards against a second effect: `write` returns also when bytes are kept back or the write failed
+        # `write` returns also when bytes are buffered or writing failed; a request that was cut off never ran
         self.request_written = not self.transport.is_closing() and not self.transport.get_write_buffer_size()
 
     def resume_writing(self) -> None:
+        """Note that the kernel has the whole request; the event loop calls this once its buffer is empty."""
         self.request_written = True
 
     def data_received(self, data: bytes) -> None:
+        """Take bytes of the response, and end the attempt once the response is complete."""
         attempt = self.attempt
-        if attempt is None:  # bytes that nobody asked for: the next answer could not be told from them
+        if attempt is None:
+            # nobody asked for these bytes; the next response could not be told from them
             self.abort()
             return
         try:
             response = self.decode(data)
-        except Exception as e:
-            # guards the router: whatever a server sends costs its connection and no more
-            self._fail(attempt, e)
+        except Exception as error:
+            # whatever a server sends, it costs this connection and no more
+            self._fail(attempt, error)
             return
         if response is None:
             if self.timeout is None and self.response_started():
-                loop = asyncio.get_running_loop()
-                stalled = MalformedResponseError("begun and not ended")
-                # guards the request: an answer said to be longer than it is never ends
-                self.timeout = loop.call_later(RESPONSE_COMPLETION_TIMEOUT, self._fail, attempt, stalled)
+                self._limit_completion(attempt)
+            return
+        self.cancel_timeout()
+        self.attempt = None
+        if self.request_written and self.is_reusable() and not self.transport.is_closing():
+            self.pool.release(self)
         else:
-            self.cancel_timeout()
-            self.attempt = None
-            if self.request_written and self.is_reusable() and not self.transport.is_closing():
-                self.pool.release(self)
-            else:
-                self.abort()
-            attempt.finish(response)
-
-    def _fail(self, attempt: AttemptInFlight, fault: Exception) -> None:
-        """An answer that can't be used: the request may have run, and what follows belongs to nobody."""
-        level = logging.WARNING if isinstance(fault, MalformedResponseError) else logging.ERROR
-        log.log(level, "answer of %s: %.200r", self.address, fault)
+            self.abort()
+        attempt.finish(response)
+
+    def _limit_completion(self, attempt: AttemptInFlight) -> None:
+        """Bound the time for the rest of a response: one that announces more than is sent never ends."""
+        loop = asyncio.get_running_loop()
+        incomplete = MalformedResponseError("begun, but not completed in time")
+        self.timeout = loop.call_later(RESPONSE_COMPLETION_TIMEOUT, self._fail, attempt, incomplete)
+
+    def _fail(self, attempt: AttemptInFlight, error: Exception) -> None:
+        """End an attempt whose request may have run; what follows on the connection can't be trusted."""
+        level = logging.WARNING if isinstance(error, MalformedResponseError) else logging.ERROR
+        log.log(level, "response of %s can't be used: %.200r", self.address, error)
         self.attempt = None
         self.abort()
         attempt.finish(UpstreamResponse(AttemptStatus.ERROR))
 
     def cancel_timeout(self) -> None:
+        """Stop the timer of an idle connection or of an incomplete response, if one runs."""
         if self.timeout is not None:
             self.timeout.cancel()
             self.timeout = None
 
     def abort_after(self, seconds: float) -> None:
-        """Close a connection that is idle for so long."""
+        """Close the connection after so many seconds, unless `cancel_timeout` is called before."""
         self.cancel_timeout()
         self.timeout = asyncio.get_running_loop().call_later(seconds, self.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """End the attempt, if there is one; the event loop calls this when the connection is closed."""
         self.pool.remove(self)
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
@@ -178,6 +212,6 @@
             attempt.finish(UpstreamResponse(status))
 
     def abort(self) -> None:
-        """Close at once, without sending what is still held back."""
+        """Close at once, without sending what is still buffered."""
         self.pool.remove(self)
         self.transport.abort()
