--- a/cache_router/net/cache_connection.py
+++ b/cache_router/net/cache_connection.py
@@ -10,7 +10,7 @@
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net.command import MAX_VALUE, Command
 from cache_router.net.connection_pool import ConnectionPool
-from cache_router.net.resp import NOT_YET, ErrorLine, Reader, RespError, pack
+from cache_router.net.resp import INCOMPLETE, ErrorReply, RespError, RespReader, encode_command
 from cache_router.net.upstream_connection import MalformedResponseError, UpstreamConnection, UpstreamResponse
 
 # of a response's three, and of whatever stands in the place of its load report
@@ -27,14 +27,14 @@
     def __init__(self, pool: ConnectionPool, address: str) -> None:
         """Prepare a connection of `pool` to `address` (`host:port`)."""
         super().__init__(pool, address)
-        self.reader = Reader(MAX_ITEMS, MAX_VALUE, MAX_RESPONSE)
+        self.reader = RespReader(MAX_ITEMS, MAX_VALUE, MAX_RESPONSE)
 
     def encode(self, command: Command, time_left: float) -> bytes:
         """Encode a request as an array of bulk strings; `time_left` is in seconds."""
-        parts = [command.verb, command.key, command.request, command.info_for(time_left)]
+        parts = [command.verb, command.key, command.request_id, command.encode_info(time_left)]
         if command.value is not None:
             parts.append(command.value)
-        return pack(parts)
+        return encode_command(parts)
 
     def decode(self, data: bytes) -> UpstreamResponse | None:
         """Take bytes of a response, and return the response once it is complete.
@@ -48,7 +48,7 @@
         except RespError as error:
             raise MalformedResponseError(str(error)) from error
         match reply:
-            case ErrorLine(text):
+            case ErrorReply(text):
                 # the load report is the last word, where there is one
                 load_report = text.rpartition(" ")[2].encode("latin-1")
                 status = AttemptStatus.REJECTED if text.split(" ")[0] == BUSY else AttemptStatus.ERROR
@@ -59,7 +59,7 @@
                 if value is None:
                     return UpstreamResponse(AttemptStatus.MISS, load_report=load_report)
                 return UpstreamResponse(AttemptStatus.OK, value, load_report)
-        if reply is NOT_YET:
+        if reply is INCOMPLETE:
             return None
         raise MalformedResponseError(f"not a response: {repr(reply)[:80]}")
 
--- a/cache_router/net/client_connection.py
+++ b/cache_router/net/client_connection.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from functools import partial
 
-from cache_router.net.command import MAX_INFO, MAX_KEY, MAX_VALUE, CommandError, read_command
+from cache_router.net.command import MAX_INFO, MAX_KEY, MAX_VALUE, CommandError, parse_command
 from cache_router.net.dispatcher import Dispatcher
-from cache_router.net.resp import NOT_YET, Message, Reader, RespError
+from cache_router.net.resp import INCOMPLETE, Message, RespError, RespReader
 from cache_router.net.socket_state import has_unread_bytes, is_hung_up
 
 MAX_COMMAND = MAX_VALUE + MAX_KEY + MAX_INFO + 4096  # bytes held for a command that is not whole
@@ -45,7 +45,7 @@
     def __init__(self, host: Dispatcher, listener: Listener) -> None:
         self.host = host
         self.listener = listener
-        self.reader = Reader(MAX_PARTS, MAX_VALUE, MAX_COMMAND)
+        self.reader = RespReader(MAX_PARTS, MAX_VALUE, MAX_COMMAND)
         self.slots: deque[Slot] = deque()
         self.commands = 0  # whole ones that have come
         self.reading = True
@@ -83,7 +83,7 @@
             except RespError as e:
                 self.end_with(f"-ERR {e}")
                 return
-            if parts is NOT_YET:
+            if parts is INCOMPLETE:
                 break
             self.commands += 1
             self._take(parts)
@@ -98,8 +98,8 @@
             answer(b"+PONG\r\n" if self.host.ready() else b"-ERR no cache server is known\r\n")
             return
         try:
-            command = read_command(parts)
-            slot.request = command.request.decode()
+            command = parse_command(parts)
+            slot.request = command.request_id.decode()
             self.host.take(command, answer, self.present)
         except CommandError as e:
             slot.request = None
--- a/cache_router/net/command.py
+++ b/cache_router/net/command.py
@@ -9,7 +9,7 @@
 MAX_KEY = 1024
 MAX_INFO = 1024
 MAX_DEADLINE_MS = 600_000
-VISIBLE = re.compile(rb"[!-~]+")
+VISIBLE_ASCII = re.compile(rb"[!-~]+")
 # the origin's own paths, and those that a path's readers resolve away: as keys they would be other requests
 RESERVED_KEYS = (b".", b"..", b"stats", b"health/live")
 
@@ -24,25 +24,25 @@
 
     verb: bytes
     key: bytes
-    request: bytes
+    request_id: bytes
     info: dict[str, str]
     deadline_ms: int
     value: bytes | None = None
 
     @property
-    def write(self) -> bool:
+    def is_write(self) -> bool:
         return self.value is not None
 
-    def info_for(self, time_left: float) -> bytes:
+    def encode_info(self, time_left: float) -> bytes:
         """The names and values in their order, with `d` telling how long the router will wait."""
-        told = self.info | {"d": str(max(1, int(time_left * 1000)))}
-        return ",".join(f"{name}={value}" for name, value in told.items()).encode()
+        info = self.info | {"d": str(max(1, int(time_left * 1000)))}
+        return ",".join(f"{name}={value}" for name, value in info.items()).encode()
 
 
-def read_info(text: bytes) -> dict[str, str]:
+def parse_info(text: bytes) -> dict[str, str]:
     """The list of names and values after the request's id."""
     # guards the origin: a line break in here would go on as a header or a request of its own
-    if len(text) > MAX_INFO or not VISIBLE.fullmatch(text):
+    if len(text) > MAX_INFO or not VISIBLE_ASCII.fullmatch(text):
         raise CommandError("names and values must be visible ASCII, 1024 bytes at most")
     info: dict[str, str] = {}
     for pair in text.decode().split(","):
@@ -53,7 +53,7 @@
     return info
 
 
-def read_command(parts: object) -> Command:
+def parse_command(parts: object) -> Command:
     """Check the parts of a read or write."""
     if not isinstance(parts, list) or not all(isinstance(p, bytes) for p in parts) or not parts:
         raise CommandError("a command is an array of bulk strings")
@@ -62,12 +62,12 @@
         raise CommandError(f"unknown command {parts[0][:20]!r}")
     if len(parts) != (4 if verb == b"C.GET" else 5):
         raise CommandError(f"wrong number of arguments for {verb.decode()}")
-    key, request = parts[1], parts[2]
+    key, request_id = parts[1], parts[2]
     if not 0 < len(key) <= MAX_KEY or key in RESERVED_KEYS:
         raise CommandError("key is empty, too long or reserved")
-    if len(request) > 64 or not VISIBLE.fullmatch(request):
+    if len(request_id) > 64 or not VISIBLE_ASCII.fullmatch(request_id):
         raise CommandError("request id must be visible ASCII, 64 bytes at most")
-    info = read_info(parts[3])
+    info = parse_info(parts[3])
     deadline = info.get("d", "")
     # bounds how long a request is remembered: without it memory would fill with requests long answered
     if not deadline.isdigit() or len(deadline) > 9 or int(deadline) > MAX_DEADLINE_MS:
@@ -75,4 +75,4 @@
     value = parts[4] if verb == b"C.SET" else None
     if value is not None and len(value) > MAX_VALUE:
         raise CommandError("value is longer than 65536 bytes")
-    return Command(parts[0], key, request, info, int(deadline), value)
+    return Command(parts[0], key, request_id, info, int(deadline), value)
--- a/cache_router/net/dispatcher.py
+++ b/cache_router/net/dispatcher.py
@@ -216,7 +216,7 @@
 
     def take(self, command: Command, answer: Callable[[bytes], None], present: Callable[[], bool]) -> None:
         """Take a request that is owed one `answer`, or say why it can't be taken."""
-        name = command.request.decode()
+        name = command.request_id.decode()
         # guards the table: two requests under one id would get each other's answers; and a client against
         # another that repeats its id, just ended, to be served with what was its own
         if name in self.requests or name in self.used or name in self.used_before:
@@ -240,7 +240,7 @@
             command.key.decode("latin-1"),
             # guards against a number too large for a float
             int(hint) / 1e6 if hint.isdigit() and len(hint) <= MAX_HINT else None,
-            command.write,
+            command.is_write,
         )
         self.post(request)
 
@@ -337,7 +337,7 @@
 
     def _precondition(self, taken: Taken, member: NetworkEndpoint | None) -> AttemptStatus | None:
         """How an attempt ends, none of it written, that is too late for its client or its server."""
-        name = taken.command.request.decode()
+        name = taken.command.request_id.decode()
         if not taken.closed and not taken.present():
             self.client_gone(name)
         if taken.closed or taken.overdue:
@@ -370,7 +370,7 @@
             return
         if attempt.timer is not None:
             attempt.timer.cancel()
-        name = taken.command.request.decode()
+        name = taken.command.request_id.decode()
         if status is AttemptStatus.OK:
             self._close(name, b"$%d\r\n%b\r\n" % (len(value), value))
         self.over.append(name)
--- a/cache_router/net/origin_connection.py
+++ b/cache_router/net/origin_connection.py
@@ -34,8 +34,8 @@
         """Encode a request: GET or PUT of the key's path; `time_left` is in seconds."""
         # all but unreserved letters is escaped, as a key could otherwise spell another path or a query
         target = "/" + quote_from_bytes(command.key, safe="")
-        headers = [(b"Request-Id", command.request), (b"Request-Info", command.info_for(time_left))]
-        return self.client.request("PUT" if command.write else "GET", target, headers, command.value)
+        headers = [(b"Request-Id", command.request_id), (b"Request-Info", command.encode_info(time_left))]
+        return self.client.request("PUT" if command.is_write else "GET", target, headers, command.value)
 
     def decode(self, data: bytes) -> UpstreamResponse | None:
         """Take bytes of a response, and return the response once it is complete.
@@ -58,8 +58,8 @@
 
     def response_started(self) -> bool:
         """Whether a part of the response has come: informational ones may long precede it."""
-        return self.client.begun()
+        return self.client.response_started()
 
     def is_reusable(self) -> bool:
         """Whether another request may follow on this connection."""
-        return self.client.reusable()
+        return self.client.is_reusable()
--- a/scale_experiments/emulators/cache.py
+++ b/scale_experiments/emulators/cache.py
@@ -15,7 +15,7 @@
 from collections import OrderedDict, deque
 from typing import Any, Literal
 
-from cache_router.net.resp import NOT_YET, Reader, RespError
+from cache_router.net.resp import INCOMPLETE, RespError, RespReader
 from scale_experiments.emulators.control import serve, usage
 from scale_experiments.emulators.origin import Origin
 
@@ -128,7 +128,7 @@
 
     def __init__(self, cache: Cache) -> None:
         self.cache = cache
-        self.reader = Reader(16, MAX_VALUE, MAX_VALUE + 8192)
+        self.reader = RespReader(16, MAX_VALUE, MAX_VALUE + 8192)
         self.ready_at = 0.0  # when the latest answer goes out: a later request's does not overtake it
         self.turned_away = False
         self.requests = 0
@@ -161,7 +161,7 @@
             return
         self.reader.feed(data)
         try:
-            while (parts := self.reader.next()) is not NOT_YET:
+            while (parts := self.reader.next()) is not INCOMPLETE:
                 self._take(parts)
         except RespError as e:
             self.transport.write(b"-SYNTAX %b\r\n" % str(e).encode())
--- a/scale_experiments/emulators/clients.py
+++ b/scale_experiments/emulators/clients.py
@@ -20,7 +20,7 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from cache_router.net.resp import NOT_YET, ErrorLine, Message, Reader, RespError, pack
+from cache_router.net.resp import INCOMPLETE, ErrorReply, Message, RespError, RespReader, encode_command
 from scale_experiments.emulators.control import serve, usage
 
 MAX_VALUE = 64 * 1024
@@ -48,7 +48,7 @@
 
     def __init__(self, load: RouterLoad) -> None:
         self.load = load
-        self.reader = Reader(16, MAX_VALUE, MAX_VALUE + 8192)
+        self.reader = RespReader(16, MAX_VALUE, MAX_VALUE + 8192)
         self.asked: Asked | None = None
         self.served = 0
         self.expiry: asyncio.TimerHandle | None = None
@@ -88,7 +88,7 @@
             self._end("failed")
             self.transport.abort()
             return
-        if answer is NOT_YET:
+        if answer is INCOMPLETE:
             return
         self.served += 1
         self._end(kind_of(answer))
@@ -116,7 +116,7 @@
     match answer:
         case bytes() | [bytes(), *_]:
             return "served"
-        case ErrorLine(text) if text.split(" ")[0] == "BUSY":
+        case ErrorReply(text) if text.split(" ")[0] == "BUSY":
             return "refused"
     return "failed"
 
@@ -155,9 +155,9 @@
                 name = b"%08x%08x" % (self.seed, self.number)
                 if write:
                     info = self.write_info + b",k=" + name
-                    yield pack([b"C.SET", b"%016x" % key, name, info, self.value])
+                    yield encode_command([b"C.SET", b"%016x" % key, name, info, self.value])
                 else:
-                    yield pack([b"C.GET", b"%016x" % key, name, self.read_info])
+                    yield encode_command([b"C.GET", b"%016x" % key, name, self.read_info])
 
     async def run(self) -> None:
         """Send at the rate until told to rest; what is late is sent at once and counts from its due time."""
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -137,7 +137,7 @@
     begin = UpstreamConnection.begin
 
     def noted(connection: UpstreamConnection, exchange: AttemptInFlight) -> None:
-        names.append(exchange.command.request.decode())
+        names.append(exchange.command.request_id.decode())
         begin(connection, exchange)
 
     monkeypatch.setattr(UpstreamConnection, "begin", noted)
--- a/tests/test_net_resp.py
+++ b/tests/test_net_resp.py
@@ -4,19 +4,19 @@
 
 import pytest
 
-from cache_router.net.resp import NOT_YET, ErrorLine, Reader, RespError, pack
+from cache_router.net.resp import INCOMPLETE, ErrorReply, RespError, RespReader, encode_command
 
 MESSAGES = [
     (b"*3\r\n$5\r\nva\r\nl\r\n$3\r\nhit\r\n$-1\r\n", [b"va\r\nl", b"hit", None]),
     (b"*3\r\n$0\r\n\r\n$-1\r\n*2\r\n:-7\r\n+x\r\n", [b"", None, [-7, "x"]]),
-    (b"-BUSY 12\r\n", ErrorLine("BUSY 12")),
+    (b"-BUSY 12\r\n", ErrorReply("BUSY 12")),
     (b"*0\r\n", []),
     (b"*-1\r\n", None),
 ]
 
 
-def reader() -> Reader:
-    return Reader(max_items=4, max_bulk=100, max_message=250)
+def reader() -> RespReader:
+    return RespReader(max_items=4, max_bulk=100, max_message=250)
 
 
 @pytest.mark.parametrize("step", [1, 2, 3, 1000])
@@ -25,14 +25,14 @@
     got = reader()
     for start in range(0, len(stream), step):
         got.feed(stream[start : start + step])
-        while (message := got.next()) is not NOT_YET:
+        while (message := got.next()) is not INCOMPLETE:
             read.append(message)
     assert read == [m[1] for m in MESSAGES] and not got.buffer
 
 
 def test_what_is_packed_is_read() -> None:
     got = reader()
-    got.feed(pack([b"C.GET", b"", b"\r\n"]))
+    got.feed(encode_command([b"C.GET", b"", b"\r\n"]))
     assert got.next() == [b"C.GET", b"", b"\r\n"]
 
 
