--- /dev/null
+++ b/tests/test_net_cache_connection.py
@@ -0,0 +1,71 @@
+"""Responses of cache servers, well formed and not."""
+
+from __future__ import annotations
+
+import pytest
+
+from cache_router.decisions.events import AttemptStatus
+from tests.loopback import HIT, MISS, Peer, run
+from tests.upstream_attempts import caches, told
+
+LONG = b"$70000\r\n" + b"x" * 70000
+
+
+@pytest.mark.parametrize(
+    ("answer", "status", "value"),
+    [
+        (HIT, AttemptStatus.OK, b"value"),
+        (b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n", AttemptStatus.OK, b""),
+        # a load report that can't be read does not spoil the value
+        (b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$4\r\n\xff=\r\n\r\n", AttemptStatus.OK, b"v"),
+        (b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n*2\r\n:1\r\n-x\r\n", AttemptStatus.OK, b"v"),
+        (MISS, AttemptStatus.MISS, b""),
+        (b"-BUSY\r\n", AttemptStatus.REJECTED, b""),
+        (b"-ERR failed\r\n", AttemptStatus.ERROR, b""),
+        (b"-ERR failed inflight=7,queue=2\r\n", AttemptStatus.ERROR, b""),
+    ],
+)
+def test_answers_of_a_cache_server(answer: bytes, status: AttemptStatus, value: bytes) -> None:
+    async def scenario() -> None:
+        async with Peer() as peer:
+            ends = caches()
+            ends.start(peer.address)
+            link = await peer.link()
+            *parts, info = await link.resp()
+            assert parts == [b"C.GET", b"k", b"r1"] and told(info.decode()) == "c=read"
+            link.write(answer)
+            assert await ends.end() == (status, value)
+            ends.start(peer.address)  # and the connection is kept
+            await link.resp()
+            ends.pool.close()
+
+    run(scenario)
+
+
+@pytest.mark.parametrize(
+    "answer",
+    [
+        b"hello\r\n",
+        b"*0\r\n",
+        b":3\r\n",
+        b"*1\r\n:3\r\n",
+        b"*3\r\n:3\r\n$3\r\nhit\r\n$-1\r\n",
+        b"*2\r\n$5\r\nvalue\r\n$3\r\nhit\r\n",
+        LONG,
+        b"*9999999999\r\n",
+        b"*3\r\n$3000000000\r\n",
+        b"*3\r\n$3\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n",
+    ],
+)
+def test_a_malformed_answer_may_have_run_and_ends_its_connection(answer: bytes) -> None:
+    """What follows on such a connection can't be told from the answer to a later request."""
+
+    async def scenario() -> None:
+        async with Peer() as peer:
+            ends = caches()
+            link = await ends.begun(peer)
+            link.write(answer)
+            assert await ends.end() == (AttemptStatus.ERROR, b"")
+            assert await link.ended() and not ends.pool.connections
+
+    run(scenario)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -30,8 +30,8 @@
 from tests.loopback import HIT, MISS, Link, Peer, Router, book, command, http, read, run, spelled
 from tests.test_endings import Dials, first_dial, requests_written, until
 from tests.test_main import GOOD, configured, listening, program_run, ready
-from tests.test_net_connection_pool import GET
 from tests.test_net_discovery import LINE, message
+from tests.upstream_attempts import GET
 
 # A client that has left: the tests' sockets block, so that it has left before the router's loop looks again
 
