--- a/tests/test_net_cache_connection.py
+++ b/tests/test_net_cache_connection.py
@@ -6,13 +6,13 @@
 
 from cache_router.decisions.events import AttemptStatus
 from tests.loopback import HIT, MISS, Peer, run
-from tests.upstream_attempts import caches, told
+from tests.upstream_attempts import cache_attempts, info_without_deadline
 
-LONG = b"$70000\r\n" + b"x" * 70000
+OVERSIZED_VALUE = b"$70000\r\n" + b"x" * 70000
 
 
 @pytest.mark.parametrize(
-    ("answer", "status", "value"),
+    ("response", "status", "value"),
     [
         (HIT, AttemptStatus.OK, b"value"),
         (b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n", AttemptStatus.OK, b""),
@@ -25,25 +25,28 @@
         (b"-ERR failed inflight=7,queue=2\r\n", AttemptStatus.ERROR, b""),
     ],
 )
-def test_answers_of_a_cache_server(answer: bytes, status: AttemptStatus, value: bytes) -> None:
+def test_responses_of_a_cache_server(response: bytes, status: AttemptStatus, value: bytes) -> None:
+    """Only what begins with BUSY was rejected; any other error may have run."""
+
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            ends.start(peer.address)
+            attempts = cache_attempts()
+            attempts.start(peer.address)
             link = await peer.link()
             *parts, info = await link.resp()
-            assert parts == [b"C.GET", b"k", b"r1"] and told(info.decode()) == "c=read"
-            link.write(answer)
-            assert await ends.end() == (status, value)
-            ends.start(peer.address)  # and the connection is kept
+            assert parts == [b"C.GET", b"k", b"r1"]
+            assert info_without_deadline(info.decode()) == "c=read"
+            link.write(response)
+            assert await attempts.outcome() == (status, value)
+            attempts.start(peer.address)  # and the connection is used again
             await link.resp()
-            ends.pool.close()
+            attempts.pool.close()
 
     run(scenario)
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         b"hello\r\n",
         b"*0\r\n",
@@ -51,21 +54,22 @@
         b"*1\r\n:3\r\n",
         b"*3\r\n:3\r\n$3\r\nhit\r\n$-1\r\n",
         b"*2\r\n$5\r\nvalue\r\n$3\r\nhit\r\n",
-        LONG,
+        OVERSIZED_VALUE,
         b"*9999999999\r\n",
         b"*3\r\n$3000000000\r\n",
         b"*3\r\n$3\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n",
     ],
 )
-def test_a_malformed_answer_may_have_run_and_ends_its_connection(answer: bytes) -> None:
-    """What follows on such a connection can't be told from the answer to a later request."""
+def test_a_malformed_response_may_have_run_and_ends_its_connection(response: bytes) -> None:
+    """What follows on such a connection can't be told from the response to a later request."""
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            link = await ends.begun(peer)
-            link.write(answer)
-            assert await ends.end() == (AttemptStatus.ERROR, b"")
-            assert await link.ended() and not ends.pool.connections
+            attempts = cache_attempts()
+            link = await attempts.start_on(peer)
+            link.write(response)
+            assert await attempts.outcome() == (AttemptStatus.ERROR, b"")
+            assert await link.ended()
+            assert not attempts.pool.connections
 
     run(scenario)
--- a/tests/test_net_origin_connection.py
+++ b/tests/test_net_origin_connection.py
@@ -2,24 +2,30 @@
 
 from __future__ import annotations
 
+import string
+
 import pytest
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net.command import Command
-from cache_router.net.connection_pool import ConnectionPool
-from cache_router.net.origin_connection import OriginConnection
 from tests.loopback import Link, Peer, http, run
-from tests.upstream_attempts import GET, Ends, told
+from tests.upstream_attempts import GET, AttemptRunner, info_without_deadline, origin_attempts
+
+# the letters that RFC 3986 allows unescaped in a path
+UNRESERVED = (string.ascii_letters + string.digits + "-._~").encode()
 
 
-async def asked(peer: Peer, ends: Ends, command: Command = GET) -> tuple[Link, str, dict[str, str], bytes]:
-    ends.start(peer.address, command)
+async def start_on_origin(
+    peer: Peer, attempts: AttemptRunner, command: Command = GET
+) -> tuple[Link, str, dict[str, str], bytes]:
+    """Start an attempt on the origin, and read its request."""
+    attempts.start(peer.address, command)
     link = await peer.link()
     return link, *await link.http()
 
 
 @pytest.mark.parametrize(
-    ("answer", "status", "value"),
+    ("response", "status", "value"),
     [
         (http("200 OK", b"value"), AttemptStatus.OK, b"value"),
         (
@@ -42,24 +48,26 @@
         (http("404 None"), AttemptStatus.ERROR, b""),
     ],
 )
-def test_answers_of_the_origin(answer: bytes, status: AttemptStatus, value: bytes) -> None:
+def test_responses_of_the_origin(response: bytes, status: AttemptStatus, value: bytes) -> None:
+    """Only a refusal that says so was not started; any other error may have run."""
+
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = Ends(ConnectionPool(OriginConnection, 8, 1.0, 60.0, 0.0))
-            link, first, headers, _ = await asked(peer, ends)
+            attempts = origin_attempts()
+            link, first, headers, _ = await start_on_origin(peer, attempts)
             assert first == "GET /k HTTP/1.1"
-            assert (headers["request-id"], told(headers["request-info"])) == ("r1", "c=read")
-            link.write(answer)
-            assert await ends.end() == (status, value)
-            ends.start(peer.address)  # and the connection is kept
+            assert (headers["request-id"], info_without_deadline(headers["request-info"])) == ("r1", "c=read")
+            link.write(response)
+            assert await attempts.outcome() == (status, value)
+            attempts.start(peer.address)  # and the connection is used again
             await link.http()
-            ends.pool.close()
+            attempts.pool.close()
 
     run(scenario)
 
 
 @pytest.mark.parametrize(
-    ("answer", "status"),
+    ("response", "status"),
     [
         (b"hello\r\n\r\n", AttemptStatus.ERROR),
         (http("200 OK", b"x" * 70000), AttemptStatus.ERROR),
@@ -71,15 +79,18 @@
         (b"", AttemptStatus.RESET),
     ],
 )
-def test_malformed_and_broken_answers_of_the_origin(answer: bytes, status: AttemptStatus) -> None:
+def test_malformed_and_broken_responses_of_the_origin(response: bytes, status: AttemptStatus) -> None:
+    """A response that was cut off is a reset; one that can't be used ends its attempt at once."""
+
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = Ends(ConnectionPool(OriginConnection, 8, 1.0, 60.0, 0.0))
-            link, *_ = await asked(peer, ends)
-            link.write(answer)
+            attempts = origin_attempts()
+            link, *_ = await start_on_origin(peer, attempts)
+            link.write(response)
             link.close()
-            assert (await ends.end())[0] is status
-            assert await link.ended() and not ends.pool.idle
+            assert (await attempts.outcome())[0] is status
+            assert await link.ended()
+            assert not attempts.pool.idle
 
     run(scenario)
 
@@ -90,27 +101,28 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = Ends(ConnectionPool(OriginConnection, 8, 1.0, 60.0, 0.0))
+            attempts = origin_attempts()
             put = Command(b"C.SET", key, b"r1", {"d": "900"}, 900, b"slot")
-            _, first, _, body = await asked(peer, ends, put)
+            _, first, _, body = await start_on_origin(peer, attempts, put)
             method, path, _ = first.split(" ")
-            assert method == "PUT" and body == b"slot"
-            assert not set(path[1:]) & set("/?# ") and path == "/" + "".join(
-                chr(c) if chr(c).isalnum() and c < 128 or c in b"-._~" else f"%{c:02X}" for c in key
-            )
-            ends.pool.close()
+            assert method == "PUT"
+            assert body == b"slot"
+            assert not set(path[1:]) & set("/?# ")
+            assert path == "/" + "".join(chr(c) if c in UNRESERVED else f"%{c:02X}" for c in key)
+            attempts.pool.close()
 
     run(scenario)
 
 
-def test_a_request_that_cannot_be_spelled_ends_its_attempt_at_once() -> None:
+def test_a_request_that_cannot_be_encoded_ends_its_attempt_at_once() -> None:
     """Left without an outcome it would hold its request until the deadline."""
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = Ends(ConnectionPool(OriginConnection, 8, 1.0, 60.0, 0.0))
-            ends.start(peer.address, Command(b"C.GET", b"k", b"r1", {"x": "a\r\nb", "d": "9"}, 9))
-            assert await ends.end() == (AttemptStatus.CONNECT_FAILED, b"")
-            assert await (await peer.link()).ended() and not ends.pool.connections
+            attempts = origin_attempts()
+            attempts.start(peer.address, Command(b"C.GET", b"k", b"r1", {"x": "a\r\nb", "d": "9"}, 9))
+            assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
+            assert await (await peer.link()).ended()
+            assert not attempts.pool.connections
 
     run(scenario)
--- a/tests/test_net_resp.py
+++ b/tests/test_net_resp.py
@@ -15,25 +15,29 @@
 ]
 
 
-def reader() -> RespReader:
+def make_reader() -> RespReader:
+    """A reader with small limits."""
     return RespReader(max_items=4, max_bulk=100, max_message=250)
 
 
 @pytest.mark.parametrize("step", [1, 2, 3, 1000])
-def test_messages_are_read_however_they_come(step: int) -> None:
+def test_messages_are_read_in_pieces_of_any_size(step: int) -> None:
+    """A message is given once it is complete, and nothing is left over."""
     stream, read = b"".join(m[0] for m in MESSAGES), []
-    got = reader()
+    resp_reader = make_reader()
     for start in range(0, len(stream), step):
-        got.feed(stream[start : start + step])
-        while (message := got.next()) is not INCOMPLETE:
+        resp_reader.feed(stream[start : start + step])
+        while (message := resp_reader.next()) is not INCOMPLETE:
             read.append(message)
-    assert read == [m[1] for m in MESSAGES] and not got.buffer
+    assert read == [m[1] for m in MESSAGES]
+    assert not resp_reader.buffer
 
 
-def test_what_is_packed_is_read() -> None:
-    got = reader()
-    got.feed(encode_command([b"C.GET", b"", b"\r\n"]))
-    assert got.next() == [b"C.GET", b"", b"\r\n"]
+def test_an_encoded_command_is_read() -> None:
+    """Commands are arrays of bulk strings, which may hold any bytes."""
+    resp_reader = make_reader()
+    resp_reader.feed(encode_command([b"C.GET", b"", b"\r\n"]))
+    assert resp_reader.next() == [b"C.GET", b"", b"\r\n"]
 
 
 @pytest.mark.parametrize(
@@ -62,9 +66,9 @@
         b"(12\r\n",
     ],
 )
-def test_what_is_malformed_or_too_large_is_refused_at_once(data: bytes) -> None:
+def test_what_is_malformed_or_too_large_is_rejected_at_once(data: bytes) -> None:
     """Waited for, it would hold memory, or its request to the deadline."""
-    got = reader()
-    got.feed(data)
+    resp_reader = make_reader()
+    resp_reader.feed(data)
     with pytest.raises(RespError):
-        got.next()
+        resp_reader.next()
--- a/tests/upstream_attempts.py
+++ b/tests/upstream_attempts.py
@@ -8,43 +8,55 @@
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.command import Command
 from cache_router.net.connection_pool import ConnectionPool
+from cache_router.net.origin_connection import OriginConnection
 from cache_router.net.upstream_connection import AttemptInFlight, UpstreamResponse
 from tests.loopback import Link, Peer
 
 GET = Command(b"C.GET", b"k", b"r1", {"c": "read", "d": "900"}, 900)
-HUGE = Command(b"C.SET", b"k", b"r1", {"c": "book", "d": "900"}, 900, b"x" * 32_000_000)
+HUGE_SET = Command(b"C.SET", b"k", b"r1", {"c": "book", "d": "900"}, 900, b"x" * 32_000_000)
 
 
-class Ends:
+class AttemptRunner:
     """Starts attempts and collects how they end."""
 
     def __init__(self, pool: ConnectionPool) -> None:
+        """Run attempts over a pool."""
         self.pool = pool
         self.results: asyncio.Queue[tuple[AttemptStatus, bytes]] = asyncio.Queue()
 
-    async def begun(self, peer: Peer) -> Link:
-        """An attempt that the peer has in hand."""
+    async def start_on(self, peer: Peer) -> Link:
+        """Start an attempt, and wait until the peer has its request."""
         self.start(peer.address)
         link = await peer.link()
         assert (await link.resp())[2] == b"r1"
         return link
 
     def start(self, address: str, command: Command = GET) -> AttemptInFlight:
-        return self.pool.start(address, command, 0.5, self.note)
+        """Start an attempt that has half a second."""
+        return self.pool.start(address, command, 0.5, self._record)
 
-    def note(self, response: UpstreamResponse) -> None:
+    def _record(self, response: UpstreamResponse) -> None:
         self.results.put_nowait((response.status, response.value))
 
-    async def end(self) -> tuple[AttemptStatus, bytes]:
+    async def outcome(self) -> tuple[AttemptStatus, bytes]:
+        """The status and value of the next attempt that ends."""
         return await self.results.get()
 
 
-def told(info: str) -> str:
-    """The names and values of an attempt ahead of the time that it tells, which is at most what was left."""
+def info_without_deadline(info: str) -> str:
+    """The info fields of an attempt but its last, the deadline, which is at most the time that was left."""
     others, _, time_left = info.rpartition(",d=")
     assert 0 < int(time_left) <= 500
     return others
 
 
-def caches(budget: int = 8, idle: float = 60.0, dial: float = 1.0) -> Ends:
-    return Ends(ConnectionPool(CacheConnection, budget, dial, idle, 0.0))
+def origin_attempts() -> AttemptRunner:
+    """Attempts on an origin, over connections that may be used again at once."""
+    return AttemptRunner(ConnectionPool(OriginConnection, 8, 1.0, 60.0, 0.0))
+
+
+def cache_attempts(
+    max_connections: int = 8, idle_timeout: float = 60.0, connect_timeout: float = 1.0
+) -> AttemptRunner:
+    """Attempts on cache servers, over connections that may be used again at once; times are in seconds."""
+    return AttemptRunner(ConnectionPool(CacheConnection, max_connections, connect_timeout, idle_timeout, 0.0))
