--- a/cache_router/__main__.py
+++ b/cache_router/__main__.py
@@ -16,7 +16,7 @@
 import orjson
 
 from cache_router.decisions.events import EndpointUpdateKind
-from cache_router.net.address import address_of, is_port
+from cache_router.net.address import AddressError, parse_address
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.client_connection import Listener
 from cache_router.net.connection_pool import ConnectionPool
@@ -58,9 +58,10 @@
 def read_address(table: dict[str, Any], field: str) -> str:
     """A field of the form host:port."""
     value = table.get(field)
-    host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
-    if not host or not is_port(port):
-        raise ConfigError(f"{field} must be host:port, not {value!r}")
+    try:
+        parse_address(value if isinstance(value, str) else "")
+    except AddressError:
+        raise ConfigError(f"{field} must be host:port, not {value!r}") from None
     return str(value)
 
 
@@ -83,7 +84,7 @@
         index, _, known = read_list(table.get("known"), "known")
     except (SettingsError, ListError) as e:
         raise ConfigError(str(e)) from e
-    listen = address_of(read_address(table, "listen"))
+    listen = parse_address(read_address(table, "listen"))
     return Config(listen, read_address(table, "discovery"), seed_number, sockets, index, known, settings)
 
 
--- a/cache_router/net/address.py
+++ b/cache_router/net/address.py
@@ -20,17 +20,11 @@
         AddressError: The host is empty, or the port is not a number of up to five ASCII digits below 65536.
     """
     host, _, port = text.rpartition(":")
-    if not host or not is_port(port):
+    if not host or not _is_port(port):
         raise AddressError(f"not host:port: {text[:40]!r}")
     return host, int(port)
 
 
-def address_of(text: str) -> tuple[str, int]:
-    """Split `host:port`."""
-    host, _, port = text.rpartition(":")
-    return host, int(port)
-
-
-def is_port(text: str) -> bool:
+def _is_port(text: str) -> bool:
     """Whether a text is a port's number, without a sign, spaces or digits of other scripts."""
     return text.isascii() and text.isdigit() and len(text) <= MAX_PORT_DIGITS and int(text) <= MAX_PORT
--- a/cache_router/net/discovery.py
+++ b/cache_router/net/discovery.py
@@ -12,7 +12,7 @@
 
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.endpoint import Endpoint, EndpointState
-from cache_router.net.address import address_of, is_port
+from cache_router.net.address import AddressError, parse_address
 from cache_router.net.dispatcher import NetworkEndpoint
 from cache_router.net.http import HttpClient, HttpError
 from cache_router.settings import WatchBudget
@@ -41,6 +41,15 @@
     return value
 
 
+def is_connectable(address: str) -> bool:
+    """Whether it is `host:port` with a port that a server can listen on."""
+    try:
+        _, port = parse_address(address)
+    except AddressError:
+        return False
+    return port != 0
+
+
 def read_member(line: Any, where: str) -> NetworkEndpoint:
     """One entry."""
     if not isinstance(line, dict):
@@ -50,8 +59,7 @@
     if state not in STATES:
         raise ListError(f"{where}status is unknown: {state[:40]}")
     address = field(line, "address", str, where)
-    host, _, port = address.rpartition(":")
-    if not host or not is_port(port) or not int(port):
+    if not is_connectable(address):
         raise ListError(f"{where}address is not host:port: {address[:40]}")
     entry = Endpoint(
         name=field(line, "name", str, where),
@@ -147,7 +155,7 @@
     async def _call(self) -> tuple[int, bool, list[NetworkEndpoint]]:
         target, limit = self.next_call()
         async with asyncio.timeout(limit):
-            reader, writer = await asyncio.open_connection(*address_of(self.address))
+            reader, writer = await asyncio.open_connection(*parse_address(self.address))
             try:
                 client = HttpClient(self.address, MAX_LIST)
                 writer.write(client.request("GET", target, [(b"Connection", b"close")]))
--- a/scale_experiments/hollow.py
+++ b/scale_experiments/hollow.py
@@ -24,7 +24,7 @@
 
 from cache_router.decisions.events import EndpointUpdate, EndpointUpdateKind, Event
 from cache_router.endpoint import Endpoint
-from cache_router.net.address import address_of
+from cache_router.net.address import parse_address
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.discovery import MAX_LIST, Discovery, ListError, read_list
@@ -91,7 +91,7 @@
         async with asyncio.timeout(limit):
             done: asyncio.Future[bytes] = loop.create_future()
             transport, _ = await loop.create_connection(
-                lambda: LightCall(request, done), *address_of(self.address)
+                lambda: LightCall(request, done), *parse_address(self.address)
             )
             try:
                 body = await done
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -18,7 +18,7 @@
 import pytest
 
 from cache_router import __main__ as program
-from cache_router.net.address import address_of
+from cache_router.net.address import parse_address
 from tests.loopback import HIT, PATIENCE, Link, Peer, command, http, read, run, spelled
 from tests.test_net_discovery import LINE, message
 from tests.test_simulator_adapter import CONF
@@ -135,7 +135,7 @@
     assert log is not None
     while (found := re.search(rb"listening on ([0-9.]+:\d+)", await log.readline())) is None:
         assert not log.at_eof()
-    return address_of(found[1].decode())
+    return parse_address(found[1].decode())
 
 
 @asynccontextmanager
