--- a/cache_router/config.py
+++ b/cache_router/config.py
@@ -11,7 +11,7 @@
 import orjson
 
 from cache_router.errors import RouterError
-from cache_router.net.connection_pool import address_of, is_port
+from cache_router.net.address import AddressError, parse_address
 from cache_router.net.discovery import ListError, read_list
 from cache_router.net.dispatcher import NetworkEndpoint
 from cache_router.settings import Settings, SettingsError
@@ -68,7 +68,7 @@
     with _errors_of("known"):
         index, _, endpoints = read_list(table.get("known"), "known")
     return Config(
-        listen=address_of(_read_address(table, "listen")),
+        listen=parse_address(_read_address(table, "listen")),
         discovery=_read_address(table, "discovery"),
         seed=seed,
         max_descriptors=max_descriptors,
@@ -109,7 +109,8 @@
 def _read_address(table: dict[str, Any], field: str) -> str:
     """A field of the form host:port, checked."""
     value = table.get(field)
-    host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
-    if not host or not is_port(port):
-        raise ConfigError(f"{field} must be host:port, not {value!r}", where=field)
+    try:
+        parse_address(value if isinstance(value, str) else "")
+    except AddressError:
+        raise ConfigError(f"{field} must be host:port, not {value!r}", where=field) from None
     return str(value)
--- a/cache_router/net/client_connection.py
+++ b/cache_router/net/client_connection.py
@@ -10,10 +10,10 @@
 from typing import cast
 
 from cache_router.net.client_connection_table import ClientConnectionTable
-from cache_router.net.command import MAX_INFO, MAX_KEY, MAX_VALUE, CommandError, read_command
-from cache_router.net.connection_pool import has_unread_bytes, is_hung_up
+from cache_router.net.command import MAX_INFO, MAX_KEY, MAX_VALUE, CommandError, parse_command
 from cache_router.net.dispatcher import Dispatcher
-from cache_router.net.resp import NOT_YET, Message, Reader, RespError
+from cache_router.net.resp import INCOMPLETE, Message, RespError, RespReader
+from cache_router.net.socket_state import has_unread_bytes, is_hung_up
 
 MAX_COMMAND_SIZE = MAX_VALUE + MAX_KEY + MAX_INFO + 4096  # bytes buffered for an incomplete command
 MAX_COMMAND_PARTS = 16
@@ -38,7 +38,7 @@
         """Create a connection that sends requests to a dispatcher and notifies a table of its state."""
         self.dispatcher = dispatcher
         self.table = table
-        self.reader = Reader(MAX_COMMAND_PARTS, MAX_VALUE, MAX_COMMAND_SIZE)
+        self.reader = RespReader(MAX_COMMAND_PARTS, MAX_VALUE, MAX_COMMAND_SIZE)
         self.replies: deque[PipelinedReply] = deque()
         self.commands_received = 0  # complete ones
         self.reading = True
@@ -77,7 +77,7 @@
             except RespError as e:
                 self.close_with_error(f"-ERR {e}")
                 return
-            if parts is NOT_YET:
+            if parts is INCOMPLETE:
                 break
             self.commands_received += 1
             self._handle_command(parts)
@@ -92,8 +92,8 @@
             complete(b"+PONG\r\n" if self.dispatcher.ready() else b"-ERR no cache server is known\r\n")
             return
         try:
-            command = read_command(parts)
-            reply.request_id = command.request.decode()
+            command = parse_command(parts)
+            reply.request_id = command.request_id.decode()
             self.dispatcher.take(command, complete, self.is_connected)
         except CommandError as e:
             reply.request_id = None
--- a/cache_router/net/connection_pool.py
+++ b/cache_router/net/connection_pool.py
@@ -1,229 +1,65 @@
-"""Kept connections that carry one attempt at a time, and what became of each attempt."""
+"""Connections to the servers of one protocol, kept open between attempts."""
 
 from __future__ import annotations
 
 import asyncio
 import errno
-import logging
-import select
-from abc import abstractmethod
 from collections.abc import Callable
 
 from cache_router.decisions.events import AttemptStatus
+from cache_router.net.address import parse_address
 from cache_router.net.command import Command
-
-IDLE_MARGIN = 0.5  # seconds before the peer may close an idle connection at which it is no longer used
-ANSWER_TIME = 0.1  # seconds for the rest of an answer once it has begun: it is sent in one go
-# seconds for which a connection rests after an answer: a second one may follow some milliseconds late, and
-# would be taken for the answer to the next request (seen: 19 of them, 1.1 to 3.2 ms behind)
-REST = 0.01
-log = logging.getLogger(__name__)
-
-UpstreamResponse = tuple[AttemptStatus, bytes, bytes]  # with the value and the load report
-Done = Callable[[AttemptStatus, bytes, bytes], None]
-Precondition = Callable[[], AttemptStatus | None]  # how an attempt ends that must not be written any more
-
-
-class MalformedResponseError(Exception):
-    """Bytes that are no answer; what they answer may have run."""
-
-
-def address_of(text: str) -> tuple[str, int]:
-    """Split `host:port`."""
-    host, _, port = text.rpartition(":")
-    return host, int(port)
-
-
-def is_port(text: str) -> bool:
-    """Whether it is a port's number, in the digits that `int` reads."""
-    return text.isascii() and text.isdigit() and len(text) <= 5 and int(text) < 65536
-
-
-def always_allowed() -> AttemptStatus | None:
-    """What may be written whenever its connection is up."""
-    return None
-
-
-def has_unread_bytes(transport: asyncio.BaseTransport) -> bool:
-    """Whether bytes or an end wait on a socket that the event loop has not looked at yet."""
-    return bool(waiting(transport, select.POLLIN))
-
-
-def is_hung_up(transport: asyncio.BaseTransport) -> bool:
-    """Whether the peer has closed or reset, whatever it sent before that waits unread."""
-    return bool(waiting(transport, select.POLLRDHUP) & (select.POLLRDHUP | select.POLLHUP | select.POLLERR))
-
-
-def waiting(transport: asyncio.BaseTransport, events: int) -> int:
-    """What the kernel says of a socket now."""
-    number = transport.get_extra_info("socket").fileno()
-    if number < 0:
-        return select.POLLHUP
-    poll = select.poll()
-    poll.register(number, events)
-    return sum(found for _, found in poll.poll(0))
-
-
-class AttemptInFlight:
-    """One attempt: it ends once, by `done` or by being abandoned."""
-
-    def __init__(self, command: Command, time_left: float, done: Done) -> None:
-        self.command = command
-        self.ends_at = asyncio.get_running_loop().time() + time_left
-        self.done = done
-        self.open = True
-        self.dial: asyncio.Task[None] | None = None
-        self.connection: UpstreamConnection | None = None
-
-    def time_left(self) -> float:
-        """For how long the router still waits, in seconds: a dial may have taken much of it."""
-        return max(0.0, self.ends_at - asyncio.get_running_loop().time())
-
-    def finish(self, status: AttemptStatus, value: bytes = b"", report: bytes = b"") -> None:
-        if self.open:
-            self.open = False
-            self.done(status, value, report)
-
-    def abandon(self) -> None:
-        """Stop waiting. Closing tells the server to stop work, and an answer can't meet a later request."""
-        if not self.open:
-            return
-        self.open = False
-        if self.dial is not None:
-            self.dial.cancel()
-        if self.connection is not None:
-            self.connection.drop()
-
-
-class UpstreamConnection(asyncio.Protocol):
-    """A connection to one address."""
-
-    def __init__(self, pool: ConnectionPool, address: str) -> None:
-        self.pool = pool
-        self.address = address
-        self.exchange: AttemptInFlight | None = None
-        self.written = False  # whether the request's last byte is
-        self.process: object = None  # that it was made to: another may come to its address
-        self.kept_at = 0.0  # since when it is idle
-        self.expiry: asyncio.TimerHandle | None = None  # of its idle time, or of an answer begun
-
-    @abstractmethod
-    def encode(self, command: Command, time_left: float) -> bytes:
-        """A request's bytes."""
-
-    @abstractmethod
-    def decode(self, data: bytes) -> UpstreamResponse | None:
-        """Take bytes of the answer; None until it is whole."""
-
-    @abstractmethod
-    def reusable(self) -> bool:
-        """Whether nothing is left over after an answer."""
-
-    def begun(self) -> bool:
-        """Whether what has come is a part of the answer, and not something ahead of it."""
-        return True
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, asyncio.Transport)
-        self.transport = transport
-        # so that `resume_writing` comes just when the last byte has gone to the kernel
-        transport.set_write_buffer_limits(high=0)
-        self.pool.connections.add(self)
-
-    def begin(self, exchange: AttemptInFlight) -> None:
-        exchange.connection = self
-        self.exchange = exchange
-        self.written = False
-        try:
-            data = self.encode(exchange.command, exchange.time_left())
-        except Exception:
-            # guards the router: what can't be sent costs its connection, and the attempt ends at once
-            log.exception("request to %s", self.address)
-            self.drop()
-            return
-        self.transport.write(data)
-        # guards against a second effect: `write` returns also when bytes are kept back or the write failed
-        self.written = not self.transport.is_closing() and not self.transport.get_write_buffer_size()
-
-    def resume_writing(self) -> None:
-        self.written = True
-
-    def data_received(self, data: bytes) -> None:
-        exchange = self.exchange
-        if exchange is None:  # bytes that nobody asked for: the next answer could not be told from them
-            self.drop()
-            return
-        try:
-            answer = self.decode(data)
-        except Exception as e:
-            # guards the router: whatever a server sends costs its connection and no more
-            self._spoilt(exchange, e)
-            return
-        if answer is None:
-            if self.expiry is None and self.begun():
-                loop = asyncio.get_running_loop()
-                stalled = MalformedResponseError("begun and not ended")
-                # guards the request: an answer said to be longer than it is never ends
-                self.expiry = loop.call_later(ANSWER_TIME, self._spoilt, exchange, stalled)
-        else:
-            self.stop_expiry()
-            self.exchange = None
-            if self.written and self.reusable() and not self.transport.is_closing():
-                self.pool.keep(self)
-            else:
-                self.drop()
-            exchange.finish(*answer)
-
-    def _spoilt(self, exchange: AttemptInFlight, fault: Exception) -> None:
-        """An answer that can't be used: the request may have run, and what follows belongs to nobody."""
-        level = logging.WARNING if isinstance(fault, MalformedResponseError) else logging.ERROR
-        log.log(level, "answer of %s: %.200r", self.address, fault)
-        self.exchange = None
-        self.drop()
-        exchange.finish(AttemptStatus.ERROR)
-
-    def stop_expiry(self) -> None:
-        if self.expiry is not None:
-            self.expiry.cancel()
-            self.expiry = None
-
-    def expire_in(self, seconds: float) -> None:
-        """Close a connection that is idle for so long."""
-        self.stop_expiry()
-        self.expiry = asyncio.get_running_loop().call_later(seconds, self.drop)
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.pool.forget(self)
-        exchange, self.exchange = self.exchange, None
-        if exchange is not None:
-            exchange.finish(AttemptStatus.RESET if self.written else AttemptStatus.CONNECT_FAILED)
-
-    def drop(self) -> None:
-        """Close at once, without sending what is still held back."""
-        self.pool.forget(self)
-        self.transport.abort()
+from cache_router.net.socket_state import has_unread_bytes
+from cache_router.net.upstream_connection import (
+    AttemptInFlight,
+    Done,
+    Precondition,
+    UpstreamConnection,
+    UpstreamResponse,
+    no_precondition,
+)
+
+# seconds before the server may close an idle connection at which the pool closes it
+IDLE_MARGIN = 0.5
+# seconds for which a connection is not used after a response: a second one may follow some milliseconds late,
+# and would be taken for the response to the next request (19 were seen, 1.1 to 3.2 ms after the first)
+REUSE_DELAY = 0.01
+DESCRIPTORS_EXHAUSTED = (errno.EMFILE, errno.ENFILE)
 
 
 class ConnectionPool:
-    """The connections to servers that speak one protocol."""
+    """The connections to servers that speak one protocol.
+
+    A connection is up or being opened (`connecting`); one that is up carries an attempt or is idle.
+    """
 
     def __init__(
         self,
-        make: Callable[[ConnectionPool, str], UpstreamConnection],
-        budget: int,
-        dial_timeout: float,
-        idle: float,
-        rest: float = REST,
+        make_connection: Callable[[ConnectionPool, str], UpstreamConnection],
+        max_connections: int,
+        connect_timeout: float,
+        idle_timeout: float,
+        reuse_delay: float = REUSE_DELAY,
     ) -> None:
-        self.make = make
-        self.budget = budget  # of descriptors
-        self.dial_timeout = dial_timeout
-        self.rest = rest
-        self.idle_time = max(0.0, idle - IDLE_MARGIN)
+        """Create an empty pool.
+
+        Args:
+            make_connection: Makes the protocol of a connection of this pool to an address.
+            max_connections: How many may be up or being opened at once, to all servers together.
+            connect_timeout: Seconds that opening one may take.
+            idle_timeout: Seconds after which servers close a connection that is idle.
+            reuse_delay: Seconds after a response for which its connection is not used.
+        """
+        self.make_connection = make_connection
+        self.max_connections = max_connections
+        self.connect_timeout = connect_timeout
+        self.reuse_delay = reuse_delay
+        self.idle_time = max(0.0, idle_timeout - IDLE_MARGIN)
         self.connections: set[UpstreamConnection] = set()
-        self.dials: set[asyncio.Task[None]] = set()
-        self.idle: dict[UpstreamConnection, None] = {}  # of all addresses, longest first
-        self.idle_at: dict[str, dict[UpstreamConnection, None]] = {}  # of each
+        self.connecting: set[asyncio.Task[None]] = set()
+        # ordered sets: the connection that has been idle for longest comes first
+        self.idle: dict[UpstreamConnection, None] = {}
+        self.idle_by_address: dict[str, dict[UpstreamConnection, None]] = {}
 
     def start(
         self,
@@ -231,106 +67,124 @@
         command: Command,
         time_left: float,
         done: Done,
-        process: object = None,
+        incarnation: object = None,
         *,
-        precondition: Precondition = always_allowed,
+        precondition: Precondition = no_precondition,
     ) -> AttemptInFlight:
-        """Start an attempt on the process that is at an address now.
-
-        A connection may be long in coming up: what has changed meanwhile is asked before the first byte.
+        """Start an attempt on a server.
+
+        Opening a connection may take long. What may have changed meanwhile is asked by `precondition` before
+        the first byte is written.
+
+        Args:
+            address: The server's `host:port`.
+            command: What is requested.
+            time_left: Seconds for which the router waits.
+            done: Called with the end of the attempt, unless it is abandoned, possibly before this returns.
+            incarnation: Tells a server from the one before it at the same address; compared by equality.
+            precondition: Asked once a new connection is up.
         """
-        exchange = AttemptInFlight(command, time_left, done)
-        kept = self._take(address, process)
-        if kept is not None:
-            kept.begin(exchange)
-        elif self._has_room():
-            exchange.dial = asyncio.create_task(self._dial(address, process, exchange, precondition))
-            self.dials.add(exchange.dial)
-            exchange.dial.add_done_callback(self.dials.discard)
+        attempt = AttemptInFlight(command, time_left, done)
+        connection = self._take_idle(address, incarnation)
+        if connection is not None:
+            connection.begin(attempt)
+        elif self._ensure_capacity():
+            connecting = asyncio.create_task(self._connect(address, incarnation, attempt, precondition))
+            attempt.connecting = connecting
+            self.connecting.add(connecting)
+            connecting.add_done_callback(self.connecting.discard)
         else:
-            # guards against running out of descriptors, which would stop new clients as well
-            exchange.finish(AttemptStatus.NOT_SENT)  # not the server's fault
-        return exchange
+            # with more descriptors the pool would keep clients from connecting; the server is not at fault
+            attempt.finish(UpstreamResponse(AttemptStatus.NOT_SENT))
+        return attempt
 
-    async def _dial(
-        self, address: str, process: object, exchange: AttemptInFlight, precondition: Precondition
+    async def _connect(
+        self, address: str, incarnation: object, attempt: AttemptInFlight, precondition: Precondition
     ) -> None:
+        """Open a connection for an attempt, and begin the attempt if its precondition still holds."""
         try:
-            async with asyncio.timeout(self.dial_timeout):
+            async with asyncio.timeout(self.connect_timeout):
                 _, connection = await asyncio.get_running_loop().create_connection(
-                    lambda: self.make(self, address), *address_of(address)
+                    lambda: self.make_connection(self, address), *parse_address(address)
                 )
-        except (OSError, ValueError) as e:  # a time-out is the one, a host that cannot be spelled the other
-            full = isinstance(e, OSError) and e.errno in (errno.EMFILE, errno.ENFILE)
-            exchange.finish(AttemptStatus.NOT_SENT if full else AttemptStatus.CONNECT_FAILED)
+        # a time-out is an OSError, an address that can't be used a ValueError
+        except (OSError, ValueError) as error:
+            exhausted = isinstance(error, OSError) and error.errno in DESCRIPTORS_EXHAUSTED
+            failure = AttemptStatus.NOT_SENT if exhausted else AttemptStatus.CONNECT_FAILED
+            attempt.finish(UpstreamResponse(failure))
             return
-        connection.process = process
-        exchange.dial = None
+        connection.incarnation = incarnation
+        attempt.connecting = None
         status = precondition()
         if status is None:
-            connection.begin(exchange)
+            connection.begin(attempt)
             return
         if status is AttemptStatus.NOT_SENT:
-            self.keep(connection)  # it is the request that is over
+            # the request is over, not the server: the connection serves another attempt
+            self.release(connection)
         else:
-            connection.drop()
-        exchange.finish(status)
+            connection.abort()
+        attempt.finish(UpstreamResponse(status))
 
-    def _take(self, address: str, process: object) -> UpstreamConnection | None:
-        """The kept connection idle for longest, if one still stands and has had its rest.
+    def _take_idle(self, address: str, incarnation: object) -> UpstreamConnection | None:
+        """The connection to a server that has been idle for longest, past its reuse delay and still open.
 
-        Guards against what follows a good answer after a while: on the one used last it would more likely
-        come behind the next request, and be taken for its answer.
+        The one used last would be more likely to carry something that follows its last response late, which
+        would be taken for the response to the next request.
         """
-        rested = asyncio.get_running_loop().time() - self.rest
-        while (connection := next(iter(self.idle_at.get(address, ())), None)) is not None:
-            if connection.process == process and connection.kept_at > rested:
-                return None  # and the others were kept later
-            self._leave_idle(connection)
-            usable = connection.process == process and not connection.transport.is_closing()
-            # guards against resets: a close that came in since the loop last looked would lose the request
+        idle_before = asyncio.get_running_loop().time() - self.reuse_delay
+        while (connection := next(iter(self.idle_by_address.get(address, ())), None)) is not None:
+            if connection.incarnation == incarnation and connection.idle_since > idle_before:
+                # all others became idle later
+                return None
+            self._remove_idle(connection)
+            usable = connection.incarnation == incarnation and not connection.transport.is_closing()
+            # a close that arrived since the event loop last looked would lose the request
             if usable and not has_unread_bytes(connection.transport):
                 return connection
-            connection.drop()
+            connection.abort()
         return None
 
-    def _has_room(self) -> bool:
-        if len(self.connections) + len(self.dials) < self.budget:
-            return True
-        for connection in self.idle:
-            connection.drop()
+    def _ensure_capacity(self) -> bool:
+        """Whether another connection may be opened; one that is idle is closed for it if need be."""
+        if len(self.connections) + len(self.connecting) < self.max_connections:
             return True
-        return False
+        idle_longest = next(iter(self.idle), None)
+        if idle_longest is None:
+            return False
+        idle_longest.abort()
+        return True
 
-    def keep(self, connection: UpstreamConnection) -> None:
-        """Hold a connection for the next attempt until the server would close it."""
-        connection.kept_at = asyncio.get_running_loop().time()
-        connection.expire_in(self.idle_time)
+    def release(self, connection: UpstreamConnection) -> None:
+        """Keep a connection for the next attempt, until shortly before its server would close it."""
+        connection.idle_since = asyncio.get_running_loop().time()
+        connection.abort_after(self.idle_time)
         self.idle[connection] = None
-        self.idle_at.setdefault(connection.address, {})[connection] = None
+        self.idle_by_address.setdefault(connection.address, {})[connection] = None
 
-    def _leave_idle(self, connection: UpstreamConnection) -> None:
-        connection.stop_expiry()
+    def _remove_idle(self, connection: UpstreamConnection) -> None:
+        """Take a connection from those that are idle, and stop its timer."""
+        connection.cancel_timeout()
         if connection in self.idle:
             del self.idle[connection]
-            at = self.idle_at[connection.address]
-            del at[connection]
-            if not at:
-                del self.idle_at[connection.address]
+            same_address = self.idle_by_address[connection.address]
+            del same_address[connection]
+            if not same_address:
+                del self.idle_by_address[connection.address]
 
-    def forget(self, connection: UpstreamConnection) -> None:
-        """Note that a connection is closed."""
+    def remove(self, connection: UpstreamConnection) -> None:
+        """Forget a connection that is closed or about to be."""
         self.connections.discard(connection)
-        self._leave_idle(connection)
+        self._remove_idle(connection)
 
     def close_idle(self, address: str) -> None:
-        """Close the kept connections to one address."""
-        for connection in list(self.idle_at.get(address, ())):
-            connection.drop()
+        """Close the idle connections to one address."""
+        for connection in list(self.idle_by_address.get(address, ())):
+            connection.abort()
 
     def close(self) -> None:
-        """Close everything."""
+        """Close all connections and stop opening those that are not yet up."""
         for connection in list(self.connections):
-            connection.drop()
-        for dial in self.dials:
-            dial.cancel()
+            connection.abort()
+        for connecting in self.connecting:
+            connecting.cancel()
--- a/cache_router/net/dispatcher.py
+++ b/cache_router/net/dispatcher.py
@@ -41,7 +41,8 @@
 from cache_router.decisions.router import Router
 from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.net.command import Command, CommandError
-from cache_router.net.connection_pool import AttemptInFlight, ConnectionPool
+from cache_router.net.connection_pool import ConnectionPool
+from cache_router.net.upstream_connection import AttemptInFlight, UpstreamResponse
 from cache_router.settings import Idempotency, Settings
 from cache_router.settings_reader import read_load
 
@@ -215,7 +216,7 @@
 
     def take(self, command: Command, answer: Callable[[bytes], None], present: Callable[[], bool]) -> None:
         """Take a request that is owed one `answer`, or say why it can't be taken."""
-        name = command.request.decode()
+        name = command.request_id.decode()
         # guards the table: two requests under one id would get each other's answers; and a client against
         # another that repeats its id, just ended, to be served with what was its own
         if name in self.requests or name in self.used or name in self.used_before:
@@ -239,7 +240,7 @@
             command.key.decode("latin-1"),
             # guards against a number too large for a float
             int(hint) / 1e6 if hint.isdigit() and len(hint) <= MAX_HINT else None,
-            command.write,
+            command.is_write,
         )
         self.post(request)
 
@@ -322,8 +323,8 @@
             loop = asyncio.get_running_loop()
             attempt.timer = loop.call_later(time_left, self._time_out, taken, attempt)
 
-        def done(status: AttemptStatus, value: bytes, report: bytes) -> None:
-            self._finish(taken, attempt, status, value, report)
+        def done(response: UpstreamResponse) -> None:
+            self._finish(taken, attempt, response.status, response.value, response.load_report)
 
         attempt.exchange = self._pool(member).start(
             member.address,
@@ -336,7 +337,7 @@
 
     def _precondition(self, taken: Taken, member: NetworkEndpoint | None) -> AttemptStatus | None:
         """How an attempt ends, none of it written, that is too late for its client or its server."""
-        name = taken.command.request.decode()
+        name = taken.command.request_id.decode()
         if not taken.closed and not taken.present():
             self.client_gone(name)
         if taken.closed or taken.overdue:
@@ -369,7 +370,7 @@
             return
         if attempt.timer is not None:
             attempt.timer.cancel()
-        name = taken.command.request.decode()
+        name = taken.command.request_id.decode()
         if status is AttemptStatus.OK:
             self._close(name, b"$%d\r\n%b\r\n" % (len(value), value))
         self.over.append(name)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,10 +16,10 @@
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.endpoint import EndpointState
 from cache_router.net import client_connection as clients
-from cache_router.net import client_connection_table, eviction
-from cache_router.net import connection_pool as pools
-from cache_router.net.connection_pool import AttemptInFlight, UpstreamConnection, is_hung_up
+from cache_router.net import client_connection_table, eviction, upstream_connection
 from cache_router.net.origin_connection import OriginConnection
+from cache_router.net.socket_state import is_hung_up
+from cache_router.net.upstream_connection import AttemptInFlight, UpstreamConnection
 from cache_router.settings import WatchBudget
 from tests.loopback import (
     BOOK,
@@ -137,7 +137,7 @@
     begin = UpstreamConnection.begin
 
     def noted(connection: UpstreamConnection, exchange: AttemptInFlight) -> None:
-        names.append(exchange.command.request.decode())
+        names.append(exchange.command.request_id.decode())
         begin(connection, exchange)
 
     monkeypatch.setattr(UpstreamConnection, "begin", noted)
@@ -226,7 +226,7 @@
             client.close()
             await until(lambda: not router.listener.connections)
             dials.up.set()
-            await until(lambda: not router.servers.dials)
+            await until(lambda: not router.servers.connecting)
             assert not written and not router.host.router.pending
 
     run(scenario)
@@ -359,7 +359,7 @@
     """The origin says at once that it goes on, and answers when its work is done: no answer has begun."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(pools, "ANSWER_TIME", 0.0)
+        monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_TIMEOUT", 0.0)
         came = asyncio.Event()
         take = OriginConnection.data_received
 
@@ -407,7 +407,7 @@
                 assert await client.resp() == b"receipt"
             else:
                 assert str(await client.resp()).startswith("BUSY")
-                assert router.origin.links.empty() and not router.origins.dials
+                assert router.origin.links.empty() and not router.origins.connecting
 
     run(scenario)
 
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -20,7 +20,7 @@
 from cache_router import server
 from cache_router.config import ConfigError, read_config
 from cache_router.errors import RouterError
-from cache_router.net.connection_pool import address_of
+from cache_router.net.address import parse_address
 from cache_router.settings import RequestClass, Settings
 from tests.loopback import HIT, PATIENCE, Link, Peer, command, http, read, run, spelled
 from tests.test_net_discovery import LINE, message
@@ -173,7 +173,7 @@
     assert log is not None
     while (found := re.search(rb"listening on ([0-9.]+:\d+)", await log.readline())) is None:
         assert not log.at_eof()
-    return address_of(found[1].decode())
+    return parse_address(found[1].decode())
 
 
 @asynccontextmanager
--- /dev/null
+++ b/tests/test_net_origin_connection.py
@@ -0,0 +1,128 @@
+"""Requests to the origin and its responses, well formed and not."""
+
+from __future__ import annotations
+
+import string
+
+import pytest
+
+from cache_router.decisions.events import AttemptStatus
+from cache_router.net.command import Command
+from tests.loopback import Link, Peer, http, run
+from tests.upstream_attempts import GET, AttemptRunner, info_without_deadline, origin_attempts
+
+# the letters that RFC 3986 allows unescaped in a path
+UNRESERVED = (string.ascii_letters + string.digits + "-._~").encode()
+
+
+async def start_on_origin(
+    peer: Peer, attempts: AttemptRunner, command: Command = GET
+) -> tuple[Link, str, dict[str, str], bytes]:
+    """Start an attempt on the origin, and read its request."""
+    attempts.start(peer.address, command)
+    link = await peer.link()
+    return link, *await link.http()
+
+
+@pytest.mark.parametrize(
+    ("response", "status", "value"),
+    [
+        (http("200 OK", b"value"), AttemptStatus.OK, b"value"),
+        (
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nva\r\n0\r\n\r\n",
+            AttemptStatus.OK,
+            b"va",
+        ),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + http("200 OK", b"v"), AttemptStatus.OK, b"v"),
+        (
+            b"HTTP/1.1 103 Early Hints\r\nX: y\r\n\r\nHTTP/1.1 100 C\r\n\r\n" + http("200 OK", b"v"),
+            AttemptStatus.OK,
+            b"v",
+        ),
+        (http("200 OK", b"v", "Server-Load: \x00\x01\x7f", "server-load: a\nb"), AttemptStatus.OK, b"v"),
+        (http("500 Error"), AttemptStatus.ERROR, b""),
+        (http("503 Busy", b"", "Not-Started: 1"), AttemptStatus.REJECTED, b""),
+        (http("504 Late", b"", "Not-Started: 1"), AttemptStatus.REJECTED, b""),
+        (http("503 Busy"), AttemptStatus.ERROR, b""),
+        (http("500 Error", b"", "Not-Started: 1"), AttemptStatus.ERROR, b""),
+        (http("404 None"), AttemptStatus.ERROR, b""),
+    ],
+)
+def test_responses_of_the_origin(response: bytes, status: AttemptStatus, value: bytes) -> None:
+    """Only a refusal that says so was not started; any other error may have run."""
+
+    async def scenario() -> None:
+        async with Peer() as peer:
+            attempts = origin_attempts()
+            link, first, headers, _ = await start_on_origin(peer, attempts)
+            assert first == "GET /k HTTP/1.1"
+            assert (headers["request-id"], info_without_deadline(headers["request-info"])) == ("r1", "c=read")
+            link.write(response)
+            assert await attempts.outcome() == (status, value)
+            attempts.start(peer.address)  # and the connection is used again
+            await link.http()
+            attempts.pool.close()
+
+    run(scenario)
+
+
+@pytest.mark.parametrize(
+    ("response", "status"),
+    [
+        (b"hello\r\n\r\n", AttemptStatus.ERROR),
+        (http("200 OK", b"x" * 70000), AttemptStatus.ERROR),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nval", AttemptStatus.RESET),
+        (b"HTTP/1.1 200 OK\r\n\r\nvalue", AttemptStatus.RESET),  # who could tell whether it is whole
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nv", AttemptStatus.ERROR),
+        (b"ICY 200 OK", AttemptStatus.ERROR),  # and waits for no more of it
+        (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 20000, AttemptStatus.ERROR),
+        (b"", AttemptStatus.RESET),
+    ],
+)
+def test_malformed_and_broken_responses_of_the_origin(response: bytes, status: AttemptStatus) -> None:
+    """A response that was cut off is a reset; one that can't be used ends its attempt at once."""
+
+    async def scenario() -> None:
+        async with Peer() as peer:
+            attempts = origin_attempts()
+            link, *_ = await start_on_origin(peer, attempts)
+            link.write(response)
+            link.close()
+            assert (await attempts.outcome())[0] is status
+            assert await link.ended()
+            assert not attempts.pool.idle
+
+    run(scenario)
+
+
+@pytest.mark.parametrize("key", [b"a/../b", b"a?x=1", b"a b", b"a\r\nX: y", b"%2e", "ó".encode(), b"\xff#"])
+def test_a_key_stays_one_segment_of_the_path(key: bytes) -> None:
+    """A key that spells another path would fetch, or overwrite, what nobody asked for."""
+
+    async def scenario() -> None:
+        async with Peer() as peer:
+            attempts = origin_attempts()
+            put = Command(b"C.SET", key, b"r1", {"d": "900"}, 900, b"slot")
+            _, first, _, body = await start_on_origin(peer, attempts, put)
+            method, path, _ = first.split(" ")
+            assert method == "PUT"
+            assert body == b"slot"
+            assert not set(path[1:]) & set("/?# ")
+            assert path == "/" + "".join(chr(c) if c in UNRESERVED else f"%{c:02X}" for c in key)
+            attempts.pool.close()
+
+    run(scenario)
+
+
+def test_a_request_that_cannot_be_encoded_ends_its_attempt_at_once() -> None:
+    """Left without an outcome it would hold its request until the deadline."""
+
+    async def scenario() -> None:
+        async with Peer() as peer:
+            attempts = origin_attempts()
+            attempts.start(peer.address, Command(b"C.GET", b"k", b"r1", {"x": "a\r\nb", "d": "9"}, 9))
+            assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
+            assert await (await peer.link()).ended()
+            assert not attempts.pool.connections
+
+    run(scenario)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -30,8 +30,8 @@
 from tests.loopback import HIT, MISS, Link, Peer, Router, book, command, http, read, run, spelled
 from tests.test_endings import Dials, first_dial, requests_written, until
 from tests.test_main import VALID_CONFIG, config_with_cache, connected_client, listen_address, router_process
-from tests.test_net_connection_pool import GET
 from tests.test_net_discovery import LINE, message
+from tests.upstream_attempts import GET
 
 # A client that has left: the tests' sockets block, so that it has left before the router's loop looks again
 
@@ -67,7 +67,7 @@
 async def settled(router: Router) -> None:
     """Nothing is out and nothing is held, so that no attempt can follow."""
     host = router.host
-    await until(lambda: not (host.requests or router.servers.dials or router.origins.dials))
+    await until(lambda: not (host.requests or router.servers.connecting or router.origins.connecting))
     assert not host.router.pending and not host.router.attempts
 
 
@@ -169,7 +169,7 @@
             await accepted(router, client)
             if why == "dial":
                 for idle in list(router.servers.idle):
-                    idle.drop()
+                    idle.abort()
                 client.sendall(read("r1"))
                 await first_dial(router)
                 leave(client, how)
