--- a/cache_router/__main__.py
+++ b/cache_router/__main__.py
@@ -19,8 +19,10 @@
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.client_connection import Listener
 from cache_router.net.connection_pool import ConnectionPool, address_of, is_port
-from cache_router.net.discovery import Discovery, ListError, read_list
-from cache_router.net.dispatcher import Dispatcher, NetworkEndpoint
+from cache_router.net.discovery import Discovery
+from cache_router.net.dispatcher import Dispatcher
+from cache_router.net.endpoint_list_reader import ListError, read_list
+from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Settings, SettingsError
 from cache_router.settings_reader import number, read_settings, section
--- a/cache_router/endpoint.py
+++ b/cache_router/endpoint.py
@@ -1,7 +1,7 @@
 """One entry of the endpoint list: a cache server or an origin member as discovery describes it.
 
 Shared by the decisions and the network code. Source: the `endpoints` of discovery's messages and of a
-configuration's `known` list (`net/discovery.py`), and the simulator's membership lines.
+configuration's `known` list (`net/endpoint_list_reader.py`), and the simulator's membership lines.
 """
 
 from __future__ import annotations
--- a/cache_router/net/dispatcher.py
+++ b/cache_router/net/dispatcher.py
@@ -8,11 +8,8 @@
 import asyncio
 import logging
 import math
-import time
 from collections import deque
 from collections.abc import Callable
-from contextlib import suppress
-from dataclasses import dataclass, field
 
 from cache_router.decisions.actions import (
     Action,
@@ -33,86 +30,28 @@
     EndpointUpdate,
     EndpointUpdateKind,
     Event,
-    LoadReport,
     Request,
     ShutdownStarted,
     TimerFired,
 )
 from cache_router.decisions.router import Router
-from cache_router.endpoint import Endpoint, EndpointState
+from cache_router.endpoint import EndpointState
+from cache_router.net.clock import Clock
 from cache_router.net.command import Command, CommandError
-from cache_router.net.connection_pool import AttemptInFlight, ConnectionPool
+from cache_router.net.connection_pool import ConnectionPool
+from cache_router.net.endpoint_table import NetworkEndpoint
+from cache_router.net.load_report import read_report
+from cache_router.net.request_table import Attempt, Taken
 from cache_router.settings import Idempotency, Settings
-from cache_router.settings_reader import read_load
 
 # before the client's deadline, which counts from its send: measured, the way takes 1.3 ms at most in each
 # direction and this process 1.4 ms at the 99th percentile; the rest is for a core that others keep busy
 DEADLINE_MARGIN = 0.02
 REMEMBER = 2.0  # seconds at least for which the id of an ended request is not taken again
 MAX_HINT = 12  # digits
-MAX_REPORT = 256  # bytes
 log = logging.getLogger(__name__)
 
 
-def read_report(text: bytes, names: tuple[str, ...]) -> LoadReport | None:
-    """A load report as it stands in an answer; None where it can't be read."""
-    values: dict[str, float] = {}
-    for pair in text[:MAX_REPORT].decode("latin-1").split(","):
-        name, _, value = pair.partition("=")
-        if name in names:
-            with suppress(ValueError):
-                values[name] = float(value)
-    return read_load(values)
-
-
-class Clock:
-    """Unix time, read once; from then on it never jumps."""
-
-    def __init__(self) -> None:
-        self.offset = time.time() - time.monotonic()
-
-    def now(self) -> float:
-        return self.offset + time.monotonic()
-
-
-@dataclass(slots=True, eq=False)
-class Attempt:
-    """One send of a request that has had no outcome yet."""
-
-    number: int
-    sent_at: float
-    exchange: AttemptInFlight | None = None
-    timer: asyncio.TimerHandle | None = None
-
-
-@dataclass(slots=True, eq=False)
-class Taken:
-    """A request, kept until nothing is owed for it and nothing of it is out."""
-
-    command: Command
-    deadline: float
-    answer: Callable[[bytes], None]
-    present: Callable[[], bool]  # whether its client is still there, as the kernel knows it
-    expiry: asyncio.TimerHandle | None = None
-    sent: int = 0  # attempts, whatever became of them
-    closed: bool = False  # answered, or its client is gone
-    overdue: bool = False
-    attempts: dict[int, Attempt] = field(default_factory=dict)
-
-
-@dataclass(slots=True, frozen=True)
-class NetworkEndpoint:
-    """A cache server or origin of this router's own list."""
-
-    entry: Endpoint
-    address: str
-
-    @property
-    def process(self) -> tuple[str, float]:
-        """What tells it from another at the same address, and from itself before a restart."""
-        return self.entry.name, self.entry.started_at
-
-
 class Dispatcher:
     """One router and what it has going on."""
 
--- /dev/null
+++ b/cache_router/net/load_report.py
@@ -0,0 +1,21 @@
+"""The load report that a server puts into its answers."""
+
+from __future__ import annotations
+
+from contextlib import suppress
+
+from cache_router.decisions.events import LoadReport
+from cache_router.settings_reader import read_load
+
+MAX_REPORT = 256  # bytes
+
+
+def read_report(text: bytes, names: tuple[str, ...]) -> LoadReport | None:
+    """A load report as it stands in an answer; None where it can't be read."""
+    values: dict[str, float] = {}
+    for pair in text[:MAX_REPORT].decode("latin-1").split(","):
+        name, _, value = pair.partition("=")
+        if name in names:
+            with suppress(ValueError):
+                values[name] = float(value)
+    return read_load(values)
--- a/scale_experiments/hollow.py
+++ b/scale_experiments/hollow.py
@@ -26,8 +26,10 @@
 from cache_router.endpoint import Endpoint
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.connection_pool import ConnectionPool, address_of
-from cache_router.net.discovery import MAX_LIST, Discovery, ListError, read_list
-from cache_router.net.dispatcher import Dispatcher, NetworkEndpoint
+from cache_router.net.discovery import MAX_LIST, Discovery
+from cache_router.net.dispatcher import Dispatcher
+from cache_router.net.endpoint_list_reader import ListError, read_list
+from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Settings
 from cache_router.settings_reader import read_settings
--- a/scale_experiments/scenarios/list_change.py
+++ b/scale_experiments/scenarios/list_change.py
@@ -30,8 +30,8 @@
 from cache_router.endpoint import Endpoint
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.connection_pool import ConnectionPool
-from cache_router.net.discovery import read_list
 from cache_router.net.dispatcher import Dispatcher
+from cache_router.net.endpoint_list_reader import read_list
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Settings
 from cache_router.settings_reader import read_settings
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -17,7 +17,8 @@
 from cache_router.net.client_connection import Listener
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.discovery import Discovery
-from cache_router.net.dispatcher import Dispatcher, NetworkEndpoint
+from cache_router.net.dispatcher import Dispatcher
+from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings, WatchBudget
 
--- a/tests/test_list_change.py
+++ b/tests/test_list_change.py
@@ -17,7 +17,8 @@
 from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.connection_pool import ConnectionPool
-from cache_router.net.dispatcher import Dispatcher, NetworkEndpoint
+from cache_router.net.dispatcher import Dispatcher
+from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.net.origin_connection import OriginConnection
 from tests.driver import entry, settings
 from tests.loopback import run
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -10,8 +10,9 @@
 
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.endpoint import Endpoint, EndpointState
-from cache_router.net.discovery import Discovery, ListError, read_list
-from cache_router.net.dispatcher import NetworkEndpoint
+from cache_router.net.discovery import Discovery
+from cache_router.net.endpoint_list_reader import ListError, read_list
+from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.settings import WatchBudget
 from tests.loopback import Link, Peer, http, run
 
--- a/tests/test_net_dispatcher.py
+++ b/tests/test_net_dispatcher.py
@@ -16,6 +16,7 @@
 from cache_router.net import client_connection as clients
 from cache_router.net import dispatcher as hosts
 from cache_router.net.client_connection import MAX_PIPELINED
+from cache_router.net.endpoint_table import NetworkEndpoint
 from tests.loopback import HIT, MISS, SETTINGS, Link, Router, book, command, http, read, run
 
 
@@ -578,9 +579,9 @@
                 "restarted": replace(entry, started_at=9.0),
                 "replaced": replace(entry, state=EndpointState.REMOVED),
             }
-            members = [hosts.NetworkEndpoint(told[change], connection.address)]
+            members = [NetworkEndpoint(told[change], connection.address)]
             if change == "replaced":
-                members.append(hosts.NetworkEndpoint(replace(entry, name="new"), connection.address))
+                members.append(NetworkEndpoint(replace(entry, name="new"), connection.address))
             router.host.on_endpoint_update(EndpointUpdateKind.DELTA, members)
             assert await cache.ended()
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -24,8 +24,8 @@
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.client_connection import ClientConnection
 from cache_router.net.connection_pool import ConnectionPool
-from cache_router.net.discovery import read_list
 from cache_router.net.dispatcher import Dispatcher
+from cache_router.net.endpoint_list_reader import read_list
 from cache_router.net.origin_connection import OriginConnection
 from tests.loopback import HIT, MISS, Link, Peer, Router, book, command, http, read, run, spelled
 from tests.test_endings import Dials, first_dial, requests_written, until
