--- a/cache_router/__main__.py
+++ b/cache_router/__main__.py
@@ -174,7 +174,7 @@
     longest = max(c.client_timeout for c in settings.classes.values())
     killed = min(longest, LONGEST_WAIT) + KILL_AFTER
     logging.info("ending: no new connections in %g s, all answered in %g s", STILL_COMING, killed)
-    host.end_within(killed - ANSWER_EARLY)
+    host.start_shutdown(killed - ANSWER_EARLY)
     await listener.stop(STILL_COMING, killed - CLOSE_EARLY - STILL_COMING)
     discovery.close()
     servers.close()
--- a/cache_router/net/client_connection.py
+++ b/cache_router/net/client_connection.py
@@ -95,12 +95,12 @@
         self.slots.append(slot)
         answer = partial(self._answer, slot)
         if isinstance(parts, list) and len(parts) == 1 and parts[0] in (b"PING", b"ping"):
-            answer(b"+PONG\r\n" if self.host.ready() else b"-ERR no cache server is known\r\n")
+            answer(b"+PONG\r\n" if self.host.has_ready_cache() else b"-ERR no cache server is known\r\n")
             return
         try:
             command = read_command(parts)
             slot.request = command.request.decode()
-            self.host.take(command, answer, self.present)
+            self.host.accept(command, answer, self.present)
         except CommandError as e:
             slot.request = None
             # guards the other clients: one that sends errors at full speed would take the core for itself
@@ -192,7 +192,7 @@
         self.listener.forget(self)
         for slot in self.slots:
             if slot.answer is None and slot.request is not None:
-                self.host.client_gone(slot.request)
+                self.host.on_client_disconnected(slot.request)
         self.slots.clear()
 
 
--- a/cache_router/net/endpoint_table.py
+++ b/cache_router/net/endpoint_table.py
@@ -15,6 +15,6 @@
     address: str
 
     @property
-    def process(self) -> tuple[str, float]:
+    def incarnation(self) -> tuple[str, float]:
         """What tells it from another at the same address, and from itself before a restart."""
         return self.entry.name, self.entry.started_at
--- a/cache_router/net/load_report.py
+++ b/cache_router/net/load_report.py
@@ -7,13 +7,13 @@
 from cache_router.decisions.events import LoadReport
 from cache_router.settings_reader import read_load
 
-MAX_REPORT = 256  # bytes
+MAX_LOAD_REPORT = 256  # bytes
 
 
-def read_report(text: bytes, names: tuple[str, ...]) -> LoadReport | None:
+def parse_load_report(text: bytes, names: tuple[str, ...]) -> LoadReport | None:
     """A load report as it stands in an answer; None where it can't be read."""
     values: dict[str, float] = {}
-    for pair in text[:MAX_REPORT].decode("latin-1").split(","):
+    for pair in text[:MAX_LOAD_REPORT].decode("latin-1").split(","):
         name, _, value = pair.partition("=")
         if name in names:
             with suppress(ValueError):
--- a/cache_router/net/request_table.py
+++ b/cache_router/net/request_table.py
@@ -11,25 +11,25 @@
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
+class RequestAttempt:
     """One send of a request that has had no outcome yet."""
 
     number: int
-    sent_at: float
-    exchange: AttemptInFlight | None = None
-    timer: asyncio.TimerHandle | None = None
+    started_at: float
+    upstream: AttemptInFlight | None = None
+    timeout_timer: asyncio.TimerHandle | None = None
 
 
 @dataclass(slots=True, eq=False)
-class Taken:
+class RequestInFlight:
     """A request, kept until nothing is owed for it and nothing of it is out."""
 
     command: Command
     deadline: float
-    answer: Callable[[bytes], None]
-    present: Callable[[], bool]  # whether its client is still there, as the kernel knows it
-    expiry: asyncio.TimerHandle | None = None
-    sent: int = 0  # attempts, whatever became of them
-    closed: bool = False  # answered, or its client is gone
-    overdue: bool = False
-    attempts: dict[int, Attempt] = field(default_factory=dict)
+    respond: Callable[[bytes], None]
+    is_connected: Callable[[], bool]  # whether its client is still there, as the kernel knows it
+    deadline_timer: asyncio.TimerHandle | None = None
+    attempts_started: int = 0  # attempts, whatever became of them
+    is_closed: bool = False  # answered, or its client is gone
+    deadline_passed: bool = False
+    attempts: dict[int, RequestAttempt] = field(default_factory=dict)
--- a/scale_experiments/hollow.py
+++ b/scale_experiments/hollow.py
@@ -202,7 +202,7 @@
             "told": self.told,
             "failed": self.failed,
             "lowest": min(indices, default=0),
-            "entries": min((len(r.host.members) for r in self.routers), default=0),
+            "entries": min((len(r.host.endpoints) for r in self.routers), default=0),
         }
 
     async def handle(self, command: dict[str, Any]) -> dict[str, Any]:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -105,7 +105,7 @@
             link = await asked(new)
             link.write(http("200 OK", message(2, True, line("b", router.caches["b"]))))
             await asked(new)
-            assert list(router.host.members) == ["b"]
+            assert list(router.host.endpoints) == ["b"]
 
     run(scenario)
 
@@ -168,7 +168,7 @@
             client = await router.client()
             client.write(read("r1"))
             name, link = await first_dial(router)
-            member = router.host.members[name]
+            member = router.host.endpoints[name]
             told = {
                 "draining": replace(member.entry, state=EndpointState.DRAINING),
                 "gone": replace(member.entry, state=EndpointState.REMOVED),
@@ -481,7 +481,7 @@
                 await (await router.origin.link()).http()
             if wait == "place":
                 await until(lambda: any(h.waiting for h in router.host.router.held.values()))
-            router.host.end_within(0.05)
+            router.host.start_shutdown(0.05)
             assert isinstance(await client.resp(), hiredis.ReplyError)
             client.write(read("r2", info=info))  # and what comes after that, at once
             assert str(await client.resp()).startswith("BUSY")
@@ -583,7 +583,7 @@
             (connection,) = router.listener.connections
             ending = asyncio.create_task(router.listener.stop(0.0, PATIENCE))
             await until(lambda: router.listener.ending)
-            router.host._close("r1", b"-ERR failed\r\n")
+            router.host._respond("r1", b"-ERR failed\r\n")
             assert connection.transport.is_closing()
             assert isinstance(await client.resp(), hiredis.ReplyError)
             assert await client.ended()
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, LoadReport
-from cache_router.net.load_report import read_report
+from cache_router.net.load_report import parse_load_report
 from cache_router.settings import SettingsError
 from cache_router.settings_reader import read_settings
 from tests.driver import Driver, entry, settings
@@ -70,14 +70,14 @@
     ],
 )
 def test_a_report_that_cannot_be_read_is_none(text: bytes) -> None:
-    assert read_report(text, NAMES) is None
+    assert parse_load_report(text, NAMES) is None
 
 
 def test_a_report_is_read_by_the_names_in_the_settings() -> None:
     conf = {"classes": [{"name": "read"}], "loadReport": {"fields": [*NAMES, "x0"]}}
     names = read_settings(conf).load_report_fields
-    assert read_report(b"x0=1,pending=2.5,svc_ms=40,other=3", names) == LoadReport(0.04, 2.5)
-    assert read_report(b"pending=2.5,svc_ms=40", ()) is None
+    assert parse_load_report(b"x0=1,pending=2.5,svc_ms=40,other=3", names) == LoadReport(0.04, 2.5)
+    assert parse_load_report(b"pending=2.5,svc_ms=40", ()) is None
 
 
 @pytest.mark.parametrize("fields", ["svc_ms", [1], {}])
--- a/tests/test_net_dispatcher.py
+++ b/tests/test_net_dispatcher.py
@@ -14,7 +14,7 @@
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, EndpointUpdateKind, Event, Request
 from cache_router.endpoint import EndpointState
 from cache_router.net import client_connection as clients
-from cache_router.net import dispatcher as hosts
+from cache_router.net import dispatcher as dispatchers
 from cache_router.net.client_connection import MAX_PIPELINED
 from cache_router.net.endpoint_table import NetworkEndpoint
 from tests.loopback import HIT, MISS, SETTINGS, Link, Router, book, command, http, read, run
@@ -127,7 +127,7 @@
             sent = loop.time()
             client, cache = await router.begun(info="c=read,t=x,d=150")
             assert error(await client.resp()).startswith("BUSY")
-            assert loop.time() - sent >= 0.15 - hosts.DEADLINE_MARGIN - 0.001
+            assert loop.time() - sent >= 0.15 - dispatchers.DEADLINE_MARGIN - 0.001
             assert await cache.ended() and not router.host.requests
 
     run(scenario)
@@ -308,7 +308,7 @@
             while len(connection.slots) < MAX_PIPELINED:
                 await asyncio.sleep(0)
             connection.transport.abort()
-            router.host._close("r0", b"-ERR failed\r\n")
+            router.host._respond("r0", b"-ERR failed\r\n")
             while router.listener.connections:
                 await asyncio.sleep(0)
             await asyncio.sleep(0)
@@ -366,7 +366,7 @@
             other = await router.client()
             first, cache = await router.begun()
             with monkeypatch.context() as patch:
-                patch.setattr(router.host, "take", None)
+                patch.setattr(router.host, "accept", None)
                 first.write(read("r2"))
                 assert await first.ended()
             assert await cache.ended() and not router.host.router.held
@@ -571,8 +571,8 @@
             cache.write(HIT)
             assert await client.resp() == b"value"
             (connection,) = router.servers.idle
-            (name,) = (n for n, m in router.host.members.items() if m.address == connection.address)
-            entry = router.host.members[name].entry
+            (name,) = (n for n, m in router.host.endpoints.items() if m.address == connection.address)
+            entry = router.host.endpoints[name].entry
             told = {
                 "gone": replace(entry, state=EndpointState.REMOVED),
                 "draining": replace(entry, state=EndpointState.DRAINING),
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -75,10 +75,10 @@
     """A kept connection to every server, by its name: an attempt there is written at once."""
     host = router.host
     links: dict[str, Link] = {}
-    for name, listed in host.members.items():
+    for name, listed in host.endpoints.items():
         ended = asyncio.Event()
-        pool, peer = host._pool(listed), router.caches.get(name, router.origin)
-        pool.start(listed.address, GET, 60.0, lambda *_, ended=ended: ended.set(), listed.process)
+        pool, peer = host._pool_of(listed), router.caches.get(name, router.origin)
+        pool.start(listed.address, GET, 60.0, lambda *_, ended=ended: ended.set(), listed.incarnation)
         links[name] = link = await peer.link()
         await (link.http() if peer is router.origin else link.resp())
         link.write(http("200 OK", b"value") if peer is router.origin else HIT)
@@ -190,7 +190,7 @@
                 leave(client, how)
                 if why == "timer":
                     with monkeypatch.context() as patch:
-                        names = router.host.members
+                        names = router.host.endpoints
                         wanted = [Send("r1", n) for n in names]
                         # once: the outcomes of these sends are events too, and a loop of them never ends
                         # and never yields to the test's time limit (it took 9 GB; ended three times by hand)
