--- /dev/null
+++ b/cache_router/net/attempt_runner.py
@@ -0,0 +1,135 @@
+"""Runs the attempts of requests in flight: starts, cancels and times them out, and posts how each ended."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+
+from cache_router.decisions.actions import Cancel, Send
+from cache_router.decisions.events import AttemptCompleted, AttemptStatus, Event
+from cache_router.net.clock import Clock
+from cache_router.net.endpoint_table import EndpointTable, NetworkEndpoint
+from cache_router.net.load_report import parse_load_report
+from cache_router.net.request_table import RequestAttempt, RequestInFlight, RequestTable
+from cache_router.settings import Settings
+
+log = logging.getLogger(__name__)
+
+
+class AttemptRunner:
+    """Carries out `Send` and `Cancel`; every attempt ends with exactly one `AttemptCompleted`."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        clock: Clock,
+        requests: RequestTable,
+        endpoints: EndpointTable,
+        *,
+        post: Callable[[Event], None],
+        on_client_disconnected: Callable[[str], None],
+    ) -> None:
+        """`post` takes the events; `on_client_disconnected` the id of a request whose client has gone."""
+        self._max_attempts = settings.max_attempts
+        self._load_report_fields = settings.load_report_fields
+        self._clock = clock
+        self._requests = requests
+        self._endpoints = endpoints
+        self._post = post
+        self._on_client_disconnected = on_client_disconnected
+
+    def start(self, action: Send) -> None:
+        """Start an attempt, which completes at once where it must not be sent."""
+        request = self._requests.get(action.request_id)
+        if request is None:
+            log.error("request %s: not in flight, so nothing is sent to %s", action.request_id, action.server)
+            return
+        now = self._clock.now()
+        attempt = RequestAttempt(request.attempts_started, now)
+        request.attempts_started += 1
+        request.attempts[attempt.number] = attempt
+        endpoint = self._endpoints.get(action.server)
+        status = self._precondition(request, endpoint)
+        if attempt.number >= self._max_attempts:
+            status = AttemptStatus.NOT_SENT
+        if status is not None or endpoint is None:
+            self._complete(request, attempt, status or AttemptStatus.CONNECT_FAILED)
+            return
+        time_left = request.deadline - now
+        if action.timeout is not None and action.timeout < time_left:
+            time_left = action.timeout
+            loop = asyncio.get_running_loop()
+            attempt.timeout_timer = loop.call_later(time_left, self._time_out, request, attempt)
+
+        def on_completed(status: AttemptStatus, value: bytes, report: bytes) -> None:
+            self._complete(request, attempt, status, value, report)
+
+        attempt.upstream = self._endpoints.pool_of(endpoint).start(
+            endpoint.address,
+            request.command,
+            time_left,
+            on_completed,
+            endpoint.incarnation,
+            precondition=lambda: self._precondition(request, endpoint),
+        )
+
+    def cancel(self, action: Cancel) -> None:
+        """Abandon an attempt, unless it has completed."""
+        request = self._requests.get(action.request_id)
+        attempt = request.attempts.get(action.attempt_number) if request is not None else None
+        if request is not None and attempt is not None:
+            self._abandon(request, attempt, AttemptStatus.CANCELLED)
+
+    def time_out_all(self, request: RequestInFlight) -> None:
+        """Time out all attempts of a request that are in flight."""
+        # a copy: the module may answer at the first time-out, which completes the other attempts
+        for attempt in list(request.attempts.values()):
+            self._time_out(request, attempt)
+
+    def _precondition(
+        self, request: RequestInFlight, endpoint: NetworkEndpoint | None
+    ) -> AttemptStatus | None:
+        """How an attempt ends that must not be written any more; None where it may be.
+
+        Asked at its start and again when its connection is up: meanwhile its client may have disconnected, or
+        its server may have begun to drain.
+        """
+        if not request.is_closed and not request.is_connected():
+            self._on_client_disconnected(request.command.request.decode())
+        if request.is_closed or request.deadline_passed:
+            return AttemptStatus.NOT_SENT
+        if endpoint is None or not self._endpoints.is_sendable(endpoint):
+            return AttemptStatus.CONNECT_FAILED
+        return None
+
+    def _time_out(self, request: RequestInFlight, attempt: RequestAttempt) -> None:
+        self._abandon(request, attempt, AttemptStatus.TIMEOUT)
+
+    def _abandon(self, request: RequestInFlight, attempt: RequestAttempt, status: AttemptStatus) -> None:
+        if attempt.upstream is not None:
+            attempt.upstream.abandon()
+        self._complete(request, attempt, status)
+
+    def _complete(
+        self,
+        request: RequestInFlight,
+        attempt: RequestAttempt,
+        status: AttemptStatus,
+        value: bytes = b"",
+        report: bytes = b"",
+    ) -> None:
+        """Post the one outcome of an attempt; the value of the first that succeeds answers the client."""
+        if request.attempts.pop(attempt.number, None) is None:
+            return
+        if attempt.timeout_timer is not None:
+            attempt.timeout_timer.cancel()
+        request_id = request.command.request.decode()
+        if status is AttemptStatus.OK:
+            self._requests.respond(request_id, b"$%d\r\n%b\r\n" % (len(value), value))
+        self._requests.release_candidates.append(request_id)
+        latency = self._clock.now() - attempt.started_at
+        load_report = parse_load_report(report, self._load_report_fields) if report else None
+        self._post(
+            AttemptCompleted(request_id, attempt.number, status, request.is_closed, latency, load_report)
+        )
--- a/cache_router/net/clock.py
+++ b/cache_router/net/clock.py
@@ -6,10 +6,12 @@
 
 
 class Clock:
-    """Unix time, read once; from then on it never jumps."""
+    """Unix time in seconds, read from the system once; from then on it never jumps."""
 
     def __init__(self) -> None:
+        """Read the system's time."""
         self.offset = time.time() - time.monotonic()
 
     def now(self) -> float:
+        """The present time, in seconds."""
         return self.offset + time.monotonic()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -583,7 +583,7 @@
             (connection,) = router.listener.connections
             ending = asyncio.create_task(router.listener.stop(0.0, PATIENCE))
             await until(lambda: router.listener.ending)
-            router.host._respond("r1", b"-ERR failed\r\n")
+            router.host.requests.respond("r1", b"-ERR failed\r\n")
             assert connection.transport.is_closing()
             assert isinstance(await client.resp(), hiredis.ReplyError)
             assert await client.ended()
--- a/tests/test_net_dispatcher.py
+++ b/tests/test_net_dispatcher.py
@@ -308,7 +308,7 @@
             while len(connection.slots) < MAX_PIPELINED:
                 await asyncio.sleep(0)
             connection.transport.abort()
-            router.host._respond("r0", b"-ERR failed\r\n")
+            router.host.requests.respond("r0", b"-ERR failed\r\n")
             while router.listener.connections:
                 await asyncio.sleep(0)
             await asyncio.sleep(0)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -77,7 +77,7 @@
     links: dict[str, Link] = {}
     for name, listed in host.endpoints.items():
         ended = asyncio.Event()
-        pool, peer = host._pool_of(listed), router.caches.get(name, router.origin)
+        pool, peer = host.endpoints.pool_of(listed), router.caches.get(name, router.origin)
         pool.start(listed.address, GET, 60.0, lambda *_, ended=ended: ended.set(), listed.incarnation)
         links[name] = link = await peer.link()
         await (link.http() if peer is router.origin else link.resp())
