--- a/cache_router/__main__.py
+++ b/cache_router/__main__.py
@@ -21,7 +21,7 @@
 from cache_router.net.connection_pool import ConnectionPool, address_of, is_port
 from cache_router.net.discovery import Discovery
 from cache_router.net.dispatcher import Dispatcher
-from cache_router.net.endpoint_list_reader import ListError, read_list
+from cache_router.net.endpoint_list_reader import EndpointListError, read_endpoint_list
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Settings, SettingsError
@@ -81,8 +81,8 @@
     try:
         settings = read_settings(table.get("settings"))
         sockets = int(number(section(table, "limits"), "sockets", 1024, "limits.", FEWEST))
-        index, _, known = read_list(table.get("known"), "known")
-    except (SettingsError, ListError) as e:
+        index, _, known = read_endpoint_list(table.get("known"), "known")
+    except (SettingsError, EndpointListError) as e:
         raise ConfigError(str(e)) from e
     listen = address_of(read_address(table, "listen"))
     return Config(listen, read_address(table, "discovery"), seed_number, sockets, index, known, settings)
@@ -152,7 +152,7 @@
         if address == discovery.address:
             return
         logging.info("discovery is now %s", address)
-        discovery.move(address)
+        discovery.change_address(address)
         host.on_discovery_address_changed()
         if pushed:
             discovery.subscribe()
@@ -167,7 +167,7 @@
         # known before may name servers that have left since
         with suppress(TimeoutError):
             async with asyncio.timeout(FIRST_LIST):
-                await discovery.heard.wait()
+                await discovery.first_update_received.wait()
     listener.start()
     logging.info("listening on %s:%d", *listener.socket.getsockname())
     await terminated.wait()
--- a/cache_router/net/discovery.py
+++ b/cache_router/net/discovery.py
@@ -11,15 +11,15 @@
 
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.net.connection_pool import address_of
-from cache_router.net.endpoint_list_reader import ListError, read_list
+from cache_router.net.endpoint_list_reader import EndpointListError, read_endpoint_list
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.net.http import HttpClient, HttpError
 from cache_router.settings import WatchBudget
 
-MAX_LIST = 4 * 1024 * 1024
+MAX_LIST_SIZE = 4 * 1024 * 1024
 # after an answer with no news, so that an agent that never waits is not asked in a spin; a call more than
 # 200 ms after the last answer would be a new watch, in turn with all others
-EMPTY_PAUSE = 0.05
+EMPTY_UPDATE_PAUSE = 0.05
 log = logging.getLogger(__name__)
 
 
@@ -30,54 +30,55 @@
         self,
         address: str,
         index: int | None,
-        told: Callable[[EndpointUpdateKind, list[NetworkEndpoint]], None],
-        failed: Callable[[], None],
+        on_update: Callable[[EndpointUpdateKind, list[NetworkEndpoint]], None],
+        on_failure: Callable[[], None],
         pushed: bool = False,
         *,
         budget: WatchBudget | None = None,
     ) -> None:
         self.address = address
         self.index = index  # of the list held; None: from another discovery, or none
-        self.told = told
-        self.failed = failed
-        self.watch: asyncio.Task[None] | None = None
+        self.on_update = on_update
+        self.on_failure = on_failure
+        self.watch_task: asyncio.Task[None] | None = None
         self.budget = budget or WatchBudget()
-        self.heard = asyncio.Event()  # that a list has been told
+        self.first_update_received = asyncio.Event()  # that a list has been told
         # an agent answers at once; a discovery asked by all might keep a second call waiting in turn
-        self.pushed = self.ask_at_once = pushed
+        self.pushed = self.poll_at_once = pushed
 
     def subscribe(self) -> None:
         """Begin a watch, unless one is on."""
-        if self.watch is None:
-            self.watch = asyncio.create_task(self._watch())
+        if self.watch_task is None:
+            self.watch_task = asyncio.create_task(self._watch())
 
-    def move(self, address: str) -> None:
-        """End the watch; the next asks another discovery, whose index is its own, for the whole list."""
+    def change_address(self, address: str) -> None:
+        """End the watch; the next one asks another discovery, with its own index, for the complete list."""
         self.close()
         self.address = address
         self.index = None
-        self.watch = None
+        self.watch_task = None
 
     async def _watch(self) -> None:
         try:
             while True:
-                began = time.monotonic()
-                self.index, whole, members = await self._call()
-                self.ask_at_once = False
-                self.told(EndpointUpdateKind.SNAPSHOT if whole else EndpointUpdateKind.DELTA, members)
-                self.heard.set()
-                if not members:
-                    await asyncio.sleep(EMPTY_PAUSE)
+                started_at = time.monotonic()
+                self.index, is_snapshot, endpoints = await self._poll()
+                self.poll_at_once = False
+                kind = EndpointUpdateKind.SNAPSHOT if is_snapshot else EndpointUpdateKind.DELTA
+                self.on_update(kind, endpoints)
+                self.first_update_received.set()
+                if not endpoints:
+                    await asyncio.sleep(EMPTY_UPDATE_PAUSE)
         except Exception as e:
             # guards the list: whatever went wrong, the module must hear of it, or it would never ask again
-            known = isinstance(e, (OSError, HttpError, ListError, orjson.JSONDecodeError))
-            level, waited = logging.WARNING if known else logging.ERROR, time.monotonic() - began
+            known = isinstance(e, (OSError, HttpError, EndpointListError, orjson.JSONDecodeError))
+            level, waited = logging.WARNING if known else logging.ERROR, time.monotonic() - started_at
             log.log(level, "discovery, after %.3f s: %s", waited, repr(e)[:200])
         # a watch that was cancelled ends above and tells nothing: another may have begun
-        self.watch = None
-        self.failed()
+        self.watch_task = None
+        self.on_failure()
 
-    def next_call(self) -> tuple[str, float]:
+    def next_poll(self) -> tuple[str, float]:
         """What the next call asks for, and the seconds after which it is given up.
 
         Guards against a discovery that has gone silent: what it has to tell counts as told soon after.
@@ -85,19 +86,19 @@
         target = "/registry/instances"
         if self.index is None:
             return target, self.budget.response_timeout
-        if self.pushed and self.ask_at_once:
+        if self.pushed and self.poll_at_once:
             return f"{target}?after={self.index}&wait_ms=0", self.budget.response_timeout
         return (
             f"{target}?after={self.index}&wait_ms={int(self.budget.long_poll_wait * 1000)}",
             self.budget.call_timeout,
         )
 
-    async def _call(self) -> tuple[int, bool, list[NetworkEndpoint]]:
-        target, limit = self.next_call()
+    async def _poll(self) -> tuple[int, bool, list[NetworkEndpoint]]:
+        target, limit = self.next_poll()
         async with asyncio.timeout(limit):
             reader, writer = await asyncio.open_connection(*address_of(self.address))
             try:
-                client = HttpClient(self.address, MAX_LIST)
+                client = HttpClient(self.address, MAX_LIST_SIZE)
                 writer.write(client.request("GET", target, [(b"Connection", b"close")]))
                 response = None
                 while response is None:
@@ -105,9 +106,9 @@
             finally:
                 writer.close()
         if response.status != 200:
-            raise ListError(f"answered {response.status}")
-        return read_list(orjson.loads(response.body))
+            raise EndpointListError(f"answered {response.status}")
+        return read_endpoint_list(orjson.loads(response.body))
 
     def close(self) -> None:
-        if self.watch is not None:
-            self.watch.cancel()
+        if self.watch_task is not None:
+            self.watch_task.cancel()
--- a/scale_experiments/hollow.py
+++ b/scale_experiments/hollow.py
@@ -26,9 +26,9 @@
 from cache_router.endpoint import Endpoint
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.connection_pool import ConnectionPool, address_of
-from cache_router.net.discovery import MAX_LIST, Discovery
+from cache_router.net.discovery import MAX_LIST_SIZE, Discovery
 from cache_router.net.dispatcher import Dispatcher
-from cache_router.net.endpoint_list_reader import ListError, read_list
+from cache_router.net.endpoint_list_reader import EndpointListError, read_endpoint_list
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Settings
@@ -66,9 +66,9 @@
             if head[1] == b"200":
                 self._finish(self.buffer[head.end() :])
             else:
-                self._fail(ListError(f"answered {head[1].decode()}"))
-        elif len(self.buffer) > MAX_LIST:
-            self._fail(ListError("too long"))
+                self._fail(EndpointListError(f"answered {head[1].decode()}"))
+        elif len(self.buffer) > MAX_LIST_SIZE:
+            self._fail(EndpointListError("too long"))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._fail(exc or ConnectionResetError("ended without an answer"))
@@ -85,8 +85,8 @@
 class LightDiscovery(Discovery):
     """The real watch with a call of its own: the same request and times, and only the index is kept."""
 
-    async def _call(self) -> tuple[int, bool, list[NetworkEndpoint]]:
-        target, limit = self.next_call()
+    async def _poll(self) -> tuple[int, bool, list[NetworkEndpoint]]:
+        target, limit = self.next_poll()
         request = f"GET {target} HTTP/1.1\r\nHost: {self.address}\r\nConnection: close\r\n\r\n".encode()
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(limit):
@@ -101,7 +101,7 @@
         # of a whole list only the head is read: all of it would cost as much as keeping it
         index = re.match(rb'{"index":(\d+),"snapshot":(true|false),"endpoints":\[(.?)', body)
         if index is None:
-            raise ListError("no list")
+            raise EndpointListError("no list")
         return int(index[1]), index[2] == b"true", ANYONE if index[3] == b"{" else []
 
 
@@ -181,7 +181,7 @@
         """Start `routers` routers within `spread_s`, over the `discovery` addresses in turn."""
         self.settings = read_settings(command["settings"])
         self.held = command["held"]
-        index, _, known = read_list(command["known"], "known")
+        index, _, known = read_endpoint_list(command["known"], "known")
         self.times = Times(command["routers"])
         addresses: list[str] = command["discovery"]
         loop = asyncio.get_running_loop()
--- a/scale_experiments/scenarios/list_change.py
+++ b/scale_experiments/scenarios/list_change.py
@@ -1,7 +1,7 @@
 """What a change of the list, and a whole list, cost one router; no sockets, all in this process.
 
-Only what hosts use is called: `Router.handle`, `read_list` and `Dispatcher.on_endpoint_update`, on pools
-that hold no connection.
+Only what hosts use is called: `Router.handle`, `read_endpoint_list` and `Dispatcher.on_endpoint_update`, on
+pools that hold no connection.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.dispatcher import Dispatcher
-from cache_router.net.endpoint_list_reader import read_list
+from cache_router.net.endpoint_list_reader import read_endpoint_list
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Settings
 from cache_router.settings_reader import read_settings
@@ -130,7 +130,7 @@
 
 def entries_of(text: bytes) -> tuple[Endpoint, ...]:
     """The entries of a message."""
-    return tuple(member.entry for member in read_list(orjson.loads(text))[2])
+    return tuple(member.entry for member in read_endpoint_list(orjson.loads(text))[2])
 
 
 def timed(work: Callable[..., object], *args: object) -> float:
@@ -201,7 +201,7 @@
 
 def tell(host: Dispatcher, text: bytes) -> None:
     """What a watch does with an answer."""
-    _, whole, members = read_list(orjson.loads(text))
+    _, whole, members = read_endpoint_list(orjson.loads(text))
     host.on_endpoint_update(EndpointUpdateKind.SNAPSHOT if whole else EndpointUpdateKind.DELTA, members)
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -98,7 +98,7 @@
             await asked(old)  # at the start
             await asked(old)
             assert router.discovery is not None
-            router.discovery.move(new.address)
+            router.discovery.change_address(new.address)
             router.host.on_discovery_address_changed()
             router.discovery.subscribe()
             await asked(new)  # and lost
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -11,7 +11,7 @@
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.net.discovery import Discovery
-from cache_router.net.endpoint_list_reader import ListError, read_list
+from cache_router.net.endpoint_list_reader import EndpointListError, read_endpoint_list
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.settings import WatchBudget
 from tests.loopback import Link, Peer, http, run
@@ -28,23 +28,23 @@
 }
 
 
-def message(index: int, whole: bool, *lines: dict[str, Any]) -> bytes:
-    return orjson.dumps({"index": index, "snapshot": whole, "endpoints": lines})
+def message(index: int, is_snapshot: bool, *lines: dict[str, Any]) -> bytes:
+    return orjson.dumps({"index": index, "snapshot": is_snapshot, "endpoints": lines})
 
 
-class Told:
-    """What a watch tells its router, in order; a failure is None."""
+class WatchRecorder:
+    """What a watch notifies its router of, in order; a failure is None."""
 
     def __init__(self, peer: Peer, budget: WatchBudget | None = None) -> None:
-        self.news: asyncio.Queue[tuple[EndpointUpdateKind, list[NetworkEndpoint]] | None] = asyncio.Queue()
-        self.watch = Discovery(
+        self.updates: asyncio.Queue[tuple[EndpointUpdateKind, list[NetworkEndpoint]] | None] = asyncio.Queue()
+        self.discovery = Discovery(
             peer.address,
             41,
-            lambda kind, members: self.news.put_nowait((kind, members)),
-            lambda: self.news.put_nowait(None),
+            lambda kind, endpoints: self.updates.put_nowait((kind, endpoints)),
+            lambda: self.updates.put_nowait(None),
             budget=budget,
         )
-        self.watch.subscribe()
+        self.discovery.subscribe()
 
 
 async def call(peer: Peer) -> tuple[str, Link]:
@@ -53,11 +53,11 @@
 
 
 def test_an_entry_is_read() -> None:
-    index, whole, (member,) = read_list(orjson.loads(message(7, True, LINE)))
-    assert (index, whole, member.address) == (7, True, "127.0.0.9:6379")
+    index, whole, (endpoint,) = read_endpoint_list(orjson.loads(message(7, True, LINE)))
+    assert (index, whole, endpoint.address) == (7, True, "127.0.0.9:6379")
     entry = Endpoint("s-1", EndpointState.READY, "m2", "a", 3, 1.5, 1_790_000_000.25)
-    assert member.entry == entry  # named as at every router, since on the host's own clock
-    _, _, (old,) = read_list(orjson.loads(message(7, True, {**LINE, "since_ms": 0})))
+    assert endpoint.entry == entry  # named as at every router, since on the host's own clock
+    _, _, (old,) = read_endpoint_list(orjson.loads(message(7, True, {**LINE, "since_ms": 0})))
     assert old.entry.started_at == 0
 
 
@@ -74,39 +74,39 @@
     ],
 )
 def test_a_malformed_entry_is_named(change: dict[str, Any], named: str) -> None:
-    with pytest.raises(ListError, match=rf"^known\.endpoints\[1\]\.{named}"):
-        read_list({"index": 1, "snapshot": True, "endpoints": [LINE, {**LINE, **change}]}, "known")
+    with pytest.raises(EndpointListError, match=rf"^known\.endpoints\[1\]\.{named}"):
+        read_endpoint_list({"index": 1, "snapshot": True, "endpoints": [LINE, {**LINE, **change}]}, "known")
 
 
-def test_a_watch_goes_on_from_what_it_was_told() -> None:
+def test_a_watch_continues_from_the_index_it_received() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer)
+            recorder = WatchRecorder(peer)
             first, link = await call(peer)
             assert first == "GET /registry/instances?after=41&wait_ms=1000 HTTP/1.1"
             link.write(http("200 OK", message(43, False, {**LINE, "status": "terminating"})))
-            kind, (member,) = await told.news.get() or pytest.fail()
-            assert kind is EndpointUpdateKind.DELTA and member.entry.state is EndpointState.DRAINING
+            kind, (endpoint,) = await recorder.updates.get() or pytest.fail()
+            assert kind is EndpointUpdateKind.DELTA and endpoint.entry.state is EndpointState.DRAINING
             first, link = await call(peer)
             assert "after=43&" in first
             link.write(http("200 OK", message(50, True, LINE)))
-            assert (await told.news.get() or pytest.fail())[0] is EndpointUpdateKind.SNAPSHOT
+            assert (await recorder.updates.get() or pytest.fail())[0] is EndpointUpdateKind.SNAPSHOT
             assert "after=50&" in (await call(peer))[0]
-            told.watch.close()
+            recorder.discovery.close()
 
     run(scenario)
 
 
-def test_asking_again_while_a_watch_is_on_makes_no_second_call() -> None:
+def test_subscribing_during_a_watch_makes_no_second_poll() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer)
-            told.watch.subscribe()
+            recorder = WatchRecorder(peer)
+            recorder.discovery.subscribe()
             _, link = await call(peer)
             link.write(http("200 OK", message(42, False)))
-            await told.news.get()
+            await recorder.updates.get()
             assert "after=42&" in (await call(peer))[0]  # and none with 41 before it
-            told.watch.close()
+            recorder.discovery.close()
 
     run(scenario)
 
@@ -124,84 +124,84 @@
         b"",
     ],
 )
-def test_a_failed_call_is_told_and_the_next_starts_from_the_list_held(answer: bytes) -> None:
+def test_a_failed_poll_is_notified_and_the_next_continues_from_the_list_held(answer: bytes) -> None:
     """Half a list taken for whole would drop servers that are well; an exception would end the watch."""
 
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer)
+            recorder = WatchRecorder(peer)
             _, link = await call(peer)
             link.write(answer)
             link.close()
-            assert await told.news.get() is None
-            told.watch.subscribe()
+            assert await recorder.updates.get() is None
+            recorder.discovery.subscribe()
             assert "after=41&" in (await call(peer))[0]
-            told.watch.close()
+            recorder.discovery.close()
 
     run(scenario)
 
 
-def test_a_refused_call_is_told() -> None:
+def test_a_refused_connection_is_notified() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
             pass
-        assert await Told(peer).news.get() is None
+        assert await WatchRecorder(peer).updates.get() is None
 
     run(scenario)
 
 
-def test_a_silent_discovery_is_given_up_soon() -> None:
-    """What it has to tell counts as told: a router that waits on sends to servers it should have left."""
+def test_a_poll_of_a_silent_discovery_times_out() -> None:
+    """Its changes count as notified: a router that waits on sends to servers it should have left."""
 
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(
+            recorder = WatchRecorder(
                 peer,
                 WatchBudget(
                     response_timeout=0.05, max_backoff=0.0, scheduling_slack=0.0, notification_deadline=0.15
                 ),
             )
             _, link = await call(peer)
-            assert await told.news.get() is None
+            assert await recorder.updates.get() is None
             assert await link.ended()
 
     run(scenario)
 
 
-def test_a_fault_in_taking_a_list_is_told_as_a_failed_call() -> None:
+def test_a_fault_in_an_update_is_notified_as_a_failed_poll() -> None:
     """A watch that ended without a word would leave the router with its old list for good."""
 
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer)
+            recorder = WatchRecorder(peer)
 
-            def faulty(kind: EndpointUpdateKind, members: list[NetworkEndpoint]) -> None:
+            def faulty(kind: EndpointUpdateKind, endpoints: list[NetworkEndpoint]) -> None:
                 raise RuntimeError("a fault")
 
-            told.watch.told = faulty
+            recorder.discovery.on_update = faulty
             _, link = await call(peer)
             link.write(http("200 OK", message(42, False, LINE)))
-            assert await told.news.get() is None and told.watch.watch is None
+            assert await recorder.updates.get() is None and recorder.discovery.watch_task is None
 
     run(scenario)
 
 
-def test_a_moved_watch_starts_anew_and_the_old_one_tells_nothing() -> None:
+def test_a_watch_at_a_new_address_starts_anew_and_the_old_one_notifies_nothing() -> None:
     """Each counts by itself: asked for what is newer than another discovery's list, it may say nothing."""
 
     async def scenario() -> None:
         async with Peer() as old, Peer() as new:
-            told = Told(old)
+            recorder = WatchRecorder(old)
             _, link = await call(old)
-            told.watch.move(new.address)
+            recorder.discovery.change_address(new.address)
             assert await link.ended()
-            told.watch.subscribe()
+            recorder.discovery.subscribe()
             first, link = await call(new)
             assert first == "GET /registry/instances HTTP/1.1"
             link.write(http("200 OK", message(3, True, LINE)))
-            assert (await told.news.get() or pytest.fail())[0] is EndpointUpdateKind.SNAPSHOT
+            assert (await recorder.updates.get() or pytest.fail())[0] is EndpointUpdateKind.SNAPSHOT
             assert "after=3&" in (await call(new))[0]
-            assert told.news.empty()
-            told.watch.close()
+            assert recorder.updates.empty()
+            recorder.discovery.close()
 
     run(scenario)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -25,7 +25,7 @@
 from cache_router.net.client_connection import ClientConnection
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.dispatcher import Dispatcher
-from cache_router.net.endpoint_list_reader import read_list
+from cache_router.net.endpoint_list_reader import read_endpoint_list
 from cache_router.net.origin_connection import OriginConnection
 from tests.loopback import HIT, MISS, Link, Peer, Router, book, command, http, read, run, spelled
 from tests.test_endings import Dials, first_dial, requests_written, until
@@ -350,7 +350,7 @@
         )
         host = Dispatcher(config.settings, config.seed, servers, origin, lambda: None)
         host.on_endpoint_update(EndpointUpdateKind.CACHED, config.known)
-        host.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, read_list(orjson.loads(self.answer))[2])
+        host.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, read_endpoint_list(orjson.loads(self.answer))[2])
 
     def calls(self) -> int:
         """Functions called, those of the interpreter's own included."""
--- a/tests/test_watch_budget.py
+++ b/tests/test_watch_budget.py
@@ -18,7 +18,7 @@
 from cache_router.settings import MIN_BACKOFF, WatchBudget
 from tests.driver import Driver, entry, settings
 from tests.loopback import Peer, http, run
-from tests.test_net_discovery import LINE, Told, call, message
+from tests.test_net_discovery import LINE, WatchRecorder, call, message
 
 FAILED_CALL = EndpointUpdate(EndpointUpdateKind.FAILED)
 WAYS = {
@@ -113,18 +113,18 @@
     async def scenario() -> None:
         async with Peer() as peer:
             budget = WatchBudget(response_timeout=0.05, notification_deadline=600.0)
-            told = Told(peer, budget)
+            recorder = WatchRecorder(peer, budget)
             first, link = await call(peer)
             assert f"wait_ms={int(budget.long_poll_wait * 1000)} " in first
-            told.watch.move(peer.address)
-            told.watch.subscribe()
+            recorder.discovery.change_address(peer.address)
+            recorder.discovery.subscribe()
             assert "wait_ms" not in (await call(peer))[0]
-            assert await told.news.get() is None  # and not after ten minutes
-            told.watch.subscribe()
+            assert await recorder.updates.get() is None  # and not after ten minutes
+            recorder.discovery.subscribe()
             _, link = await call(peer)
             link.write(http("200 OK", message(3, True, LINE)))
-            assert await told.news.get() is not None
-            told.watch.close()
+            assert await recorder.updates.get() is not None
+            recorder.discovery.close()
 
     run(scenario)
 
