--- a/cache_router/__main__.py
+++ b/cache_router/__main__.py
@@ -81,11 +81,13 @@
     try:
         settings = read_settings(table.get("settings"))
         sockets = int(number(section(table, "limits"), "sockets", 1024, "limits.", FEWEST))
-        index, _, known = read_endpoint_list(table.get("known"), "known")
+        known = read_endpoint_list(table.get("known"), "known")
     except (SettingsError, EndpointListError) as e:
         raise ConfigError(str(e)) from e
     listen = address_of(read_address(table, "listen"))
-    return Config(listen, read_address(table, "discovery"), seed_number, sockets, index, known, settings)
+    return Config(
+        listen, read_address(table, "discovery"), seed_number, sockets, known.index, known.endpoints, settings
+    )
 
 
 def read_file(path: str) -> bytes:
--- a/cache_router/net/load_report.py
+++ b/cache_router/net/load_report.py
@@ -7,11 +7,11 @@
 from cache_router.decisions.events import LoadReport
 from cache_router.settings_reader import read_load
 
-MAX_LOAD_REPORT = 256  # bytes
+MAX_LOAD_REPORT = 256  # bytes that are looked at
 
 
 def parse_load_report(text: bytes, names: tuple[str, ...]) -> LoadReport | None:
-    """A load report as it stands in an answer; None where it can't be read."""
+    """Read `name=value` pairs, parted by commas, of the given names; None where a value is missing."""
     values: dict[str, float] = {}
     for pair in text[:MAX_LOAD_REPORT].decode("latin-1").split(","):
         name, _, value = pair.partition("=")
--- a/scale_experiments/hollow.py
+++ b/scale_experiments/hollow.py
@@ -28,7 +28,7 @@
 from cache_router.net.connection_pool import ConnectionPool, address_of
 from cache_router.net.discovery import MAX_LIST_SIZE, Discovery
 from cache_router.net.dispatcher import Dispatcher
-from cache_router.net.endpoint_list_reader import EndpointListError, read_endpoint_list
+from cache_router.net.endpoint_list_reader import EndpointListError, EndpointListMessage, read_endpoint_list
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Settings
@@ -85,11 +85,11 @@
 class LightDiscovery(Discovery):
     """The real watch with a call of its own: the same request and times, and only the index is kept."""
 
-    async def _poll(self) -> tuple[int, bool, list[NetworkEndpoint]]:
-        target, limit = self.next_poll()
-        request = f"GET {target} HTTP/1.1\r\nHost: {self.address}\r\nConnection: close\r\n\r\n".encode()
+    async def _poll(self) -> EndpointListMessage:
+        poll = self.next_poll()
+        request = f"GET {poll.target} HTTP/1.1\r\nHost: {self.address}\r\nConnection: close\r\n\r\n".encode()
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout(limit):
+        async with asyncio.timeout(poll.timeout):
             done: asyncio.Future[bytes] = loop.create_future()
             transport, _ = await loop.create_connection(
                 lambda: LightCall(request, done), *address_of(self.address)
@@ -102,7 +102,7 @@
         index = re.match(rb'{"index":(\d+),"snapshot":(true|false),"endpoints":\[(.?)', body)
         if index is None:
             raise EndpointListError("no list")
-        return int(index[1]), index[2] == b"true", ANYONE if index[3] == b"{" else []
+        return EndpointListMessage(int(index[1]), index[2] == b"true", ANYONE if index[3] == b"{" else [])
 
 
 class Times:
@@ -181,17 +181,17 @@
         """Start `routers` routers within `spread_s`, over the `discovery` addresses in turn."""
         self.settings = read_settings(command["settings"])
         self.held = command["held"]
-        index, _, known = read_endpoint_list(command["known"], "known")
+        known = read_endpoint_list(command["known"], "known")
         self.times = Times(command["routers"])
         addresses: list[str] = command["discovery"]
         loop = asyncio.get_running_loop()
         for number in range(command["routers"]):
             address = addresses[number % len(addresses)]
-            router = HollowRouter(number, self, address, command["seed"] + number, index)
+            router = HollowRouter(number, self, address, command["seed"] + number, known.index)
             self.routers.append(router)
             begin: Callable[[list[NetworkEndpoint]], None] = router.begin
             self.starts.append(
-                loop.call_later(command["spread_s"] * number / command["routers"], begin, known)
+                loop.call_later(command["spread_s"] * number / command["routers"], begin, known.endpoints)
             )
 
     def stats(self) -> dict[str, Any]:
--- a/scale_experiments/scenarios/list_change.py
+++ b/scale_experiments/scenarios/list_change.py
@@ -130,7 +130,7 @@
 
 def entries_of(text: bytes) -> tuple[Endpoint, ...]:
     """The entries of a message."""
-    return tuple(member.entry for member in read_endpoint_list(orjson.loads(text))[2])
+    return tuple(member.entry for member in read_endpoint_list(orjson.loads(text)).endpoints)
 
 
 def timed(work: Callable[..., object], *args: object) -> float:
@@ -201,8 +201,8 @@
 
 def tell(host: Dispatcher, text: bytes) -> None:
     """What a watch does with an answer."""
-    _, whole, members = read_endpoint_list(orjson.loads(text))
-    host.on_endpoint_update(EndpointUpdateKind.SNAPSHOT if whole else EndpointUpdateKind.DELTA, members)
+    update = read_endpoint_list(orjson.loads(text))
+    host.on_endpoint_update(update.update_kind, update.endpoints)
 
 
 def first_request(router: Router, now: float, number: int) -> float:
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -53,11 +53,12 @@
 
 
 def test_an_entry_is_read() -> None:
-    index, whole, (endpoint,) = read_endpoint_list(orjson.loads(message(7, True, LINE)))
-    assert (index, whole, endpoint.address) == (7, True, "127.0.0.9:6379")
+    update = read_endpoint_list(orjson.loads(message(7, True, LINE)))
+    (endpoint,) = update.endpoints
+    assert (update.index, update.is_snapshot, endpoint.address) == (7, True, "127.0.0.9:6379")
     entry = Endpoint("s-1", EndpointState.READY, "m2", "a", 3, 1.5, 1_790_000_000.25)
-    assert endpoint.entry == entry  # named as at every router, since on the host's own clock
-    _, _, (old,) = read_endpoint_list(orjson.loads(message(7, True, {**LINE, "since_ms": 0})))
+    assert endpoint.entry == entry  # named as at every router, since on the router's own clock
+    (old,) = read_endpoint_list(orjson.loads(message(7, True, {**LINE, "since_ms": 0}))).endpoints
     assert old.entry.started_at == 0
 
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -350,7 +350,8 @@
         )
         host = Dispatcher(config.settings, config.seed, servers, origin, lambda: None)
         host.on_endpoint_update(EndpointUpdateKind.CACHED, config.known)
-        host.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, read_endpoint_list(orjson.loads(self.answer))[2])
+        update = read_endpoint_list(orjson.loads(self.answer))
+        host.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, update.endpoints)
 
     def calls(self) -> int:
         """Functions called, those of the interpreter's own included."""
