--- a/cache_router/net/endpoint_table.py
+++ b/cache_router/net/endpoint_table.py
@@ -38,16 +38,19 @@
 
     def has_ready_cache(self) -> bool:
         """Whether any cache server may be sent new requests."""
-        return any(e.entry.is_ready and not self._is_origin(e) for e in self.values())
+        return any(e.entry.is_ready and self.pool_of(e) is self._caches for e in self.values())
 
     def is_sendable(self, endpoint: NetworkEndpoint) -> bool:
         """Whether the same incarnation is still listed and may be sent new requests."""
         current = self.get(endpoint.entry.name)
-        return current is not None and current.entry.is_ready and current.incarnation == endpoint.incarnation
+        if current is None or not current.entry.is_ready:
+            return False
+        # nearly always the same entry, for which the incarnations need not be computed
+        return current is endpoint or current.incarnation == endpoint.incarnation
 
     def pool_of(self, endpoint: NetworkEndpoint) -> ConnectionPool:
         """The pool that holds the connections to an endpoint."""
-        return self._origins if self._is_origin(endpoint) else self._caches
+        return self._origins if endpoint.entry.kind == self._origin_kind else self._caches
 
     def apply(self, kind: EndpointUpdateKind, endpoints: Iterable[NetworkEndpoint]) -> None:
         """Take over a complete list or changed entries, and close idle connections that became useless."""
@@ -72,6 +75,3 @@
         # vanished never closes its side: such connections would only occupy descriptors.
         if new is None or not new.entry.is_ready or new.incarnation != old.incarnation:
             self.pool_of(old).close_idle(old.address)
-
-    def _is_origin(self, endpoint: NetworkEndpoint) -> bool:
-        return endpoint.entry.kind == self._origin_kind
