--- a/cache_router/config.py
+++ b/cache_router/config.py
@@ -12,8 +12,8 @@
 
 from cache_router.errors import RouterError
 from cache_router.net.address import AddressError, parse_address
-from cache_router.net.discovery import ListError, read_list
-from cache_router.net.dispatcher import NetworkEndpoint
+from cache_router.net.endpoint_list_reader import EndpointListError, read_endpoint_list
+from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.settings import Settings, SettingsError
 from cache_router.settings_reader import SectionReader, read_settings
 
@@ -66,14 +66,14 @@
         limits = SectionReader(table).section("limits")
         max_descriptors = int(limits.number("sockets", DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS))
     with _errors_of("known"):
-        index, _, endpoints = read_list(table.get("known"), "known")
+        known = read_endpoint_list(table.get("known"), "known")
     return Config(
         listen=parse_address(_read_address(table, "listen")),
         discovery=_read_address(table, "discovery"),
         seed=seed,
         max_descriptors=max_descriptors,
-        cached_index=index,
-        cached_endpoints=endpoints,
+        cached_index=known.index,
+        cached_endpoints=known.endpoints,
         settings=settings,
     )
 
@@ -83,7 +83,7 @@
     """Raise errors of the readers of a field as errors of the configuration."""
     try:
         yield
-    except (SettingsError, ListError) as error:
+    except (SettingsError, EndpointListError) as error:
         raise ConfigError(str(error), where=field) from error
 
 
--- a/cache_router/net/client_connection.py
+++ b/cache_router/net/client_connection.py
@@ -20,6 +20,8 @@
 MAX_PIPELINED_COMMANDS = 32  # commands of one connection whose replies are pending
 CLOSE_TIMEOUT = 0.5  # seconds for the client of a closing connection to read its last reply
 ERROR_THROTTLE_TIME = 0.1  # seconds for which a connection is not read after an error
+PONG_REPLY = b"+PONG\r\n"
+NOT_READY_REPLY = b"-ERR no cache server is known\r\n"
 log = logging.getLogger(__name__)
 
 
@@ -89,12 +91,12 @@
         self.replies.append(reply)
         complete = partial(self._complete_reply, reply)
         if isinstance(parts, list) and len(parts) == 1 and parts[0] in (b"PING", b"ping"):
-            complete(b"+PONG\r\n" if self.dispatcher.ready() else b"-ERR no cache server is known\r\n")
+            complete(PONG_REPLY if self.dispatcher.has_ready_cache() else NOT_READY_REPLY)
             return
         try:
             command = parse_command(parts)
             reply.request_id = command.request_id.decode()
-            self.dispatcher.take(command, complete, self.is_connected)
+            self.dispatcher.accept(command, complete, self.is_connected)
         except CommandError as e:
             reply.request_id = None
             self._throttle()
@@ -210,5 +212,5 @@
         self.table.on_closed(self)
         for reply in self.replies:
             if reply.data is None and reply.request_id is not None:
-                self.dispatcher.client_gone(reply.request_id)
+                self.dispatcher.on_client_disconnected(reply.request_id)
         self.replies.clear()
--- a/cache_router/net/dispatcher.py
+++ b/cache_router/net/dispatcher.py
@@ -1,6 +1,8 @@
-"""Hosts the decision module: its clock and timers, and the table of requests and attempts.
+"""Connects the decision module to the sockets.
 
-Turns what happens on sockets into events, carries out the actions in order, and decides nothing.
+Turns what happens on sockets into events, carries out the actions that the decision module answers in their
+order, and decides nothing. `request_table` keeps the requests in flight, `endpoint_table` the endpoints, and
+`attempt_runner` runs the attempts.
 """
 
 from __future__ import annotations
@@ -8,11 +10,8 @@
 import asyncio
 import logging
 import math
-import time
 from collections import deque
 from collections.abc import Callable
-from contextlib import suppress
-from dataclasses import dataclass, field
 
 from cache_router.decisions.actions import (
     Action,
@@ -26,123 +25,66 @@
     SubscribeToEndpoints,
 )
 from cache_router.decisions.events import (
-    AttemptCompleted,
-    AttemptStatus,
     ClientDisconnected,
     DiscoveryAddressChanged,
     EndpointUpdate,
     EndpointUpdateKind,
     Event,
-    LoadReport,
     Request,
     ShutdownStarted,
     TimerFired,
 )
 from cache_router.decisions.router import Router
-from cache_router.endpoint import Endpoint, EndpointState
+from cache_router.net.attempt_runner import AttemptRunner
+from cache_router.net.clock import Clock
 from cache_router.net.command import Command, CommandError
 from cache_router.net.connection_pool import ConnectionPool
-from cache_router.net.upstream_connection import AttemptInFlight, UpstreamResponse
+from cache_router.net.endpoint_table import EndpointTable, NetworkEndpoint
+from cache_router.net.request_table import RequestTable
 from cache_router.settings import Idempotency, Settings
-from cache_router.settings_reader import read_load
 
-# before the client's deadline, which counts from its send: measured, the way takes 1.3 ms at most in each
-# direction and this process 1.4 ms at the 99th percentile; the rest is for a core that others keep busy
+# Seconds before the client's deadline, which counts from its send. Measured: the way takes 1.3 ms at most in
+# each direction and this process 1.4 ms at the 99th percentile; the rest is for a core that others keep busy.
 DEADLINE_MARGIN = 0.02
-REMEMBER = 2.0  # seconds at least for which the id of an ended request is not taken again
-MAX_HINT = 12  # digits
-MAX_REPORT = 256  # bytes
+MAX_COST_HINT_DIGITS = 12  # of microseconds; longer numbers might not fit a float
 log = logging.getLogger(__name__)
 
 
-def read_report(text: bytes, names: tuple[str, ...]) -> LoadReport | None:
-    """A load report as it stands in an answer; None where it can't be read."""
-    values: dict[str, float] = {}
-    for pair in text[:MAX_REPORT].decode("latin-1").split(","):
-        name, _, value = pair.partition("=")
-        if name in names:
-            with suppress(ValueError):
-                values[name] = float(value)
-    return read_load(values)
-
-
-class Clock:
-    """Unix time, read once; from then on it never jumps."""
-
-    def __init__(self) -> None:
-        self.offset = time.time() - time.monotonic()
-
-    def now(self) -> float:
-        return self.offset + time.monotonic()
-
-
-@dataclass(slots=True, eq=False)
-class Attempt:
-    """One send of a request that has had no outcome yet."""
-
-    number: int
-    sent_at: float
-    exchange: AttemptInFlight | None = None
-    timer: asyncio.TimerHandle | None = None
-
-
-@dataclass(slots=True, eq=False)
-class Taken:
-    """A request, kept until nothing is owed for it and nothing of it is out."""
-
-    command: Command
-    deadline: float
-    answer: Callable[[bytes], None]
-    present: Callable[[], bool]  # whether its client is still there, as the kernel knows it
-    expiry: asyncio.TimerHandle | None = None
-    sent: int = 0  # attempts, whatever became of them
-    closed: bool = False  # answered, or its client is gone
-    overdue: bool = False
-    attempts: dict[int, Attempt] = field(default_factory=dict)
-
-
-@dataclass(slots=True, frozen=True)
-class NetworkEndpoint:
-    """A cache server or origin of this router's own list."""
-
-    entry: Endpoint
-    address: str
-
-    @property
-    def process(self) -> tuple[str, float]:
-        """What tells it from another at the same address, and from itself before a restart."""
-        return self.entry.name, self.entry.started_at
-
-
 class Dispatcher:
-    """One router and what it has going on."""
+    """One router: its events and actions, its timers, and the requests that it accepts.
+
+    Times are seconds on `clock`; all methods run in the event loop's thread.
+    """
 
     def __init__(
         self,
         settings: Settings,
         seed: int,
-        servers: ConnectionPool,
-        origin: ConnectionPool,
+        caches: ConnectionPool,
+        origins: ConnectionPool,
         subscribe: Callable[[], None],
     ) -> None:
+        """`subscribe` is called when the decision module asks for endpoint updates."""
         self.settings = settings
-        self.servers = servers
-        self.origin = origin
         self.subscribe = subscribe
         self.clock = Clock()
         self.router = Router(settings, seed, self.clock.now())
-        self.members: dict[str, NetworkEndpoint] = {}
-        self.requests: dict[str, Taken] = {}
-        self.used: set[str] = set()  # ids of ended requests
-        self.used_before: set[str] = set()
-        self.used_since = self.clock.now()
-        self.over: list[str] = []  # names of requests that may be forgotten
+        origin_kind = settings.origin_kind if settings.cache_aside else None
+        self.endpoints = EndpointTable(caches, origins, origin_kind)
+        self.requests = RequestTable(self._on_deadline, self.clock.now())
+        self.attempts = AttemptRunner(
+            settings,
+            self.clock,
+            self.requests,
+            self.endpoints,
+            post=self.post,
+            on_client_disconnected=self.on_client_disconnected,
+        )
         self.events: deque[Event] = deque()
         self.handling = False
-        self.ends_at = math.inf  # by then nothing may be owed
 
     def post(self, event: Event) -> None:
-        """Hand an event to the module; one that comes while actions are carried out waits its turn."""
+        """Hand an event to the decision module, after the events whose actions are being carried out."""
         self.events.append(event)
         if self.handling:
             return
@@ -150,27 +92,26 @@
         try:
             while self.events:
                 for action in self.router.handle(self.clock.now(), self.events.popleft()):
-                    self._carry_out(action)
+                    self._execute(action)
         finally:
             self.handling = False
-            # not before: the module may still send for a request that it has just ended, which is moot
-            for name in self.over:
-                self._forget(name)
-            self.over.clear()
+            # Not earlier: the module may still send for a request that it has just ended, and is then told
+            # that the attempt was not sent.
+            if self.requests.release_candidates:
+                self.requests.release_finished(self.clock.now())
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case Send():
-                self._send(action)
+                self.attempts.start(action)
             case Reject():
-                self._refuse(action)
+                self._reject(action)
             case Fail():
-                self._close(action.request_id, b"-ERR failed\r\n")
+                self.requests.respond(action.request_id, b"-ERR failed\r\n")
             case Cancel():
-                self._cancel(action)
+                self.attempts.cancel(action)
             case CloseIdleConnections():
-                if (member := self.members.get(action.server)) is not None:
-                    self._pool(member).close_idle(member.address)
+                self.endpoints.close_idle_connections(action.server)
             case SetTimer():
                 loop = asyncio.get_running_loop()
                 loop.call_later(action.delay, self.post, TimerFired(action.timer))
@@ -179,201 +120,71 @@
             case LogMessage():
                 log.info("%s", action.message)
 
-    # The list
+    # Endpoints
 
-    def ready(self) -> bool:
-        """Whether any cache server may be sent to."""
-        return any(m.entry.is_ready and not self._is_origin(m) for m in self.members.values())
+    def has_ready_cache(self) -> bool:
+        """Whether any cache server may be sent new requests."""
+        return self.endpoints.has_ready_cache()
 
     def on_discovery_address_changed(self) -> None:
-        """The list is told elsewhere from now on."""
+        """Endpoint updates come from another discovery from now on."""
         self.post(DiscoveryAddressChanged())
 
     def on_watch_failed(self) -> None:
+        """The watch on the endpoint list has ended with a failure."""
         self.post(EndpointUpdate(EndpointUpdateKind.FAILED))
 
-    def on_endpoint_update(self, kind: EndpointUpdateKind, members: list[NetworkEndpoint]) -> None:
-        """Take a list or its changes."""
-        told = {m.entry.name: None if m.entry.state is EndpointState.REMOVED else m for m in members}
-        unnamed = () if kind is EndpointUpdateKind.DELTA else tuple(self.members)
-        for name in dict.fromkeys((*unnamed, *told)):
-            old, new = self.members.pop(name, None), told.get(name)
-            if new is not None:
-                self.members[name] = new
-            # guards the descriptors, and the next process at an address: nothing more is sent to one that
-            # ends, and a machine that vanished never closes what was kept to it
-            if old is not None and (new is None or not new.entry.is_ready or new.process != old.process):
-                self._pool(old).close_idle(old.address)
-        self.post(EndpointUpdate(kind, tuple(m.entry for m in members)))
-
-    def _is_origin(self, member: NetworkEndpoint) -> bool:
-        return self.settings.cache_aside and member.entry.kind == self.settings.origin_kind
-
-    def _pool(self, member: NetworkEndpoint) -> ConnectionPool:
-        return self.origin if self._is_origin(member) else self.servers
+    def on_endpoint_update(self, kind: EndpointUpdateKind, endpoints: list[NetworkEndpoint]) -> None:
+        """Take over a complete endpoint list, or the changed entries of one."""
+        self.endpoints.apply(kind, endpoints)
+        self.post(EndpointUpdate(kind, tuple(e.entry for e in endpoints)))
 
     # Requests
 
-    def take(self, command: Command, answer: Callable[[bytes], None], present: Callable[[], bool]) -> None:
-        """Take a request that is owed one `answer`, or say why it can't be taken."""
-        name = command.request_id.decode()
-        # guards the table: two requests under one id would get each other's answers; and a client against
-        # another that repeats its id, just ended, to be served with what was its own
-        if name in self.requests or name in self.used or name in self.used_before:
+    def accept(
+        self, command: Command, respond: Callable[[bytes], None], is_connected: Callable[[], bool]
+    ) -> None:
+        """Accept a request; `respond` takes its one final answer, unless its client disconnects first.
+
+        Raises `CommandError` when the request can't be accepted; `respond` is then never called.
+        """
+        request_id = command.request_id.decode()
+        # two requests in flight under one id would get each other's answers
+        if self.requests.is_id_used(request_id):
             raise CommandError("this request id is in use")
         request_class = self.settings.classes.get(command.info.get("c", ""))
         if request_class is None:
             raise CommandError("class is unknown")
-        # guards against a second effect: no server could tell a repeat of it
+        # without its key no server could tell a retry from a second request, and would carry out both
         if request_class.idempotency is Idempotency.WITH_KEY and not command.info.get("k"):
             raise CommandError("k is missing")
         time_left = max(0.0, command.deadline_ms / 1000 - DEADLINE_MARGIN)
         now = self.clock.now()
-        time_left = max(0.0, min(time_left, self.ends_at - now))
-        taken = self.requests[name] = Taken(command, now + time_left, answer, present)
-        taken.expiry = asyncio.get_running_loop().call_later(time_left, self._overdue, name)
-        hint = command.info.get("h", "")
-        request = Request(
-            name,
-            request_class.name,
-            time_left,
-            command.key.decode("latin-1"),
-            # guards against a number too large for a float
-            int(hint) / 1e6 if hint.isdigit() and len(hint) <= MAX_HINT else None,
-            command.is_write,
+        time_left = self.requests.add(
+            request_id, command, time_left, now, respond=respond, is_connected=is_connected
         )
-        self.post(request)
-
-    def client_gone(self, name: str) -> None:
-        """The client of a request closed its connection."""
-        taken = self.requests.get(name)
-        if taken is not None and not taken.closed:
-            self._settle(taken, name)
-            self.post(ClientDisconnected(name))
-
-    def end_within(self, seconds: float) -> None:
-        """Answer all that is taken, now or later, before so many seconds are over."""
-        now = self.clock.now()
-        self.ends_at = now + seconds
-        loop = asyncio.get_running_loop()
-        for name, taken in self.requests.items():
-            if taken.deadline > self.ends_at and taken.expiry is not None:
-                taken.expiry.cancel()
-                taken.deadline = self.ends_at
-                taken.expiry = loop.call_later(seconds, self._overdue, name)
+        hint = command.info.get("h", "")
+        cost_hint = int(hint) / 1e6 if hint.isdigit() and len(hint) <= MAX_COST_HINT_DIGITS else None
+        key = command.key.decode("latin-1")
+        self.post(Request(request_id, request_class.name, time_left, key, cost_hint, command.is_write))
+
+    def on_client_disconnected(self, request_id: str) -> None:
+        """The client of a request has closed its connection."""
+        if self.requests.close(request_id):
+            self.post(ClientDisconnected(request_id))
+
+    def start_shutdown(self, seconds: float) -> None:
+        """Answer every request, also those still to be accepted, within so many seconds from now."""
+        self.requests.limit_deadlines(seconds, self.clock.now())
         self.post(ShutdownStarted(seconds))
 
-    def _overdue(self, name: str) -> None:
-        """The deadline: attempts still out time out."""
-        taken = self.requests[name]
-        taken.overdue = True
-        for attempt in list(taken.attempts.values()):  # the module may answer, and so end it, on the way
-            self._time_out(taken, attempt)
-
-    def _close(self, name: str, answer: bytes) -> None:
-        """Give a request its one answer."""
-        taken = self.requests.get(name)
-        if taken is not None and not taken.closed:
-            self._settle(taken, name)
-            taken.answer(answer)
-
-    def _settle(self, taken: Taken, name: str) -> None:
-        """Nothing is owed any more; kept only for what is still out."""
-        taken.closed = True
-        self.over.append(name)
-
-    def _forget(self, name: str) -> None:
-        """Guards memory: a request with its value is not kept until a deadline far off."""
-        taken = self.requests.get(name)
-        if taken is not None and taken.closed and not taken.attempts:
-            del self.requests[name]
-            now = self.clock.now()
-            if now - self.used_since > REMEMBER:
-                self.used_before, self.used, self.used_since = self.used, set(), now
-            self.used.add(name)
-            if taken.expiry is not None:
-                taken.expiry.cancel()
-
-    def _refuse(self, action: Reject) -> None:
-        """A refusal at once, that tells the client when to come back if the module has advice."""
-        pause = math.ceil(action.retry_after * 1000)
-        self._close(action.request_id, b"-BUSY %d\r\n" % pause if pause else b"-BUSY\r\n")
-
-    # Attempts
-
-    def _send(self, action: Send) -> None:
-        taken = self.requests.get(action.request_id)
-        if taken is None:
-            log.error("a send for %s, which is long over", action.request_id)
-            return
-        now = self.clock.now()
-        attempt = Attempt(taken.sent, now)
-        taken.sent += 1
-        taken.attempts[attempt.number] = attempt
-        member = self.members.get(action.server)
-        status = self._precondition(taken, member)
-        if attempt.number >= self.settings.max_attempts:
-            status = AttemptStatus.NOT_SENT
-        if status is not None or member is None:
-            self._finish(taken, attempt, status or AttemptStatus.CONNECT_FAILED)
-            return
-        time_left = taken.deadline - now
-        if action.timeout is not None and action.timeout < time_left:
-            time_left = action.timeout
-            loop = asyncio.get_running_loop()
-            attempt.timer = loop.call_later(time_left, self._time_out, taken, attempt)
-
-        def done(response: UpstreamResponse) -> None:
-            self._finish(taken, attempt, response.status, response.value, response.load_report)
-
-        attempt.exchange = self._pool(member).start(
-            member.address,
-            taken.command,
-            time_left,
-            done,
-            member.process,
-            precondition=lambda: self._precondition(taken, member),
-        )
-
-    def _precondition(self, taken: Taken, member: NetworkEndpoint | None) -> AttemptStatus | None:
-        """How an attempt ends, none of it written, that is too late for its client or its server."""
-        name = taken.command.request_id.decode()
-        if not taken.closed and not taken.present():
-            self.client_gone(name)
-        if taken.closed or taken.overdue:
-            return AttemptStatus.NOT_SENT
-        now = self.members.get(member.entry.name) if member is not None else None
-        # guards the rule on drains: a server that has begun to leave, or went, is sent nothing new
-        if member is None or now is None or not now.entry.is_ready or now.process != member.process:
-            return AttemptStatus.CONNECT_FAILED
-        return None
+    def _on_deadline(self, request_id: str) -> None:
+        request = self.requests[request_id]
+        request.deadline_passed = True
+        self.attempts.time_out_all(request)
 
-    def _cancel(self, action: Cancel) -> None:
-        taken = self.requests.get(action.request_id)
-        attempt = taken.attempts.get(action.attempt_number) if taken is not None else None
-        if taken is not None and attempt is not None:
-            self._give_up(taken, attempt, AttemptStatus.CANCELLED)
-
-    def _time_out(self, taken: Taken, attempt: Attempt) -> None:
-        self._give_up(taken, attempt, AttemptStatus.TIMEOUT)
-
-    def _give_up(self, taken: Taken, attempt: Attempt, status: AttemptStatus) -> None:
-        if attempt.exchange is not None:
-            attempt.exchange.abandon()
-        self._finish(taken, attempt, status)
-
-    def _finish(
-        self, taken: Taken, attempt: Attempt, status: AttemptStatus, value: bytes = b"", report: bytes = b""
-    ) -> None:
-        """Give an attempt its one outcome; the first that served answers the client."""
-        if taken.attempts.pop(attempt.number, None) is None:
-            return
-        if attempt.timer is not None:
-            attempt.timer.cancel()
-        name = taken.command.request_id.decode()
-        if status is AttemptStatus.OK:
-            self._close(name, b"$%d\r\n%b\r\n" % (len(value), value))
-        self.over.append(name)
-        latency = self.clock.now() - attempt.sent_at
-        load = read_report(report, self.settings.load_report_fields) if report else None
-        self.post(AttemptCompleted(name, attempt.number, status, taken.closed, latency, load))
+    def _reject(self, action: Reject) -> None:
+        """Answer that a request was not carried out, with the milliseconds until a retry makes sense."""
+        retry_after_ms = math.ceil(action.retry_after * 1000)
+        answer = b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms else b"-BUSY\r\n"
+        self.requests.respond(action.request_id, answer)
--- a/cache_router/server.py
+++ b/cache_router/server.py
@@ -192,7 +192,7 @@
         """
         with suppress(TimeoutError):
             async with asyncio.timeout(FIRST_LIST_TIMEOUT):
-                await self.discovery.heard.wait()
+                await self.discovery.first_update_received.wait()
 
     def _reload(self) -> None:
         """Read the configuration again and follow a new discovery address.
@@ -208,7 +208,7 @@
         if address == self.discovery.address:
             return
         log.info("discovery is now %s", address)
-        self.discovery.move(address)
+        self.discovery.change_address(address)
         self.dispatcher.on_discovery_address_changed()
         if self.updates_are_pushed:
             self._subscribe()
@@ -221,7 +221,7 @@
             schedule.accept_until,
             schedule.sigkill_at,
         )
-        self.dispatcher.end_within(schedule.answer_until)
+        self.dispatcher.start_shutdown(schedule.answer_until)
         await self.listener.stop(schedule.accept_until, schedule.close_until - schedule.accept_until)
 
 
--- a/scale_experiments/hollow.py
+++ b/scale_experiments/hollow.py
@@ -27,8 +27,10 @@
 from cache_router.net.address import parse_address
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.connection_pool import ConnectionPool
-from cache_router.net.discovery import MAX_LIST, Discovery, ListError, read_list
-from cache_router.net.dispatcher import Dispatcher, NetworkEndpoint
+from cache_router.net.discovery import MAX_LIST_SIZE, Discovery
+from cache_router.net.dispatcher import Dispatcher
+from cache_router.net.endpoint_list_reader import EndpointListError, EndpointListMessage, read_endpoint_list
+from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Settings
 from cache_router.settings_reader import read_settings
@@ -65,9 +67,9 @@
             if head[1] == b"200":
                 self._finish(self.buffer[head.end() :])
             else:
-                self._fail(ListError(f"answered {head[1].decode()}"))
-        elif len(self.buffer) > MAX_LIST:
-            self._fail(ListError("too long"))
+                self._fail(EndpointListError(f"answered {head[1].decode()}"))
+        elif len(self.buffer) > MAX_LIST_SIZE:
+            self._fail(EndpointListError("too long"))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._fail(exc or ConnectionResetError("ended without an answer"))
@@ -84,11 +86,11 @@
 class LightDiscovery(Discovery):
     """The real watch with a call of its own: the same request and times, and only the index is kept."""
 
-    async def _call(self) -> tuple[int, bool, list[NetworkEndpoint]]:
-        target, limit = self.next_call()
-        request = f"GET {target} HTTP/1.1\r\nHost: {self.address}\r\nConnection: close\r\n\r\n".encode()
+    async def _poll(self) -> EndpointListMessage:
+        poll = self.next_poll()
+        request = f"GET {poll.target} HTTP/1.1\r\nHost: {self.address}\r\nConnection: close\r\n\r\n".encode()
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout(limit):
+        async with asyncio.timeout(poll.timeout):
             done: asyncio.Future[bytes] = loop.create_future()
             transport, _ = await loop.create_connection(
                 lambda: LightCall(request, done), *parse_address(self.address)
@@ -100,8 +102,8 @@
         # of a whole list only the head is read: all of it would cost as much as keeping it
         index = re.match(rb'{"index":(\d+),"snapshot":(true|false),"endpoints":\[(.?)', body)
         if index is None:
-            raise ListError("no list")
-        return int(index[1]), index[2] == b"true", ANYONE if index[3] == b"{" else []
+            raise EndpointListError("no list")
+        return EndpointListMessage(int(index[1]), index[2] == b"true", ANYONE if index[3] == b"{" else [])
 
 
 class Times:
@@ -180,17 +182,17 @@
         """Start `routers` routers within `spread_s`, over the `discovery` addresses in turn."""
         self.settings = read_settings(command["settings"])
         self.held = command["held"]
-        index, _, known = read_list(command["known"], "known")
+        known = read_endpoint_list(command["known"], "known")
         self.times = Times(command["routers"])
         addresses: list[str] = command["discovery"]
         loop = asyncio.get_running_loop()
         for number in range(command["routers"]):
             address = addresses[number % len(addresses)]
-            router = HollowRouter(number, self, address, command["seed"] + number, index)
+            router = HollowRouter(number, self, address, command["seed"] + number, known.index)
             self.routers.append(router)
             begin: Callable[[list[NetworkEndpoint]], None] = router.begin
             self.starts.append(
-                loop.call_later(command["spread_s"] * number / command["routers"], begin, known)
+                loop.call_later(command["spread_s"] * number / command["routers"], begin, known.endpoints)
             )
 
     def stats(self) -> dict[str, Any]:
@@ -201,7 +203,7 @@
             "told": self.told,
             "failed": self.failed,
             "lowest": min(indices, default=0),
-            "entries": min((len(r.host.members) for r in self.routers), default=0),
+            "entries": min((len(r.host.endpoints) for r in self.routers), default=0),
         }
 
     async def handle(self, command: dict[str, Any]) -> dict[str, Any]:
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -24,8 +24,8 @@
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.client_connection import ClientConnection
 from cache_router.net.connection_pool import ConnectionPool
-from cache_router.net.discovery import read_list
 from cache_router.net.dispatcher import Dispatcher
+from cache_router.net.endpoint_list_reader import read_endpoint_list
 from cache_router.net.origin_connection import OriginConnection
 from tests.loopback import HIT, MISS, Link, Peer, Router, book, command, http, read, run, spelled
 from tests.test_endings import Dials, first_dial, requests_written, until
@@ -75,10 +75,10 @@
     """A kept connection to every server, by its name: an attempt there is written at once."""
     host = router.host
     links: dict[str, Link] = {}
-    for name, listed in host.members.items():
+    for name, listed in host.endpoints.items():
         ended = asyncio.Event()
-        pool, peer = host._pool(listed), router.caches.get(name, router.origin)
-        pool.start(listed.address, GET, 60.0, lambda *_, ended=ended: ended.set(), listed.process)
+        pool, peer = host.endpoints.pool_of(listed), router.caches.get(name, router.origin)
+        pool.start(listed.address, GET, 60.0, lambda *_, ended=ended: ended.set(), listed.incarnation)
         links[name] = link = await peer.link()
         await (link.http() if peer is router.origin else link.resp())
         link.write(http("200 OK", b"value") if peer is router.origin else HIT)
@@ -190,7 +190,7 @@
                 leave(client, how)
                 if why == "timer":
                     with monkeypatch.context() as patch:
-                        names = router.host.members
+                        names = router.host.endpoints
                         wanted = [Send("r1", n) for n in names]
                         # once: the outcomes of these sends are events too, and a loop of them never ends
                         # and never yields to the test's time limit (it took 9 GB; ended three times by hand)
@@ -350,7 +350,8 @@
         origin = ConnectionPool(OriginConnection, 8, 1.0, 60.0)
         host = Dispatcher(config.settings, config.seed, servers, origin, lambda: None)
         host.on_endpoint_update(EndpointUpdateKind.CACHED, config.cached_endpoints)
-        host.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, read_list(orjson.loads(self.answer))[2])
+        update = read_endpoint_list(orjson.loads(self.answer))
+        host.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, update.endpoints)
 
     def calls(self) -> int:
         """Functions called, those of the interpreter's own included."""
