--- a/cache_router/net/address.py
+++ b/cache_router/net/address.py
@@ -2,11 +2,13 @@
 
 from __future__ import annotations
 
+from cache_router.errors import RouterError
+
 MAX_PORT = 65535
 MAX_PORT_DIGITS = len(str(MAX_PORT))
 
 
-class AddressError(ValueError):
+class AddressError(RouterError, ValueError):
     """A text that is not `host:port`."""
 
 
--- a/cache_router/net/command.py
+++ b/cache_router/net/command.py
@@ -5,6 +5,8 @@
 import re
 from dataclasses import dataclass
 
+from cache_router.errors import RouterError
+
 # bytes
 MAX_VALUE = 64 * 1024
 MAX_KEY = 1024
@@ -24,7 +26,7 @@
 DEADLINE_FIELD = "d"
 
 
-class CommandError(ValueError):
+class CommandError(RouterError, ValueError):
     """A command that is rejected; the message goes to the client."""
 
 
--- a/cache_router/net/endpoint_list_reader.py
+++ b/cache_router/net/endpoint_list_reader.py
@@ -7,6 +7,7 @@
 
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.endpoint import Endpoint, EndpointState
+from cache_router.errors import RouterError
 from cache_router.net.address import AddressError, parse_address
 from cache_router.net.endpoint_table import NetworkEndpoint
 
@@ -19,7 +20,7 @@
 MAX_QUOTED = 40  # characters of a malformed value that an error repeats
 
 
-class EndpointListError(ValueError):
+class EndpointListError(RouterError, ValueError):
     """An endpoint list that can't be used; the message names the field."""
 
 
--- a/cache_router/net/http.py
+++ b/cache_router/net/http.py
@@ -7,6 +7,8 @@
 
 import h11
 
+from cache_router.errors import RouterError
+
 # bytes of a head that is not complete
 MAX_HEAD_LENGTH = 16 * 1024
 HEAD_START = b"HTTP/"
@@ -17,7 +19,7 @@
 LOAD_REPORT = re.compile(rb"\r\nserver-load:.*?(?=\r\n)", re.IGNORECASE | re.DOTALL)
 
 
-class HttpError(Exception):
+class HttpError(RouterError):
     """A response that breaks the protocol, is larger than accepted, or was cut off."""
 
 
--- a/cache_router/net/resp.py
+++ b/cache_router/net/resp.py
@@ -8,6 +8,8 @@
 from enum import Enum, auto
 from typing import Final, Literal
 
+from cache_router.errors import RouterError
+
 # bytes of an error line or simple string
 MAX_LINE_LENGTH = 1024
 # bytes of a number or length
@@ -21,7 +23,7 @@
 SIMPLE_STRING, ERROR, NUMBER, BULK_STRING, ARRAY = b"+-:$*"
 
 
-class RespError(ValueError):
+class RespError(RouterError, ValueError):
     """Bytes that are not RESP2, or announce more than is accepted: what follows them can't be read."""
 
 
--- a/cache_router/net/upstream_connection.py
+++ b/cache_router/net/upstream_connection.py
@@ -15,6 +15,7 @@
 from typing import TYPE_CHECKING, cast
 
 from cache_router.decisions.events import AttemptStatus
+from cache_router.errors import RouterError
 from cache_router.net.command import Command
 
 if TYPE_CHECKING:
@@ -41,7 +42,7 @@
 Precondition = Callable[[], AttemptStatus | None]
 
 
-class MalformedResponseError(Exception):
+class MalformedResponseError(RouterError):
     """A response that can't be used. The request that it answers may have run."""
 
 
--- a/cache_router/settings.py
+++ b/cache_router/settings.py
@@ -8,11 +8,13 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from cache_router.errors import RouterError
+
 # seconds: the tolerance of every time limit; without any backoff a dead discovery would be polled in a spin
 MIN_BACKOFF = 0.05
 
 
-class SettingsError(ValueError):
+class SettingsError(RouterError, ValueError):
     """Settings that cannot be used; the message names the field."""
 
 
--- a/cache_router/settings_reader.py
+++ b/cache_router/settings_reader.py
@@ -125,7 +125,7 @@
 
     def unusable(self, field: str, reason: str) -> SettingsError:
         """The error of a field of this section."""
-        return SettingsError(f"settings: {self.path}{field} {reason}")
+        return SettingsError(f"settings: {self.path}{field} {reason}", where=f"{self.path}{field}")
 
 
 def read_load(values: dict[str, Any]) -> LoadReport | None:
@@ -148,7 +148,7 @@
         SettingsError: they are no object, name no class of requests, or have a field that cannot be used.
     """
     if not isinstance(conf, dict):
-        raise SettingsError("settings: conf must be an object")
+        raise SettingsError("settings: conf must be an object", where="conf")
     root = SectionReader(conf)
     classes = _read_classes(root)
     limits, rules, family = root.section("limits"), root.section("rules"), root.section("familyInfo")
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -17,6 +17,7 @@
     "cache_router/decisions/actions.py",
     "cache_router/decisions/events.py",
     "cache_router/endpoint.py",
+    "cache_router/errors.py",
     "cache_router/settings.py",
 )
 # lines that are not blank. A module holds one concern, and one class of 250 lines the life of a request.
