--- a/cache_router/decisions/router.py
+++ b/cache_router/decisions/router.py
@@ -57,10 +57,10 @@
         self.admission = AdmissionControl(settings, self.health, generator)
         popularity = KeyPopularity(settings.slow_start_duration, now)
         silence_timeout = SILENCE_TIMEOUT * shortest_objective
-        servers = self.endpoints, self.slow_start, self.health
-        self.selector = ServerSelector(*servers, self.retry_policy, popularity, silence_timeout, generator)
-        self.hedging = Hedging(*servers, self.retry_policy, self.retry_budget, self.selector, settings)
-        self.feedback = AttemptFeedback(*servers, self.outliers, self.overload, self.idle_connections)
+        shared = self.endpoints, self.slow_start, self.health
+        self.selector = ServerSelector(*shared, self.retry_policy, popularity, silence_timeout, generator)
+        self.hedging = Hedging(*shared, self.retry_policy, self.retry_budget, self.selector, settings)
+        self.feedback = AttemptFeedback(*shared, self.outliers, self.overload, self.idle_connections)
 
     def handle(self, now: float, event: events.Event) -> list[Action]:
         """Take one event at `now`, in seconds on a clock that never falls; the actions that it calls for."""
--- a/cache_router/net/attempt_runner.py
+++ b/cache_router/net/attempt_runner.py
@@ -8,9 +8,9 @@
 
 from cache_router.decisions.actions import Cancel, Send
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, Event
+from cache_router.load_report import parse_load_report
 from cache_router.net.clock import Clock
 from cache_router.net.endpoint_table import EndpointTable, NetworkEndpoint
-from cache_router.net.load_report import parse_load_report
 from cache_router.net.request_table import RequestAttempt, RequestInFlight, RequestTable
 from cache_router.net.upstream_connection import UpstreamResponse
 from cache_router.settings import Settings
--- a/cache_router/net/command.py
+++ b/cache_router/net/command.py
@@ -22,7 +22,11 @@
 SET = b"C.SET"
 # parts of a command with its verb: verb, key, request id, info and, for a write, the value
 PART_COUNTS = {GET: 4, SET: 5}
-# the info field with the time for which the sender waits, in milliseconds
+# names of info fields: the request's class, its idempotency key, the client's estimate of its cost in
+# microseconds, and the time for which the sender waits, in milliseconds
+CLASS_FIELD = "c"
+IDEMPOTENCY_KEY_FIELD = "k"
+COST_HINT_FIELD = "h"
 DEADLINE_FIELD = "d"
 
 
--- a/cache_router/net/dispatcher.py
+++ b/cache_router/net/dispatcher.py
@@ -37,7 +37,13 @@
 from cache_router.decisions.router import Router
 from cache_router.net.attempt_runner import AttemptRunner
 from cache_router.net.clock import Clock
-from cache_router.net.command import Command, CommandError
+from cache_router.net.command import (
+    CLASS_FIELD,
+    COST_HINT_FIELD,
+    IDEMPOTENCY_KEY_FIELD,
+    Command,
+    CommandError,
+)
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.endpoint_table import EndpointTable, NetworkEndpoint
 from cache_router.net.request_table import RequestTable
@@ -152,18 +158,18 @@
         # two requests in flight under one id would get each other's answers
         if self.requests.is_id_used(request_id):
             raise CommandError("this request id is in use")
-        request_class = self.settings.classes.get(command.info.get("c", ""))
+        request_class = self.settings.classes.get(command.info.get(CLASS_FIELD, ""))
         if request_class is None:
             raise CommandError("class is unknown")
         # without its key no server could tell a retry from a second request, and would carry out both
-        if request_class.idempotency is Idempotency.WITH_KEY and not command.info.get("k"):
+        if request_class.idempotency is Idempotency.WITH_KEY and not command.info.get(IDEMPOTENCY_KEY_FIELD):
             raise CommandError("k is missing")
         time_left = max(0.0, command.deadline_ms / 1000 - DEADLINE_MARGIN)
         now = self.clock.now()
         time_left = self.requests.add(
             request_id, command, time_left, now, respond=respond, is_connected=is_connected
         )
-        hint = command.info.get("h", "")
+        hint = command.info.get(COST_HINT_FIELD, "")
         cost_hint = int(hint) / 1e6 if hint.isdigit() and len(hint) <= MAX_COST_HINT_DIGITS else None
         key = command.key.decode("latin-1")
         self.post(Request(request_id, request_class.name, time_left, key, cost_hint, command.is_write))
--- a/cache_router/settings_reader.py
+++ b/cache_router/settings_reader.py
@@ -6,11 +6,9 @@
 
 from __future__ import annotations
 
-import math
 from collections.abc import Mapping
 from typing import Any, TypeVar
 
-from cache_router.decisions.events import LoadReport
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings, SettingsError
 
 MIN_POSITIVE = 0.001  # seconds: the least value of what is divided by
@@ -23,9 +21,6 @@
 CACHE_ASIDE_MODES = {"aside": True, "through": False}
 SUBSCRIPTION_MODES = {"subscribe": True, "automatic": False}  # whether updates come only after subscribing
 LIVE_WEIGHTS = "live"
-# the names of the values in a load report that decisions use
-SERVICE_TIME_MS = "svc_ms"
-QUEUE_LENGTH = "pending"
 
 Choice = TypeVar("Choice")
 
@@ -128,19 +123,6 @@
         return SettingsError(f"settings: {self.path}{field} {reason}", where=f"{self.path}{field}")
 
 
-def read_load(values: dict[str, Any]) -> LoadReport | None:
-    """A load report from its named values; None where it lacks one that decisions use, or one is no number.
-
-    Reports are noisy: what cannot be a load must not count as one.
-    """
-    service_time_ms: Any = values.get(SERVICE_TIME_MS)
-    queue_length: Any = values.get(QUEUE_LENGTH)
-    for value in (service_time_ms, queue_length):
-        if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < math.inf:
-            return None
-    return LoadReport(service_time_ms / 1000, queue_length)
-
-
 def read_settings(conf: Any) -> Settings:
     """The settings of a site, from their JSON object.
 
--- a/cache_router/simulator_adapter.py
+++ b/cache_router/simulator_adapter.py
@@ -40,8 +40,9 @@
 from cache_router.decisions.router import Router
 from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.errors import RouterError
+from cache_router.load_report import read_load
 from cache_router.settings import SettingsError
-from cache_router.settings_reader import read_load, read_settings
+from cache_router.settings_reader import read_settings
 
 ENDPOINT_STATES = {
     "active": EndpointState.READY,
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, LoadReport
-from cache_router.net.load_report import parse_load_report
+from cache_router.load_report import parse_load_report
 from cache_router.settings import SettingsError
 from cache_router.settings_reader import read_settings
 from tests.driver import Driver, entry, settings
