--- a/scale_experiments/scenarios/cold_start.py
+++ b/scale_experiments/scenarios/cold_start.py
@@ -14,7 +14,9 @@
 
 from cache_router.endpoint import EndpointState
 from scale_experiments.context import Lab, Sample
-from scale_experiments.fleet import Fleet, Model, place_keys, site_settings
+from scale_experiments.simulation.fleet import Fleet
+from scale_experiments.simulation.key_placement import place_keys
+from scale_experiments.simulation.model import Model, site_settings
 
 SIZES = ("routers", "caches", "cores")
 METRICS = {
--- a/scale_experiments/scenarios/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -16,7 +16,8 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from scale_experiments.context import Lab, Sample
-from scale_experiments.fleet import Fleet, Model, site_settings
+from scale_experiments.simulation.fleet import Fleet
+from scale_experiments.simulation.model import Model, site_settings
 
 MEETING = 10.0  # seconds within which the caches that a router meets are counted
 LEAST_RUN = 10  # routers
--- a/scale_experiments/scenarios/placement.py
+++ b/scale_experiments/scenarios/placement.py
@@ -17,7 +17,8 @@
 
 from cache_router.endpoint import Endpoint
 from scale_experiments.context import Lab, Sample
-from scale_experiments.fleet import place_keys, site_settings
+from scale_experiments.simulation.key_placement import place_keys
+from scale_experiments.simulation.model import site_settings
 
 SIZES = ("groups", "skew")
 METRICS = {
--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -13,8 +13,9 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from scale_experiments.context import Lab, Sample
-from scale_experiments.fleet import SETTLED, Fleet, Model, site_settings
 from scale_experiments.scenarios.zone_loss import recovery
+from scale_experiments.simulation.fleet import SETTLED, Fleet
+from scale_experiments.simulation.model import Model, site_settings
 
 SIZES = ("routers", "routers_run", "caches", "cores")
 METRICS = {
--- a/scale_experiments/scenarios/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -15,7 +15,8 @@
 
 from cache_router.endpoint import EndpointState
 from scale_experiments.context import Lab, Sample
-from scale_experiments.fleet import SETTLED, Fleet, Model, site_settings
+from scale_experiments.simulation.fleet import SETTLED, Fleet
+from scale_experiments.simulation.model import Model, site_settings
 
 SIZES = ("routers", "caches", "cores")
 GOOD = 0.95  # of the requests of a second, served: then it counts as served again
--- /dev/null
+++ b/scale_experiments/simulation/__init__.py
@@ -0,0 +1,1 @@
+"""Many routers' decision modules before modelled cache servers, on a simulated clock."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,7 +7,9 @@
 import pytest
 
 from cache_router.endpoint import EndpointState
-from scale_experiments.fleet import Fleet, Model, Table, site_settings
+from scale_experiments.simulation.connection_accounting import Table
+from scale_experiments.simulation.fleet import Fleet
+from scale_experiments.simulation.model import Model, site_settings
 
 SMALL = Model(
     routers=4,
