--- a/scale_experiments/scenarios/cold_start.py
+++ b/scale_experiments/scenarios/cold_start.py
@@ -16,7 +16,7 @@
 from scale_experiments.context import Lab, Sample
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.key_placement import place_keys
-from scale_experiments.simulation.model import Model, site_settings
+from scale_experiments.simulation.model import FleetModel, site_settings
 
 SIZES = ("routers", "caches", "cores")
 METRICS = {
@@ -58,18 +58,18 @@
 def fleet_of(parameters: Parameters, size: Mapping[str, float], seed: int) -> Fleet:
     """The fleet at rest."""
     routers, caches, cores = int(size["routers"]), int(size["caches"]), int(size["cores"])
-    plain = Model(routers, caches, 1.0)
-    rate = plain.rate_at(parameters.use_share, cores)
-    model = Model(
+    plain = FleetModel(routers, caches, 1.0)
+    rate = plain.rate_at_utilization(parameters.use_share, cores)
+    model = FleetModel(
         routers=routers,
         caches=caches,
         requests_per_s=rate / routers,
         objects=parameters.objects_per_cache * caches,
-        skew=parameters.skew,
-        flat=parameters.flat,
-        kept=parameters.kept,
+        zipf_exponent=parameters.skew,
+        rank_offset=parameters.flat,
+        cached_objects=parameters.kept,
         cores=cores,
-        tries=parameters.tries,
+        client_attempts=parameters.tries,
         zones=3,
         origin_cores=plain.origin_cores_for(rate, parameters.origin_headroom),
     )
@@ -86,15 +86,15 @@
     if not fleet.run(parameters.warm_s, lab.expired):
         return
     lab.progress("the cache goes")
-    fleet.lose([name], silent=False)
-    fleet.tell_all([name], EndpointState.REMOVED, 0.5, parameters.spread_s)
+    fleet.fail_servers([name], silent=False)
+    fleet.notify_all([name], EndpointState.REMOVED, 0.5, parameters.spread_s)
     if not fleet.run(parameters.absent_s, lab.expired):
         return
     lab.progress("the cache starts")
-    fleet.give_back([name])
+    fleet.restore_servers([name])
     cache.arrivals = []
     fleet.reset()
-    fleet.tell_all([name], EndpointState.READY, parameters.notice_s, parameters.spread_s)
+    fleet.notify_all([name], EndpointState.READY, parameters.notice_s, parameters.spread_s)
     settings = fleet.settings
     if parameters.restarted_share:
         # with the list as it is now: a new process is told it before its first request
--- a/scale_experiments/scenarios/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -17,7 +17,7 @@
 
 from scale_experiments.context import Lab, Sample
 from scale_experiments.simulation.fleet import Fleet
-from scale_experiments.simulation.model import Model, site_settings
+from scale_experiments.simulation.model import FleetModel, site_settings
 
 MEETING = 10.0  # seconds within which the caches that a router meets are counted
 LEAST_RUN = 10  # routers
@@ -79,17 +79,17 @@
     warm_s = size.get("warm_s", parameters.warm_s)
     spans = warm_s + parameters.measured_s
     affordable = max(LEAST_RUN, int(parameters.most_requests / (rate * spans)))
-    model = Model(
+    model = FleetModel(
         routers=routers,
         caches=int(size["caches"]),
         requests_per_s=rate,
-        sampled=min(routers, affordable),
+        routers_sampled=min(routers, affordable),
         zones=int(size.get("zones", 1)),
         regions=int(size.get("regions", 1)),
         objects=parameters.objects,
-        skew=parameters.skew,
+        zipf_exponent=parameters.skew,
         hit_share=parameters.hit_share,
-        descriptors=parameters.descriptors,
+        router_descriptors=parameters.descriptors,
     )
     settings = site_settings(
         connection_price=parameters.connection_price,
@@ -98,12 +98,12 @@
     )
     fleet = Fleet(settings, model, seed)
     fleet.forget_timing()
-    lab.progress(f"{model.run} of {model.routers} routers, {model.caches} caches: warming")
+    lab.progress(f"{model.routers_run} of {model.routers} routers, {model.caches} caches: warming")
     if not fleet.run(warm_s, lab.expired):
         return
     fleet.reset()
     fleet.watch_meetings(MEETING)
-    lab.progress(f"{model.run} of {model.routers} routers, {model.caches} caches: measuring")
+    lab.progress(f"{model.routers_run} of {model.routers} routers, {model.caches} caches: measuring")
     if not fleet.run(parameters.measured_s, lab.expired):
         return
     yield Sample(figures(fleet, parameters), {"latency": histogram(fleet)})
@@ -126,12 +126,12 @@
     received = [c.received for c in caches]
     cache_rate = model.scale * sum(received) / len(caches) / seconds
     handshakes = model.scale * counts["handshakes"] / len(caches) / seconds
-    cores = math.ceil(cache_rate * model.mean_service / parameters.use_share)
+    cores = math.ceil(cache_rate * model.mean_service_time / parameters.use_share)
     taken = max(1, counts["requests"])
     held = sum(i.table.now for i in fleet.instances)
     calls = fleet.calls_per_request()
     return {
-        "routers_run": model.run,
+        "routers_run": model.routers_run,
         "cache_connections_mean": mean,
         "cache_connections_p99": high,
         "cache_connections_worst": worst,
@@ -141,13 +141,13 @@
         "cache_requests_per_s": cache_rate,
         "cache_requests_worst_ratio": max(received) * len(caches) / max(1, sum(received)),
         "cache_handshakes_per_s": handshakes,
-        "cache_handshake_cores": handshakes * model.handshake_work,
+        "cache_handshake_cores": handshakes * model.handshake_core_time,
         "handshakes_per_request": counts["handshakes"] / taken,
         "attempts_per_request": counts["attempts"] / taken,
-        "router_connections_mean": sum(i.table.mean(fleet.now) for i in fleet.instances) / model.run,
+        "router_connections_mean": sum(i.table.mean(fleet.now) for i in fleet.instances) / model.routers_run,
         "router_connections_most": max(i.table.most for i in fleet.instances),
         "router_idle_share": sum(len(i.idle) for i in fleet.instances) / max(1, held),
-        "router_dials_per_s": counts["dials"] / model.run / seconds,
+        "router_dials_per_s": counts["dials"] / model.routers_run / seconds,
         "caches_met_10s": float(np.mean(fleet.met_counts)),
         "handle_cpu_s": fleet.handle_cpu(),
         "handle_calls_per_request": calls,
--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -15,7 +15,7 @@
 from scale_experiments.context import Lab, Sample
 from scale_experiments.scenarios.zone_loss import recovery
 from scale_experiments.simulation.fleet import SETTLED, Fleet
-from scale_experiments.simulation.model import Model, site_settings
+from scale_experiments.simulation.model import FleetModel, site_settings
 
 SIZES = ("routers", "routers_run", "caches", "cores")
 METRICS = {
@@ -47,14 +47,14 @@
 def measure(parameters: Parameters, size: Mapping[str, float], seed: int, lab: Lab) -> Iterator[Sample]:
     """One sample: `size` has routers, how many of them are run, caches and the cores of a cache."""
     caches, cores, run = int(size["caches"]), int(size["cores"]), int(size["routers_run"])
-    plain = Model(run, caches, 1.0)
-    rate = plain.rate_at(parameters.use_share, cores)
-    model = Model(
+    plain = FleetModel(run, caches, 1.0)
+    rate = plain.rate_at_utilization(parameters.use_share, cores)
+    model = FleetModel(
         routers=int(size["routers"]),
-        sampled=run,
+        routers_sampled=run,
         caches=caches,
         requests_per_s=rate / run,
-        skew=parameters.skew,
+        zipf_exponent=parameters.skew,
         cores=cores,
         zones=3,
     )
@@ -87,6 +87,6 @@
             "recovery_s": recovery(fleet.served_by_second()),
             "refused_per_request": counts["refused"] / taken,
             "attempts_per_request": counts["attempts"] / taken,
-            "cache_use_share": received * plain.mean_service / (caches * cores * parameters.after_s),
+            "cache_use_share": received * plain.mean_service_time / (caches * cores * parameters.after_s),
         }
     )
--- a/scale_experiments/scenarios/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -16,7 +16,7 @@
 from cache_router.endpoint import EndpointState
 from scale_experiments.context import Lab, Sample
 from scale_experiments.simulation.fleet import SETTLED, Fleet
-from scale_experiments.simulation.model import Model, site_settings
+from scale_experiments.simulation.model import FleetModel, site_settings
 
 SIZES = ("routers", "caches", "cores")
 GOOD = 0.95  # of the requests of a second, served: then it counts as served again
@@ -72,21 +72,21 @@
 def fleet_of(parameters: Parameters, size: Mapping[str, float], seed: int) -> Fleet:
     """The fleet at rest."""
     routers, caches, cores = int(size["routers"]), int(size["caches"]), int(size["cores"])
-    plain = Model(routers, caches, 1.0)
-    rate = plain.rate_at(parameters.use_share, cores)
-    model = Model(
+    plain = FleetModel(routers, caches, 1.0)
+    rate = plain.rate_at_utilization(parameters.use_share, cores)
+    model = FleetModel(
         routers=int(size.get("told", routers)),
-        sampled=routers,
+        routers_sampled=routers,
         caches=caches,
         requests_per_s=rate / routers,
         zones=parameters.zones,
         regions=parameters.regions,
         objects=parameters.objects_per_cache * caches,
-        skew=parameters.skew,
-        kept=parameters.kept,
+        zipf_exponent=parameters.skew,
+        cached_objects=parameters.kept,
         cores=cores,
-        tries=parameters.tries,
-        origin_everywhere=parameters.origin_everywhere,
+        client_attempts=parameters.tries,
+        origin_always_reachable=parameters.origin_everywhere,
         origin_cores=plain.origin_cores_for(rate, parameters.origin_headroom),
     )
     return Fleet(site_settings(), model, seed)
@@ -125,7 +125,7 @@
         return
     origin_before = fleet.counts["origin"] / parameters.before_s
     metrics = {
-        "requests_per_s": fleet.model.requests_per_s * fleet.model.run,
+        "requests_per_s": fleet.model.requests_per_s * fleet.model.routers_run,
         "caches_lost": float(len(fleet.caches) - len(names) if cut else len(names)),
         "before_served_share": fleet.served_share(),
         "before_dials_per_request": per_request(fleet, "dials"),
@@ -137,8 +137,8 @@
     if cut:
         fleet.cut = {region}
     else:
-        fleet.lose(names)
-        fleet.tell_all(names, EndpointState.REMOVED, *parameters.notice_s)
+        fleet.fail_servers(names)
+        fleet.notify_all(names, EndpointState.REMOVED, *parameters.notice_s)
     if not fleet.run(parameters.lost_s, lab.expired):
         return
     metrics |= {f"lost_{name}": value for name, value in aftermath(fleet, origin_before).items()}
@@ -153,10 +153,10 @@
     if cut:
         fleet.cut = set()
     else:
-        fleet.give_back(names)
+        fleet.restore_servers(names)
         for name in names:
             fleet.caches[name].arrivals = []
-        fleet.tell_all(names, EndpointState.READY, *parameters.back_notice_s)
+        fleet.notify_all(names, EndpointState.READY, *parameters.back_notice_s)
     settings = fleet.settings
     if not fleet.run(settings.slow_start_duration + sum(parameters.back_notice_s) + SETTLED, lab.expired):
         return
--- a/scale_experiments/simulation/connection_accounting.py
+++ b/scale_experiments/simulation/connection_accounting.py
@@ -5,7 +5,7 @@
 import math
 
 
-class Table:
+class ConnectionCount:
     """How many connections one end holds, over time."""
 
     __slots__ = ("area", "changed", "most", "now", "since", "squares")
--- a/scale_experiments/simulation/entities.py
+++ b/scale_experiments/simulation/entities.py
@@ -9,11 +9,11 @@
 from cache_router.decisions.events import Event, LoadReport
 from cache_router.decisions.router import Router
 from cache_router.endpoint import Endpoint
-from scale_experiments.simulation.connection_accounting import Table
+from scale_experiments.simulation.connection_accounting import ConnectionCount
 
 
 @dataclass(slots=True, eq=False)
-class Cache:
+class CacheServer:
     """A page cache, or the origin."""
 
     entry: Endpoint
@@ -21,7 +21,7 @@
     region: int
     cores: int
     queue_places: int
-    table: Table
+    table: ConnectionCount
     up: bool = True
     refuses: bool = False  # a dead process does; a machine that vanished stays silent
     since: float = 0.0  # start of the process; connections of an older one are gone
@@ -37,11 +37,11 @@
 
 
 @dataclass(slots=True, eq=False)
-class Connection:
+class SimulatedConnection:
     """A connection of one router to one cache."""
 
-    instance: Instance
-    cache: Cache
+    instance: SimulatedRouter
+    cache: CacheServer
     process: float  # its start as the router's list told it
     start: float = math.inf  # and as it is; infinite until the connection counts at the cache
     kept_at: float = 0.0
@@ -52,22 +52,22 @@
 
 
 @dataclass(slots=True, eq=False)
-class Taken:
+class PendingRequest:
     """A request at a router."""
 
     name: str
-    instance: Instance
-    wish: Wish
+    instance: SimulatedRouter
+    wish: ClientRequest
     deadline: float
     sent: int = 0
     closed: bool = False
     overdue: bool = False
     out: dict[int, Attempt] = field(default_factory=dict)
-    missed: list[Cache] = field(default_factory=list)
+    missed: list[CacheServer] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
-class Wish:
+class ClientRequest:
     """What a client wants, in one try or more."""
 
     key: str
@@ -80,16 +80,16 @@
 class Attempt:
     """One send."""
 
-    taken: Taken
+    taken: PendingRequest
     number: int
-    cache: Cache
+    cache: CacheServer
     sent_at: float
-    connection: Connection | None = None
+    connection: SimulatedConnection | None = None
     ended: bool = False
     handshake: bool = False
 
 
-class Instance:
+class SimulatedRouter:
     """One router: the module, its list and its connections."""
 
     __slots__ = (
@@ -110,7 +110,7 @@
         "zone",
     )
 
-    def __init__(self, index: int, zone: int, region: int, router: Router, table: Table) -> None:
+    def __init__(self, index: int, zone: int, region: int, router: Router, table: ConnectionCount) -> None:
         self.index = index
         self.zone = zone
         self.region = region
@@ -118,10 +118,10 @@
         self.table = table  # of its connections to caches
         self.alive = True
         self.listed: dict[str, Endpoint] = {}
-        self.requests: dict[str, Taken] = {}
-        self.idle: dict[Connection, None] = {}
-        self.idle_at: dict[str, dict[Connection, None]] = {}
-        self.origin_idle: deque[Connection] = deque()
+        self.requests: dict[str, PendingRequest] = {}
+        self.idle: dict[SimulatedConnection, None] = {}
+        self.idle_at: dict[str, dict[SimulatedConnection, None]] = {}
+        self.origin_idle: deque[SimulatedConnection] = deque()
         self.origin_open = 0
         self.events: deque[Event] = deque()
         self.handling = False
--- a/scale_experiments/simulation/fleet.py
+++ b/scale_experiments/simulation/fleet.py
@@ -5,10 +5,11 @@
 time on a connection, which is kept until the module closes it, its idle time is
 over, or the budget of descriptors needs its place.
 
-A large fleet is simulated by a sample of its routers: `Model.routers` are told to the module as siblings,
-`Model.sampled` of them are run, and the cores and places of the page caches hold for the sample. What is
-counted at a page cache is then of the sample, and `Model.scale` times as much of the fleet. A mean scales as
-it is; a spread does not, see `Table.high`.
+A large fleet is simulated by a sample of its routers: `FleetModel.routers` is the count that each decision
+module is configured with, `FleetModel.routers_sampled` of them are run, and the cores and connection limits
+of the cache servers hold for the sample. What is counted at a cache server is then of the sample, and
+`FleetModel.scale` times as much of the fleet. A mean scales linearly; a spread does not, see
+`ConnectionCount.high`.
 """
 
 from __future__ import annotations
@@ -39,10 +40,17 @@
 from cache_router.decisions.router import Router
 from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.settings import Settings
-from scale_experiments.simulation.connection_accounting import Table
-from scale_experiments.simulation.entities import Attempt, Cache, Connection, Instance, Taken, Wish
+from scale_experiments.simulation.connection_accounting import ConnectionCount
+from scale_experiments.simulation.entities import (
+    Attempt,
+    CacheServer,
+    ClientRequest,
+    PendingRequest,
+    SimulatedConnection,
+    SimulatedRouter,
+)
 from scale_experiments.simulation.key_placement import START, place_keys
-from scale_experiments.simulation.model import ORIGIN, READ, WRITE, Model
+from scale_experiments.simulation.model import ORIGIN, READ, WRITE, FleetModel
 
 # as in cache_router/net/connection_pool.py, which this module does not load: it needs an event loop
 IDLE_MARGIN = 0.5
@@ -58,7 +66,7 @@
 class Fleet:
     """The simulation. `run` lets time pass; what is counted since `reset` is in `counts` and `series`."""
 
-    def __init__(self, settings: Settings, model: Model, seed: int) -> None:
+    def __init__(self, settings: Settings, model: FleetModel, seed: int) -> None:
         self.model = model
         self.settings = replace(settings, router_count=model.routers)
         self.random = random.Random(seed)
@@ -67,7 +75,7 @@
         self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.order = itertools.count()
         self.names = itertools.count()
-        self.instances: list[Instance] = []
+        self.instances: list[SimulatedRouter] = []
         self.watched: set[int] = set()  # regions whose routers are also counted apart
         self.demand = 1.0  # of the model's rate of requests
         self.cut: set[int] = set()  # regions whose routers reach only their own caches
@@ -80,47 +88,51 @@
         self._make_caches()
         self._make_keys()
         entries = tuple(c.entry for c in [*self.caches.values(), self.origin])
-        for i in range(model.run):
+        for i in range(model.routers_run):
             self.instances.append(self._make_instance(i, entries))
         self.reset()
         for instance in self.instances:
             self.at(self._pause(), self._arrive, instance)
-        if model.kept:
+        if model.cached_objects:
             self._fill()
 
     # Setting up
 
     def _make_caches(self) -> None:
         model = self.model
-        self.caches: dict[str, Cache] = {}
+        self.caches: dict[str, CacheServer] = {}
         for i in range(model.caches):
             name = f"s-{i:08x}"
             zone = i % model.zones
             entry = Endpoint(name, kind="std-1c", zone=f"z{zone}", cell=i // 8, weight=1.0)
-            places = model.queue * max(1, model.cores)
-            self.caches[name] = Cache(entry, zone, zone % model.regions, model.cores, places, Table(self.now))
+            places = model.queue_per_core * max(1, model.cores)
+            self.caches[name] = CacheServer(
+                entry, zone, zone % model.regions, model.cores, places, ConnectionCount(self.now)
+            )
         entry = Endpoint("s-origin", kind=ORIGIN, zone="z0", weight=1.0)
-        wait = math.ceil(model.origin_queue * model.origin_cores / (sum(model.origin_service) / 2))
-        self.origin = Cache(entry, 0, 0, model.origin_cores, wait, Table(self.now))
+        wait = math.ceil(
+            model.origin_max_queueing_time * model.origin_cores / (sum(model.origin_service_time) / 2)
+        )
+        self.origin = CacheServer(entry, 0, 0, model.origin_cores, wait, ConnectionCount(self.now))
 
     def _make_keys(self) -> None:
-        ranks = np.arange(1, self.model.objects + 1, dtype=np.float64) + self.model.flat
-        weights = ranks**-self.model.skew
+        ranks = np.arange(1, self.model.objects + 1, dtype=np.float64) + self.model.rank_offset
+        weights = ranks**-self.model.zipf_exponent
         self.popularity = weights / weights.sum()
         self.cumulative = np.cumsum(self.popularity)
         self.drawn: list[int] = []
 
-    def _make_instance(self, index: int, entries: Sequence[Endpoint]) -> Instance:
+    def _make_instance(self, index: int, entries: Sequence[Endpoint]) -> SimulatedRouter:
         zone = index % self.model.zones
         router = Router(self.settings, self.random.getrandbits(48), self.now)
-        instance = Instance(index, zone, zone % self.model.regions, router, Table(self.now))
+        instance = SimulatedRouter(index, zone, zone % self.model.regions, router, ConnectionCount(self.now))
         instance.listed = {e.name: e for e in entries}
         self.post(instance, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(entries)))
         return instance
 
     def _fill(self) -> None:
         """Let each cache hold the most popular of the keys that a router would ask it for."""
-        kept, full = self.model.kept, 0
+        kept, full = self.model.cached_objects, 0
         keys = [f"page:{k}" for k in range(min(self.model.objects, 2 * kept * self.model.caches))]
         entries = [c.entry for c in self.caches.values()]
         for key, server in zip(keys, place_keys(self.settings, entries, keys), strict=False):
@@ -162,7 +174,7 @@
         self.now = until
         return True
 
-    def count(self, what: str, instance: Instance | None = None, at: float | None = None) -> None:
+    def count(self, what: str, instance: SimulatedRouter | None = None, at: float | None = None) -> None:
         """Count one, now or with the second of `at`; what came before the last reset is not counted."""
         at = self.now if at is None else at
         if at < self.counted_from:
@@ -190,7 +202,7 @@
 
     # The list and the network
 
-    def tell(self, instance: Instance, entries: Iterable[Endpoint]) -> None:
+    def notify(self, instance: SimulatedRouter, entries: Iterable[Endpoint]) -> None:
         """Tell an instance of changes; what it kept to a server that changed is closed, as the host does."""
         if not instance.alive:
             return
@@ -205,13 +217,13 @@
                 self._close_idle(instance, entry.name)
         self.post(instance, EndpointUpdate(EndpointUpdateKind.DELTA, entries))
 
-    def tell_all(self, names: Iterable[str], state: EndpointState, notice: float, spread: float) -> None:
+    def notify_all(self, names: Iterable[str], state: EndpointState, notice: float, spread: float) -> None:
         """Tell each instance of servers' state after a notice and its own share of a spread, in seconds."""
         entries = tuple(replace(self.caches[n].entry, state=state) for n in names)
         for instance in self.instances:
-            self.at(notice + self.random.uniform(0, spread), self.tell, instance, entries)
+            self.at(notice + self.random.uniform(0, spread), self.notify, instance, entries)
 
-    def lose(self, names: Iterable[str], silent: bool = True) -> None:
+    def fail_servers(self, names: Iterable[str], silent: bool = True) -> None:
         """Caches vanish with all they hold, or their processes die."""
         for name in names:
             cache = self.caches[name]
@@ -221,7 +233,7 @@
             cache.contents.clear()
             cache.since = self.now
 
-    def give_back(self, names: Iterable[str]) -> None:
+    def restore_servers(self, names: Iterable[str]) -> None:
         """They start again, cold and empty."""
         for name in names:
             cache = self.caches[name]
@@ -230,7 +242,7 @@
             cache.entry = replace(cache.entry, started_at=self.now)
             cache.smoothed, cache.reported_at = 0.0, -math.inf
 
-    def restart(self, instance: Instance, entries: Sequence[Endpoint]) -> None:
+    def restart(self, instance: SimulatedRouter, entries: Sequence[Endpoint]) -> None:
         """Replace an instance by one that knows only a list; what it owed is asked again by its clients."""
         instance.alive = False
         for connection in list(instance.idle):
@@ -246,14 +258,14 @@
         self.instances[instance.index] = fresh
         self.at(self._pause(), self._arrive, fresh)
 
-    def reachable(self, instance: Instance, cache: Cache) -> bool:
+    def reachable(self, instance: SimulatedRouter, cache: CacheServer) -> bool:
         if not cache.up:
             return False
-        if instance.region == cache.region or cache is self.origin and self.model.origin_everywhere:
+        if instance.region == cache.region or cache is self.origin and self.model.origin_always_reachable:
             return True
         return instance.region not in self.cut and cache.region not in self.cut
 
-    def share(self, cache: Cache) -> float:
+    def share(self, cache: CacheServer) -> float:
         """Of its capacity that a cache has now: evenly from the cold share to all of it."""
         age = self.now - cache.since
         ramp = self.settings.slow_start_duration
@@ -263,33 +275,35 @@
             self.settings.slow_start_initial_share + (1 - self.settings.slow_start_initial_share) * age / ramp
         )
 
-    def one_way(self, instance: Instance, cache: Cache) -> float:
+    def one_way(self, instance: SimulatedRouter, cache: CacheServer) -> float:
         if instance.zone == cache.zone:
-            return self.model.one_way[0]
-        return self.model.one_way[1 if instance.region == cache.region else 2]
+            return self.model.one_way_latency[0]
+        return self.model.one_way_latency[1 if instance.region == cache.region else 2]
 
     # Clients
 
     def _pause(self) -> float:
         return self.random.expovariate(self.model.requests_per_s * self.demand)
 
-    def _arrive(self, instance: Instance) -> None:
+    def _arrive(self, instance: SimulatedRouter) -> None:
         if not instance.alive:
             return
         self.at(self._pause(), self._arrive, instance)
         if not self.drawn:
             ranks = np.searchsorted(self.cumulative, self.draw.random(BLOCK))
             self.drawn = np.minimum(ranks, self.model.objects - 1).tolist()
-        wish = Wish(f"page:{self.drawn.pop()}", self.random.random() < self.model.write_share, self.now)
+        wish = ClientRequest(
+            f"page:{self.drawn.pop()}", self.random.random() < self.model.write_share, self.now
+        )
         self.count("wishes", instance)
         self._ask(instance, wish)
 
-    def _ask(self, instance: Instance, wish: Wish) -> None:
+    def _ask(self, instance: SimulatedRouter, wish: ClientRequest) -> None:
         instance = self.instances[instance.index]  # the one that runs now
         wish.tries += 1
         name = f"{next(self.names):016x}"
-        patience = self.random.uniform(*self.model.patience) - 0.02  # as the host's margin
-        taken = Taken(name, instance, wish, self.now + patience)
+        patience = self.random.uniform(*self.model.client_timeout) - 0.02  # as the host's margin
+        taken = PendingRequest(name, instance, wish, self.now + patience)
         instance.requests[name] = taken
         self.asked += 1
         self.count("requests", instance)
@@ -297,7 +311,7 @@
         kind = WRITE if wish.write else READ
         self.post(instance, Request(name, kind, patience, wish.key, is_write=wish.write))
 
-    def _answer(self, taken: Taken, how: str) -> None:
+    def _answer(self, taken: PendingRequest, how: str) -> None:
         """Give a request its one answer."""
         if taken.closed:
             raise AssertionError(f"a second answer to {taken.name}: {how}")
@@ -309,13 +323,13 @@
             self.latencies.append(self.now - wish.born)
             return
         self.count(how, taken.instance)
-        if wish.tries < self.model.tries:
-            pause = self.random.uniform(*self.model.backoff) * 2 ** (wish.tries - 1)
+        if wish.tries < self.model.client_attempts:
+            pause = self.random.uniform(*self.model.client_backoff) * 2 ** (wish.tries - 1)
             self.at(pause, self._ask, taken.instance, wish)
 
     # The host
 
-    def post(self, instance: Instance, event: Event) -> None:
+    def post(self, instance: SimulatedRouter, event: Event) -> None:
         if not instance.alive:
             return
         instance.events.append(event)
@@ -336,7 +350,7 @@
                 self._carry_out(instance, action)
         instance.handling = False
 
-    def _carry_out(self, instance: Instance, action: Action) -> None:
+    def _carry_out(self, instance: SimulatedRouter, action: Action) -> None:
         if isinstance(action, SetTimer):
             self.at(action.delay, self.post, instance, TimerFired(action.token))
         elif isinstance(action, Send):
@@ -354,11 +368,11 @@
         elif isinstance(action, CloseIdleConnections):
             self._close_idle(instance, action.server)
 
-    def _forget(self, taken: Taken) -> None:
+    def _forget(self, taken: PendingRequest) -> None:
         if taken.closed and not taken.out:
             taken.instance.requests.pop(taken.name, None)
 
-    def _overdue(self, taken: Taken) -> None:
+    def _overdue(self, taken: PendingRequest) -> None:
         if not taken.instance.alive:
             return
         taken.overdue = True
@@ -367,11 +381,11 @@
         if not taken.closed:  # the module had its last event for it and gave no answer
             self.at(self.settings.clock_resolution * 4, self._check_answered, taken)
 
-    def _check_answered(self, taken: Taken) -> None:
+    def _check_answered(self, taken: PendingRequest) -> None:
         if not taken.closed and taken.instance.alive:
             raise AssertionError(f"no answer in time to {taken.name}")
 
-    def _send(self, instance: Instance, action: Send) -> None:
+    def _send(self, instance: SimulatedRouter, action: Send) -> None:
         taken = instance.requests.get(action.request_id)
         if taken is None:
             return
@@ -429,9 +443,9 @@
 
     # The pool
 
-    def _take(self, instance: Instance, cache: Cache) -> Connection | None:
+    def _take(self, instance: SimulatedRouter, cache: CacheServer) -> SimulatedConnection | None:
         while (connection := next(iter(instance.idle_at.get(cache.entry.name, ())), None)) is not None:
-            if connection.kept_at > self.now - self.model.rest:
+            if connection.kept_at > self.now - self.model.reuse_delay:
                 return None
             self._leave_idle(connection)
             if connection.process == instance.listed[cache.entry.name].started_at:
@@ -439,36 +453,36 @@
             self._drop(connection)
         return None
 
-    def _has_room(self, instance: Instance) -> bool:
-        if instance.table.now < self.model.descriptors:
+    def _has_room(self, instance: SimulatedRouter) -> bool:
+        if instance.table.now < self.model.router_descriptors:
             return True
         for connection in instance.idle:
             self._drop(connection)
             return True
         return False
 
-    def _dial(self, instance: Instance, attempt: Attempt) -> None:
+    def _dial(self, instance: SimulatedRouter, attempt: Attempt) -> None:
         cache = attempt.cache
         self.count("dials")
-        connection = Connection(instance, cache, instance.listed[cache.entry.name].started_at)
+        connection = SimulatedConnection(instance, cache, instance.listed[cache.entry.name].started_at)
         attempt.connection = connection
         instance.table.add(1, self.now)
         round_trip = 2 * self.one_way(instance, cache)
         if not self.reachable(instance, cache) and not cache.refuses:
             self.at(self.settings.connect_timeout, self._dial_failed, connection, attempt)
-        elif cache.refuses or self.model.places and cache.table.now >= self.model.places:
+        elif cache.refuses or self.model.max_connections and cache.table.now >= self.model.max_connections:
             self.at(round_trip, self._dial_failed, connection, attempt)
         else:
             connection.start = cache.since
             cache.table.add(1, self.now)
-            self.at(round_trip * self.model.handshake_trips, self._dialled, connection, attempt)
+            self.at(round_trip * self.model.handshake_round_trips, self._dialled, connection, attempt)
 
-    def _dial_failed(self, connection: Connection, attempt: Attempt) -> None:
+    def _dial_failed(self, connection: SimulatedConnection, attempt: Attempt) -> None:
         self.count("dials_failed")
         self._drop(connection)
         self._finish(attempt, AttemptStatus.CONNECT_FAILED)
 
-    def _dialled(self, connection: Connection, attempt: Attempt) -> None:
+    def _dialled(self, connection: SimulatedConnection, attempt: Attempt) -> None:
         if not connection.open:
             return
         if not self.reachable(connection.instance, connection.cache):
@@ -487,7 +501,7 @@
             self._drop(connection)
         self._finish(attempt, status)
 
-    def _keep(self, connection: Connection) -> None:
+    def _keep(self, connection: SimulatedConnection) -> None:
         connection.kept_at, connection.idle = self.now, True
         connection.instance.idle[connection] = None
         connection.instance.idle_at.setdefault(connection.cache.entry.name, {})[connection] = None
@@ -495,7 +509,7 @@
             connection.watched = True
             self.at(self.idle_time, self._expire, connection)
 
-    def _expire(self, connection: Connection) -> None:
+    def _expire(self, connection: SimulatedConnection) -> None:
         connection.watched = False
         if not connection.open or not connection.idle:
             return
@@ -506,7 +520,7 @@
         else:
             self._drop(connection)
 
-    def _leave_idle(self, connection: Connection) -> None:
+    def _leave_idle(self, connection: SimulatedConnection) -> None:
         if connection.idle:
             connection.idle = False
             instance, name = connection.instance, connection.cache.entry.name
@@ -515,7 +529,7 @@
             if not instance.idle_at[name]:
                 del instance.idle_at[name]
 
-    def _drop(self, connection: Connection) -> None:
+    def _drop(self, connection: SimulatedConnection) -> None:
         if not connection.open:
             return
         connection.open = False
@@ -524,13 +538,13 @@
         if connection.start < math.inf:
             connection.cache.table.add(-1, self.now)
 
-    def _close_idle(self, instance: Instance, server: str) -> None:
+    def _close_idle(self, instance: SimulatedRouter, server: str) -> None:
         for connection in list(instance.idle_at.get(server, ())):
             self._drop(connection)
 
     # Page caches
 
-    def _begin(self, connection: Connection, attempt: Attempt) -> None:
+    def _begin(self, connection: SimulatedConnection, attempt: Attempt) -> None:
         attempt.connection = connection
         self.at(self.one_way(connection.instance, connection.cache), self._received, attempt)
 
@@ -554,26 +568,26 @@
         else:
             cache.queue.append(attempt)
 
-    def _serve(self, cache: Cache, attempt: Attempt) -> None:
+    def _serve(self, cache: CacheServer, attempt: Attempt) -> None:
         cache.busy += 1
         hit = self._holds(cache, attempt.taken.wish)
-        work = self.random.uniform(*self.model.service) if hit else self.model.miss_service
-        work += self.model.handshake_work if attempt.handshake else 0.0
+        work = self.random.uniform(*self.model.service_time) if hit else self.model.miss_service_time
+        work += self.model.handshake_core_time if attempt.handshake else 0.0
         work /= self.share(cache)
         cache.smoothed += 0.1 * (work - cache.smoothed) if cache.smoothed else work
         self.at(
             work, self._served, cache, attempt, AttemptStatus.OK if hit else AttemptStatus.MISS, cache.since
         )
 
-    def _holds(self, cache: Cache, wish: Wish) -> bool:
-        if not self.model.kept:
+    def _holds(self, cache: CacheServer, wish: ClientRequest) -> bool:
+        if not self.model.cached_objects:
             return self.random.random() < self.model.hit_share
         if wish.key not in cache.contents:
             return False
         cache.contents.move_to_end(wish.key)
         return True
 
-    def _served(self, cache: Cache, attempt: Attempt, status: AttemptStatus, process: float) -> None:
+    def _served(self, cache: CacheServer, attempt: Attempt, status: AttemptStatus, process: float) -> None:
         if not cache.up or cache.since != process:
             return
         cache.busy -= 1
@@ -586,7 +600,7 @@
 
     def _reply(self, attempt: Attempt, status: AttemptStatus) -> None:
         cache = attempt.cache
-        if self.now - cache.reported_at > self.model.report_every:
+        if self.now - cache.reported_at > self.model.load_report_interval:
             cache.reported_at = self.now
             cache.report = LoadReport(cache.smoothed, float(len(cache.queue)))
         instance = attempt.taken.instance
@@ -621,7 +635,7 @@
     def _serve_at_origin(self, attempt: Attempt) -> None:
         self.origin.busy += 1
         trip = 2 * self.one_way(attempt.taken.instance, self.origin)
-        work = self.random.uniform(*self.model.origin_service)
+        work = self.random.uniform(*self.model.origin_service_time)
         self.at(work, self._served_at_origin)
         self.at(work + trip, self._fetched, attempt)
 
@@ -634,14 +648,14 @@
         if attempt.ended or not self.reachable(attempt.taken.instance, self.origin):
             return
         wish = attempt.taken.wish
-        if self.model.kept:
+        if self.model.cached_objects:
             if wish.write:
                 for cache in self.caches.values():
                     cache.contents.pop(wish.key, None)
             for cache in attempt.taken.missed[:2]:
                 if cache.up:
                     cache.contents[wish.key] = None
-                    if len(cache.contents) > self.model.kept:
+                    if len(cache.contents) > self.model.cached_objects:
                         cache.contents.popitem(last=False)
         self._finish(attempt, AttemptStatus.OK)
 
@@ -658,7 +672,9 @@
         settled = max(0, int(self.now - self.counted_from) - SETTLED)
         return sum(self.series[of][:settled]) / max(1, sum(self.series[among][:settled]))
 
-    def overload(self, cache: Cache, began: float, window: float, multiple: float) -> tuple[float, float]:
+    def overload(
+        self, cache: CacheServer, began: float, window: float, multiple: float
+    ) -> tuple[float, float]:
         """The largest share of a cold cache's budget that it was sent, without and with slack for chance.
 
         Of every window of `window` seconds that begins with an arrival after `began`: what arrived, over
@@ -673,13 +689,13 @@
             share = max(share, count / (budget + 2 * math.sqrt(budget) + 2))
         return strict, share
 
-    def capacity(self, cache: Cache, age: float, window: float) -> float:
+    def capacity(self, cache: CacheServer, age: float, window: float) -> float:
         """Requests that a cache of some age can serve within a window: its warming is even."""
         ramp, cold = self.settings.slow_start_duration, self.settings.slow_start_initial_share
         cold_left = max(0.0, min(window, ramp - age))  # seconds of the window in which it still warms
         mean = cold + (1 - cold) * (age + cold_left / 2) / ramp if cold_left else 1.0
         work = cold_left * mean + window - cold_left
-        return max(1, cache.cores) * work / self.model.mean_service
+        return max(1, cache.cores) * work / self.model.mean_service_time
 
     def forget_timing(self) -> None:
         """Time the module's calls from here on: those with whole lists are apart."""
--- a/scale_experiments/simulation/model.py
+++ b/scale_experiments/simulation/model.py
@@ -46,61 +46,61 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Model:
+class FleetModel:
     """The fleet round the instances. Times in seconds; counts are of the sample unless said otherwise."""
 
     routers: int  # of the fleet, told to the module as siblings
     caches: int
     requests_per_s: float  # first tries at each router
-    sampled: int = 0  # routers that are run; 0 is all of them
+    routers_sampled: int = 0  # routers that are run; 0 is all of them
     zones: int = 1  # caches and routers are dealt out to them in turn
     regions: int = 1  # zones are dealt out to them in turn
     objects: int = 100_000  # there are
-    skew: float = 0.95  # Zipf's exponent
-    flat: float = 10.0  # added to each rank, which flattens the top
-    kept: int = 0  # objects that a cache holds, used last first; 0 draws hits by chance
+    zipf_exponent: float = 0.95  # Zipf's exponent
+    rank_offset: float = 10.0  # added to each rank, which flattens the top
+    cached_objects: int = 0  # objects that a cache holds, used last first; 0 draws hits by chance
     hit_share: float = 0.9  # where they are drawn
     write_share: float = 0.03
-    service: tuple[float, float] = (0.035, 0.064)  # of a request that hits, evenly between
-    miss_service: float = 0.002
+    service_time: tuple[float, float] = (0.035, 0.064)  # of a request that hits, evenly between
+    miss_service_time: float = 0.002
     cores: int = 0  # of a cache; 0 is as many as are needed, and nothing ever waits
-    queue: int = 20  # places for each core
-    places: int = 0  # connections that a cache accepts; 0 is any number
-    handshake_work: float = 0.0015  # of a core
-    handshake_trips: float = 2.5  # there and back
-    one_way: tuple[float, float, float] = (0.0002, 0.001, 0.004)  # same zone, same region, elsewhere
+    queue_per_core: int = 20  # places for each core
+    max_connections: int = 0  # connections that a cache accepts; 0 is any number
+    handshake_core_time: float = 0.0015  # of a core
+    handshake_round_trips: float = 2.5  # there and back
+    one_way_latency: tuple[float, float, float] = (0.0002, 0.001, 0.004)  # same zone, same region, elsewhere
     origin_cores: int = 0
-    origin_service: tuple[float, float] = (0.03, 0.07)
-    origin_queue: float = 1.0  # seconds of waiting that it accepts
-    origin_everywhere: bool = False  # within reach also where regions are cut off
-    report_every: float = 0.25  # a load report is so old at most
-    descriptors: int = 372  # of a router for caches: 3/8 of 1,024 but for a reserve of 32
+    origin_service_time: tuple[float, float] = (0.03, 0.07)
+    origin_max_queueing_time: float = 1.0  # seconds of waiting that it accepts
+    origin_always_reachable: bool = False  # within reach also where regions are cut off
+    load_report_interval: float = 0.25  # a load report is so old at most
+    router_descriptors: int = 372  # of a router for caches: 3/8 of 1,024 but for a reserve of 32
     origin_descriptors: int = 124
-    rest: float = 0.01  # of a connection after an answer
-    tries: int = 3  # of a client in all
-    backoff: tuple[float, float] = (0.012, 0.1)
-    patience: tuple[float, float] = (0.6, 0.96)  # of a client for one try: 50 to 80% of a read's time
+    reuse_delay: float = 0.01  # of a connection after an answer
+    client_attempts: int = 3  # of a client in all
+    client_backoff: tuple[float, float] = (0.012, 0.1)
+    client_timeout: tuple[float, float] = (0.6, 0.96)  # of a client for one try: 50 to 80% of a read's time
 
     @property
-    def run(self) -> int:
-        return min(self.sampled or self.routers, self.routers)
+    def routers_run(self) -> int:
+        return min(self.routers_sampled or self.routers, self.routers)
 
     @property
     def scale(self) -> float:
         """Routers of the fleet for each that is run."""
-        return self.routers / self.run
+        return self.routers / self.routers_run
 
-    def rate_at(self, use_share: float, cores: int) -> float:
+    def rate_at_utilization(self, use_share: float, cores: int) -> float:
         """Requests a second of the whole fleet that keep this share of all caches' cores at work."""
-        return self.caches * cores * use_share / self.mean_service
+        return self.caches * cores * use_share / self.mean_service_time
 
     def origin_cores_for(self, requests_per_s: float, headroom: float) -> int:
         """Cores with which the origin bears so many times the fetches of this rate."""
         fetches = requests_per_s * (1 - self.hit_share + self.write_share)
-        return max(1, round(headroom * fetches * sum(self.origin_service) / 2))
+        return max(1, round(headroom * fetches * sum(self.origin_service_time) / 2))
 
     @property
-    def mean_service(self) -> float:
+    def mean_service_time(self) -> float:
         """Seconds of a core for a read or its miss."""
         hits = self.hit_share
-        return hits * sum(self.service) / 2 + (1 - hits) * self.miss_service
+        return hits * sum(self.service_time) / 2 + (1 - hits) * self.miss_service_time
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,18 +7,18 @@
 import pytest
 
 from cache_router.endpoint import EndpointState
-from scale_experiments.simulation.connection_accounting import Table
+from scale_experiments.simulation.connection_accounting import ConnectionCount
 from scale_experiments.simulation.fleet import Fleet
-from scale_experiments.simulation.model import Model, site_settings
+from scale_experiments.simulation.model import FleetModel, site_settings
 
-SMALL = Model(
+SMALL = FleetModel(
     routers=4,
     caches=6,
     requests_per_s=20.0,
     zones=3,
     regions=3,
     objects=500,
-    kept=50,
+    cached_objects=50,
     cores=1,
     origin_cores=2,
 )
@@ -29,14 +29,14 @@
     fleet = Fleet(site_settings(connection_price=0.06, handshake_price=0.06), SMALL, seed)
     fleet.run(3.0)
     lost = ["s-00000001"]
-    fleet.lose(lost)
-    fleet.tell_all(lost, EndpointState.REMOVED, 1.0, 0.5)
+    fleet.fail_servers(lost)
+    fleet.notify_all(lost, EndpointState.REMOVED, 1.0, 0.5)
     fleet.cut = {2}
     fleet.run(3.0)
     fleet.cut = set()
-    fleet.give_back(lost)
+    fleet.restore_servers(lost)
     fleet.caches[lost[0]].arrivals = []
-    fleet.tell_all(lost, EndpointState.READY, 0.5, 0.5)
+    fleet.notify_all(lost, EndpointState.READY, 0.5, 0.5)
     fleet.run(3.0)
     return fleet
 
@@ -59,7 +59,7 @@
 
 def test_a_region_that_is_cut_off_reaches_its_own() -> None:
     for everywhere in (False, True):
-        fleet = Fleet(site_settings(), replace(SMALL, origin_everywhere=everywhere), 1)
+        fleet = Fleet(site_settings(), replace(SMALL, origin_always_reachable=everywhere), 1)
         fleet.cut = {2}
         inside, outside = fleet.instances[2], fleet.instances[0]
         reached = [[fleet.reachable(i, c) for c in fleet.caches.values()] for i in (inside, outside)]
@@ -85,12 +85,12 @@
     assert strict == pytest.approx(30 / budget)
     assert slack < strict
     # warm at 8.9 s: half of the last window lies beyond
-    assert fleet.capacity(cache, 8.9, 2.0) == pytest.approx(2.0 / SMALL.mean_service)
-    assert fleet.capacity(cache, 0.0, 8.9) == pytest.approx(0.66 * 8.9 / SMALL.mean_service)
+    assert fleet.capacity(cache, 8.9, 2.0) == pytest.approx(2.0 / SMALL.mean_service_time)
+    assert fleet.capacity(cache, 0.0, 8.9) == pytest.approx(0.66 * 8.9 / SMALL.mean_service_time)
 
 
 def test_what_a_sample_holds_is_scaled_to_the_fleet() -> None:
-    table = Table(0.0)
+    table = ConnectionCount(0.0)
     table.add(3, 1.0)
     table.add(-1, 3.0)
     assert table.mean(5.0) == pytest.approx((3 * 2 + 2 * 2) / 5)
