--- a/scale_experiments/scenarios/cold_start.py
+++ b/scale_experiments/scenarios/cold_start.py
@@ -17,6 +17,8 @@
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.key_placement import place_keys
 from scale_experiments.simulation.model import FleetModel, site_settings
+from scale_experiments.simulation.slow_start import capacity_within
+from scale_experiments.simulation.statistics import CountedEvent
 
 SIZES = ("routers", "caches", "cores")
 METRICS = {
@@ -80,13 +82,13 @@
     """One sample: `size` has routers, caches and the cores of a cache."""
     fleet = fleet_of(parameters, size, seed)
     hottest = parameters.watched == "hottest"
-    entries = [c.entry for c in fleet.caches.values()]
-    name = next(place_keys(fleet.settings, entries, ["page:0"])) if hottest else entries[0].name
+    endpoints = [c.endpoint for c in fleet.caches.values()]
+    name = next(place_keys(fleet.settings, endpoints, ["page:0"])) if hottest else endpoints[0].name
     cache = fleet.caches[name]
     if not fleet.run(parameters.warm_s, lab.expired):
         return
     lab.progress("the cache goes")
-    fleet.fail_servers([name], silent=False)
+    fleet.fail_servers([name], is_silent=False)
     fleet.notify_all([name], EndpointState.REMOVED, 0.5, parameters.spread_s)
     if not fleet.run(parameters.absent_s, lab.expired):
         return
@@ -98,36 +100,34 @@
     settings = fleet.settings
     if parameters.restarted_share:
         # with the list as it is now: a new process is told it before its first request
-        entries = [c.entry for c in [*fleet.caches.values(), fleet.origin]]
-        for instance in fleet.instances[: round(parameters.restarted_share * len(fleet.instances))]:
-            delay = parameters.notice_s + fleet.random.uniform(0, parameters.spread_s)
-            fleet.at(delay, fleet.restart, instance, entries)
+        restarted = fleet.routers[: round(parameters.restarted_share * len(fleet.routers))]
+        fleet.restart_routers(restarted, parameters.notice_s, parameters.spread_s)
     if not fleet.run(settings.slow_start_duration, lab.expired):
         return
-    counts, began = dict(fleet.counts), fleet.counted_from
-    shares = fleet.served_share()
+    counts = dict(fleet.statistics.counts)
+    shares = fleet.statistics.served_share()
     received = list(cache.arrivals)
-    again = cache.received_again
+    retries = cache.received_retries
     for each in fleet.caches.values():
         each.received = 0
     if not fleet.run(settings.overload_window * 2, lab.expired):
         return
-    strict, slack = fleet.overload(cache, began, settings.overload_window, settings.overload_multiple)
+    use = fleet.budget_use(cache)
+    first_capacity = capacity_within(settings, fleet.model, 0.0, settings.overload_window)
     mean = sum(c.received for c in fleet.caches.values()) / len(fleet.caches)
-    taken = max(1, counts["requests"])
+    taken = max(1, counts[CountedEvent.REQUEST])
     yield Sample(
         {
             "requests_per_s": fleet.model.requests_per_s * fleet.model.routers,
-            "budget_share": strict,
-            "budget_slack_share": slack,
-            "budget_first_count": settings.overload_multiple
-            * fleet.capacity(cache, 0.0, settings.overload_window),
+            "budget_share": use.strict,
+            "budget_slack_share": use.with_slack,
+            "budget_first_count": settings.overload_multiple * first_capacity,
             "received": len(received),
-            "received_again_share": again / max(1, len(received)),
+            "received_again_share": retries / max(1, len(received)),
             "fair_share": cache.received / max(1e-9, mean),
             "served_share": shares,
-            "attempts_per_request": counts["attempts"] / taken,
-            "tries_per_wish": counts["requests"] / max(1, counts["wishes"]),
-            "origin_per_request": counts["origin"] / taken,
+            "attempts_per_request": counts[CountedEvent.ATTEMPT] / taken,
+            "tries_per_wish": counts[CountedEvent.REQUEST] / max(1, counts[CountedEvent.CLIENT_REQUEST]),
+            "origin_per_request": counts[CountedEvent.ORIGIN_ATTEMPT] / taken,
         }
     )
--- a/scale_experiments/scenarios/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -18,6 +18,7 @@
 from scale_experiments.context import Lab, Sample
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
+from scale_experiments.simulation.statistics import CountedEvent
 
 MEETING = 10.0  # seconds within which the caches that a router meets are counted
 LEAST_RUN = 10  # routers
@@ -97,12 +98,12 @@
         connection_idle_timeout=parameters.connection_idle_s,
     )
     fleet = Fleet(settings, model, seed)
-    fleet.forget_timing()
+    fleet.decision_timer.reset()
     lab.progress(f"{model.routers_run} of {model.routers} routers, {model.caches} caches: warming")
     if not fleet.run(warm_s, lab.expired):
         return
     fleet.reset()
-    fleet.watch_meetings(MEETING)
+    fleet.watch_servers_used(MEETING)
     lab.progress(f"{model.routers_run} of {model.routers} routers, {model.caches} caches: measuring")
     if not fleet.run(parameters.measured_s, lab.expired):
         return
@@ -112,45 +113,47 @@
 def histogram(fleet: Fleet) -> HdrHistogram:
     """Microseconds from a client's first try until it is served."""
     latency = HdrHistogram(1, 10_000_000, 2)
-    for seconds in fleet.latencies:
+    for seconds in fleet.statistics.latencies:
         latency.record_value(round(seconds * 1e6))
     return latency
 
 
 def figures(fleet: Fleet, parameters: Parameters) -> dict[str, float]:
     """The metrics of a fleet since its last reset."""
-    model, counts = fleet.model, fleet.counts
-    seconds = fleet.now - fleet.counted_from
+    model, counts, now = fleet.model, fleet.statistics.counts, fleet.events.now
+    seconds = now - fleet.statistics.counted_from
     caches = list(fleet.caches.values())
-    mean, high, worst = percentiles([model.scale * c.table.mean(fleet.now) for c in caches])
+    pools = [router.pool for router in fleet.routers]
+    mean, high, worst = percentiles([model.scale * c.connections.mean(now) for c in caches])
     received = [c.received for c in caches]
     cache_rate = model.scale * sum(received) / len(caches) / seconds
-    handshakes = model.scale * counts["handshakes"] / len(caches) / seconds
+    handshakes = model.scale * counts[CountedEvent.HANDSHAKE] / len(caches) / seconds
     cores = math.ceil(cache_rate * model.mean_service_time / parameters.use_share)
-    taken = max(1, counts["requests"])
-    held = sum(i.table.now for i in fleet.instances)
-    calls = fleet.calls_per_request()
+    requests = max(1, counts[CountedEvent.REQUEST])
+    open_connections = sum(pool.connections.current for pool in pools)
+    calls = fleet.decision_timer.calls_per_request()
+    seconds_per_call = fleet.decision_timer.seconds_per_call()
     return {
         "routers_run": model.routers_run,
         "cache_connections_mean": mean,
         "cache_connections_p99": high,
         "cache_connections_worst": worst,
-        "cache_connections_worst_high": max(c.table.high(fleet.now, model.scale) for c in caches),
+        "cache_connections_worst_high": max(c.connections.percentile_99(now, model.scale) for c in caches),
         "cache_connections_per_core": worst / cores,
         "cache_cores": cores,
         "cache_requests_per_s": cache_rate,
         "cache_requests_worst_ratio": max(received) * len(caches) / max(1, sum(received)),
         "cache_handshakes_per_s": handshakes,
         "cache_handshake_cores": handshakes * model.handshake_core_time,
-        "handshakes_per_request": counts["handshakes"] / taken,
-        "attempts_per_request": counts["attempts"] / taken,
-        "router_connections_mean": sum(i.table.mean(fleet.now) for i in fleet.instances) / model.routers_run,
-        "router_connections_most": max(i.table.most for i in fleet.instances),
-        "router_idle_share": sum(len(i.idle) for i in fleet.instances) / max(1, held),
-        "router_dials_per_s": counts["dials"] / model.routers_run / seconds,
-        "caches_met_10s": float(np.mean(fleet.met_counts)),
-        "handle_cpu_s": fleet.handle_cpu(),
+        "handshakes_per_request": counts[CountedEvent.HANDSHAKE] / requests,
+        "attempts_per_request": counts[CountedEvent.ATTEMPT] / requests,
+        "router_connections_mean": sum(p.connections.mean(now) for p in pools) / model.routers_run,
+        "router_connections_most": max(p.connections.peak for p in pools),
+        "router_idle_share": sum(len(p.idle) for p in pools) / max(1, open_connections),
+        "router_dials_per_s": counts[CountedEvent.CONNECT] / model.routers_run / seconds,
+        "caches_met_10s": float(np.mean(fleet.statistics.servers_used)),
+        "handle_cpu_s": seconds_per_call,
         "handle_calls_per_request": calls,
-        "router_core_share": calls * fleet.handle_cpu() * model.requests_per_s,
-        "served_share": counts["served"] / max(1, counts["wishes"]),
+        "router_core_share": calls * seconds_per_call * model.requests_per_s,
+        "served_share": counts[CountedEvent.SERVED] / max(1, counts[CountedEvent.CLIENT_REQUEST]),
     }
--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -14,8 +14,9 @@
 
 from scale_experiments.context import Lab, Sample
 from scale_experiments.scenarios.zone_loss import recovery
-from scale_experiments.simulation.fleet import SETTLED, Fleet
+from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
+from scale_experiments.simulation.statistics import SETTLED, CountedEvent
 
 SIZES = ("routers", "routers_run", "caches", "cores")
 METRICS = {
@@ -64,29 +65,29 @@
     fleet.reset()
     if not fleet.run(parameters.before_s, lab.expired):
         return
-    metrics = {"requests_per_s": rate, "before_served_share": fleet.served_share()}
+    metrics = {"requests_per_s": rate, "before_served_share": fleet.statistics.served_share()}
     lab.progress("surge")
     fleet.reset()
-    fleet.demand = parameters.demand
+    fleet.clients.demand = parameters.demand
     if not fleet.run(parameters.surge_s, lab.expired):
         return
-    counts = fleet.counts
-    metrics["surge_served_share"] = counts["served"] / max(1, counts["wishes"])
+    counts = fleet.statistics.counts
+    metrics["surge_served_share"] = counts[CountedEvent.SERVED] / max(1, counts[CountedEvent.CLIENT_REQUEST])
     lab.progress("after the surge")
     fleet.reset()
-    fleet.demand = 1.0
+    fleet.clients.demand = 1.0
     if not fleet.run(parameters.after_s, lab.expired):
         return
-    counts = fleet.counts
-    taken = max(1, counts["requests"])
+    counts = fleet.statistics.counts
+    taken = max(1, counts[CountedEvent.REQUEST])
     received = sum(c.received for c in fleet.caches.values())
     yield Sample(
         {
             **metrics,
-            "after_served_share": fleet.served_share(),
-            "recovery_s": recovery(fleet.served_by_second()),
-            "refused_per_request": counts["refused"] / taken,
-            "attempts_per_request": counts["attempts"] / taken,
+            "after_served_share": fleet.statistics.served_share(),
+            "recovery_s": recovery(fleet.statistics.served_by_second()),
+            "refused_per_request": counts[CountedEvent.REJECTED] / taken,
+            "attempts_per_request": counts[CountedEvent.ATTEMPT] / taken,
             "cache_use_share": received * plain.mean_service_time / (caches * cores * parameters.after_s),
         }
     )
--- a/scale_experiments/scenarios/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -15,8 +15,9 @@
 
 from cache_router.endpoint import EndpointState
 from scale_experiments.context import Lab, Sample
-from scale_experiments.simulation.fleet import SETTLED, Fleet
+from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
+from scale_experiments.simulation.statistics import SETTLED, CountedEvent
 
 SIZES = ("routers", "caches", "cores")
 GOOD = 0.95  # of the requests of a second, served: then it counts as served again
@@ -97,8 +98,8 @@
     zone = 1 % parameters.zones
     region = zone % parameters.regions
     if parameters.lost in ("region", "cut"):
-        return [name for name, c in fleet.caches.items() if c.region == region]
-    names = [name for name, c in fleet.caches.items() if c.zone == zone]
+        return [name for name, c in fleet.caches.items() if c.location.region == region]
+    names = [name for name, c in fleet.caches.items() if c.location.zone == zone]
     return names[: parameters.rack] if parameters.lost == "rack" else names
 
 
@@ -107,8 +108,9 @@
     return float(max((i + 1 for i, share in enumerate(seconds) if share < GOOD), default=0))
 
 
-def per_request(fleet: Fleet, what: str) -> float:
-    return fleet.counts[what] / max(1, fleet.counts["requests"])
+def per_request(fleet: Fleet, event: CountedEvent) -> float:
+    """How often an event was counted for each request accepted, since the last reset."""
+    return fleet.statistics.counts[event] / max(1, fleet.statistics.counts[CountedEvent.REQUEST])
 
 
 def measure(parameters: Parameters, size: Mapping[str, float], seed: int, lab: Lab) -> Iterator[Sample]:
@@ -116,68 +118,70 @@
     fleet = fleet_of(parameters, size, seed)
     names = members(fleet, parameters)
     cut = parameters.lost == "cut"
-    region = fleet.caches[names[0]].region
-    fleet.watched = {region}
+    region = fleet.caches[names[0]].location.region
+    fleet.statistics.watched_regions = {region}
     if not fleet.run(parameters.warm_s, lab.expired):
         return
     fleet.reset()
     if not fleet.run(parameters.before_s, lab.expired):
         return
-    origin_before = fleet.counts["origin"] / parameters.before_s
+    origin_before = fleet.statistics.counts[CountedEvent.ORIGIN_ATTEMPT] / parameters.before_s
     metrics = {
         "requests_per_s": fleet.model.requests_per_s * fleet.model.routers_run,
         "caches_lost": float(len(fleet.caches) - len(names) if cut else len(names)),
-        "before_served_share": fleet.served_share(),
-        "before_dials_per_request": per_request(fleet, "dials"),
-        "before_attempts_per_request": per_request(fleet, "attempts"),
+        "before_served_share": fleet.statistics.served_share(),
+        "before_dials_per_request": per_request(fleet, CountedEvent.CONNECT),
+        "before_attempts_per_request": per_request(fleet, CountedEvent.ATTEMPT),
     }
 
     lab.progress("lost")
     fleet.reset()
     if cut:
-        fleet.cut = {region}
+        fleet.network.isolated_regions = {region}
     else:
         fleet.fail_servers(names)
         fleet.notify_all(names, EndpointState.REMOVED, *parameters.notice_s)
     if not fleet.run(parameters.lost_s, lab.expired):
         return
     metrics |= {f"lost_{name}": value for name, value in aftermath(fleet, origin_before).items()}
-    metrics["lost_dials_failed_per_request"] = per_request(fleet, "dials_failed")
-    metrics["lost_tries_per_wish"] = fleet.counts["requests"] / max(1, fleet.counts["wishes"])
-    metrics["apart_served_share"] = fleet.served_share("watched_served", "watched_wishes")
-    apart = max(1, fleet.counts["watched_requests"])
-    metrics["apart_refused_per_request"] = fleet.counts["watched_refused"] / apart
+    metrics["lost_dials_failed_per_request"] = per_request(fleet, CountedEvent.CONNECT_FAILED)
+    counts = fleet.statistics.counts
+    client_requests = max(1, counts[CountedEvent.CLIENT_REQUEST])
+    metrics["lost_tries_per_wish"] = counts[CountedEvent.REQUEST] / client_requests
+    metrics["apart_served_share"] = fleet.statistics.watched_served_share()
+    apart = fleet.statistics.watched.totals
+    apart_requests = max(1, apart[CountedEvent.REQUEST])
+    metrics["apart_refused_per_request"] = apart[CountedEvent.REJECTED] / apart_requests
 
     lab.progress("back")
     fleet.reset()
     if cut:
-        fleet.cut = set()
+        fleet.network.isolated_regions = set()
     else:
         fleet.restore_servers(names)
         for name in names:
             fleet.caches[name].arrivals = []
         fleet.notify_all(names, EndpointState.READY, *parameters.back_notice_s)
-    settings = fleet.settings
-    if not fleet.run(settings.slow_start_duration + sum(parameters.back_notice_s) + SETTLED, lab.expired):
+    ramp = fleet.settings.slow_start_duration + sum(parameters.back_notice_s) + SETTLED
+    if not fleet.run(ramp, lab.expired):
         return
     metrics |= {f"back_{name}": value for name, value in aftermath(fleet, origin_before).items()}
-    metrics["back_budget_slack_share"] = max(
-        fleet.overload(
-            fleet.caches[n], fleet.counted_from, settings.overload_window, settings.overload_multiple
-        )[1]
-        for n in names
-    )
+    uses = [fleet.budget_use(fleet.caches[name]) for name in names]
+    metrics["back_budget_slack_share"] = max(use.with_slack for use in uses)
     yield Sample(metrics)
 
 
 def aftermath(fleet: Fleet, origin_before: float) -> dict[str, float]:
     """What has become of the requests since the last reset."""
-    seconds = fleet.served_by_second()
+    statistics = fleet.statistics
+    shares = statistics.served_by_second()
+    seconds = fleet.events.now - statistics.counted_from
+    origin_rate = statistics.counts[CountedEvent.ORIGIN_ATTEMPT] / seconds
     return {
-        "served_share": fleet.served_share(),
-        "worst_served_share": min(seconds, default=1.0),
-        "recovery_s": recovery(seconds),
-        "dials_per_request": per_request(fleet, "dials"),
-        "attempts_per_request": per_request(fleet, "attempts"),
-        "origin_ratio": fleet.counts["origin"] / (fleet.now - fleet.counted_from) / max(1e-9, origin_before),
+        "served_share": statistics.served_share(),
+        "worst_served_share": min(shares, default=1.0),
+        "recovery_s": recovery(shares),
+        "dials_per_request": per_request(fleet, CountedEvent.CONNECT),
+        "attempts_per_request": per_request(fleet, CountedEvent.ATTEMPT),
+        "origin_ratio": origin_rate / max(1e-9, origin_before),
     }
--- /dev/null
+++ b/scale_experiments/simulation/attempt_runner.py
@@ -0,0 +1,86 @@
+"""The attempts of one router: whether one may be sent, where it goes, and its end."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+
+from cache_router.decisions.events import AttemptStatus, LoadReport
+from cache_router.endpoint import Endpoint
+from scale_experiments.simulation.cache_server import CacheServer
+from scale_experiments.simulation.connection_pool import SimulatedConnectionPool
+from scale_experiments.simulation.context import SimulationContext
+from scale_experiments.simulation.network import Location
+from scale_experiments.simulation.origin import Origin
+from scale_experiments.simulation.requests import Attempt, PendingRequest
+from scale_experiments.simulation.statistics import CountedEvent
+
+OnFinished = Callable[[Attempt, AttemptStatus, LoadReport | None], None]
+
+
+class AttemptRunner:
+    """Runs attempts at cache servers and at the origin; `on_finished` is called once for each.
+
+    `endpoints` is the router's endpoint list, by name, as the router keeps it up to date.
+    """
+
+    __slots__ = ("_caches", "_context", "_endpoints", "_on_finished", "_origin", "pool", "servers_used")
+
+    def __init__(
+        self,
+        context: SimulationContext,
+        location: Location,
+        endpoints: Mapping[str, Endpoint],
+        caches: Mapping[str, CacheServer],
+        origin: Origin,
+        *,
+        on_finished: OnFinished,
+    ) -> None:
+        self._context = context
+        self._endpoints = endpoints
+        self._caches = caches
+        self._origin = origin
+        self._on_finished = on_finished
+        self.pool = SimulatedConnectionPool(context, location, self)
+        self.servers_used: set[str] = set()  # cache servers that attempts went to, since last cleared
+
+    def start(self, request: PendingRequest, server_name: str) -> None:
+        """Start the next attempt of a request; a name that no cache server has means the origin."""
+        cache = self._caches.get(server_name)
+        server = self._origin if cache is None else cache
+        attempt = Attempt(request, request.attempts_sent, server, self._context.events.now)
+        request.attempts_sent += 1
+        request.attempts_in_flight[attempt.number] = attempt
+        status = self.precondition(attempt)
+        if attempt.number >= self._context.settings.max_attempts:
+            status = AttemptStatus.NOT_SENT
+        if status is not None:
+            self.finish(attempt, status)
+        elif cache is None:
+            self._origin.start(attempt)
+        else:
+            self.servers_used.add(server_name)
+            self._context.statistics.count(CountedEvent.ATTEMPT)
+            self.pool.start(attempt, cache, self._endpoints[server_name].started_at)
+
+    def precondition(self, attempt: Attempt) -> AttemptStatus | None:
+        """How an attempt ends that must not be sent any more, or None."""
+        if attempt.request.is_answered or attempt.request.is_overdue:
+            return AttemptStatus.NOT_SENT
+        endpoint = self._endpoints.get(attempt.server.name)
+        return None if endpoint is not None and endpoint.is_ready else AttemptStatus.CONNECT_FAILED
+
+    def abandon(self, attempt: Attempt, status: AttemptStatus) -> None:
+        """Give up an attempt in flight, and close its connection."""
+        if attempt.connection is not None:
+            self.pool.close(attempt.connection)
+        if status is AttemptStatus.TIMEOUT:
+            self._context.statistics.count(CountedEvent.TIMEOUT)
+        self.finish(attempt, status)
+
+    def finish(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport | None = None) -> None:
+        """End an attempt; one that has ended already stays so."""
+        if attempt.is_finished:
+            return
+        attempt.is_finished = True
+        del attempt.request.attempts_in_flight[attempt.number]
+        self._on_finished(attempt, status, load_report)
--- /dev/null
+++ b/scale_experiments/simulation/connection_pool.py
@@ -0,0 +1,200 @@
+"""One router's modelled connections to cache servers; `network_rules` names the rules they follow."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Protocol
+
+from cache_router.decisions.events import AttemptStatus, LoadReport
+from scale_experiments.simulation.connection_accounting import ConnectionCount
+from scale_experiments.simulation.network_rules import IDLE_MARGIN
+from scale_experiments.simulation.statistics import CountedEvent
+
+if TYPE_CHECKING:
+    from scale_experiments.simulation.cache_server import CacheServer
+    from scale_experiments.simulation.context import SimulationContext
+    from scale_experiments.simulation.network import Location
+    from scale_experiments.simulation.requests import Attempt
+
+CLOCK_TOLERANCE = 1e-6  # seconds; rounding may make an event of the idle time come this much too early
+
+
+@dataclass(slots=True, eq=False)
+class SimulatedConnection:
+    """A connection of one router to one cache server. Times are in seconds."""
+
+    pool: SimulatedConnectionPool
+    server: CacheServer
+    listed_start: float  # of the server's process, from the router's endpoint list
+    process_started_at: float = math.inf  # as it is; infinite until the server has accepted the connection
+    idle_since: float = 0.0
+    is_idle: bool = False
+    is_expiry_scheduled: bool = False
+    is_open: bool = True
+
+
+class AttemptOwner(Protocol):
+    """What a pool needs of the router whose attempts it carries."""
+
+    def precondition(self, attempt: Attempt) -> AttemptStatus | None:
+        """How an attempt ends that must not be sent any more, or None."""
+
+    def finish(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport | None = None) -> None:
+        """Take note of the end of an attempt."""
+
+
+class SimulatedConnectionPool:
+    """The connections of one router to all cache servers."""
+
+    __slots__ = ("_context", "_idle_by_server", "_idle_time", "connections", "idle", "location", "owner")
+
+    def __init__(self, context: SimulationContext, location: Location, owner: AttemptOwner) -> None:
+        self._context = context
+        self.location = location
+        self.owner = owner
+        self.connections = ConnectionCount(context.events.now)
+        self.idle: dict[SimulatedConnection, None] = {}  # idle for longest first
+        self._idle_by_server: dict[str, dict[SimulatedConnection, None]] = {}
+        self._idle_time = max(0.0, context.settings.connection_idle_timeout - IDLE_MARGIN)
+
+    def start(self, attempt: Attempt, server: CacheServer, listed_start: float) -> None:
+        """Send an attempt on an idle connection, or on a new one, or finish it as not sent."""
+        connection = self._take_idle(server, listed_start)
+        if connection is not None:
+            self._send(connection, attempt)
+        elif self._has_capacity():
+            self._connect(attempt, server, listed_start)
+        else:
+            self.owner.finish(attempt, AttemptStatus.NOT_SENT)
+
+    def receive_response(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport) -> None:
+        """Keep the connection of an attempt that was answered, and finish the attempt."""
+        connection = attempt.connection
+        if attempt.is_finished or connection is None or not connection.is_open:
+            return
+        if self._context.network.is_reachable(self.location, connection.server):
+            self._keep(connection)
+            self.owner.finish(attempt, status, load_report)
+
+    def close(self, connection: SimulatedConnection) -> None:
+        """Close a connection; one that is closed already stays so."""
+        if not connection.is_open:
+            return
+        connection.is_open = False
+        self._leave_idle(connection)
+        now = self._context.events.now
+        self.connections.add(-1, now)
+        if connection.process_started_at < math.inf:
+            connection.server.connections.add(-1, now)
+
+    def close_idle(self, server: str) -> None:
+        """Close the idle connections to one server."""
+        for connection in list(self._idle_by_server.get(server, ())):
+            self.close(connection)
+
+    def close_all_idle(self) -> None:
+        """Close the idle connections to all servers."""
+        for connection in list(self.idle):
+            self.close(connection)
+
+    def _take_idle(self, server: CacheServer, listed_start: float) -> SimulatedConnection | None:
+        latest = self._context.events.now - self._context.model.reuse_delay
+        while True:
+            connection = next(iter(self._idle_by_server.get(server.name, ())), None)
+            if connection is None or connection.idle_since > latest:
+                return None
+            self._leave_idle(connection)
+            if connection.listed_start == listed_start:
+                return connection
+            self.close(connection)
+
+    def _has_capacity(self) -> bool:
+        if self.connections.current < self._context.model.router_descriptors:
+            return True
+        longest_idle = next(iter(self.idle), None)
+        if longest_idle is None:
+            return False
+        self.close(longest_idle)
+        return True
+
+    def _send(self, connection: SimulatedConnection, attempt: Attempt) -> None:
+        attempt.connection = connection
+        server = connection.server
+        latency = self._context.network.one_way_latency(self.location, server.location)
+        self._context.events.schedule(latency, server.receive, attempt)
+
+    def _connect(self, attempt: Attempt, server: CacheServer, listed_start: float) -> None:
+        context = self._context
+        context.statistics.count(CountedEvent.CONNECT)
+        connection = SimulatedConnection(self, server, listed_start)
+        attempt.connection = connection
+        self.connections.add(1, context.events.now)
+        round_trip = 2 * context.network.one_way_latency(self.location, server.location)
+        if not context.network.is_reachable(self.location, server) and not server.refuses_connections:
+            timeout = context.settings.connect_timeout
+            context.events.schedule(timeout, self._connect_failed, connection, attempt)
+        elif server.refuses_connections or not server.has_connection_capacity():
+            context.events.schedule(round_trip, self._connect_failed, connection, attempt)
+        else:
+            connection.process_started_at = server.started_at
+            server.connections.add(1, context.events.now)
+            seconds = round_trip * context.model.handshake_round_trips
+            context.events.schedule(seconds, self._connected, connection, attempt)
+
+    def _connect_failed(self, connection: SimulatedConnection, attempt: Attempt) -> None:
+        self._context.statistics.count(CountedEvent.CONNECT_FAILED)
+        self.close(connection)
+        self.owner.finish(attempt, AttemptStatus.CONNECT_FAILED)
+
+    def _connected(self, connection: SimulatedConnection, attempt: Attempt) -> None:
+        if not connection.is_open:
+            return
+        context = self._context
+        if not context.network.is_reachable(self.location, connection.server):
+            time_left = attempt.sent_at + context.settings.connect_timeout - context.events.now
+            context.events.schedule(max(0.0, time_left), self._connect_failed, connection, attempt)
+            return
+        context.statistics.count(CountedEvent.HANDSHAKE)
+        status = self.owner.precondition(attempt)
+        if status is None:
+            attempt.needs_handshake = True
+            self._send(connection, attempt)
+            return
+        if status is AttemptStatus.NOT_SENT:
+            self._keep(connection)  # nothing is known against the server
+        else:
+            self.close(connection)
+        self.owner.finish(attempt, status)
+
+    def _keep(self, connection: SimulatedConnection) -> None:
+        connection.idle_since, connection.is_idle = self._context.events.now, True
+        self.idle[connection] = None
+        self._idle_by_server.setdefault(connection.server.name, {})[connection] = None
+        if not connection.is_expiry_scheduled:
+            self._schedule_expiry(connection, self._idle_time)
+
+    def _schedule_expiry(self, connection: SimulatedConnection, delay: float) -> None:
+        connection.is_expiry_scheduled = True
+        self._context.events.schedule(delay, self._expire, connection)
+
+    def _expire(self, connection: SimulatedConnection) -> None:
+        connection.is_expiry_scheduled = False
+        if not connection.is_open or not connection.is_idle:
+            return
+        time_left = connection.idle_since + self._idle_time - self._context.events.now
+        if time_left > CLOCK_TOLERANCE:
+            self._schedule_expiry(connection, time_left)
+        else:
+            self.close(connection)
+
+    def _leave_idle(self, connection: SimulatedConnection) -> None:
+        if not connection.is_idle:
+            return
+        connection.is_idle = False
+        name = connection.server.name
+        idle_at_server = self._idle_by_server[name]
+        del self.idle[connection]
+        del idle_at_server[connection]
+        if not idle_at_server:
+            del self._idle_by_server[name]
--- /dev/null
+++ b/scale_experiments/simulation/context.py
@@ -0,0 +1,28 @@
+"""What all parts of one simulation share."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass
+
+from cache_router.settings import Settings
+from scale_experiments.simulation.event_queue import EventQueue
+from scale_experiments.simulation.model import FleetModel
+from scale_experiments.simulation.network import Network
+from scale_experiments.simulation.statistics import DecisionTimer, FleetStatistics
+
+
+@dataclass(slots=True, frozen=True)
+class SimulationContext:
+    """The surroundings of one simulated fleet.
+
+    All parts draw from the one `random`: the order of their draws is a part of what a seed determines.
+    """
+
+    settings: Settings
+    model: FleetModel
+    random: random.Random
+    events: EventQueue
+    network: Network
+    statistics: FleetStatistics
+    decision_timer: DecisionTimer
--- a/scale_experiments/simulation/key_placement.py
+++ b/scale_experiments/simulation/key_placement.py
@@ -1,4 +1,4 @@
-"""Where a router sends each key."""
+"""The cache server to which a router at rest sends each key."""
 
 from __future__ import annotations
 
@@ -15,17 +15,21 @@
 from cache_router.decisions.router import Router
 from cache_router.endpoint import Endpoint
 from cache_router.settings import Settings
-from scale_experiments.simulation.model import READ
+from scale_experiments.simulation.model import READ, START
 
-START = 1000.0  # of the simulated clock; a list's time of 0 means long ago
+SERVED_LATENCY = 0.05  # seconds, far below every latency objective
 
 
-def place_keys(settings: Settings, entries: Iterable[Endpoint], keys: Iterable[str]) -> Iterator[str]:
-    """The server that a router of this list, at rest, sends its first read of each key to."""
+def place_keys(settings: Settings, endpoints: Iterable[Endpoint], keys: Iterable[str]) -> Iterator[str]:
+    """The name of the server to which a router with these endpoints sends its first read of each key.
+
+    Each read is served before the next one, so that load never changes a placement.
+    """
     router = Router(settings, 0, START)
-    router.handle(START, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(entries)))
+    router.handle(START, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(endpoints)))
     for number, key in enumerate(keys):
-        name = f"place-{number}"
-        sends = router.handle(START, Request(name, READ, 1.0, key=key))
-        yield next(action.server for action in sends if isinstance(action, Send))
-        router.handle(START, AttemptCompleted(name, 0, AttemptStatus.OK, True, 0.05))
+        request_id = f"place-{number}"
+        actions = router.handle(START, Request(request_id, READ, 1.0, key=key))
+        yield next(action.server for action in actions if isinstance(action, Send))
+        served = AttemptCompleted(request_id, 0, AttemptStatus.OK, True, SERVED_LATENCY)
+        router.handle(START, served)
--- /dev/null
+++ b/scale_experiments/simulation/network_rules.py
@@ -0,0 +1,32 @@
+"""The rules of the router's network code that the simulation models, each with the module it stands in.
+
+That code needs an event loop, so that the simulation has rules of its own instead of loading it.
+
+`cache_router.net.connection_pool`, modelled in `simulation.connection_pool`:
+
+- A connection carries one attempt at a time, and is kept for reuse after a complete answer.
+- It may be reused `REUSE_DELAY` seconds after that answer at the earliest.
+- Of the idle connections to a server, the one that has been idle for longest is reused first.
+- An idle connection is closed `IDLE_MARGIN` seconds before the server may close it.
+- A connection to an earlier process at the same address is closed instead of being reused.
+- Idle and pending connections count towards the descriptor budget. When it is used up, the connection of
+  all that has been idle for longest is closed; when there is none, the attempt is not sent.
+- Whether an attempt may still be sent is decided again once its connection is up. If it was too late for
+  the request alone, the connection is kept.
+- An attempt that is given up closes its connection.
+
+`cache_router.net.dispatcher`, modelled in `simulation.clients`, `simulation.router` and
+`simulation.attempt_runner`:
+
+- A request's deadline is `DEADLINE_MARGIN` seconds before its client's.
+- Idle connections to a server that is draining, removed or restarted are closed.
+- An attempt numbered `Settings.max_attempts` or higher is not sent.
+"""
+
+from __future__ import annotations
+
+IDLE_MARGIN = 0.5  # seconds
+REUSE_DELAY = 0.01  # seconds
+DEADLINE_MARGIN = 0.02  # seconds
+# the router's share for cache servers, 3/8, of 1,024 descriptors without the 32 that it reserves
+ROUTER_DESCRIPTORS = (1024 - 32) * 3 // 8
--- /dev/null
+++ b/scale_experiments/simulation/origin.py
@@ -0,0 +1,86 @@
+"""The modelled origin. Routers reuse their connections to it, and no statistics count these."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Mapping
+from typing import TYPE_CHECKING
+
+from cache_router.decisions.events import AttemptStatus
+from cache_router.endpoint import Endpoint
+from scale_experiments.simulation.model import ORIGIN
+from scale_experiments.simulation.network import Location
+from scale_experiments.simulation.server import SimulatedServer
+from scale_experiments.simulation.statistics import CountedEvent
+
+if TYPE_CHECKING:
+    from scale_experiments.simulation.cache_server import CacheServer
+    from scale_experiments.simulation.context import SimulationContext
+    from scale_experiments.simulation.requests import Attempt, PendingRequest
+
+FILLED_SERVERS = 2  # cache servers, of those that missed a key, in which its router stores it
+
+
+class Origin(SimulatedServer):
+    """The origin, in the first zone. It answers each attempt that it does not reject."""
+
+    __slots__ = ("_caches", "_context")
+
+    def __init__(self, context: SimulationContext, caches: Mapping[str, CacheServer]) -> None:
+        model = context.model
+        mean_seconds = sum(model.origin_service_time) / 2
+        queue_capacity = math.ceil(model.origin_max_queueing_time * model.origin_cores / mean_seconds)
+        endpoint = Endpoint("s-origin", kind=ORIGIN, zone="z0", weight=1.0)
+        super().__init__(endpoint, Location(0, 0), model.origin_cores, queue_capacity)
+        self.is_always_reachable = model.origin_always_reachable
+        self._context = context
+        self._caches = caches
+
+    def start(self, attempt: Attempt) -> None:
+        """Serve, queue or reject an attempt."""
+        context, router = self._context, attempt.request.router
+        context.statistics.count(CountedEvent.ORIGIN_ATTEMPT)
+        if not context.network.is_reachable(router.location, self):
+            self._finish_after(context.settings.connect_timeout, attempt, AttemptStatus.CONNECT_FAILED)
+        elif self.has_free_core:
+            self._serve(attempt)
+        elif len(self.queue) >= self.queue_capacity:
+            self._finish_after(self._round_trip(attempt), attempt, AttemptStatus.REJECTED)
+        else:
+            self.queue.append(attempt)
+
+    def _finish_after(self, delay: float, attempt: Attempt, status: AttemptStatus) -> None:
+        finish = attempt.request.router.attempts.finish
+        self._context.events.schedule(delay, finish, attempt, status)
+
+    def _round_trip(self, attempt: Attempt) -> float:
+        return 2 * self._context.network.one_way_latency(attempt.request.router.location, self.location)
+
+    def _serve(self, attempt: Attempt) -> None:
+        self.busy_cores += 1
+        events = self._context.events
+        seconds = self._context.random.uniform(*self._context.model.origin_service_time)
+        events.schedule(seconds, self._complete)
+        events.schedule(seconds + self._round_trip(attempt), self._deliver, attempt)
+
+    def _complete(self) -> None:
+        self.busy_cores -= 1
+        if self.queue:
+            self._serve(self.queue.popleft())
+
+    def _deliver(self, attempt: Attempt) -> None:
+        router = attempt.request.router
+        if attempt.is_finished or not self._context.network.is_reachable(router.location, self):
+            return
+        if self._context.model.cached_objects:
+            self._update_caches(attempt.request)
+        router.attempts.finish(attempt, AttemptStatus.OK)
+
+    def _update_caches(self, request: PendingRequest) -> None:
+        key = request.client_request.key
+        if request.client_request.is_write:
+            for cache in self._caches.values():
+                cache.invalidate(key)
+        for cache in request.missed_at[:FILLED_SERVERS]:
+            if cache.is_up:
+                cache.store(key)
--- /dev/null
+++ b/scale_experiments/simulation/router.py
@@ -0,0 +1,231 @@
+"""A simulated router: a decision module, its endpoint list and its requests."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable, Mapping, Sequence
+
+from cache_router.decisions.actions import Action, Cancel, CloseIdleConnections, Fail, Reject, Send, SetTimer
+from cache_router.decisions.events import (
+    AttemptCompleted,
+    AttemptStatus,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    LoadReport,
+    Request,
+    TimerFired,
+)
+from cache_router.decisions.router import Router
+from cache_router.endpoint import Endpoint, EndpointState
+from scale_experiments.simulation.attempt_runner import AttemptRunner
+from scale_experiments.simulation.cache_server import CacheServer
+from scale_experiments.simulation.context import SimulationContext
+from scale_experiments.simulation.errors import DuplicateAnswerError, MissingAnswerError
+from scale_experiments.simulation.model import READ, WRITE
+from scale_experiments.simulation.network import location_of
+from scale_experiments.simulation.origin import Origin
+from scale_experiments.simulation.requests import Attempt, ClientRequest, PendingRequest
+from scale_experiments.simulation.statistics import CountedEvent
+
+# of the clock's resolution, after its deadline, in which a request has to get its answer
+ANSWER_GRACE_TICKS = 4
+
+Retry = Callable[[int, ClientRequest], None]  # with the index of the router that did not serve the request
+
+
+class SimulatedRouter:
+    """One router, from its start until it is stopped.
+
+    `retry` is called with each client request that was answered without being served.
+    """
+
+    __slots__ = (
+        "_context",
+        "_decisions",
+        "_events",
+        "_is_handling",
+        "_retry",
+        "attempts",
+        "endpoints",
+        "index",
+        "is_running",
+        "location",
+        "pool",
+        "requests",
+    )
+
+    def __init__(
+        self,
+        context: SimulationContext,
+        index: int,
+        caches: Mapping[str, CacheServer],
+        origin: Origin,
+        retry: Retry,
+    ) -> None:
+        self._context = context
+        self._retry = retry
+        self._decisions = Router(context.settings, context.random.getrandbits(48), context.events.now)
+        self._events: deque[Event] = deque()
+        self._is_handling = False
+        self.index = index
+        self.location = location_of(index, context.model)
+        self.is_running = True
+        self.endpoints: dict[str, Endpoint] = {}
+        self.attempts = AttemptRunner(
+            context, self.location, self.endpoints, caches, origin, on_finished=self._on_attempt_finished
+        )
+        self.pool = self.attempts.pool
+        self.requests: dict[str, PendingRequest] = {}  # by id
+
+    # Its life
+
+    def start(self, endpoints: Sequence[Endpoint]) -> None:
+        """Learn the complete endpoint list."""
+        self.endpoints.update((endpoint.name, endpoint) for endpoint in endpoints)
+        self._handle(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(endpoints)))
+
+    def stop(self) -> None:
+        """End the process: its connections close, and what it had not answered fails."""
+        self.is_running = False
+        self.pool.close_all_idle()
+        for request in list(self.requests.values()):
+            for attempt in list(request.attempts_in_flight.values()):
+                attempt.is_finished = True
+                if attempt.connection is not None:
+                    self.pool.close(attempt.connection)
+            if not request.is_answered:
+                self._answer(request, CountedEvent.FAILED)
+
+    def update_endpoints(self, endpoints: Sequence[Endpoint]) -> None:
+        """Learn of endpoints that changed; idle connections to those restarted or not ready are closed."""
+        if not self.is_running:
+            return
+        for endpoint in endpoints:
+            old = self.endpoints.get(endpoint.name)
+            if endpoint.state is EndpointState.REMOVED:
+                self.endpoints.pop(endpoint.name, None)
+            else:
+                self.endpoints[endpoint.name] = endpoint
+            if old is not None and (not endpoint.is_ready or endpoint.started_at != old.started_at):
+                self.pool.close_idle(endpoint.name)
+        self._handle(EndpointUpdate(EndpointUpdateKind.DELTA, tuple(endpoints)))
+
+    # Requests
+
+    def accept(self, request_id: str, client_request: ClientRequest, time_left: float) -> None:
+        """Take a request that is owed an answer within `time_left` seconds."""
+        context = self._context
+        request = PendingRequest(request_id, self, client_request)
+        self.requests[request_id] = request
+        context.statistics.requests_ever += 1
+        context.decision_timer.requests += 1
+        self._count(CountedEvent.REQUEST)
+        context.events.schedule(time_left, self._on_deadline, request)
+        request_class = WRITE if client_request.is_write else READ
+        self._handle(
+            Request(
+                request_id, request_class, time_left, client_request.key, is_write=client_request.is_write
+            )
+        )
+
+    def _answer(self, request: PendingRequest, outcome: CountedEvent) -> None:
+        """Give a request its one answer; raises DuplicateAnswerError where it has one."""
+        if request.is_answered:
+            raise DuplicateAnswerError(request.request_id)
+        request.is_answered = True
+        statistics, client_request = self._context.statistics, request.client_request
+        statistics.answers_ever += 1
+        if outcome is CountedEvent.SERVED:
+            # in the second in which its client first asked, so that each second's share served is known
+            created_at = client_request.created_at
+            statistics.count_for_client(outcome, self.location.region, created_at)
+            statistics.latencies.append(self._context.events.now - created_at)
+            return
+        self._count(outcome)
+        self._retry(self.index, client_request)
+
+    def _count(self, event: CountedEvent) -> None:
+        self._context.statistics.count_for_client(event, self.location.region, self._context.events.now)
+
+    def _forget_if_done(self, request: PendingRequest) -> None:
+        if request.is_answered and not request.attempts_in_flight:
+            self.requests.pop(request.request_id, None)
+
+    def _on_deadline(self, request: PendingRequest) -> None:
+        if not self.is_running:
+            return
+        request.is_overdue = True
+        for attempt in list(request.attempts_in_flight.values()):
+            self.attempts.abandon(attempt, AttemptStatus.TIMEOUT)
+        if not request.is_answered:
+            # the decision module has had its last event for it, but may still wait for a timer
+            grace = self._context.settings.clock_resolution * ANSWER_GRACE_TICKS
+            self._context.events.schedule(grace, self._check_answered, request)
+
+    def _check_answered(self, request: PendingRequest) -> None:
+        if not request.is_answered and self.is_running:
+            raise MissingAnswerError(request.request_id)
+
+    # Events and actions of the decision module
+
+    def _handle(self, event: Event) -> None:
+        """Give an event to the decision module, after those that its own actions bring about."""
+        if not self.is_running:
+            return
+        self._events.append(event)
+        if self._is_handling:
+            return
+        self._is_handling = True
+        events, timer = self._context.events, self._context.decision_timer
+        while self._events:
+            for action in timer.handle(self._decisions, events.now, self._events.popleft()):
+                self._carry_out(action)
+        self._is_handling = False
+
+    def _carry_out(self, action: Action) -> None:
+        if isinstance(action, SetTimer):
+            self._context.events.schedule(action.delay, self._handle, TimerFired(action.token))
+        elif isinstance(action, Send):
+            self._send(action)
+        elif isinstance(action, Reject):
+            self._answer_unserved(action.request_id, CountedEvent.REJECTED)
+        elif isinstance(action, Fail):
+            self._answer_unserved(action.request_id, CountedEvent.FAILED)
+        elif isinstance(action, Cancel):
+            self._cancel(action)
+        elif isinstance(action, CloseIdleConnections):
+            self.pool.close_idle(action.server)
+
+    def _answer_unserved(self, request_id: str, outcome: CountedEvent) -> None:
+        request = self.requests.get(request_id)
+        if request is not None and not request.is_answered:
+            self._answer(request, outcome)
+            self._forget_if_done(request)
+
+    def _send(self, action: Send) -> None:
+        request = self.requests.get(action.request_id)
+        if request is not None:
+            self.attempts.start(request, action.server)
+
+    def _cancel(self, action: Cancel) -> None:
+        request = self.requests.get(action.request_id)
+        attempt = request.attempts_in_flight.get(action.attempt_number) if request is not None else None
+        if attempt is not None:
+            self.attempts.abandon(attempt, AttemptStatus.CANCELLED)
+
+    def _on_attempt_finished(
+        self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport | None
+    ) -> None:
+        request = attempt.request
+        if status is AttemptStatus.OK and not request.is_answered:
+            self._answer(request, CountedEvent.SERVED)
+        if status is AttemptStatus.NOT_SENT:
+            self._context.statistics.count(CountedEvent.NOT_SENT)
+        latency = self._context.events.now - attempt.sent_at
+        self._handle(
+            AttemptCompleted(
+                request.request_id, attempt.number, status, request.is_answered, latency, load_report
+            )
+        )
+        self._forget_if_done(request)
--- /dev/null
+++ b/scale_experiments/simulation/statistics.py
@@ -0,0 +1,156 @@
+"""What is counted while a fleet is simulated."""
+
+from __future__ import annotations
+
+import itertools
+import time
+from collections.abc import Iterable
+from enum import StrEnum, auto
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from cache_router.decisions.actions import Action
+    from cache_router.decisions.events import Event
+    from cache_router.decisions.router import Router
+    from scale_experiments.simulation.event_queue import EventQueue
+
+SETTLED = 3  # seconds after which a client has its answer or has given up for good
+CALLS_PER_TIMED_CALL = 16
+
+
+class CountedEvent(StrEnum):
+    """What is counted. A client request is what a client wants, in one request to a router or more."""
+
+    CLIENT_REQUEST = auto()
+    REQUEST = auto()
+    SERVED = auto()
+    REJECTED = auto()
+    FAILED = auto()
+    ATTEMPT = auto()  # at cache servers
+    ORIGIN_ATTEMPT = auto()
+    CONNECT = auto()
+    CONNECT_FAILED = auto()
+    HANDSHAKE = auto()
+    NOT_SENT = auto()
+    TIMEOUT = auto()
+    MISS = auto()
+
+
+class EventTally:
+    """How often each event was counted, in all and in each second since the last reset."""
+
+    __slots__ = ("by_second", "totals")
+
+    def __init__(self) -> None:
+        self.totals = dict.fromkeys(CountedEvent, 0)
+        self.by_second: dict[CountedEvent, list[int]] = {event: [] for event in CountedEvent}
+
+    def add(self, event: CountedEvent, second: int) -> None:
+        """Count one event in a second, numbered from 0."""
+        self.totals[event] += 1
+        counts = self.by_second[event]
+        counts.extend(itertools.repeat(0, second + 1 - len(counts)))
+        counts[second] += 1
+
+    def served_by_second(self, seconds: int) -> list[float]:
+        """The share served of the client requests made in each of the first seconds."""
+        made = self.by_second[CountedEvent.CLIENT_REQUEST][:seconds]
+        served = self.by_second[CountedEvent.SERVED] + [0] * len(made)
+        return [s / m if m else 1.0 for s, m in zip(served, made, strict=False)]
+
+    def served_share(self, seconds: int) -> float:
+        """The share served of the client requests made in all of the first seconds together."""
+        served = sum(self.by_second[CountedEvent.SERVED][:seconds])
+        return served / max(1, sum(self.by_second[CountedEvent.CLIENT_REQUEST][:seconds]))
+
+
+class FleetStatistics:
+    """Counts and latencies since the last reset.
+
+    What concerns clients of the routers in `watched_regions` is also counted in `watched`.
+    """
+
+    def __init__(self, events: EventQueue) -> None:
+        self.watched_regions: set[int] = set()
+        self.requests_ever = 0  # accepted by routers; no reset clears these two
+        self.answers_ever = 0
+        self._events = events
+        self.reset()
+
+    def reset(self) -> None:
+        """Count from now on."""
+        self.counted_from = self._events.now
+        self.all = EventTally()
+        self.watched = EventTally()
+        self.latencies: list[float] = []  # seconds from a client's first request until it was served
+        self.servers_used: list[int] = []  # by one router within one span of time
+
+    @property
+    def counts(self) -> dict[CountedEvent, int]:
+        """How often each event was counted."""
+        return self.all.totals
+
+    def count(self, event: CountedEvent) -> None:
+        """Count one event now."""
+        self.all.add(event, int(self._events.now - self.counted_from))
+
+    def count_for_client(self, event: CountedEvent, region: int, at: float) -> None:
+        """Count one event of a client of this region's routers, in the second of the time `at`.
+
+        What came before the last reset is not counted.
+        """
+        if at < self.counted_from:
+            return
+        second = int(at - self.counted_from)
+        self.all.add(event, second)
+        if region in self.watched_regions:
+            self.watched.add(event, second)
+
+    def served_by_second(self) -> list[float]:
+        """The share served of the client requests made in each settled second since the last reset."""
+        return self.all.served_by_second(self._settled_seconds())
+
+    def served_share(self) -> float:
+        """The same of all settled seconds together."""
+        return self.all.served_share(self._settled_seconds())
+
+    def watched_served_share(self) -> float:
+        """The same for clients of the routers in the watched regions."""
+        return self.watched.served_share(self._settled_seconds())
+
+    def _settled_seconds(self) -> int:
+        return max(0, int(self._events.now - self.counted_from) - SETTLED)
+
+
+class DecisionTimer:
+    """Calls the decision modules, and measures the processor time of every 16th call."""
+
+    __slots__ = ("calls", "requests", "timed_calls", "timed_seconds")
+
+    def __init__(self) -> None:
+        self.reset()
+
+    def reset(self) -> None:
+        """Measure from now on: the calls with a complete endpoint list would distort the mean."""
+        self.calls = self.timed_calls = 0
+        self.timed_seconds = 0.0
+        self.requests = 0  # accepted by routers
+
+    def handle(self, router: Router, now: float, event: Event) -> Iterable[Action]:
+        """Give an event to a decision module, and return its actions."""
+        self.calls += 1
+        if self.calls % CALLS_PER_TIMED_CALL:
+            return router.handle(now, event)
+        start = time.thread_time()
+        actions = router.handle(now, event)
+        self.timed_seconds += time.thread_time() - start
+        self.timed_calls += 1
+        return actions
+
+    def calls_per_request(self) -> float:
+        """Calls of `Router.handle` for each request accepted."""
+        return self.calls / max(1, self.requests)
+
+    def seconds_per_call(self) -> float:
+        """Seconds of processor time that one call of `Router.handle` takes, mean of the timed ones."""
+        return self.timed_seconds / max(1, self.timed_calls)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,6 +10,8 @@
 from scale_experiments.simulation.connection_accounting import ConnectionCount
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
+from scale_experiments.simulation.slow_start import budget_use, capacity_within
+from scale_experiments.simulation.statistics import CountedEvent
 
 SMALL = FleetModel(
     routers=4,
@@ -31,9 +33,9 @@
     lost = ["s-00000001"]
     fleet.fail_servers(lost)
     fleet.notify_all(lost, EndpointState.REMOVED, 1.0, 0.5)
-    fleet.cut = {2}
+    fleet.network.isolated_regions = {2}
     fleet.run(3.0)
-    fleet.cut = set()
+    fleet.network.isolated_regions = set()
     fleet.restore_servers(lost)
     fleet.caches[lost[0]].arrivals = []
     fleet.notify_all(lost, EndpointState.READY, 0.5, 0.5)
@@ -43,57 +45,60 @@
 
 def test_every_request_gets_one_answer() -> None:
     fleet = troubled(1)
-    asked = fleet.asked
-    assert asked > 500
-    open_now = {t.name for i in fleet.instances for t in i.requests.values() if not t.closed}
-    assert fleet.answers == asked - len(open_now)
-    assert fleet.counts["timeouts"] > 0, "the loss was seen"
+    requests = fleet.statistics.requests_ever
+    assert requests > 500
+    pending = [p for r in fleet.routers for p in r.requests.values() if not p.is_answered]
+    assert fleet.statistics.answers_ever == requests - len(pending)
+    assert fleet.statistics.counts[CountedEvent.TIMEOUT] > 0, "the loss was seen"
 
 
 def test_connections_are_counted_alike_at_both_ends() -> None:
     fleet = troubled(2)
-    dialling = sum(i.table.now for i in fleet.instances) - sum(c.table.now for c in fleet.caches.values())
-    assert 0 <= dialling <= 4, "only what is not up yet counts at the router alone"
-    assert all(len(i.idle) <= i.table.now for i in fleet.instances)
+    at_routers = sum(r.pool.connections.current for r in fleet.routers)
+    connecting = at_routers - sum(c.connections.current for c in fleet.caches.values())
+    assert 0 <= connecting <= 4, "only what is not up yet counts at the router alone"
+    assert all(len(r.pool.idle) <= r.pool.connections.current for r in fleet.routers)
 
 
 def test_a_region_that_is_cut_off_reaches_its_own() -> None:
     for everywhere in (False, True):
         fleet = Fleet(site_settings(), replace(SMALL, origin_always_reachable=everywhere), 1)
-        fleet.cut = {2}
-        inside, outside = fleet.instances[2], fleet.instances[0]
-        reached = [[fleet.reachable(i, c) for c in fleet.caches.values()] for i in (inside, outside)]
+        fleet.network.isolated_regions = {2}
+        inside, outside = fleet.routers[2].location, fleet.routers[0].location
+        is_reachable = fleet.network.is_reachable
+        reached = [[is_reachable(r, c) for c in fleet.caches.values()] for r in (inside, outside)]
         assert reached == [[False, False, True] * 2, [True, True, False] * 2]
-        assert (fleet.reachable(inside, fleet.origin), fleet.reachable(outside, fleet.origin)) == (
-            everywhere,
-            True,
-        )
+        assert is_reachable(inside, fleet.origin) is everywhere
+        assert is_reachable(outside, fleet.origin)
 
 
 def test_a_seed_gives_the_same_figures() -> None:
     one, two, other = troubled(3), troubled(3), troubled(4)
-    assert (one.counts, one.latencies) == (two.counts, two.latencies)
-    assert one.counts != other.counts
+    assert one.statistics.counts == two.statistics.counts
+    assert one.statistics.latencies == two.statistics.latencies
+    assert one.statistics.counts != other.statistics.counts
 
 
 def test_what_a_cold_cache_received_is_set_against_its_budget() -> None:
     fleet = troubled(5)
     cache = fleet.caches["s-00000001"]
     cache.arrivals = [100.0] * 30
-    strict, slack = fleet.overload(cache, 99.0, window=2.0, multiple=4.0)
-    budget = 4.0 * fleet.capacity(cache, 1.0, 2.0)
-    assert strict == pytest.approx(30 / budget)
-    assert slack < strict
+    use = budget_use(fleet.settings, SMALL, cache.arrivals, 99.0)
+    budget = 4.0 * capacity_within(fleet.settings, SMALL, 1.0, 2.0)
+    assert use.strict == pytest.approx(30 / budget)
+    assert use.with_slack < use.strict
     # warm at 8.9 s: half of the last window lies beyond
-    assert fleet.capacity(cache, 8.9, 2.0) == pytest.approx(2.0 / SMALL.mean_service_time)
-    assert fleet.capacity(cache, 0.0, 8.9) == pytest.approx(0.66 * 8.9 / SMALL.mean_service_time)
+    full = capacity_within(fleet.settings, SMALL, 8.9, 2.0)
+    assert full == pytest.approx(2.0 / SMALL.mean_service_time)
+    warming = capacity_within(fleet.settings, SMALL, 0.0, 8.9)
+    assert warming == pytest.approx(0.66 * 8.9 / SMALL.mean_service_time)
 
 
 def test_what_a_sample_holds_is_scaled_to_the_fleet() -> None:
-    table = ConnectionCount(0.0)
-    table.add(3, 1.0)
-    table.add(-1, 3.0)
-    assert table.mean(5.0) == pytest.approx((3 * 2 + 2 * 2) / 5)
-    assert table.most == 3
+    count = ConnectionCount(0.0)
+    count.add(3, 1.0)
+    count.add(-1, 3.0)
+    assert count.mean(5.0) == pytest.approx((3 * 2 + 2 * 2) / 5)
+    assert count.peak == 3
     variance = (9 * 2 + 4 * 2) / 5 - 2.0**2
-    assert table.high(5.0, 10.0) == pytest.approx(20 + 2.326 * (10 * variance) ** 0.5)
+    assert count.percentile_99(5.0, 10.0) == pytest.approx(20 + 2.326 * (10 * variance) ** 0.5)
