--- a/scale_experiments/simulation/network_rules.py
+++ b/scale_experiments/simulation/network_rules.py
@@ -1,6 +1,7 @@
 """The rules of the router's network code that the simulation models, each with the module it stands in.
 
-That code needs an event loop, so that the simulation has rules of its own instead of loading it.
+That code needs an event loop, so that the simulation has rules of its own instead of loading it;
+tests/test_simulated_connection_pool.py gives both pools the same attempts, and fails when they differ.
 
 `cache_router.net.connection_pool`, modelled in `simulation.connection_pool`:
 
@@ -15,6 +16,9 @@
   the request alone, the connection is kept.
 - An attempt that is given up closes its connection.
 
+One difference is known: within the reuse delay the simulated pool leaves a connection to an earlier process
+idle. A router closes these as soon as it learns of the new process, so that hardly any is left.
+
 `cache_router.net.dispatcher`, modelled in `simulation.clients`, `simulation.router` and
 `simulation.attempt_runner`:
 
