--- a/scale_experiments/scenarios/cold_start.py
+++ b/scale_experiments/scenarios/cold_start.py
@@ -115,7 +115,7 @@
     use = fleet.budget_use(cache)
     first_capacity = capacity_within(settings, fleet.model, 0.0, settings.overload_window)
     mean = sum(c.received for c in fleet.caches.values()) / len(fleet.caches)
-    taken = max(1, counts[CountedEvent.REQUEST])
+    requests = max(1, counts[CountedEvent.REQUEST])
     yield Sample(
         {
             "requests_per_s": fleet.model.requests_per_s * fleet.model.routers,
@@ -126,8 +126,8 @@
             "received_again_share": retries / max(1, len(received)),
             "fair_share": cache.received / max(1e-9, mean),
             "served_share": shares,
-            "attempts_per_request": counts[CountedEvent.ATTEMPT] / taken,
+            "attempts_per_request": counts[CountedEvent.ATTEMPT] / requests,
             "tries_per_wish": counts[CountedEvent.REQUEST] / max(1, counts[CountedEvent.CLIENT_REQUEST]),
-            "origin_per_request": counts[CountedEvent.ORIGIN_ATTEMPT] / taken,
+            "origin_per_request": counts[CountedEvent.ORIGIN_ATTEMPT] / requests,
         }
     )
--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -16,7 +16,7 @@
 from scale_experiments.scenarios.zone_loss import recovery
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
-from scale_experiments.simulation.statistics import SETTLED, CountedEvent
+from scale_experiments.simulation.statistics import SETTLING_SECONDS, CountedEvent
 
 SIZES = ("routers", "routers_run", "caches", "cores")
 METRICS = {
@@ -40,8 +40,8 @@
     demand: Annotated[float, Field(gt=1)] = 2.5  # times that of before
     surge_s: Annotated[float, Field(gt=0)] = 3.0
     warm_s: Annotated[float, Field(gt=0)] = 6.0
-    before_s: Annotated[float, Field(gt=SETTLED)] = 5.0
-    after_s: Annotated[float, Field(gt=SETTLED)] = 30.0
+    before_s: Annotated[float, Field(gt=SETTLING_SECONDS)] = 5.0
+    after_s: Annotated[float, Field(gt=SETTLING_SECONDS)] = 30.0
     skew: Annotated[float, Field(ge=0)] = 0.95
 
 
@@ -79,15 +79,15 @@
     if not fleet.run(parameters.after_s, lab.expired):
         return
     counts = fleet.statistics.counts
-    taken = max(1, counts[CountedEvent.REQUEST])
+    requests = max(1, counts[CountedEvent.REQUEST])
     received = sum(c.received for c in fleet.caches.values())
     yield Sample(
         {
             **metrics,
             "after_served_share": fleet.statistics.served_share(),
             "recovery_s": recovery(fleet.statistics.served_by_second()),
-            "refused_per_request": counts[CountedEvent.REJECTED] / taken,
-            "attempts_per_request": counts[CountedEvent.ATTEMPT] / taken,
+            "refused_per_request": counts[CountedEvent.REJECTED] / requests,
+            "attempts_per_request": counts[CountedEvent.ATTEMPT] / requests,
             "cache_use_share": received * plain.mean_service_time / (caches * cores * parameters.after_s),
         }
     )
--- a/scale_experiments/scenarios/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -17,7 +17,7 @@
 from scale_experiments.context import Lab, Sample
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
-from scale_experiments.simulation.statistics import SETTLED, CountedEvent
+from scale_experiments.simulation.statistics import SETTLING_SECONDS, CountedEvent
 
 SIZES = ("routers", "caches", "cores")
 GOOD = 0.95  # of the requests of a second, served: then it counts as served again
@@ -64,8 +64,8 @@
     origin_headroom: Annotated[float, Field(gt=0)] = 2.0  # over what it is asked for at a hit share of 0.9
     tries: Annotated[int, Field(ge=1, le=10)] = 3  # of a client
     warm_s: Annotated[float, Field(gt=0)] = 8.0
-    before_s: Annotated[float, Field(gt=SETTLED)] = 6.0
-    lost_s: Annotated[float, Field(gt=SETTLED)] = 15.0
+    before_s: Annotated[float, Field(gt=SETTLING_SECONDS)] = 6.0
+    lost_s: Annotated[float, Field(gt=SETTLING_SECONDS)] = 15.0
     notice_s: Annotated[tuple[float, float], Field()] = (5.3, 1.0)  # of a silent loss, and its spread
     back_notice_s: Annotated[tuple[float, float], Field()] = (1.5, 0.6)
 
@@ -162,7 +162,7 @@
         for name in names:
             fleet.caches[name].arrivals = []
         fleet.notify_all(names, EndpointState.READY, *parameters.back_notice_s)
-    ramp = fleet.settings.slow_start_duration + sum(parameters.back_notice_s) + SETTLED
+    ramp = fleet.settings.slow_start_duration + sum(parameters.back_notice_s) + SETTLING_SECONDS
     if not fleet.run(ramp, lab.expired):
         return
     metrics |= {f"back_{name}": value for name, value in aftermath(fleet, origin_before).items()}
--- a/scale_experiments/simulation/cache_server.py
+++ b/scale_experiments/simulation/cache_server.py
@@ -65,7 +65,7 @@
         self.connections.reset(self._context.events.now)
         self.received = self.received_retries = 0
 
-    # Its process
+    # Process
 
     def fail(self, *, is_silent: bool) -> None:
         """Lose the process with all that it holds, or the whole machine, which then stays silent."""
@@ -156,7 +156,7 @@
             latency = context.network.one_way_latency(pool.location, self.location)
             context.events.schedule(latency, pool.receive_response, attempt, status, self._load_report)
 
-    # What it caches
+    # Cached keys
 
     def _is_hit(self, request: ClientRequest) -> bool:
         model = self._context.model
--- a/scale_experiments/simulation/router.py
+++ b/scale_experiments/simulation/router.py
@@ -28,7 +28,7 @@
 from scale_experiments.simulation.requests import Attempt, ClientRequest, PendingRequest
 from scale_experiments.simulation.statistics import CountedEvent
 
-# of the clock's resolution, after its deadline, in which a request has to get its answer
+# units of the clock's resolution after its deadline within which a request must get its answer
 ANSWER_GRACE_TICKS = 4
 
 Retry = Callable[[int, ClientRequest], None]  # with the index of the router that did not serve the request
@@ -78,7 +78,7 @@
         self.pool = self.attempts.pool
         self.requests: dict[str, PendingRequest] = {}  # by id
 
-    # Its life
+    # Start, stop and endpoint list
 
     def start(self, endpoints: Sequence[Endpoint]) -> None:
         """Learn the complete endpoint list."""
--- a/scale_experiments/simulation/statistics.py
+++ b/scale_experiments/simulation/statistics.py
@@ -14,7 +14,7 @@
     from cache_router.decisions.router import Router
     from scale_experiments.simulation.event_queue import EventQueue
 
-SETTLED = 3  # seconds after which a client has its answer or has given up for good
+SETTLING_SECONDS = 3  # seconds after which a client has its answer or has given up for good
 CALLS_PER_TIMED_CALL = 16
 
 
@@ -119,7 +119,7 @@
         return self.watched.served_share(self._settled_seconds())
 
     def _settled_seconds(self) -> int:
-        return max(0, int(self._events.now - self.counted_from) - SETTLED)
+        return max(0, int(self._events.now - self.counted_from) - SETTLING_SECONDS)
 
 
 class DecisionTimer:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The simulation of many instances: it answers everything once, and a seed gives the same figures."""
+"""The simulated fleet: each request gets one answer, and a seed gives the same statistics."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 )
 
 
-def troubled(seed: int) -> Fleet:
-    """A small fleet that loses a cache and has it back, with a region cut off meanwhile."""
+def fleet_after_faults(seed: int) -> Fleet:
+    """A small fleet in which a cache server failed and was restored, with a region isolated meanwhile."""
     fleet = Fleet(site_settings(connection_price=0.06, handshake_price=0.06), SMALL, seed)
     fleet.run(3.0)
     lost = ["s-00000001"]
@@ -44,7 +44,7 @@
 
 
 def test_every_request_gets_one_answer() -> None:
-    fleet = troubled(1)
+    fleet = fleet_after_faults(1)
     requests = fleet.statistics.requests_ever
     assert requests > 500
     pending = [p for r in fleet.routers for p in r.requests.values() if not p.is_answered]
@@ -52,15 +52,15 @@
     assert fleet.statistics.counts[CountedEvent.TIMEOUT] > 0, "the loss was seen"
 
 
-def test_connections_are_counted_alike_at_both_ends() -> None:
-    fleet = troubled(2)
+def test_both_ends_count_the_same_connections() -> None:
+    fleet = fleet_after_faults(2)
     at_routers = sum(r.pool.connections.current for r in fleet.routers)
     connecting = at_routers - sum(c.connections.current for c in fleet.caches.values())
     assert 0 <= connecting <= 4, "only what is not up yet counts at the router alone"
     assert all(len(r.pool.idle) <= r.pool.connections.current for r in fleet.routers)
 
 
-def test_a_region_that_is_cut_off_reaches_its_own() -> None:
+def test_an_isolated_region_reaches_its_own_servers() -> None:
     for everywhere in (False, True):
         fleet = Fleet(site_settings(), replace(SMALL, origin_always_reachable=everywhere), 1)
         fleet.network.isolated_regions = {2}
@@ -72,15 +72,15 @@
         assert is_reachable(outside, fleet.origin)
 
 
-def test_a_seed_gives_the_same_figures() -> None:
-    one, two, other = troubled(3), troubled(3), troubled(4)
+def test_a_seed_gives_the_same_statistics() -> None:
+    one, two, other = fleet_after_faults(3), fleet_after_faults(3), fleet_after_faults(4)
     assert one.statistics.counts == two.statistics.counts
     assert one.statistics.latencies == two.statistics.latencies
     assert one.statistics.counts != other.statistics.counts
 
 
-def test_what_a_cold_cache_received_is_set_against_its_budget() -> None:
-    fleet = troubled(5)
+def test_what_a_warming_cache_received_is_compared_with_its_budget() -> None:
+    fleet = fleet_after_faults(5)
     cache = fleet.caches["s-00000001"]
     cache.arrivals = [100.0] * 30
     use = budget_use(fleet.settings, SMALL, cache.arrivals, 99.0)
@@ -94,7 +94,7 @@
     assert warming == pytest.approx(0.66 * 8.9 / SMALL.mean_service_time)
 
 
-def test_what_a_sample_holds_is_scaled_to_the_fleet() -> None:
+def test_connections_of_a_sample_are_scaled_to_the_fleet() -> None:
     count = ConnectionCount(0.0)
     count.add(3, 1.0)
     count.add(-1, 3.0)
