--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -13,8 +13,10 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from scale_experiments.context import Lab, Sample
-from scale_experiments.fleet import SETTLED, Fleet, Model, site_settings
 from scale_experiments.scenarios.zone_loss import recovery
+from scale_experiments.simulation.fleet import Fleet
+from scale_experiments.simulation.model import FleetModel, site_settings
+from scale_experiments.simulation.statistics import SETTLING_SECONDS, CountedEvent
 
 SIZES = ("routers", "routers_run", "caches", "cores")
 METRICS = {
@@ -38,22 +40,22 @@
     demand: Annotated[float, Field(gt=1)] = 2.5  # times that of before
     surge_s: Annotated[float, Field(gt=0)] = 3.0
     warm_s: Annotated[float, Field(gt=0)] = 6.0
-    before_s: Annotated[float, Field(gt=SETTLED)] = 5.0
-    after_s: Annotated[float, Field(gt=SETTLED)] = 30.0
+    before_s: Annotated[float, Field(gt=SETTLING_SECONDS)] = 5.0
+    after_s: Annotated[float, Field(gt=SETTLING_SECONDS)] = 30.0
     skew: Annotated[float, Field(ge=0)] = 0.95
 
 
 def measure(parameters: Parameters, size: Mapping[str, float], seed: int, lab: Lab) -> Iterator[Sample]:
     """One sample: `size` has routers, how many of them are run, caches and the cores of a cache."""
     caches, cores, run = int(size["caches"]), int(size["cores"]), int(size["routers_run"])
-    plain = Model(run, caches, 1.0)
-    rate = plain.rate_at(parameters.use_share, cores)
-    model = Model(
+    plain = FleetModel(run, caches, 1.0)
+    rate = plain.rate_at_utilization(parameters.use_share, cores)
+    model = FleetModel(
         routers=int(size["routers"]),
-        sampled=run,
+        routers_sampled=run,
         caches=caches,
         requests_per_s=rate / run,
-        skew=parameters.skew,
+        zipf_exponent=parameters.skew,
         cores=cores,
         zones=3,
     )
@@ -63,29 +65,29 @@
     fleet.reset()
     if not fleet.run(parameters.before_s, lab.expired):
         return
-    metrics = {"requests_per_s": rate, "before_served_share": fleet.served_share()}
+    metrics = {"requests_per_s": rate, "before_served_share": fleet.statistics.served_share()}
     lab.progress("surge")
     fleet.reset()
-    fleet.demand = parameters.demand
+    fleet.clients.demand = parameters.demand
     if not fleet.run(parameters.surge_s, lab.expired):
         return
-    counts = fleet.counts
-    metrics["surge_served_share"] = counts["served"] / max(1, counts["wishes"])
+    counts = fleet.statistics.counts
+    metrics["surge_served_share"] = counts[CountedEvent.SERVED] / max(1, counts[CountedEvent.CLIENT_REQUEST])
     lab.progress("after the surge")
     fleet.reset()
-    fleet.demand = 1.0
+    fleet.clients.demand = 1.0
     if not fleet.run(parameters.after_s, lab.expired):
         return
-    counts = fleet.counts
-    taken = max(1, counts["requests"])
+    counts = fleet.statistics.counts
+    requests = max(1, counts[CountedEvent.REQUEST])
     received = sum(c.received for c in fleet.caches.values())
     yield Sample(
         {
             **metrics,
-            "after_served_share": fleet.served_share(),
-            "recovery_s": recovery(fleet.served_by_second()),
-            "refused_per_request": counts["refused"] / taken,
-            "attempts_per_request": counts["attempts"] / taken,
-            "cache_use_share": received * plain.mean_service / (caches * cores * parameters.after_s),
+            "after_served_share": fleet.statistics.served_share(),
+            "recovery_s": recovery(fleet.statistics.served_by_second()),
+            "refused_per_request": counts[CountedEvent.REJECTED] / requests,
+            "attempts_per_request": counts[CountedEvent.ATTEMPT] / requests,
+            "cache_use_share": received * plain.mean_service_time / (caches * cores * parameters.after_s),
         }
     )
--- a/scale_experiments/scenarios/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -15,7 +15,9 @@
 
 from cache_router.endpoint import EndpointState
 from scale_experiments.context import Lab, Sample
-from scale_experiments.fleet import SETTLED, Fleet, Model, site_settings
+from scale_experiments.simulation.fleet import Fleet
+from scale_experiments.simulation.model import FleetModel, site_settings
+from scale_experiments.simulation.statistics import SETTLING_SECONDS, CountedEvent
 
 SIZES = ("routers", "caches", "cores")
 GOOD = 0.95  # of the requests of a second, served: then it counts as served again
@@ -62,8 +64,8 @@
     origin_headroom: Annotated[float, Field(gt=0)] = 2.0  # over what it is asked for at a hit share of 0.9
     tries: Annotated[int, Field(ge=1, le=10)] = 3  # of a client
     warm_s: Annotated[float, Field(gt=0)] = 8.0
-    before_s: Annotated[float, Field(gt=SETTLED)] = 6.0
-    lost_s: Annotated[float, Field(gt=SETTLED)] = 15.0
+    before_s: Annotated[float, Field(gt=SETTLING_SECONDS)] = 6.0
+    lost_s: Annotated[float, Field(gt=SETTLING_SECONDS)] = 15.0
     notice_s: Annotated[tuple[float, float], Field()] = (5.3, 1.0)  # of a silent loss, and its spread
     back_notice_s: Annotated[tuple[float, float], Field()] = (1.5, 0.6)
 
@@ -71,21 +73,21 @@
 def fleet_of(parameters: Parameters, size: Mapping[str, float], seed: int) -> Fleet:
     """The fleet at rest."""
     routers, caches, cores = int(size["routers"]), int(size["caches"]), int(size["cores"])
-    plain = Model(routers, caches, 1.0)
-    rate = plain.rate_at(parameters.use_share, cores)
-    model = Model(
+    plain = FleetModel(routers, caches, 1.0)
+    rate = plain.rate_at_utilization(parameters.use_share, cores)
+    model = FleetModel(
         routers=int(size.get("told", routers)),
-        sampled=routers,
+        routers_sampled=routers,
         caches=caches,
         requests_per_s=rate / routers,
         zones=parameters.zones,
         regions=parameters.regions,
         objects=parameters.objects_per_cache * caches,
-        skew=parameters.skew,
-        kept=parameters.kept,
+        zipf_exponent=parameters.skew,
+        cached_objects=parameters.kept,
         cores=cores,
-        tries=parameters.tries,
-        origin_everywhere=parameters.origin_everywhere,
+        client_attempts=parameters.tries,
+        origin_always_reachable=parameters.origin_everywhere,
         origin_cores=plain.origin_cores_for(rate, parameters.origin_headroom),
     )
     return Fleet(site_settings(), model, seed)
@@ -96,8 +98,8 @@
     zone = 1 % parameters.zones
     region = zone % parameters.regions
     if parameters.lost in ("region", "cut"):
-        return [name for name, c in fleet.caches.items() if c.region == region]
-    names = [name for name, c in fleet.caches.items() if c.zone == zone]
+        return [name for name, c in fleet.caches.items() if c.location.region == region]
+    names = [name for name, c in fleet.caches.items() if c.location.zone == zone]
     return names[: parameters.rack] if parameters.lost == "rack" else names
 
 
@@ -106,8 +108,9 @@
     return float(max((i + 1 for i, share in enumerate(seconds) if share < GOOD), default=0))
 
 
-def per_request(fleet: Fleet, what: str) -> float:
-    return fleet.counts[what] / max(1, fleet.counts["requests"])
+def per_request(fleet: Fleet, event: CountedEvent) -> float:
+    """How often an event was counted for each request accepted, since the last reset."""
+    return fleet.statistics.counts[event] / max(1, fleet.statistics.counts[CountedEvent.REQUEST])
 
 
 def measure(parameters: Parameters, size: Mapping[str, float], seed: int, lab: Lab) -> Iterator[Sample]:
@@ -115,68 +118,70 @@
     fleet = fleet_of(parameters, size, seed)
     names = members(fleet, parameters)
     cut = parameters.lost == "cut"
-    region = fleet.caches[names[0]].region
-    fleet.watched = {region}
+    region = fleet.caches[names[0]].location.region
+    fleet.statistics.watched_regions = {region}
     if not fleet.run(parameters.warm_s, lab.expired):
         return
     fleet.reset()
     if not fleet.run(parameters.before_s, lab.expired):
         return
-    origin_before = fleet.counts["origin"] / parameters.before_s
+    origin_before = fleet.statistics.counts[CountedEvent.ORIGIN_ATTEMPT] / parameters.before_s
     metrics = {
-        "requests_per_s": fleet.model.requests_per_s * fleet.model.run,
+        "requests_per_s": fleet.model.requests_per_s * fleet.model.routers_run,
         "caches_lost": float(len(fleet.caches) - len(names) if cut else len(names)),
-        "before_served_share": fleet.served_share(),
-        "before_dials_per_request": per_request(fleet, "dials"),
-        "before_attempts_per_request": per_request(fleet, "attempts"),
+        "before_served_share": fleet.statistics.served_share(),
+        "before_dials_per_request": per_request(fleet, CountedEvent.CONNECT),
+        "before_attempts_per_request": per_request(fleet, CountedEvent.ATTEMPT),
     }
 
     lab.progress("lost")
     fleet.reset()
     if cut:
-        fleet.cut = {region}
+        fleet.network.isolated_regions = {region}
     else:
-        fleet.lose(names)
-        fleet.tell_all(names, EndpointState.REMOVED, *parameters.notice_s)
+        fleet.fail_servers(names)
+        fleet.notify_all(names, EndpointState.REMOVED, *parameters.notice_s)
     if not fleet.run(parameters.lost_s, lab.expired):
         return
     metrics |= {f"lost_{name}": value for name, value in aftermath(fleet, origin_before).items()}
-    metrics["lost_dials_failed_per_request"] = per_request(fleet, "dials_failed")
-    metrics["lost_tries_per_wish"] = fleet.counts["requests"] / max(1, fleet.counts["wishes"])
-    metrics["apart_served_share"] = fleet.served_share("watched_served", "watched_wishes")
-    apart = max(1, fleet.counts["watched_requests"])
-    metrics["apart_refused_per_request"] = fleet.counts["watched_refused"] / apart
+    metrics["lost_dials_failed_per_request"] = per_request(fleet, CountedEvent.CONNECT_FAILED)
+    counts = fleet.statistics.counts
+    client_requests = max(1, counts[CountedEvent.CLIENT_REQUEST])
+    metrics["lost_tries_per_wish"] = counts[CountedEvent.REQUEST] / client_requests
+    metrics["apart_served_share"] = fleet.statistics.watched_served_share()
+    apart = fleet.statistics.watched.totals
+    apart_requests = max(1, apart[CountedEvent.REQUEST])
+    metrics["apart_refused_per_request"] = apart[CountedEvent.REJECTED] / apart_requests
 
     lab.progress("back")
     fleet.reset()
     if cut:
-        fleet.cut = set()
+        fleet.network.isolated_regions = set()
     else:
-        fleet.give_back(names)
+        fleet.restore_servers(names)
         for name in names:
             fleet.caches[name].arrivals = []
-        fleet.tell_all(names, EndpointState.READY, *parameters.back_notice_s)
-    settings = fleet.settings
-    if not fleet.run(settings.slow_start_duration + sum(parameters.back_notice_s) + SETTLED, lab.expired):
+        fleet.notify_all(names, EndpointState.READY, *parameters.back_notice_s)
+    ramp = fleet.settings.slow_start_duration + sum(parameters.back_notice_s) + SETTLING_SECONDS
+    if not fleet.run(ramp, lab.expired):
         return
     metrics |= {f"back_{name}": value for name, value in aftermath(fleet, origin_before).items()}
-    metrics["back_budget_slack_share"] = max(
-        fleet.overload(
-            fleet.caches[n], fleet.counted_from, settings.overload_window, settings.overload_multiple
-        )[1]
-        for n in names
-    )
+    uses = [fleet.budget_use(fleet.caches[name]) for name in names]
+    metrics["back_budget_slack_share"] = max(use.with_slack for use in uses)
     yield Sample(metrics)
 
 
 def aftermath(fleet: Fleet, origin_before: float) -> dict[str, float]:
     """What has become of the requests since the last reset."""
-    seconds = fleet.served_by_second()
+    statistics = fleet.statistics
+    shares = statistics.served_by_second()
+    seconds = fleet.events.now - statistics.counted_from
+    origin_rate = statistics.counts[CountedEvent.ORIGIN_ATTEMPT] / seconds
     return {
-        "served_share": fleet.served_share(),
-        "worst_served_share": min(seconds, default=1.0),
-        "recovery_s": recovery(seconds),
-        "dials_per_request": per_request(fleet, "dials"),
-        "attempts_per_request": per_request(fleet, "attempts"),
-        "origin_ratio": fleet.counts["origin"] / (fleet.now - fleet.counted_from) / max(1e-9, origin_before),
+        "served_share": statistics.served_share(),
+        "worst_served_share": min(shares, default=1.0),
+        "recovery_s": recovery(shares),
+        "dials_per_request": per_request(fleet, CountedEvent.CONNECT),
+        "attempts_per_request": per_request(fleet, CountedEvent.ATTEMPT),
+        "origin_ratio": origin_rate / max(1e-9, origin_before),
     }
--- /dev/null
+++ b/scale_experiments/simulation/fleet.py
@@ -0,0 +1,149 @@
+"""A fleet of routers in front of modelled cache servers, on a simulated clock.
+
+Each router has a decision module of its own, `cache_router.decisions.router.Router`, that learns only its own
+events. What it asks for is done by the rules of `network_rules`.
+
+A large fleet is simulated by a sample of its routers: `FleetModel.routers` is the count that each decision
+module is configured with, `FleetModel.routers_sampled` of them are run, and the cores and connection limits
+of the cache servers hold for the sample. What is counted at a cache server is then of the sample, and
+`FleetModel.scale` times as much of the fleet. A mean scales linearly; a spread does not, see
+`ConnectionCount.percentile_99`.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Iterable, Sequence
+from dataclasses import replace
+
+from cache_router.endpoint import Endpoint, EndpointState
+from cache_router.settings import Settings
+from scale_experiments.simulation.cache_server import CacheServer
+from scale_experiments.simulation.clients import Clients, key_of
+from scale_experiments.simulation.context import SimulationContext
+from scale_experiments.simulation.event_queue import EventQueue, never
+from scale_experiments.simulation.key_placement import place_keys
+from scale_experiments.simulation.model import START, FleetModel
+from scale_experiments.simulation.network import Network
+from scale_experiments.simulation.origin import Origin
+from scale_experiments.simulation.router import SimulatedRouter
+from scale_experiments.simulation.slow_start import BudgetUse, budget_use
+from scale_experiments.simulation.statistics import DecisionTimer, FleetStatistics
+
+
+class Fleet:
+    """The simulation. `run` lets time pass; what happens since `reset` is in `statistics`."""
+
+    def __init__(self, settings: Settings, model: FleetModel, seed: int) -> None:
+        self.model = model
+        self.settings = replace(settings, router_count=model.routers)
+        self.events = EventQueue(START)
+        self.random = random.Random(seed)
+        self.network = Network(model.one_way_latency)
+        self.statistics = FleetStatistics(self.events)
+        self.decision_timer = DecisionTimer()
+        self._context = SimulationContext(
+            self.settings, model, self.random, self.events, self.network, self.statistics, self.decision_timer
+        )
+        caches = (CacheServer(self._context, i) for i in range(model.caches))
+        self.caches = {cache.name: cache for cache in caches}
+        self.origin = Origin(self._context, self.caches)
+        self.routers: list[SimulatedRouter] = []
+        self.clients = Clients(self._context, seed, self.routers)
+        endpoints = self.endpoints()
+        for i in range(model.routers_run):
+            self.routers.append(self._start_router(i, endpoints))
+        for router in self.routers:
+            self.clients.start(router)
+        if model.cached_objects:
+            self._preload_caches()
+
+    def _start_router(self, index: int, endpoints: Sequence[Endpoint]) -> SimulatedRouter:
+        router = SimulatedRouter(self._context, index, self.caches, self.origin, self.clients.retry)
+        router.start(endpoints)
+        return router
+
+    def _preload_caches(self) -> None:
+        """Fill each cache server with the most popular of the keys that a router would send it."""
+        capacity, full = self.model.cached_objects, 0
+        most_keys = 2 * capacity * self.model.caches
+        keys = [key_of(rank) for rank in range(min(self.model.objects, most_keys))]
+        endpoints = [cache.endpoint for cache in self.caches.values()]
+        for key, server in zip(keys, place_keys(self.settings, endpoints, keys), strict=False):
+            cache = self.caches[server]
+            if len(cache.cached_keys) < capacity:
+                cache.preload(key)
+                full += len(cache.cached_keys) == capacity
+            if full == len(self.caches):
+                break
+
+    def endpoints(self) -> tuple[Endpoint, ...]:
+        """The endpoint list as it is now: all cache servers, then the origin."""
+        return tuple(server.endpoint for server in [*self.caches.values(), self.origin])
+
+    # Time and statistics
+
+    def run(self, seconds: float, should_stop: Callable[[], bool] = never) -> bool:
+        """Let simulated time pass; return whether all of it did. `should_stop` is called now and then."""
+        return self.events.run(seconds, should_stop)
+
+    def reset(self) -> None:
+        """Count from now on."""
+        self.statistics.reset()
+        for cache in self.caches.values():
+            cache.reset_statistics()
+        for router in self.routers:
+            router.pool.connections.reset(self.events.now)
+
+    def watch_servers_used(self, span: float) -> None:
+        """Count, for each span of `span` seconds from now on, the cache servers that each router sends to."""
+        for router in self.routers:
+            router.attempts.servers_used.clear()
+        self.events.schedule(span, self._record_servers_used, span)
+
+    def _record_servers_used(self, span: float) -> None:
+        self.statistics.servers_used.extend(len(router.attempts.servers_used) for router in self.routers)
+        self.watch_servers_used(span)
+
+    def budget_use(self, cache: CacheServer) -> BudgetUse:
+        """How much of its slow start's budget a cache server was sent since the last reset.
+
+        It must have started then, with its arrivals recorded since.
+        """
+        started_at = self.statistics.counted_from
+        return budget_use(self.settings, self.model, cache.arrivals or (), started_at)
+
+    # Faults
+
+    def fail_servers(self, names: Iterable[str], *, is_silent: bool = True) -> None:
+        """Let cache servers vanish; where not silent, only their processes, so that connects are refused."""
+        for name in names:
+            self.caches[name].fail(is_silent=is_silent)
+
+    def restore_servers(self, names: Iterable[str]) -> None:
+        """Start cache servers again, with empty caches and the capacity of a slow start."""
+        for name in names:
+            self.caches[name].restart()
+
+    def notify_all(self, names: Iterable[str], state: EndpointState, delay: float, spread: float) -> None:
+        """Notify each router of cache servers' state after `delay` and its own share of `spread` seconds."""
+        endpoints = tuple(replace(self.caches[name].endpoint, state=state) for name in names)
+        for router in self.routers:
+            after = delay + self.random.uniform(0, spread)
+            self.events.schedule(after, router.update_endpoints, endpoints)
+
+    def restart_routers(self, routers: Iterable[SimulatedRouter], delay: float, spread: float) -> None:
+        """Replace each of the routers after `delay` and its own share of `spread` seconds.
+
+        The new ones know the endpoint list as it is now; clients repeat what the old ones had not answered.
+        """
+        endpoints = self.endpoints()
+        for router in routers:
+            after = delay + self.random.uniform(0, spread)
+            self.events.schedule(after, self._replace_router, router, endpoints)
+
+    def _replace_router(self, router: SimulatedRouter, endpoints: Sequence[Endpoint]) -> None:
+        router.stop()
+        new = self._start_router(router.index, endpoints)
+        self.routers[router.index] = new
+        self.clients.start(new)
