--- /dev/null
+++ b/tests/event_order.py
@@ -0,0 +1,55 @@
+"""Helpers that force an order of events on loopback, or wait for one."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Any
+
+import pytest
+
+from cache_router.net.upstream_connection import AttemptInFlight, UpstreamConnection
+from tests.loopback import Link, Peer, Router
+
+
+class DelayedConnections:
+    """Delays the establishment of connections to some peers until `up` is set."""
+
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, *peers: Peer) -> None:
+        self.up = asyncio.Event()
+        ports = {int(p.address.rpartition(":")[2]) for p in peers}
+        connect = asyncio.base_events.BaseEventLoop.create_connection
+
+        async def late(loop: Any, factory: Any, host: Any = None, port: Any = None, **others: Any) -> Any:
+            made = await connect(loop, factory, host, port, **others)
+            if port in ports:
+                await self.up.wait()
+            return made
+
+        monkeypatch.setattr(asyncio.base_events.BaseEventLoop, "create_connection", late)
+
+
+def record_written_requests(monkeypatch: pytest.MonkeyPatch) -> list[str]:
+    """Return a list to which the id of each request is appended when the router writes it to a server."""
+    names: list[str] = []
+    begin = UpstreamConnection.begin
+
+    def noted(connection: UpstreamConnection, exchange: AttemptInFlight) -> None:
+        names.append(exchange.command.request_id.decode())
+        begin(connection, exchange)
+
+    monkeypatch.setattr(UpstreamConnection, "begin", noted)
+    return names
+
+
+async def wait_until(holds: Callable[[], object]) -> None:
+    """Run the event loop until a condition holds that only the router's own work brings about."""
+    while not holds():
+        await asyncio.sleep(0)
+
+
+async def first_connection(router: Router) -> tuple[str, Link]:
+    """Return the name of the cache server that is connected to first, and its connection."""
+    await wait_until(lambda: any(not p.links.empty() for p in router.caches.values()))
+    (name,) = (n for n, p in router.caches.items() if not p.links.empty())
+    return name, await router.caches[name].link()
--- /dev/null
+++ b/tests/test_late_connections.py
@@ -0,0 +1,114 @@
+"""Connections to servers that are established late, over loopback."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import replace
+
+import pytest
+
+from cache_router.decisions.events import EndpointUpdateKind
+from cache_router.endpoint import EndpointState
+from tests.event_order import DelayedConnections, first_connection, record_written_requests, wait_until
+from tests.loopback import BOOK, HIT, READ, SETTINGS, Router, book, http, read, run
+
+
+@pytest.mark.parametrize("news", ["draining", "gone", "restarted"])
+def test_connection_established_after_a_drain_notice_is_not_written_to(
+    news: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Established later than the drain grace period allows, it wrote to a server known to be draining."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            dials = DelayedConnections(monkeypatch, *router.caches.values())
+            client = await router.client()
+            client.write(read("r1"))
+            name, link = await first_connection(router)
+            member = router.host.endpoints[name]
+            told = {
+                "draining": replace(member.entry, state=EndpointState.DRAINING),
+                "gone": replace(member.entry, state=EndpointState.REMOVED),
+                "restarted": replace(member.entry, started_at=9.0),
+            }
+            router.host.on_endpoint_update(EndpointUpdateKind.DELTA, [replace(member, entry=told[news])])
+            dials.up.set()
+            assert await link.ended()  # and never a byte
+            if news == "restarted":
+                served = await router.cache()  # it may well be the one that is new there
+            else:
+                served = await next(p for n, p in router.caches.items() if n != name).link()
+            assert (await served.resp())[2] == b"r1"
+            served.write(HIT)
+            assert await client.resp() == b"value"
+
+    run(scenario)
+
+
+def test_attempt_carries_the_time_left_when_it_is_written(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Computed before connecting, it let a server work long after the client's deadline."""
+
+    async def scenario() -> None:
+        loop = asyncio.get_running_loop()
+        async with Router() as router:
+            dials = DelayedConnections(monkeypatch, *router.caches.values())
+            client = await router.client()
+            sent_at = loop.time()
+            client.write(read("r1"))
+            _, link = await first_connection(router)
+            await asyncio.sleep(0.3)
+            dialled = loop.time() - sent_at
+            dials.up.set()
+            info = (await link.resp())[3].decode()
+            told = int(dict(pair.split("=") for pair in info.split(","))["d"]) / 1000
+            assert 0 < told <= 2.0 - dialled + 0.001
+            link.write(HIT)
+            assert await client.resp() == b"value"
+
+    run(scenario)
+
+
+@pytest.mark.parametrize("may_cancel", [True, False])
+def test_connection_established_after_its_client_disconnected_is_not_written_to(
+    may_cancel: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def scenario() -> None:
+        async with Router(replace(SETTINGS, cancellation_allowed=may_cancel)) as router:
+            written = record_written_requests(monkeypatch)
+            dials = DelayedConnections(monkeypatch, *router.caches.values())
+            client = await router.client()
+            client.write(read("r1"))
+            await first_connection(router)
+            client.close()
+            await wait_until(lambda: not router.listener.connections)
+            dials.up.set()
+            await wait_until(lambda: not router.servers.connecting)
+            assert not written and not router.host.router.pending
+
+    run(scenario)
+
+
+@pytest.mark.parametrize(("window", "again"), [(0.9, False), (60.0, True)])
+def test_keyed_write_is_not_retried_if_it_may_be_written_after_the_idempotency_window(
+    window: float, again: bool
+) -> None:
+    """Servers recognize a retry only within the window; connecting may take a second here."""
+
+    async def scenario() -> None:
+        kinds = {"read": READ, "book": replace(BOOK, idempotency_window=window)}
+        async with Router(replace(SETTINGS, classes=kinds, connect_timeout=1.0)) as router:
+            client = await router.client()
+            client.write(book("r1"))
+            origin = await router.origin.link()
+            await origin.http()  # whole: it may have run
+            origin.reset()
+            if again:
+                origin = await router.origin.link()
+                await origin.http()
+                origin.write(http("200 OK", b"receipt"))
+                assert await client.resp() == b"receipt"
+            else:
+                assert str(await client.resp()).startswith("BUSY")
+                assert router.origin.links.empty() and not router.origins.connecting
+
+    run(scenario)
--- /dev/null
+++ b/tests/test_shutdown.py
@@ -0,0 +1,150 @@
+"""Graceful shutdown over loopback: what is still owed when the router ends."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+from dataclasses import replace
+from pathlib import Path
+
+import hiredis
+import pytest
+
+from cache_router.net import client_connection_table
+from tests.event_order import wait_until
+from tests.loopback import BOOK, HIT, MISS, PATIENCE, READ, SETTINGS, Link, Peer, Router, http, read, run
+from tests.test_main import config_with_cache, connected_client, listen_address, router_process
+from tests.test_net_discovery import message
+
+
+@pytest.mark.parametrize("wait", ["server", "origin", "place"])
+def test_every_request_is_answered_before_the_kill_deadline(wait: str) -> None:
+    """With a fixed shutdown time, requests at servers that hang were unanswered at SIGKILL."""
+
+    async def scenario() -> None:
+        kind = replace(READ, latency_objective=600.0, client_timeout=0.01)
+        async with Router(replace(SETTINGS, classes={"read": kind, "book": BOOK})) as router:
+            client = await router.client()
+            info = "c=read,t=x,d=600000"
+            if wait == "place":
+                origin = router.host.router.endpoints.origins[0].concurrency
+                origin.limit = origin.in_flight  # no capacity there, and none is freed
+            client.write(read("r1", info=info))
+            cache = await router.cache()
+            await cache.resp()
+            if wait != "server":
+                cache.write(MISS)
+            if wait == "origin":
+                await (await router.origin.link()).http()
+            if wait == "place":
+                await wait_until(lambda: any(h.is_queued for h in router.host.router.pending.values()))
+            router.host.start_shutdown(0.05)
+            assert isinstance(await client.resp(), hiredis.ReplyError)
+            client.write(read("r2", info=info))  # and what comes after that, at once
+            assert str(await client.resp()).startswith("BUSY")
+            await wait_until(lambda: not router.host.requests)
+
+    run(scenario)
+
+
+def test_shutdown_time_follows_from_the_longest_client_timeout(tmp_path: Path) -> None:
+    """The request at a server that hangs would be cut off at the end of the process, or by SIGKILL."""
+
+    async def scenario() -> None:
+        async with Peer() as cache, Peer() as agent:
+            config = config_with_cache(cache, agent, "automatic")
+            classes = [{**row, "giveUp": 0.2, "aim": 0.2} for row in config["settings"]["classes"]]
+            config["settings"]["classes"] = classes
+            async with router_process(config, tmp_path / "config.json") as process:
+                watch = await agent.link()
+                await watch.http()
+                watch.write(http("200 OK", message(2, False)))
+                client = await connected_client(await listen_address(process.stderr))
+                client.write(read("r1", info="c=read,t=t,d=600000"))
+                await (await cache.link()).resp()
+                process.send_signal(signal.SIGTERM)
+                assert isinstance(await client.resp(), hiredis.ReplyError)
+                assert await process.wait() == 0
+
+    run(scenario)
+
+
+def test_client_in_the_backlog_at_shutdown_is_served() -> None:
+    """The kernel has accepted it and its request: closing the listening socket would reset both."""
+
+    async def scenario() -> None:
+        async with Router(clients=1) as router:
+            first, cache = await router.begun()
+            second = await router.client()
+            await wait_until(lambda: len(router.listener.connections) == 2)  # one too many, and none to evict
+            second.write(read("r2"))
+            third = await router.client()
+            third.write(read("r3"))
+            served = await router.cache()
+            assert (await served.resp())[2] == b"r2"
+            ending = asyncio.create_task(router.listener.stop(0.0, PATIENCE))
+            await wait_until(lambda: router.listener.connections.draining)
+            cache.write(HIT)
+            served.write(HIT)
+            assert await first.resp() == await second.resp() == b"value"
+            assert await first.ended() and await second.ended()
+            last = await next_request(router, cache, served)
+            last.write(HIT)
+            assert await third.resp() == b"value"
+            assert await third.ended()
+            await ending
+
+    run(scenario)
+
+
+async def next_request(router: Router, *links: Link) -> Link:
+    """Return the connection, old or new, on which the next request comes."""
+    waits = {asyncio.ensure_future(link.resp()): link for link in links}
+    fresh = asyncio.ensure_future(router.cache())
+    done, rest = await asyncio.wait([*waits, fresh], return_when=asyncio.FIRST_COMPLETED)
+    for wait in rest:
+        wait.cancel()
+    if fresh not in done:
+        return waits[done.pop()]
+    await fresh.result().resp()
+    return fresh.result()
+
+
+def test_client_just_accepted_at_shutdown_may_send_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Closed without a reply it would count as refused, and many of them as lost."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            client = await router.client()
+            await wait_until(lambda: router.listener.connections.awaiting_command)
+            monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", PATIENCE)
+            ending = asyncio.create_task(router.listener.stop(0.0, PATIENCE))
+            await wait_until(lambda: router.listener.socket.fileno() < 0)
+            client.write(read("r1"))
+            cache = await router.cache()
+            await cache.resp()
+            cache.write(HIT)
+            assert await client.resp() == b"value"
+            assert await client.ended()
+            await ending
+
+    run(scenario)
+
+
+def test_last_reply_while_draining_closes_its_connection() -> None:
+    """Left open any longer, the client would send its next request to a process that ends."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            client, cache = await router.begun()
+            (connection,) = router.listener.connections
+            ending = asyncio.create_task(router.listener.stop(0.0, PATIENCE))
+            await wait_until(lambda: router.listener.connections.draining)
+            router.host.requests.respond("r1", b"-ERR failed\r\n")
+            assert connection.transport.is_closing()
+            assert isinstance(await client.resp(), hiredis.ReplyError)
+            assert await client.ended()
+            await ending
+            del cache
+
+    run(scenario)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -27,8 +27,8 @@
 from cache_router.net.dispatcher import Dispatcher
 from cache_router.net.endpoint_list_reader import read_endpoint_list
 from cache_router.net.origin_connection import OriginConnection
+from tests.event_order import DelayedConnections, first_connection, record_written_requests, wait_until
 from tests.loopback import HIT, MISS, Link, Peer, Router, book, command, http, read, run, spelled
-from tests.test_endings import Dials, first_dial, requests_written, until
 from tests.test_main import VALID_CONFIG, config_with_cache, connected_client, listen_address, router_process
 from tests.test_net_discovery import LINE, message
 from tests.upstream_attempts import GET
@@ -60,14 +60,14 @@
         made = router.listener.connections
         return [c for c in made if c.transport.get_extra_info("peername") == name]
 
-    await until(found)
+    await wait_until(found)
     return found()[0]
 
 
 async def settled(router: Router) -> None:
     """Nothing is out and nothing is held, so that no attempt can follow."""
     host = router.host
-    await until(lambda: not (host.requests or router.servers.connecting or router.origins.connecting))
+    await wait_until(lambda: not (host.requests or router.servers.connecting or router.origins.connecting))
     assert not host.router.pending and not host.router.attempts
 
 
@@ -106,7 +106,7 @@
         async with Router(clients=1 if why == "backlog" else 16) as router:
             router.list("a")
             usual, cache = await router.client(), (await warm(router))["a"]
-            written = requests_written(monkeypatch)
+            written = record_written_requests(monkeypatch)
             if why == "backlog":
                 usual.write(read("u1"))
                 assert (await cache.resp())[2] == b"u1"
@@ -133,7 +133,7 @@
                     assert (await cache.resp())[2] == b"r0"
                 elif why == "error":
                     client.sendall(command("GET", "k"))
-                    await until(lambda: connection.throttled)
+                    await wait_until(lambda: connection.throttled)
                 elif why == "slow":
                     connection.pause_writing()
                 client.sendall(read("r1"))
@@ -144,7 +144,7 @@
                     connection._end_throttling()
                 elif why == "slow":
                     connection.resume_writing()
-                await until(lambda: connection not in router.listener.connections)
+                await wait_until(lambda: connection not in router.listener.connections)
             client.close()
             await settled(router)
             assert "r1" not in written
@@ -163,15 +163,15 @@
         async with Router() as router:
             links = await warm(router)
             origin = links["o"]
-            written = requests_written(monkeypatch)
-            dials = Dials(monkeypatch, *router.caches.values())
+            written = record_written_requests(monkeypatch)
+            dials = DelayedConnections(monkeypatch, *router.caches.values())
             client = plain_client(router)
             await accepted(router, client)
             if why == "dial":
                 for idle in list(router.servers.idle):
                     idle.abort()
                 client.sendall(read("r1"))
-                await first_dial(router)
+                await first_connection(router)
                 leave(client, how)
                 dials.up.set()
             elif why == "refused write":
--- /dev/null
+++ b/tests/test_upstream_responses.py
@@ -0,0 +1,72 @@
+"""Responses of servers that come in an unusual order, over loopback."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from cache_router.net import upstream_connection
+from cache_router.net.origin_connection import OriginConnection
+from tests.loopback import HIT, Router, book, http, read, run
+
+
+def test_late_second_response_is_not_taken_for_another_request() -> None:
+    """On a connection reused at once it came after the next request, and was served as its value."""
+
+    async def scenario() -> None:
+        async with Router(rest=60.0) as router:
+            client, first = await router.begun()
+            first.write(HIT)
+            assert await client.resp() == b"value"
+            client.write(read("r2"))
+            second = await router.cache()  # made anew
+            assert (await second.resp())[2] == b"r2"
+            first.write(HIT.replace(b"value", b"stale"))
+            assert await first.ended()
+            second.write(HIT.replace(b"value", b"fresh"))
+            assert await client.resp() == b"fresh"
+
+    run(scenario)
+
+
+def test_connection_is_reused_after_the_reuse_delay() -> None:
+    async def scenario() -> None:
+        async with Router(rest=0.0) as router:
+            client, cache = await router.begun()
+            cache.write(HIT)
+            assert await client.resp() == b"value"
+            client.write(read("r2"))
+            assert (await cache.resp())[2] == b"r2"
+
+    run(scenario)
+
+
+def test_informational_response_does_not_start_the_completion_timeout(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The origin sends `100 Continue` at once and its response when its work is done."""
+
+    async def scenario() -> None:
+        monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_TIMEOUT", 0.0)
+        came = asyncio.Event()
+        take = OriginConnection.data_received
+
+        def noted(connection: OriginConnection, data: bytes) -> None:
+            take(connection, data)
+            came.set()
+
+        monkeypatch.setattr(OriginConnection, "data_received", noted)
+        async with Router() as router:
+            client = await router.client()
+            client.write(book("r1"))
+            origin = await router.origin.link()
+            await origin.http()
+            origin.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+            await came.wait()
+            for _ in range(5):  # a timer of no time is over
+                await asyncio.sleep(0)
+            origin.write(http("200 OK", b"receipt"))
+            assert await client.resp() == b"receipt"
+
+    run(scenario)
--- /dev/null
+++ b/tests/test_watch_failures.py
@@ -0,0 +1,82 @@
+"""Watches of discovery that fail, over loopback."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import Any
+
+import pytest
+
+from cache_router.settings import WatchBudget
+from tests.loopback import HIT, SETTINGS, Link, Peer, Router, http, read, run
+from tests.test_net_discovery import LINE, message
+
+PUSHED = replace(
+    SETTINGS, must_subscribe=False, drain_grace_period=0.5, overload_window=60.0, slow_start_duration=60.0
+)
+
+
+def list_entry(name: str, peer: Peer, status: str = "in_service") -> dict[str, Any]:
+    return {**LINE, "name": name, "address": peer.address, "type": "std", "status": status, "since_ms": 0}
+
+
+async def next_poll(agent: Peer) -> Link:
+    """Accept the next poll of the endpoint list."""
+    link = await agent.link()
+    await link.http()
+    return link
+
+
+@pytest.mark.parametrize("end", ["silent", "reset", "spoilt"])
+def test_failed_watch_is_reopened_before_the_drain_deadline(end: str) -> None:
+    """The exponential backoff would last 30 s and more, while discovery was notified of a drain long ago."""
+
+    brief = WatchBudget(
+        response_timeout=0.02, max_backoff=0.0, scheduling_slack=0.0, notification_deadline=0.06
+    )
+
+    async def scenario() -> None:
+        async with Peer() as agent, Router(PUSHED) as router:
+            router.watch(agent, budget=brief)
+            for _ in range(3):  # in a row
+                link = await next_poll(agent)
+                if end == "reset":
+                    link.reset()
+                elif end == "spoilt":
+                    link.write(http("200 OK", b"{"))
+            link = await next_poll(agent)
+            assert router.discovery is not None
+            router.discovery.budget = PUSHED.watch_budget
+            link.write(http("200 OK", message(2, False, list_entry("a", router.caches["a"], "terminating"))))
+            await next_poll(agent)  # a long poll, in flight from now on
+            client = await router.client()
+            for n in range(8):
+                client.write(read(f"r{n}", f"k{n}"))
+                await router.caches["b"].serve(HIT)
+                assert await client.resp() == b"value"
+            assert router.caches["a"].links.empty()
+
+    run(scenario)
+
+
+def test_first_poll_of_a_new_address_times_out_without_its_wait() -> None:
+    """A new address has 4 s after SIGHUP to notify the router: a lost first poll must not take five."""
+
+    async def scenario() -> None:
+        async with Peer() as old, Peer() as new, Router(PUSHED) as router:
+            router.watch(
+                old, pushed=True, budget=WatchBudget(response_timeout=0.02, notification_deadline=600.0)
+            )
+            await next_poll(old)  # at the start
+            await next_poll(old)
+            assert router.discovery is not None
+            router.discovery.change_address(new.address)
+            router.host.on_discovery_address_changed()
+            router.discovery.subscribe()
+            await next_poll(new)  # and lost
+            link = await next_poll(new)
+            link.write(http("200 OK", message(2, True, list_entry("b", router.caches["b"]))))
+            await next_poll(new)
+            assert list(router.host.endpoints) == ["b"]
+
+    run(scenario)
