--- /dev/null
+++ b/tests/endpoint_lists.py
@@ -0,0 +1,49 @@
+"""Endpoint lists as discovery sends them, and a watch that records what it receives."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+import orjson
+
+from cache_router.decisions.events import EndpointUpdateKind
+from cache_router.net.discovery import Discovery
+from cache_router.net.endpoint_table import NetworkEndpoint
+from cache_router.settings import WatchBudget
+from tests.loopback import Link, Peer
+
+LINE: dict[str, Any] = {
+    "name": "s-1",
+    "address": "127.0.0.9:6379",
+    "zone": "a",
+    "type": "m2",
+    "group": 3,
+    "status": "in_service",
+    "weight": 1.5,
+    "since_ms": 1_790_000_000_250,
+}
+
+
+def message(index: int, is_snapshot: bool, *lines: dict[str, Any]) -> bytes:
+    return orjson.dumps({"index": index, "snapshot": is_snapshot, "endpoints": lines})
+
+
+class WatchRecorder:
+    """What a watch notifies its router of, in order; a failure is None."""
+
+    def __init__(self, peer: Peer, budget: WatchBudget | None = None) -> None:
+        self.updates: asyncio.Queue[tuple[EndpointUpdateKind, list[NetworkEndpoint]] | None] = asyncio.Queue()
+        self.discovery = Discovery(
+            peer.address,
+            41,
+            lambda kind, endpoints: self.updates.put_nowait((kind, endpoints)),
+            lambda: self.updates.put_nowait(None),
+            budget=budget,
+        )
+        self.discovery.subscribe()
+
+
+async def call(peer: Peer) -> tuple[str, Link]:
+    link = await peer.link()
+    return (await link.http())[0], link
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -249,3 +249,8 @@
         cache = await self.cache()
         assert (await cache.resp())[2] == request.encode()
         return client, cache
+
+
+def error(message: object) -> str:
+    assert isinstance(message, Exception), message
+    return str(message)
--- /dev/null
+++ b/tests/router_process.py
@@ -0,0 +1,97 @@
+"""The router as a process of its own, and the configurations that it is started with."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import re
+import resource
+import sys
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from pathlib import Path
+from typing import Any
+
+import orjson
+
+from cache_router.net.address import parse_address
+from tests.endpoint_lists import LINE
+from tests.loopback import Link, Peer, command
+from tests.test_simulator_adapter import CONF
+
+CACHED_LIST = {"index": 41, "snapshot": True, "endpoints": [LINE]}
+
+
+VALID_CONFIG: dict[str, Any] = {
+    "name": "n3",
+    "listen": "127.0.0.1:6379",
+    "discovery": "127.0.0.1:8500",
+    "seed": "8c1f30d27a5be964",
+    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+    "known": CACHED_LIST,
+    "settings": CONF,
+}
+
+
+async def connected_client(address: tuple[str, int]) -> Link:
+    """A client's connection that has been answered."""
+    client = Link(*await asyncio.open_connection(*address))
+    client.write(command("PING"))
+    assert await client.resp() == b"PONG"
+    return client
+
+
+async def listen_address(log: asyncio.StreamReader | None) -> tuple[str, int]:
+    """Where the program says that it listens."""
+    assert log is not None
+    while (found := re.search(rb"listening on ([0-9.]+:\d+)", await log.readline())) is None:
+        assert not log.at_eof()
+    return parse_address(found[1].decode())
+
+
+@asynccontextmanager
+async def router_process(
+    config: dict[str, Any], path: Path, descriptors: int | None = None
+) -> AsyncIterator[asyncio.subprocess.Process]:
+    """The program with a configuration, and a limit on its descriptors."""
+    path.write_bytes(orjson.dumps(config))
+
+    def limit() -> None:
+        if descriptors is not None:
+            resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
+
+    process = await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "cache_router",
+        env={**os.environ, "RELAY_CONFIG": str(path)},
+        stderr=asyncio.subprocess.PIPE,
+        preexec_fn=limit,
+    )
+    try:
+        yield process
+    finally:
+        if process.returncode is None:
+            process.kill()
+            await process.wait()
+
+
+def config_with_cache(cache: Peer, discovery: Peer, mode: str) -> dict[str, Any]:
+    """A configuration with one cache server known."""
+    line = {**LINE, "address": cache.address, "type": "std", "since_ms": 0}
+    return {
+        **VALID_CONFIG,
+        "listen": "127.0.0.1:0",
+        "discovery": discovery.address,
+        "settings": {**CONF, "membershipMode": mode},
+        "known": {"index": 1, "snapshot": True, "endpoints": [line]},
+    }
+
+
+PROCESS_TEST_TIMEOUT = 60.0  # seconds for a test with a process of its own, which starts on a busy machine
+
+
+async def discard_log(log: asyncio.StreamReader | None) -> None:
+    """A log that nobody reads would stop its process."""
+    while log is not None and await log.readline():
+        pass
--- /dev/null
+++ b/tests/test_config.py
@@ -0,0 +1,38 @@
+"""The configuration of the router."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import orjson
+import pytest
+
+from cache_router.config import read_config
+from cache_router.errors import RouterError
+from tests.router_process import VALID_CONFIG
+from tests.test_simulator_adapter import CONF
+
+
+def test_a_configuration_is_read() -> None:
+    config = read_config(orjson.dumps(VALID_CONFIG))
+    assert (config.listen, config.discovery) == (("127.0.0.1", 6379), "127.0.0.1:8500")
+    assert (config.seed, config.max_descriptors, config.cached_index) == (0x8C1F30D27A5BE964, 1024, 41)
+    assert [m.entry.name for m in config.cached_endpoints] == ["s-1"]
+    assert config.settings.classes["pay"].idempotency_window == 5.0
+
+
+@pytest.mark.parametrize(
+    ("change", "where"),
+    [
+        ({"listen": "here"}, "listen"),
+        ({"seed": "xyz"}, "seed"),
+        ({"settings": {**CONF, "skus": 3}}, "settings"),
+        ({"limits": {"sockets": 1}}, "limits"),
+        ({"known": None}, "known"),
+    ],
+)
+def test_a_configuration_error_carries_its_field(change: dict[str, Any], where: str) -> None:
+    with pytest.raises(RouterError) as caught:
+        read_config(orjson.dumps({**VALID_CONFIG, **change}))
+    assert isinstance(caught.value, ValueError)
+    assert caught.value.where == where
--- /dev/null
+++ b/tests/test_descriptors.py
@@ -0,0 +1,136 @@
+"""Descriptors that clients and attempts use up."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import socket
+from collections.abc import AsyncIterator, Callable
+from contextlib import AsyncExitStack, asynccontextmanager, suppress
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from tests.endpoint_lists import LINE, message
+from tests.loopback import HIT, Link, Peer, command, http, read, run, spelled
+from tests.router_process import (
+    PROCESS_TEST_TIMEOUT,
+    config_with_cache,
+    connected_client,
+    discard_log,
+    listen_address,
+    router_process,
+)
+
+DESCRIPTOR_LIMIT = 64  # the fewest that a configuration may allow
+
+
+LONG_DEADLINE = "c=read,t=t,d=600000"
+
+
+async def eventually(holds: Callable[[], object]) -> None:
+    """Go on once something holds that another process brings about."""
+    while not holds():
+        await asyncio.sleep(0.01)
+
+
+@asynccontextmanager
+async def peers(count: int) -> AsyncIterator[list[Peer]]:
+    async with AsyncExitStack() as stack:
+        yield [await stack.enter_async_context(Peer()) for _ in range(count)]
+
+
+def list_entry(name: str, peer: Peer, kind: str = "std") -> dict[str, Any]:
+    return {**LINE, "name": name, "address": peer.address, "type": kind, "since_ms": 0, "weight": 1.0}
+
+
+async def serve_all(peer: Peer, served: list[Peer]) -> None:
+    """Answer all that comes, and note at whom."""
+
+    async def answer(link: Link) -> None:
+        with suppress(AssertionError, ConnectionError):  # the connection's end
+            while True:
+                await link.resp()
+                link.write(HIT)
+                served.append(peer)
+
+    async with asyncio.TaskGroup() as links:
+        while True:
+            links.create_task(answer(await peer.link()))
+
+
+class UnavailableAgent(Peer):
+    """Discovery on a port that refuses until it comes back."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.socket = socket.socket()
+        self.socket.bind(("127.0.0.1", 0))
+        self.address = spelled(self.socket.getsockname())
+
+    async def start_listening(self) -> None:
+        self.server = await asyncio.start_server(self._accept, sock=self.socket)
+
+
+# what the configuration allows; the limit of the process counts in both cases
+@pytest.mark.parametrize("allowed", [DESCRIPTOR_LIMIT, 1024])
+@pytest.mark.parametrize("agent_state", ["refused", "silent"])
+def test_a_list_is_learnt_while_clients_and_attempts_fill_the_descriptors(
+    agent_state: str, allowed: int, tmp_path: Path
+) -> None:
+    """Idle clients, silent ones and attempts that hang, as many as there may be of each."""
+
+    async def scenario() -> None:
+        async with peers(5) as (*caches, fresh, origin):
+            agent = UnavailableAgent()
+            config = config_with_cache(caches[0], agent, "automatic")
+            known = [list_entry(f"s-{n}", c) for n, c in enumerate(caches)]
+            known.append(list_entry("o", origin, "store"))
+            config["known"]["endpoints"] = known
+            config["limits"] = {"sockets": allowed}
+            if agent_state == "silent":
+                await agent.start_listening()
+            async with router_process(config, tmp_path / "config.json", DESCRIPTOR_LIMIT) as process:
+                address = await listen_address(process.stderr)
+                drain = asyncio.create_task(discard_log(process.stderr))
+                shared_descriptors = DESCRIPTOR_LIMIT - 32
+                busy = [await connected_client(address) for _ in range(3)]
+                for n in range(31):
+                    for i in (0, 1):
+                        busy[i].write(read(f"r{i}-{n}", f"k{i}-{n}", LONG_DEADLINE))
+                    busy[2].write(command("C.SET", f"k{n}", f"w{n}", "c=pay,t=t,d=600000,k=1", "v"))
+                await eventually(lambda: sum(p.links.qsize() for p in caches) == shared_descriptors * 3 // 8)
+                await eventually(lambda: origin.links.qsize() == shared_descriptors // 8)
+                crowd = [await connected_client(address) for _ in range(DESCRIPTOR_LIMIT)]
+                crowd += [await idle_client(address) for _ in range(DESCRIPTOR_LIMIT)]
+                used = len(os.listdir(f"/proc/{process.pid}/fd"))
+                assert shared_descriptors < used <= DESCRIPTOR_LIMIT
+                if agent_state == "refused":
+                    await agent.start_listening()
+                else:
+                    while not agent.links.empty():
+                        (await agent.link()).reset()
+                call = await agent.link()
+                await call.http()
+                call.write(http("200 OK", message(50, True, *known, list_entry("s-new", fresh))))
+                assert "after=50&" in (await (await agent.link()).http())[0]
+                client = await connected_client(address)
+                served: list[Peer] = []
+                serving = [asyncio.create_task(serve_all(p, served)) for p in (*caches, fresh)]
+                keys = iter(range(200))
+                while not {caches[0], fresh} <= set(served):
+                    n = next(keys)
+                    client.write(read(f"x{n}", f"x{n}", LONG_DEADLINE))
+                    await client.resp()
+                for task in (*serving, drain):
+                    task.cancel()
+                for link in (*busy, *crowd, client):
+                    link.close()
+            await agent.__aexit__(None, None, None)
+
+    run(scenario, PROCESS_TEST_TIMEOUT)
+
+
+async def idle_client(address: tuple[str, int]) -> Link:
+    return Link(*await asyncio.open_connection(*address))
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -13,8 +13,8 @@
 from cache_router.net.discovery import Discovery
 from scale_experiments.emulators import discovery as standin
 from scale_experiments.emulators.cache import Cache, Plan
+from tests.endpoint_lists import LINE
 from tests.loopback import Link, read, run, spelled
-from tests.test_net_discovery import LINE
 
 
 def line(name: str, status: str = "in_service") -> dict[str, Any]:
--- /dev/null
+++ b/tests/test_hash_ring_updates.py
@@ -0,0 +1,57 @@
+"""Updates of the hash ring: the result does not depend on their order, and they leave nothing behind."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from cache_router.decisions.hash_ring import BUCKET_FILL, HashRing
+from cache_router.endpoint import Endpoint
+from tests.driver import entry
+
+
+@given(st.lists(st.tuples(st.integers(0, 30), st.integers(0, 90)), max_size=60), st.integers(0, 2**64 - 1))
+def test_rings_of_the_same_members_agree_whatever_they_went_through(
+    moves: list[tuple[int, int]], position: int
+) -> None:
+    ring: HashRing[str] = HashRing()
+    for member, count in moves:
+        ring.place(f"m{member}", f"m{member}", count)
+    counts = {f"m{member}": count for member, count in moves}
+    other: HashRing[str] = HashRing()
+    for name in sorted(counts):
+        other.place(name, name, counts[name])
+    points = list(ring.points())
+    assert points == list(other.points()) and len(points) == ring.size == sum(counts.values())
+    assert points == sorted(points)
+    around = [p for p in points if p[0] >= position] + [p for p in points if p[0] < position]
+    walked = list(ring.walk(position))
+    assert [m for m, _ in walked] == [m for _, m in around] and walked == list(other.walk(position))
+    for name, count in counts.items():
+        ranks = sorted(rank for m, rank in walked if m == name)
+        assert ranks == [(j + 0.5) / count for j in range(count)]
+
+
+def test_buckets_follow_the_number_of_points_both_ways() -> None:
+    ring: HashRing[int] = HashRing()
+    for n in range(300):
+        ring.place(f"m{n}", n, 128)
+        assert BUCKET_FILL / 8 <= ring.size / len(ring._buckets) <= BUCKET_FILL * 8
+    for n in range(300):
+        ring.place(f"m{n}", n, 0)
+    assert ring._buckets == [[]] and not ring._counts and not ring._slots
+    assert ring._members.count(None) == len(ring._free_slots) == 300
+    ring.place("again", 1, 8)
+    assert len(ring._members) == 300 and len(list(ring.walk(0))) == 8
+
+
+def test_a_member_that_comes_again_replaces_itself() -> None:
+    """A server that has restarted leaves nothing of its former self on the ring."""
+    ring: HashRing[Endpoint] = HashRing()
+    old = entry("a")
+    ring.place("a", old, 16)
+    ring.place("a", old, 0)
+    ring.place("a", replace(old, started_at=1.0), 16)
+    assert {m.started_at for m, _ in ring.walk(0)} == {1.0}
--- /dev/null
+++ b/tests/test_net_attempt_runner.py
@@ -0,0 +1,57 @@
+"""Attempts that are not sent, or time out."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from cache_router.decisions.actions import Action, Cancel, Fail, Reject, Send
+from cache_router.decisions.events import AttemptCompleted, AttemptStatus, Event, Request
+from tests.loopback import SETTINGS, Router, command, error, read, run
+
+
+def test_sends_of_no_use_are_moot_and_answers_come_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
+        async with Router(replace(SETTINGS, max_attempts=1)) as router:
+            seen: list[AttemptCompleted] = []
+
+            def handle(now: float, event: Event) -> list[Action]:
+                if isinstance(event, AttemptCompleted):
+                    seen.append(event)
+                if isinstance(event, Request):
+                    return [Send("r1", "a"), Send("r1", "b")]
+                if isinstance(event, AttemptCompleted) and event.attempt_number == 1:
+                    return [Reject("r1", 0.25), Fail("r1"), Send("r1", "b"), Cancel("r1", 0)]
+                return []
+
+            monkeypatch.setattr(router.host.router, "handle", handle)
+            client = await router.client()
+            client.write(read("r1") + command("PING"))
+            assert error(await client.resp()) == "BUSY 250"
+            assert await client.resp() == b"PONG"
+            ends = [(o.attempt_number, o.status, o.request_closed) for o in seen]
+            moot, cancelled = AttemptStatus.NOT_SENT, AttemptStatus.CANCELLED
+            assert ends == [(1, moot, False), (2, moot, True), (0, cancelled, True)]
+
+    run(scenario)
+
+
+def test_an_attempt_times_out_at_its_own_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
+        async with Router() as router:
+
+            def handle(now: float, event: Event) -> list[Action]:
+                if isinstance(event, Request):
+                    return [Send("r1", "a", 0.05)]
+                if isinstance(event, AttemptCompleted):
+                    assert event.status is AttemptStatus.TIMEOUT and not event.request_closed
+                    return [Fail("r1")]
+                return []
+
+            monkeypatch.setattr(router.host.router, "handle", handle)
+            client = await router.client()
+            client.write(read("r1"))
+            assert error(await client.resp()) == "ERR failed"
+
+    run(scenario)
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 from typing import Any
 
 import orjson
@@ -10,46 +9,11 @@
 
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.endpoint import Endpoint, EndpointState
-from cache_router.net.discovery import Discovery
 from cache_router.net.endpoint_list_reader import EndpointListError, read_endpoint_list
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.settings import WatchBudget
-from tests.loopback import Link, Peer, http, run
-
-LINE: dict[str, Any] = {
-    "name": "s-1",
-    "address": "127.0.0.9:6379",
-    "zone": "a",
-    "type": "m2",
-    "group": 3,
-    "status": "in_service",
-    "weight": 1.5,
-    "since_ms": 1_790_000_000_250,
-}
-
-
-def message(index: int, is_snapshot: bool, *lines: dict[str, Any]) -> bytes:
-    return orjson.dumps({"index": index, "snapshot": is_snapshot, "endpoints": lines})
-
-
-class WatchRecorder:
-    """What a watch notifies its router of, in order; a failure is None."""
-
-    def __init__(self, peer: Peer, budget: WatchBudget | None = None) -> None:
-        self.updates: asyncio.Queue[tuple[EndpointUpdateKind, list[NetworkEndpoint]] | None] = asyncio.Queue()
-        self.discovery = Discovery(
-            peer.address,
-            41,
-            lambda kind, endpoints: self.updates.put_nowait((kind, endpoints)),
-            lambda: self.updates.put_nowait(None),
-            budget=budget,
-        )
-        self.discovery.subscribe()
-
-
-async def call(peer: Peer) -> tuple[str, Link]:
-    link = await peer.link()
-    return (await link.http())[0], link
+from tests.endpoint_lists import LINE, WatchRecorder, call, message
+from tests.loopback import Peer, http, run
 
 
 def test_an_entry_is_read() -> None:
--- a/tests/test_list_change.py
+++ b/tests/test_net_endpoint_table.py
@@ -1,4 +1,4 @@
-"""What a change of the list costs: counted in the interpreter's steps, which no busy machine changes."""
+"""The endpoint table: connections that an update makes useless, and what an update costs."""
 
 from __future__ import annotations
 
@@ -9,11 +9,8 @@
 from typing import Any
 
 import pytest
-from hypothesis import given
-from hypothesis import strategies as st
 
 from cache_router.decisions.events import EndpointUpdateKind
-from cache_router.decisions.hash_ring import BUCKET_FILL, HashRing
 from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.connection_pool import ConnectionPool
@@ -21,7 +18,34 @@
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.net.origin_connection import OriginConnection
 from tests.driver import entry, settings
-from tests.loopback import run
+from tests.loopback import HIT, Router, run
+
+
+@pytest.mark.parametrize("change", ["gone", "draining", "restarted", "replaced"])
+def test_connections_to_a_process_that_ends_are_closed(change: str) -> None:
+    """Those to a machine that vanished never close, and another process may come to its address."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            client, cache = await router.begun()
+            cache.write(HIT)
+            assert await client.resp() == b"value"
+            (connection,) = router.servers.idle
+            (name,) = (n for n, m in router.host.endpoints.items() if m.address == connection.address)
+            entry = router.host.endpoints[name].entry
+            told = {
+                "gone": replace(entry, state=EndpointState.REMOVED),
+                "draining": replace(entry, state=EndpointState.DRAINING),
+                "restarted": replace(entry, started_at=9.0),
+                "replaced": replace(entry, state=EndpointState.REMOVED),
+            }
+            members = [NetworkEndpoint(told[change], connection.address)]
+            if change == "replaced":
+                members.append(NetworkEndpoint(replace(entry, name="new"), connection.address))
+            router.host.on_endpoint_update(EndpointUpdateKind.DELTA, members)
+            assert await cache.ended()
+
+    run(scenario)
 
 
 def steps(work: Callable[[], object]) -> int:
@@ -98,48 +122,3 @@
         assert counts[0] == counts[1]
 
     run(scenario)
-
-
-@given(st.lists(st.tuples(st.integers(0, 30), st.integers(0, 90)), max_size=60), st.integers(0, 2**64 - 1))
-def test_rings_of_the_same_members_agree_whatever_they_went_through(
-    moves: list[tuple[int, int]], position: int
-) -> None:
-    ring: HashRing[str] = HashRing()
-    for member, count in moves:
-        ring.place(f"m{member}", f"m{member}", count)
-    counts = {f"m{member}": count for member, count in moves}
-    other: HashRing[str] = HashRing()
-    for name in sorted(counts):
-        other.place(name, name, counts[name])
-    points = list(ring.points())
-    assert points == list(other.points()) and len(points) == ring.size == sum(counts.values())
-    assert points == sorted(points)
-    around = [p for p in points if p[0] >= position] + [p for p in points if p[0] < position]
-    walked = list(ring.walk(position))
-    assert [m for m, _ in walked] == [m for _, m in around] and walked == list(other.walk(position))
-    for name, count in counts.items():
-        ranks = sorted(rank for m, rank in walked if m == name)
-        assert ranks == [(j + 0.5) / count for j in range(count)]
-
-
-def test_buckets_follow_the_number_of_points_both_ways() -> None:
-    ring: HashRing[int] = HashRing()
-    for n in range(300):
-        ring.place(f"m{n}", n, 128)
-        assert BUCKET_FILL / 8 <= ring.size / len(ring._buckets) <= BUCKET_FILL * 8
-    for n in range(300):
-        ring.place(f"m{n}", n, 0)
-    assert ring._buckets == [[]] and not ring._counts and not ring._slots
-    assert ring._members.count(None) == len(ring._free_slots) == 300
-    ring.place("again", 1, 8)
-    assert len(ring._members) == 300 and len(list(ring.walk(0))) == 8
-
-
-def test_a_member_that_comes_again_replaces_itself() -> None:
-    """A server that has restarted leaves nothing of its former self on the ring."""
-    ring: HashRing[Endpoint] = HashRing()
-    old = entry("a")
-    ring.place("a", old, 16)
-    ring.place("a", old, 0)
-    ring.place("a", replace(old, started_at=1.0), 16)
-    assert {m.started_at for m, _ in ring.walk(0)} == {1.0}
--- /dev/null
+++ b/tests/test_net_listener.py
@@ -0,0 +1,78 @@
+"""The listening socket: failed accepts and graceful shutdown."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import socket
+
+import pytest
+
+from cache_router.net import listener
+from tests.loopback import HIT, Router, command, run
+
+
+def test_a_failed_accept_is_tried_again_without_a_spin(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Out of descriptors, a loop that ended would leave the router deaf, and one that spun would stop it."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            accept, calls, full = socket.socket.accept, 0, True
+
+            def failing(listener: socket.socket) -> tuple[socket.socket, object]:
+                nonlocal calls
+                if listener is router.listener.socket:
+                    calls += 1
+                    if full:
+                        raise OSError(errno.EMFILE, "too many open files")
+                return accept(listener)
+
+            monkeypatch.setattr(socket.socket, "accept", failing)
+            first = await router.client()
+            first.write(command("PING"))
+            await asyncio.sleep(3 * listener.ACCEPT_RETRY_DELAY)
+            assert 1 <= calls <= 10  # one a pause; a spin makes thousands
+            full = False
+            assert await first.resp() == b"PONG"
+            second = await router.client()
+            second.write(command("PING"))
+            assert await second.resp() == b"PONG"
+
+    run(scenario)
+
+
+def test_half_a_command_does_not_hold_up_the_end() -> None:
+    """The router would be killed while it waits for a client that never goes on."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            client = await router.client()
+            client.write(command("PING") + b"*4\r\n$5\r\nC.G")
+            assert await client.resp() == b"PONG"
+            await router.listener.stop(0.0, 0.05)
+            (connection,) = router.listener.connections
+            connection.transport.abort()
+
+    run(scenario)
+
+
+def test_stopping_serves_what_was_taken() -> None:
+    """What a router had taken and not answered when it ended is lost."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            idle = await router.client()
+            busy, cache = await router.begun()
+            stop = asyncio.create_task(router.listener.stop(0.05, 5.0))
+            late = await router.client()  # connections still come
+            late.write(command("PING"))
+            assert await late.resp() == b"PONG"
+            assert await idle.ended() and await late.ended() and not stop.done()
+            cache.write(HIT)
+            assert await busy.resp() == b"value"
+            assert await busy.ended()
+            await stop
+            with pytest.raises(ConnectionRefusedError):
+                await asyncio.open_connection(*busy.writer.get_extra_info("peername"))
+
+    run(scenario)
--- a/tests/test_main.py
+++ b/tests/test_server.py
@@ -1,14 +1,12 @@
-"""The program: its configuration and its signals."""
+"""The program: its descriptors, its signals and its start."""
 
 from __future__ import annotations
 
 import asyncio
 import os
-import re
 import resource
 import signal
 import socket
-import sys
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from pathlib import Path
@@ -19,32 +17,19 @@
 
 from cache_router import server
 from cache_router.config import ConfigError, read_config
-from cache_router.errors import RouterError
-from cache_router.net.address import parse_address
 from cache_router.settings import RequestClass, Settings
-from tests.loopback import HIT, PATIENCE, Link, Peer, command, http, read, run, spelled
-from tests.test_net_discovery import LINE, message
+from tests.endpoint_lists import LINE, message
+from tests.loopback import HIT, PATIENCE, Peer, http, read, run, spelled
+from tests.router_process import (
+    CACHED_LIST,
+    VALID_CONFIG,
+    config_with_cache,
+    connected_client,
+    listen_address,
+    router_process,
+)
 from tests.test_simulator_adapter import CONF
 
-CACHED_LIST = {"index": 41, "snapshot": True, "endpoints": [LINE]}
-VALID_CONFIG: dict[str, Any] = {
-    "name": "n3",
-    "listen": "127.0.0.1:6379",
-    "discovery": "127.0.0.1:8500",
-    "seed": "8c1f30d27a5be964",
-    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-    "known": CACHED_LIST,
-    "settings": CONF,
-}
-
-
-def test_a_configuration_is_read() -> None:
-    config = read_config(orjson.dumps(VALID_CONFIG))
-    assert (config.listen, config.discovery) == (("127.0.0.1", 6379), "127.0.0.1:8500")
-    assert (config.seed, config.max_descriptors, config.cached_index) == (0x8C1F30D27A5BE964, 1024, 41)
-    assert [m.entry.name for m in config.cached_endpoints] == ["s-1"]
-    assert config.settings.classes["pay"].idempotency_window == 5.0
-
 
 @pytest.mark.parametrize(
     ("change", "field"),
@@ -91,23 +76,6 @@
     assert field in line
 
 
-@pytest.mark.parametrize(
-    ("change", "where"),
-    [
-        ({"listen": "here"}, "listen"),
-        ({"seed": "xyz"}, "seed"),
-        ({"settings": {**CONF, "skus": 3}}, "settings"),
-        ({"limits": {"sockets": 1}}, "limits"),
-        ({"known": None}, "known"),
-    ],
-)
-def test_a_configuration_error_carries_its_field(change: dict[str, Any], where: str) -> None:
-    with pytest.raises(RouterError) as caught:
-        read_config(orjson.dumps({**VALID_CONFIG, **change}))
-    assert isinstance(caught.value, ValueError)
-    assert caught.value.where == where
-
-
 @pytest.mark.parametrize(
     ("limit", "room"), [(resource.RLIM_INFINITY, 1024), (4096, 1024), (1024, 1024), (64, 64), (63, None)]
 )
@@ -160,61 +128,6 @@
     assert capsys.readouterr().err.splitlines()[-1].startswith("cache_router: listen: ")
 
 
-async def connected_client(address: tuple[str, int]) -> Link:
-    """A client's connection that has been answered."""
-    client = Link(*await asyncio.open_connection(*address))
-    client.write(command("PING"))
-    assert await client.resp() == b"PONG"
-    return client
-
-
-async def listen_address(log: asyncio.StreamReader | None) -> tuple[str, int]:
-    """Where the program says that it listens."""
-    assert log is not None
-    while (found := re.search(rb"listening on ([0-9.]+:\d+)", await log.readline())) is None:
-        assert not log.at_eof()
-    return parse_address(found[1].decode())
-
-
-@asynccontextmanager
-async def router_process(
-    config: dict[str, Any], path: Path, descriptors: int | None = None
-) -> AsyncIterator[asyncio.subprocess.Process]:
-    """The program with a configuration, and a limit on its descriptors."""
-    path.write_bytes(orjson.dumps(config))
-
-    def limit() -> None:
-        if descriptors is not None:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
-
-    process = await asyncio.create_subprocess_exec(
-        sys.executable,
-        "-m",
-        "cache_router",
-        env={**os.environ, "RELAY_CONFIG": str(path)},
-        stderr=asyncio.subprocess.PIPE,
-        preexec_fn=limit,
-    )
-    try:
-        yield process
-    finally:
-        if process.returncode is None:
-            process.kill()
-            await process.wait()
-
-
-def config_with_cache(cache: Peer, discovery: Peer, mode: str) -> dict[str, Any]:
-    """A configuration with one cache server known."""
-    line = {**LINE, "address": cache.address, "type": "std", "since_ms": 0}
-    return {
-        **VALID_CONFIG,
-        "listen": "127.0.0.1:0",
-        "discovery": discovery.address,
-        "settings": {**CONF, "membershipMode": mode},
-        "known": {"index": 1, "snapshot": True, "endpoints": [line]},
-    }
-
-
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
 def test_the_program_serves_and_ends_on_sigterm_when_nothing_is_owed(mode: str, tmp_path: Path) -> None:
     """Ended too early it loses what it has taken; too late it is killed with what it holds."""
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -11,10 +11,10 @@
 import pytest
 
 from cache_router.net import client_connection_table
+from tests.endpoint_lists import message
 from tests.event_order import wait_until
 from tests.loopback import BOOK, HIT, MISS, PATIENCE, READ, SETTINGS, Link, Peer, Router, http, read, run
-from tests.test_main import config_with_cache, connected_client, listen_address, router_process
-from tests.test_net_discovery import message
+from tests.router_process import config_with_cache, connected_client, listen_address, router_process
 
 
 @pytest.mark.parametrize("wait", ["server", "origin", "place"])
--- /dev/null
+++ b/tests/test_startup.py
@@ -0,0 +1,122 @@
+"""A start with a long endpoint list."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import sys
+import time
+from collections.abc import Callable
+from pathlib import Path
+from types import FrameType
+from typing import Any
+
+import orjson
+
+from cache_router.config import read_config
+from cache_router.decisions.events import EndpointUpdateKind
+from cache_router.net.cache_connection import CacheConnection
+from cache_router.net.connection_pool import ConnectionPool
+from cache_router.net.dispatcher import Dispatcher
+from cache_router.net.endpoint_list_reader import read_endpoint_list
+from cache_router.net.origin_connection import OriginConnection
+from tests.endpoint_lists import LINE, message
+from tests.loopback import Peer, command, http, run
+from tests.router_process import (
+    PROCESS_TEST_TIMEOUT,
+    VALID_CONFIG,
+    config_with_cache,
+    connected_client,
+    listen_address,
+    router_process,
+)
+
+
+def cache_entries(count: int) -> list[dict[str, Any]]:
+    """Entries of cache servers at addresses that nobody connects to here."""
+    return [
+        {**LINE, "name": f"s-{n:08x}", "address": f"10.1.{n // 200}.{n % 200 + 1}:6379", "type": "std"}
+        for n in range(count)
+    ]
+
+
+class RouterStart:
+    """What a host does with the list known and then, the same once more, with the first whole one."""
+
+    def __init__(self, count: int) -> None:
+        entries = cache_entries(count)
+        self.config = {**VALID_CONFIG, "known": {"index": 1, "snapshot": True, "endpoints": entries}}
+        self.text = orjson.dumps(self.config)
+        self.answer = message(2, True, *entries)
+
+    def run(self) -> None:
+        config = read_config(self.text)
+        servers = ConnectionPool(CacheConnection, 8, 1.0, 60.0)
+        origin = ConnectionPool(OriginConnection, 8, 1.0, 60.0)
+        host = Dispatcher(config.settings, config.seed, servers, origin, lambda: None)
+        host.on_endpoint_update(EndpointUpdateKind.CACHED, config.cached_endpoints)
+        update = read_endpoint_list(orjson.loads(self.answer))
+        host.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, update.endpoints)
+
+    def calls(self) -> int:
+        """Functions called, those of the interpreter's own included."""
+        counted = 0
+
+        def count(frame: FrameType, event: str, argument: object) -> None:
+            nonlocal counted
+            counted += event in ("call", "c_call")
+
+        sys.setprofile(count)
+        try:
+            self.run()
+        finally:
+            sys.setprofile(None)
+        return counted
+
+    def seconds(self) -> float:
+        """Processor time, at best."""
+        spent = []
+        for _ in range(5):
+            began = time.process_time()
+            self.run()
+            spent.append(time.process_time() - began)
+        return min(spent)
+
+
+def test_the_work_of_a_start_grows_no_faster_than_the_list() -> None:
+    """On a shared core, with 840 entries, nine in ten have to be ready within 10 s."""
+    few, many = RouterStart(210), RouterStart(840)
+    assert many.calls() < 1.25 * 4 * few.calls()
+    assert many.seconds() < 3.0 * 4 * few.seconds()  # also what no call shows
+
+
+def processor_seconds(process: asyncio.subprocess.Process) -> float:
+    fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
+    return sum(map(int, fields[11:13])) / os.sysconf("SC_CLK_TCK")
+
+
+def test_a_start_with_840_entries_asks_discovery_once(
+    tmp_path: Path, record_property: Callable[[str, object], None]
+) -> None:
+    """Where all that were killed start together, a second call for the list waits behind all first ones."""
+
+    async def scenario() -> None:
+        async with Peer() as agent:
+            entries = cache_entries(840)
+            config = config_with_cache(agent, agent, "automatic")
+            config["known"]["endpoints"] = entries
+            async with router_process(config, tmp_path / "config.json") as process:
+                call = await agent.link()
+                assert "after=1&" in (await call.http())[0]
+                call.write(http("200 OK", message(2, True, *entries)))
+                client = await connected_client(await listen_address(process.stderr))
+                record_property("processor_seconds", processor_seconds(process))
+                watch = await agent.link()  # on what comes after the list: no second call for it
+                first, _, _ = await watch.http()
+                assert "after=2&" in first and "wait_ms=0 " not in first
+                client.write(command("PING"))
+                assert await client.resp() == b"PONG"
+                assert agent.links.empty()
+                client.close()
+
+    run(scenario, PROCESS_TEST_TIMEOUT)
--- a/tests/test_watch_budget.py
+++ b/tests/test_watch_budget.py
@@ -19,8 +19,8 @@
 from cache_router.decisions.router import Router
 from cache_router.settings import MIN_BACKOFF, WatchBudget
 from tests.driver import Driver, entry, settings
+from tests.endpoint_lists import LINE, WatchRecorder, call, message
 from tests.loopback import Peer, http, run
-from tests.test_net_discovery import LINE, WatchRecorder, call, message
 
 FAILED_CALL = EndpointUpdate(EndpointUpdateKind.FAILED)
 WAYS = {
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -8,8 +8,8 @@
 import pytest
 
 from cache_router.settings import WatchBudget
+from tests.endpoint_lists import LINE, message
 from tests.loopback import HIT, SETTINGS, Link, Peer, Router, http, read, run
-from tests.test_net_discovery import LINE, message
 
 PUSHED = replace(
     SETTINGS, must_subscribe=False, drain_grace_period=0.5, overload_window=60.0, slow_start_duration=60.0
