--- a/tests/endpoint_lists.py
+++ b/tests/endpoint_lists.py
@@ -13,7 +13,7 @@
 from cache_router.settings import WatchBudget
 from tests.loopback import Link, Peer
 
-LINE: dict[str, Any] = {
+ENDPOINT_ENTRY: dict[str, Any] = {
     "name": "s-1",
     "address": "127.0.0.9:6379",
     "zone": "a",
@@ -25,7 +25,7 @@
 }
 
 
-def message(index: int, is_snapshot: bool, *lines: dict[str, Any]) -> bytes:
+def encode_endpoint_list(index: int, is_snapshot: bool, *lines: dict[str, Any]) -> bytes:
     return orjson.dumps({"index": index, "snapshot": is_snapshot, "endpoints": lines})
 
 
@@ -44,6 +44,6 @@
         self.discovery.subscribe()
 
 
-async def call(peer: Peer) -> tuple[str, Link]:
+async def accept_poll(peer: Peer) -> tuple[str, Link]:
     link = await peer.link()
     return (await link.http())[0], link
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,6 +1,6 @@
 """Scripted servers and clients on loopback, and a router between them.
 
-A test reads what the router sent over a `Link` and writes what goes back.
+A test reads what the router sent over a `Link`, and writes the reply or request itself.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings, WatchBudget
 
-PATIENCE = 10.0  # seconds after which a test that still waits for an event fails
-# answers of a cache server: value, hit or miss, load report
+TEST_TIMEOUT = 10.0  # seconds after which a test that still waits for an event fails
+# responses of a cache server: value, hit or miss, load report
 HIT = b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
-# an idempotent class, and one that is so with a key
+# an idempotent class, and one that is idempotent with a key
 READ = RequestClass("read", latency_objective=1.0)
-BOOK = RequestClass(
+KEYED_WRITE = RequestClass(
     "book", 1.0, Idempotency.WITH_KEY, IdempotencyScope.ALL, idempotency_window=15.0, priority_weight=3.0
 )
 SETTINGS = Settings(
-    classes={"read": READ, "book": BOOK},
+    classes={"read": READ, "book": KEYED_WRITE},
     cache_aside=True,
     origin_kind="origin",
     cancellation_allowed=True,
@@ -45,45 +45,51 @@
 )
 
 
-def run(scenario: Callable[[], Awaitable[None]], patience: float = PATIENCE) -> None:
-    """Run a scenario; it fails when it takes longer than `patience` seconds, or a callback raises."""
-    faults: list[dict[str, Any]] = []
+def run(scenario: Callable[[], Awaitable[None]], timeout: float = TEST_TIMEOUT) -> None:
+    """Run a scenario; it fails when it takes longer than `timeout` seconds, or a callback raises."""
+    errors: list[dict[str, Any]] = []
 
     async def bounded() -> None:
-        asyncio.get_running_loop().set_exception_handler(lambda _, fault: faults.append(fault))
-        async with asyncio.timeout(patience):
+        asyncio.get_running_loop().set_exception_handler(lambda _, error: errors.append(error))
+        async with asyncio.timeout(timeout):
             await scenario()
 
     asyncio.run(bounded())
-    assert not faults
+    assert not errors
 
 
-def spelled(address: tuple[str, int]) -> str:
-    """An address as host:port."""
+def format_address(address: tuple[str, int]) -> str:
+    """Return an address as `host:port`."""
     return f"{address[0]}:{address[1]}"
 
 
 def http(status: str, body: bytes = b"", *headers: str) -> bytes:
-    """An HTTP response."""
+    """Encode an HTTP response."""
     lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers, "", ""]
     return "\r\n".join(lines).encode() + body
 
 
 def command(*parts: str | bytes) -> bytes:
-    """A RESP command."""
+    """Encode a RESP command."""
     return bytes(hiredis.pack_command(parts))  # type: ignore[arg-type]
 
 
 def read(request: str, key: str = "k", info: str = "c=read,t=x,d=2000") -> bytes:
-    """A client's read; `info` has class, tenant and time left in ms."""
+    """Encode a client's read; `info` has the class, the tenant and the deadline in milliseconds."""
     return command("C.GET", key, request, info)
 
 
-def book(request: str, key: str = "k", value: bytes = b"slot") -> bytes:
-    """A client's write with an idempotency key."""
+def keyed_write(request: str, key: str = "k", value: bytes = b"slot") -> bytes:
+    """Encode a client's write with an idempotency key."""
     return command("C.SET", key, request, "c=book,t=x,d=2000,k=5c0f", value)
 
 
+def error_text(message: object) -> str:
+    """Return the text of a RESP error reply; anything else fails the test."""
+    assert isinstance(message, Exception), message
+    return str(message)
+
+
 class Link:
     """One connection, seen from the test's end."""
 
@@ -97,47 +103,47 @@
         self.writer.write(data)
 
     async def resp(self) -> Any:
-        """The next RESP message."""
+        """Read the next RESP message."""
         while (message := self.parser.gets()) is Ellipsis:
             data = await self.reader.read(65536)
-            assert data, "the connection ended"
+            assert data, "the connection was closed"
             self.parser.feed(data)
         return message
 
     async def http(self) -> tuple[str, dict[str, str], bytes]:
-        """The next HTTP request: its first line, headers and body."""
+        """Read the next HTTP message: its first line, its headers by lower-case name, and its body."""
         first, *rest = (await self.reader.readuntil(b"\r\n\r\n")).decode().strip().split("\r\n")
         headers = {k.lower(): v for k, v in (line.split(": ", 1) for line in rest)}
         return first, headers, await self.reader.readexactly(int(headers.get("content-length", 0)))
 
-    async def ended(self) -> bool:
-        """Wait for the other side to close."""
+    async def closed_by_peer(self) -> bool:
+        """Wait until the peer closes; return whether it sent nothing more before that."""
         try:
             return await self.reader.read() == b""
         except ConnectionResetError:
             return True
 
     def close(self) -> None:
-        """Close in order, after what was written."""
+        """Close the connection once everything written has been sent."""
         self.writer.close()
 
     def reset(self) -> None:
-        """Close with a reset."""
-        peer = self.writer.get_extra_info("socket")
-        peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        """Close the connection with a reset."""
+        own_socket = self.writer.get_extra_info("socket")
+        own_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
 
 class Peer:
-    """A listening server; the test answers on each of its connections itself."""
+    """A listening server; the test writes the responses on its connections itself."""
 
     def __init__(self) -> None:
         self.links: asyncio.Queue[Link] = asyncio.Queue()
-        self.held: list[Link] = []  # connections on which `serve` reads
+        self.served: list[Link] = []  # connections on which `serve` reads
 
     async def __aenter__(self) -> Self:
         self.server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
-        self.address = spelled(self.server.sockets[0].getsockname())
+        self.address = format_address(self.server.sockets[0].getsockname())
         return self
 
     async def __aexit__(
@@ -149,29 +155,29 @@
         self.links.put_nowait(Link(reader, writer))
 
     async def link(self) -> Link:
-        """The next connection made to it."""
+        """Return the next connection that is made to this server."""
         return await self.links.get()
 
-    async def serve(self, answer: bytes) -> Any:
-        """Answer the next request on any connection, and return it; all connections stay open."""
+    async def serve(self, response: bytes) -> Any:
+        """Answer the next request on any connection, and return the request; all connections stay open."""
         while True:
-            waits = {asyncio.ensure_future(link.resp()): link for link in self.held}
-            fresh = asyncio.ensure_future(self.links.get())
-            done, rest = await asyncio.wait([*waits, fresh], return_when=asyncio.FIRST_COMPLETED)
-            for wait in rest:
-                wait.cancel()
-            if fresh in done:
-                self.held.append(fresh.result())
-            for wait in done & waits.keys():
-                if wait.exception() is not None:
-                    self.held.remove(waits[wait])
+            reads = {asyncio.ensure_future(link.resp()): link for link in self.served}
+            accept = asyncio.ensure_future(self.links.get())
+            done, pending = await asyncio.wait([*reads, accept], return_when=asyncio.FIRST_COMPLETED)
+            for task in pending:
+                task.cancel()
+            if accept in done:
+                self.served.append(accept.result())
+            for task in done & reads.keys():
+                if task.exception() is not None:
+                    self.served.remove(reads[task])
                     continue
-                waits[wait].write(answer)
-                return wait.result()
+                reads[task].write(response)
+                return task.result()
 
 
-def member(name: str, address: str, kind: str = "std", **fields: Any) -> NetworkEndpoint:
-    """An entry of an endpoint list, ready at full weight."""
+def network_endpoint(name: str, address: str, kind: str = "std", **fields: Any) -> NetworkEndpoint:
+    """Return an entry of an endpoint list, ready and of weight 1."""
     return NetworkEndpoint(Endpoint(name, kind=kind, weight=1.0, **fields), address)
 
 
@@ -179,43 +185,54 @@
     """A dispatcher with its listener, between the scripted cache servers `a` and `b` and an origin."""
 
     def __init__(
-        self, settings: Settings = SETTINGS, listed: bool = True, clients: int = 16, rest: float = 0.0
+        self,
+        settings: Settings = SETTINGS,
+        with_endpoints: bool = True,
+        max_clients: int = 16,
+        reuse_delay: float = 0.0,
     ) -> None:
-        self.listed = listed
-        self.subscribed = 0
+        """`with_endpoints`: start with a list of all servers; `reuse_delay`: seconds between two attempts."""
+        self.with_endpoints = with_endpoints
+        self.subscriptions = 0
         self.discovery: Discovery | None = None
         self.caches = {"a": Peer(), "b": Peer()}
         self.origin = Peer()
-        self.servers = ConnectionPool(CacheConnection, 16, 1.0, 60.0, rest)
-        self.origins = ConnectionPool(OriginConnection, 16, 1.0, 60.0, rest)
-        self.host = Dispatcher(settings, 1, self.servers, self.origins, self._subscribe)
-        self.listener = Listener(self.host, clients)
+        self.cache_pool = ConnectionPool(CacheConnection, 16, 1.0, 60.0, reuse_delay)
+        self.origin_pool = ConnectionPool(OriginConnection, 16, 1.0, 60.0, reuse_delay)
+        self.dispatcher = Dispatcher(settings, 1, self.cache_pool, self.origin_pool, self._subscribe)
+        self.listener = Listener(self.dispatcher, max_clients)
 
     def _subscribe(self) -> None:
-        self.subscribed += 1
+        self.subscriptions += 1
         if self.discovery is not None:
             self.discovery.subscribe()
 
     def watch(self, agent: Peer, pushed: bool = False, budget: WatchBudget | None = None) -> None:
-        """Follow the endpoint list of an agent from now on, as the program does."""
-        told, failed = self.host.on_endpoint_update, self.host.on_watch_failed
-        self.discovery = Discovery(agent.address, 1, told, failed, pushed, budget=budget)
+        """Watch the endpoint list of a discovery agent from now on, as the program does."""
+        self.discovery = Discovery(
+            agent.address,
+            1,
+            self.dispatcher.on_endpoint_update,
+            self.dispatcher.on_watch_failed,
+            pushed,
+            budget=budget,
+        )
         self.discovery.subscribe()
 
     async def __aenter__(self) -> Self:
         for peer in (*self.caches.values(), self.origin):
             await peer.__aenter__()
-        if self.listed:
-            self.list("a", "b")
+        if self.with_endpoints:
+            self.list_caches("a", "b")
         self.listener.bind(("127.0.0.1", 0))
         self.listener.start()
         return self
 
-    def list(self, *names: str) -> None:
-        """Tell an endpoint list of the origin and the named cache servers."""
-        members = [member(n, self.caches[n].address) for n in names]
-        origin = member("o", self.origin.address, "origin")
-        self.host.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, [*members, origin])
+    def list_caches(self, *names: str) -> None:
+        """Send the dispatcher a complete endpoint list of the origin and the named cache servers."""
+        caches = [network_endpoint(n, self.caches[n].address) for n in names]
+        origin = network_endpoint("o", self.origin.address, "origin")
+        self.dispatcher.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, [*caches, origin])
 
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
@@ -225,32 +242,27 @@
         await self.listener.stop(0.0, 1.0)
         if self.discovery is not None:
             self.discovery.close()
-        self.servers.close()
-        self.origins.close()
+        self.cache_pool.close()
+        self.origin_pool.close()
         for peer in (*self.caches.values(), self.origin):
             await peer.__aexit__(kind, error, trace)
 
     async def client(self) -> Link:
-        """A new client's connection."""
+        """Open a new client's connection."""
         return Link(*await asyncio.open_connection(*self.listener.socket.getsockname()))
 
     async def cache(self) -> Link:
-        """The next connection to either cache."""
-        waits = [asyncio.create_task(p.link()) for p in self.caches.values()]
-        done, others = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-        for other in others:
-            other.cancel()
+        """Return the next connection that is made to either cache server."""
+        accepts = [asyncio.create_task(p.link()) for p in self.caches.values()]
+        done, pending = await asyncio.wait(accepts, return_when=asyncio.FIRST_COMPLETED)
+        for task in pending:
+            task.cancel()
         return done.pop().result()
 
-    async def begun(self, request: str = "r1", info: str = "c=read,t=x,d=2000") -> tuple[Link, Link]:
-        """Begin a read that a cache server has received; the links of client and cache server."""
+    async def start_read(self, request: str = "r1", info: str = "c=read,t=x,d=2000") -> tuple[Link, Link]:
+        """Start a read and wait until a cache server has it; return the links of client and cache server."""
         client = await self.client()
         client.write(read(request, info=info))
         cache = await self.cache()
         assert (await cache.resp())[2] == request.encode()
         return client, cache
-
-
-def error(message: object) -> str:
-    assert isinstance(message, Exception), message
-    return str(message)
--- a/tests/router_process.py
+++ b/tests/router_process.py
@@ -15,11 +15,11 @@
 import orjson
 
 from cache_router.net.address import parse_address
-from tests.endpoint_lists import LINE
+from tests.endpoint_lists import ENDPOINT_ENTRY
 from tests.loopback import Link, Peer, command
 from tests.test_simulator_adapter import CONF
 
-CACHED_LIST = {"index": 41, "snapshot": True, "endpoints": [LINE]}
+CACHED_LIST = {"index": 41, "snapshot": True, "endpoints": [ENDPOINT_ENTRY]}
 
 
 VALID_CONFIG: dict[str, Any] = {
@@ -78,7 +78,7 @@
 
 def config_with_cache(cache: Peer, discovery: Peer, mode: str) -> dict[str, Any]:
     """A configuration with one cache server known."""
-    line = {**LINE, "address": cache.address, "type": "std", "since_ms": 0}
+    line = {**ENDPOINT_ENTRY, "address": cache.address, "type": "std", "since_ms": 0}
     return {
         **VALID_CONFIG,
         "listen": "127.0.0.1:0",
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -10,11 +10,11 @@
 
 from cache_router.decisions.actions import Send
 from cache_router.decisions.events import Timer, TimerFired, TimerKind
-from cache_router.net import client_connection as clients
+from cache_router.net import client_connection
 from cache_router.net.client_connection import ClientConnection
 from cache_router.net.socket_state import is_hung_up
 from tests.event_order import DelayedConnections, first_connection, record_written_requests, wait_until
-from tests.loopback import HIT, MISS, Link, Router, book, command, http, read, run
+from tests.loopback import HIT, MISS, Link, Router, command, http, keyed_write, read, run
 from tests.upstream_attempts import GET
 
 
@@ -34,7 +34,7 @@
     """The end of the stream comes behind unread input, so that the event loop does not report it."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(clients, "ERROR_THROTTLE_TIME", 60.0)
+        monkeypatch.setattr(client_connection, "ERROR_THROTTLE_TIME", 60.0)
         async with Router() as router:
             written = record_written_requests(monkeypatch)
             client = await router.client()
@@ -48,8 +48,8 @@
                 cache.reset()
             else:
                 cache.write(end)
-            await wait_until(lambda: not router.host.requests)
-            assert written == ["r1"] and not router.host.router.pending and router.origin.links.empty()
+            await wait_until(lambda: not router.dispatcher.requests)
+            assert written == ["r1"] and not router.dispatcher.router.pending and router.origin.links.empty()
             await wait_until(lambda: not router.listener.connections)
 
     run(scenario)
@@ -60,17 +60,17 @@
     is_read: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(clients, "ERROR_THROTTLE_TIME", 60.0)
+        monkeypatch.setattr(client_connection, "ERROR_THROTTLE_TIME", 60.0)
         async with Router() as router:
             written = record_written_requests(monkeypatch)
-            module = router.host.router
+            module = router.dispatcher.router
             first = await router.client()
-            first.write(book("w1"))  # takes the only place at the origin
+            first.write(keyed_write("w1"))  # takes the only place at the origin
             origin = await router.origin.link()
             await origin.http()
             module.endpoints.origins[0].concurrency.limit = 1.0
             client = await router.client()
-            client.write(book("w2") + (b"" if is_read else command("GET", "k")))
+            client.write(keyed_write("w2") + (b"" if is_read else command("GET", "k")))
             await wait_until(lambda: "w2" in module.pending and module.pending["w2"].is_queued)
             connection = list(router.listener.connections)[1]
             if is_read:
@@ -82,7 +82,7 @@
                 await wait_until(lambda: is_hung_up(connection.transport))
             origin.write(http("200 OK", b"receipt"))
             assert await first.resp() == b"receipt"
-            await wait_until(lambda: not router.host.requests)
+            await wait_until(lambda: not router.dispatcher.requests)
             assert written == ["w1"] and not module.pending
 
     run(scenario)
@@ -96,27 +96,27 @@
     async def scenario() -> None:
         async with Router() as router:
             written = record_written_requests(monkeypatch)
-            client, cache = await router.begun("r0")
-            names = [f"r{n}" for n in range(1, 2 * clients.MAX_PIPELINED_COMMANDS)]
+            client, cache = await router.start_read("r0")
+            names = [f"r{n}" for n in range(1, 2 * client_connection.MAX_PIPELINED_COMMANDS)]
             client.write(b"".join(read(n) for n in names))
             await wait_until(lambda: not next(iter(router.listener.connections)).transport.is_reading())
             await disconnect(router, client)
             before = list(written)
             cache.write(HIT)
             await wait_until(lambda: not router.listener.connections)
-            assert written == before and not router.host.router.pending
+            assert written == before and not router.dispatcher.router.pending
 
     run(scenario)
 
 
-LEAVES = ["closes", "half-closes", "resets"]
+DISCONNECTS = ["closes", "half-closes", "resets"]
 
 
-def plain_client(router: Router) -> socket.socket:
+def blocking_client(router: Router) -> socket.socket:
     return socket.create_connection(router.listener.socket.getsockname())
 
 
-def leave(client: socket.socket, how: str) -> None:
+def disconnect_blocking_client(client: socket.socket, how: str) -> None:
     """The router's machine knows of it when this returns."""
     if how == "half-closes":
         client.shutdown(socket.SHUT_WR)
@@ -126,7 +126,7 @@
     client.close()
 
 
-async def accepted(router: Router, client: socket.socket) -> ClientConnection:
+async def connection_of(router: Router, client: socket.socket) -> ClientConnection:
     """The router's end of a client's connection."""
     name = client.getsockname()
 
@@ -138,16 +138,18 @@
     return found()[0]
 
 
-async def settled(router: Router) -> None:
+async def wait_until_settled(router: Router) -> None:
     """Nothing is out and nothing is held, so that no attempt can follow."""
-    host = router.host
-    await wait_until(lambda: not (host.requests or router.servers.connecting or router.origins.connecting))
+    host = router.dispatcher
+    await wait_until(
+        lambda: not (host.requests or router.cache_pool.connecting or router.origin_pool.connecting)
+    )
     assert not host.router.pending and not host.router.attempts
 
 
-async def warm(router: Router) -> dict[str, Link]:
+async def open_idle_connections(router: Router) -> dict[str, Link]:
     """A kept connection to every server, by its name: an attempt there is written at once."""
-    host = router.host
+    host = router.dispatcher
     links: dict[str, Link] = {}
     for name, listed in host.endpoints.items():
         ended = asyncio.Event()
@@ -160,7 +162,7 @@
     return links
 
 
-async def reader(links: dict[str, Link]) -> Link:
+async def next_reader(links: dict[str, Link]) -> Link:
     """The cache server's end on which the next request comes."""
     waits = {asyncio.ensure_future(links[name].resp()): links[name] for name in ("a", "b")}
     done, (other,) = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
@@ -168,18 +170,18 @@
     return waits[done.pop()]
 
 
-@pytest.mark.parametrize("how", LEAVES)
+@pytest.mark.parametrize("how", DISCONNECTS)
 @pytest.mark.parametrize("why", ["backlog", "pipeline", "error", "slow", "lag"])
-def test_what_is_read_after_its_client_has_left_is_not_sent_on(
+def test_request_read_after_its_client_disconnected_is_not_forwarded(
     why: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The end of a connection comes behind what was sent on it, and is read later, or not for long."""
-    monkeypatch.setattr(clients, "ERROR_THROTTLE_TIME", 600.0)
+    monkeypatch.setattr(client_connection, "ERROR_THROTTLE_TIME", 600.0)
 
     async def scenario() -> None:
-        async with Router(clients=1 if why == "backlog" else 16) as router:
-            router.list("a")
-            usual, cache = await router.client(), (await warm(router))["a"]
+        async with Router(max_clients=1 if why == "backlog" else 16) as router:
+            router.list_caches("a")
+            usual, cache = await router.client(), (await open_idle_connections(router))["a"]
             written = record_written_requests(monkeypatch)
             if why == "backlog":
                 usual.write(read("u1"))
@@ -188,9 +190,9 @@
                 crowd.write(read("u2"))
                 other = await router.caches["a"].link()
                 assert (await other.resp())[2] == b"u2"
-                client = plain_client(router)
+                client = blocking_client(router)
                 client.sendall(read("r1"))
-                leave(client, how)
+                disconnect_blocking_client(client, how)
                 cache.write(HIT)
                 assert await usual.resp() == b"value"
                 last = await router.client()
@@ -199,10 +201,10 @@
                 other.write(HIT)
                 assert await crowd.resp() == b"value"
             else:
-                client = plain_client(router)
-                connection = await accepted(router, client)
+                client = blocking_client(router)
+                connection = await connection_of(router, client)
                 if why == "pipeline":
-                    monkeypatch.setattr(clients, "MAX_PIPELINED_COMMANDS", 1)
+                    monkeypatch.setattr(client_connection, "MAX_PIPELINED_COMMANDS", 1)
                     client.sendall(read("r0"))
                     assert (await cache.resp())[2] == b"r0"
                 elif why == "error":
@@ -211,7 +213,7 @@
                 elif why == "slow":
                     connection.pause_writing()
                 client.sendall(read("r1"))
-                leave(client, how)
+                disconnect_blocking_client(client, how)
                 if why == "pipeline":
                     cache.write(HIT)
                 elif why == "error":
@@ -220,58 +222,60 @@
                     connection.resume_writing()
                 await wait_until(lambda: connection not in router.listener.connections)
             client.close()
-            await settled(router)
+            await wait_until_settled(router)
             assert "r1" not in written
 
     run(scenario)
 
 
-@pytest.mark.parametrize("how", LEAVES)
+@pytest.mark.parametrize("how", DISCONNECTS)
 @pytest.mark.parametrize("why", ["miss", "reset", "refused write", "timer", "dial"])
-def test_no_attempt_begins_for_a_client_that_has_left_in_the_same_instant(
+def test_no_attempt_starts_for_a_client_that_disconnected_at_the_same_time(
     why: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What asks for the attempt comes first, and the loop would hear of the client's end right behind it."""
 
     async def scenario() -> None:
         async with Router() as router:
-            links = await warm(router)
+            links = await open_idle_connections(router)
             origin = links["o"]
             written = record_written_requests(monkeypatch)
             dials = DelayedConnections(monkeypatch, *router.caches.values())
-            client = plain_client(router)
-            await accepted(router, client)
+            client = blocking_client(router)
+            await connection_of(router, client)
             if why == "dial":
-                for idle in list(router.servers.idle):
+                for idle in list(router.cache_pool.idle):
                     idle.abort()
                 client.sendall(read("r1"))
                 await first_connection(router)
-                leave(client, how)
+                disconnect_blocking_client(client, how)
                 dials.up.set()
             elif why == "refused write":
-                client.sendall(book("r1"))
+                client.sendall(keyed_write("r1"))
                 await origin.http()
                 origin.write(http("503 Busy", b"", "Not-Started: 1"))
-                leave(client, how)
+                disconnect_blocking_client(client, how)
             else:
                 client.sendall(read("r1"))
-                cache = await reader(links)
+                cache = await next_reader(links)
                 if why == "miss":
                     cache.write(MISS)
                 elif why == "reset":
                     cache.reset()
                     await asyncio.sleep(0)  # in which it is reset
-                leave(client, how)
+                disconnect_blocking_client(client, how)
                 if why == "timer":
                     with monkeypatch.context() as patch:
-                        names = router.host.endpoints
+                        names = router.dispatcher.endpoints
                         wanted = [Send("r1", n) for n in names]
                         # once: the outcomes of these sends are events too, and a loop of them never ends
                         # and never yields to the test's time limit (it took 9 GB; ended three times by hand)
                         answers = iter([wanted])
-                        patch.setattr(router.host.router, "handle", lambda now, event: next(answers, []))
-                        router.host.post(TimerFired(Timer(TimerKind.HEDGE, "r1")))
-            await settled(router)
+                        patch.setattr(
+                            router.dispatcher.router, "handle", lambda now, event: next(answers, [])
+                        )
+                        router.dispatcher.post(TimerFired(Timer(TimerKind.HEDGE, "r1")))
+            await wait_until_settled(router)
             assert written == ([] if why == "dial" else ["r1"])
             client.close()
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,7 +13,7 @@
 from tests.test_simulator_adapter import CONF
 
 
-def test_a_configuration_is_read() -> None:
+def test_configuration_is_read() -> None:
     config = read_config(orjson.dumps(VALID_CONFIG))
     assert (config.listen, config.discovery) == (("127.0.0.1", 6379), "127.0.0.1:8500")
     assert (config.seed, config.max_descriptors, config.cached_index) == (0x8C1F30D27A5BE964, 1024, 41)
@@ -31,7 +31,7 @@
         ({"known": None}, "known"),
     ],
 )
-def test_a_configuration_error_carries_its_field(change: dict[str, Any], where: str) -> None:
+def test_configuration_error_names_its_field(change: dict[str, Any], where: str) -> None:
     with pytest.raises(RouterError) as caught:
         read_config(orjson.dumps({**VALID_CONFIG, **change}))
     assert isinstance(caught.value, ValueError)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -56,7 +56,7 @@
     return Checkout(tmp_path)
 
 
-def test_a_build_broken_off_is_made_anew(checkout: Checkout) -> None:
+def test_interrupted_build_is_repeated(checkout: Checkout) -> None:
     """Taken for a complete environment, it would start no router after any later build either."""
     (checkout.root / "broken").touch()
     assert checkout.build() != 0
@@ -65,13 +65,13 @@
     assert checkout.installed() == "one==1\n"
 
 
-def test_a_folder_that_some_other_build_left_half_made_is_made_anew(checkout: Checkout) -> None:
+def test_incomplete_environment_of_another_build_is_replaced(checkout: Checkout) -> None:
     (checkout.root / ".venv" / "bin").mkdir(parents=True)
     assert checkout.build() == 0
     assert checkout.installed() == "one==1\n"
 
 
-def test_a_whole_build_stays_and_other_requirements_make_a_new_one(checkout: Checkout) -> None:
+def test_complete_build_is_kept_until_the_requirements_change(checkout: Checkout) -> None:
     assert checkout.build() == 0
     kept = checkout.root / ".venv" / "kept"
     kept.touch()
@@ -84,15 +84,15 @@
 
 
 @pytest.mark.parametrize("part", ["policy", "node"])
-def test_the_files_named_are_there(part: str) -> None:
+def test_named_files_exist(part: str) -> None:
     assert DEPLOY[part] and all((ROOT / name).exists() for name in DEPLOY[part])
 
 
 @pytest.mark.parametrize("command", ["run", "sim"])
-def test_the_modules_started_are_there(command: str) -> None:
+def test_started_modules_exist(command: str) -> None:
     assert importlib.util.find_spec(DEPLOY[command].rpartition(" -m ")[2]) is not None
 
 
-def test_run_is_one_process_in_place_of_its_shell() -> None:
+def test_run_replaces_its_shell() -> None:
     """A shell that stays in front would take SIGTERM, and starting it costs a second process."""
     assert DEPLOY["run"].startswith("exec ") and not set("&|;") & set(DEPLOY["run"])
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from tests.endpoint_lists import LINE, message
-from tests.loopback import HIT, Link, Peer, command, http, read, run, spelled
+from tests.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
+from tests.loopback import HIT, Link, Peer, command, format_address, http, read, run
 from tests.router_process import (
     PROCESS_TEST_TIMEOUT,
     config_with_cache,
@@ -29,23 +29,30 @@
 LONG_DEADLINE = "c=read,t=t,d=600000"
 
 
-async def eventually(holds: Callable[[], object]) -> None:
+async def poll_until(holds: Callable[[], object]) -> None:
     """Go on once something holds that another process brings about."""
     while not holds():
         await asyncio.sleep(0.01)
 
 
 @asynccontextmanager
-async def peers(count: int) -> AsyncIterator[list[Peer]]:
+async def listening_peers(count: int) -> AsyncIterator[list[Peer]]:
     async with AsyncExitStack() as stack:
         yield [await stack.enter_async_context(Peer()) for _ in range(count)]
 
 
 def list_entry(name: str, peer: Peer, kind: str = "std") -> dict[str, Any]:
-    return {**LINE, "name": name, "address": peer.address, "type": kind, "since_ms": 0, "weight": 1.0}
+    return {
+        **ENDPOINT_ENTRY,
+        "name": name,
+        "address": peer.address,
+        "type": kind,
+        "since_ms": 0,
+        "weight": 1.0,
+    }
 
 
-async def serve_all(peer: Peer, served: list[Peer]) -> None:
+async def serve_and_record(peer: Peer, served: list[Peer]) -> None:
     """Answer all that comes, and note at whom."""
 
     async def answer(link: Link) -> None:
@@ -67,7 +74,7 @@
         super().__init__()
         self.socket = socket.socket()
         self.socket.bind(("127.0.0.1", 0))
-        self.address = spelled(self.socket.getsockname())
+        self.address = format_address(self.socket.getsockname())
 
     async def start_listening(self) -> None:
         self.server = await asyncio.start_server(self._accept, sock=self.socket)
@@ -76,13 +83,13 @@
 # what the configuration allows; the limit of the process counts in both cases
 @pytest.mark.parametrize("allowed", [DESCRIPTOR_LIMIT, 1024])
 @pytest.mark.parametrize("agent_state", ["refused", "silent"])
-def test_a_list_is_learnt_while_clients_and_attempts_fill_the_descriptors(
+def test_endpoint_list_is_received_while_descriptors_are_exhausted(
     agent_state: str, allowed: int, tmp_path: Path
 ) -> None:
     """Idle clients, silent ones and attempts that hang, as many as there may be of each."""
 
     async def scenario() -> None:
-        async with peers(5) as (*caches, fresh, origin):
+        async with listening_peers(5) as (*caches, fresh, origin):
             agent = UnavailableAgent()
             config = config_with_cache(caches[0], agent, "automatic")
             known = [list_entry(f"s-{n}", c) for n, c in enumerate(caches)]
@@ -100,8 +107,8 @@
                     for i in (0, 1):
                         busy[i].write(read(f"r{i}-{n}", f"k{i}-{n}", LONG_DEADLINE))
                     busy[2].write(command("C.SET", f"k{n}", f"w{n}", "c=pay,t=t,d=600000,k=1", "v"))
-                await eventually(lambda: sum(p.links.qsize() for p in caches) == shared_descriptors * 3 // 8)
-                await eventually(lambda: origin.links.qsize() == shared_descriptors // 8)
+                await poll_until(lambda: sum(p.links.qsize() for p in caches) == shared_descriptors * 3 // 8)
+                await poll_until(lambda: origin.links.qsize() == shared_descriptors // 8)
                 crowd = [await connected_client(address) for _ in range(DESCRIPTOR_LIMIT)]
                 crowd += [await idle_client(address) for _ in range(DESCRIPTOR_LIMIT)]
                 used = len(os.listdir(f"/proc/{process.pid}/fd"))
@@ -113,11 +120,11 @@
                         (await agent.link()).reset()
                 call = await agent.link()
                 await call.http()
-                call.write(http("200 OK", message(50, True, *known, list_entry("s-new", fresh))))
+                call.write(http("200 OK", encode_endpoint_list(50, True, *known, list_entry("s-new", fresh))))
                 assert "after=50&" in (await (await agent.link()).http())[0]
                 client = await connected_client(address)
                 served: list[Peer] = []
-                serving = [asyncio.create_task(serve_all(p, served)) for p in (*caches, fresh)]
+                serving = [asyncio.create_task(serve_and_record(p, served)) for p in (*caches, fresh)]
                 keys = iter(range(200))
                 while not {caches[0], fresh} <= set(served):
                     n = next(keys)
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -13,12 +13,12 @@
 from cache_router.net.discovery import Discovery
 from scale_experiments.emulators import discovery as standin
 from scale_experiments.emulators.cache import Cache, Plan
-from tests.endpoint_lists import LINE
-from tests.loopback import Link, read, run, spelled
+from tests.endpoint_lists import ENDPOINT_ENTRY
+from tests.loopback import Link, format_address, read, run
 
 
 def line(name: str, status: str = "in_service") -> dict[str, Any]:
-    return {**LINE, "name": name, "status": status}
+    return {**ENDPOINT_ENTRY, "name": name, "status": status}
 
 
 def told(registry: standin.Registry, after: int | None) -> tuple[int, bool, dict[str, str]]:
@@ -26,7 +26,7 @@
     return answer["index"], answer["snapshot"], {e["name"]: e["status"] for e in answer["endpoints"]}
 
 
-def test_a_registry_tells_the_whole_list_changes_and_the_whole_list_after_an_index_too_old() -> None:
+def test_registry_sends_changes_or_a_snapshot_if_the_index_is_too_old() -> None:
     registry = standin.Registry(kept=2)
     registry.replace(5, [line("a"), line("b")])
     assert told(registry, None) == (5, True, {"a": "in_service", "b": "in_service"})
@@ -41,14 +41,14 @@
     assert told(registry, 5) == (8, True, {"b": "in_service", "c": "in_service"})
 
 
-def test_a_watch_waits_for_news_and_goes_silent_with_discovery() -> None:
+def test_watch_waits_for_updates_and_hangs_with_discovery() -> None:
     async def scenario() -> None:
         server = standin.Discovery()
         await server.listen()
         server.registry.replace(41, [line("a")])
         news: asyncio.Queue[tuple[EndpointUpdateKind, list[str]]] = asyncio.Queue()
         watch = Discovery(
-            spelled(server.address),
+            format_address(server.address),
             41,
             lambda kind, members: news.put_nowait((kind, [m.entry.name for m in members])),
             lambda: news.put_nowait((EndpointUpdateKind.FAILED, [])),
@@ -94,7 +94,7 @@
 }
 
 
-def test_a_cache_holds_what_missed_there_once_the_origin_has_answered_until_it_is_written() -> None:
+def test_cache_stores_a_missed_key_from_the_origin_response_until_a_write() -> None:
     plan = Plan(PLAN)
     first, other = (Cache(plan, name, ("127.0.0.1", 0)) for name in "ab")
     plan.missed(b"r1", first)
@@ -107,7 +107,7 @@
     assert not first.has(b"k1") and first.has(b"k3")  # no more than it has room for
 
 
-def test_a_cache_drains_hangs_dies_and_comes_back_empty() -> None:
+def test_cache_drains_hangs_fails_and_restarts_empty() -> None:
     async def scenario() -> None:
         with socket.create_server(("127.0.0.1", 0)) as taken:
             address = taken.getsockname()
@@ -118,7 +118,7 @@
             link.write(read("r1"))
             answer = await link.resp()
             if value is None:  # over the limit of two
-                assert str(answer) == "BUSY" and await link.ended()
+                assert str(answer) == "BUSY" and await link.closed_by_peer()
             else:
                 assert answer == [value, b"hit", b"svc_ms=0.0,pending=0"]
         await cache.set_mode("drain")
@@ -127,7 +127,7 @@
         await cache.set_mode("hang")
         links[0].write(read("r3"))
         await cache.set_mode("dead")
-        assert await links[0].ended() and await links[1].ended()
+        assert await links[0].closed_by_peer() and await links[1].closed_by_peer()
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection(*address)
         await cache.set_mode("serve")
--- a/tests/test_hash_ring_updates.py
+++ b/tests/test_hash_ring_updates.py
@@ -13,7 +13,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(0, 90)), max_size=60), st.integers(0, 2**64 - 1))
-def test_rings_of_the_same_members_agree_whatever_they_went_through(
+def test_rings_of_equal_members_are_equal_after_any_updates(
     moves: list[tuple[int, int]], position: int
 ) -> None:
     ring: HashRing[str] = HashRing()
@@ -34,7 +34,7 @@
         assert ranks == [(j + 0.5) / count for j in range(count)]
 
 
-def test_buckets_follow_the_number_of_points_both_ways() -> None:
+def test_bucket_count_follows_the_number_of_points() -> None:
     ring: HashRing[int] = HashRing()
     for n in range(300):
         ring.place(f"m{n}", n, 128)
@@ -47,7 +47,7 @@
     assert len(ring._members) == 300 and len(list(ring.walk(0))) == 8
 
 
-def test_a_member_that_comes_again_replaces_itself() -> None:
+def test_restarted_member_replaces_its_former_entry() -> None:
     """A server that has restarted leaves nothing of its former self on the ring."""
     ring: HashRing[Endpoint] = HashRing()
     old = entry("a")
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -10,7 +10,7 @@
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.endpoint import EndpointState
 from tests.event_order import DelayedConnections, first_connection, record_written_requests, wait_until
-from tests.loopback import BOOK, HIT, READ, SETTINGS, Router, book, http, read, run
+from tests.loopback import HIT, KEYED_WRITE, READ, SETTINGS, Router, http, keyed_write, read, run
 
 
 @pytest.mark.parametrize("news", ["draining", "gone", "restarted"])
@@ -25,15 +25,17 @@
             client = await router.client()
             client.write(read("r1"))
             name, link = await first_connection(router)
-            member = router.host.endpoints[name]
+            member = router.dispatcher.endpoints[name]
             told = {
                 "draining": replace(member.entry, state=EndpointState.DRAINING),
                 "gone": replace(member.entry, state=EndpointState.REMOVED),
                 "restarted": replace(member.entry, started_at=9.0),
             }
-            router.host.on_endpoint_update(EndpointUpdateKind.DELTA, [replace(member, entry=told[news])])
+            router.dispatcher.on_endpoint_update(
+                EndpointUpdateKind.DELTA, [replace(member, entry=told[news])]
+            )
             dials.up.set()
-            assert await link.ended()  # and never a byte
+            assert await link.closed_by_peer()  # and never a byte
             if news == "restarted":
                 served = await router.cache()  # it may well be the one that is new there
             else:
@@ -82,8 +84,8 @@
             client.close()
             await wait_until(lambda: not router.listener.connections)
             dials.up.set()
-            await wait_until(lambda: not router.servers.connecting)
-            assert not written and not router.host.router.pending
+            await wait_until(lambda: not router.cache_pool.connecting)
+            assert not written and not router.dispatcher.router.pending
 
     run(scenario)
 
@@ -95,10 +97,10 @@
     """Servers recognize a retry only within the window; connecting may take a second here."""
 
     async def scenario() -> None:
-        kinds = {"read": READ, "book": replace(BOOK, idempotency_window=window)}
+        kinds = {"read": READ, "book": replace(KEYED_WRITE, idempotency_window=window)}
         async with Router(replace(SETTINGS, classes=kinds, connect_timeout=1.0)) as router:
             client = await router.client()
-            client.write(book("r1"))
+            client.write(keyed_write("r1"))
             origin = await router.origin.link()
             await origin.http()  # whole: it may have run
             origin.reset()
@@ -109,6 +111,6 @@
                 assert await client.resp() == b"receipt"
             else:
                 assert str(await client.resp()).startswith("BUSY")
-                assert router.origin.links.empty() and not router.origins.connecting
+                assert router.origin.links.empty() and not router.origin_pool.connecting
 
     run(scenario)
--- a/tests/test_net_address.py
+++ b/tests/test_net_address.py
@@ -46,7 +46,7 @@
         "h:\u0663",  # a digit to `int`, but not an ASCII one
     ],
 )
-def test_what_is_not_host_and_port_is_rejected(text: str) -> None:
+def test_malformed_address_is_rejected(text: str) -> None:
     """Accepted, it would fail only when a connection is opened."""
     with pytest.raises(AddressError):
         parse_address(text)
--- a/tests/test_net_attempt_runner.py
+++ b/tests/test_net_attempt_runner.py
@@ -8,10 +8,12 @@
 
 from cache_router.decisions.actions import Action, Cancel, Fail, Reject, Send
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, Event, Request
-from tests.loopback import SETTINGS, Router, command, error, read, run
+from tests.loopback import SETTINGS, Router, command, error_text, read, run
 
 
-def test_sends_of_no_use_are_moot_and_answers_come_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_useless_attempts_are_not_sent_and_a_request_is_answered_once(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def scenario() -> None:
         async with Router(replace(SETTINGS, max_attempts=1)) as router:
             seen: list[AttemptCompleted] = []
@@ -25,10 +27,10 @@
                     return [Reject("r1", 0.25), Fail("r1"), Send("r1", "b"), Cancel("r1", 0)]
                 return []
 
-            monkeypatch.setattr(router.host.router, "handle", handle)
+            monkeypatch.setattr(router.dispatcher.router, "handle", handle)
             client = await router.client()
             client.write(read("r1") + command("PING"))
-            assert error(await client.resp()) == "BUSY 250"
+            assert error_text(await client.resp()) == "BUSY 250"
             assert await client.resp() == b"PONG"
             ends = [(o.attempt_number, o.status, o.request_closed) for o in seen]
             moot, cancelled = AttemptStatus.NOT_SENT, AttemptStatus.CANCELLED
@@ -37,7 +39,7 @@
     run(scenario)
 
 
-def test_an_attempt_times_out_at_its_own_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_attempt_times_out_after_its_own_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         async with Router() as router:
 
@@ -49,9 +51,9 @@
                     return [Fail("r1")]
                 return []
 
-            monkeypatch.setattr(router.host.router, "handle", handle)
+            monkeypatch.setattr(router.dispatcher.router, "handle", handle)
             client = await router.client()
             client.write(read("r1"))
-            assert error(await client.resp()) == "ERR failed"
+            assert error_text(await client.resp()) == "ERR failed"
 
     run(scenario)
--- a/tests/test_net_cache_connection.py
+++ b/tests/test_net_cache_connection.py
@@ -60,7 +60,7 @@
         b"*3\r\n$3\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n",
     ],
 )
-def test_a_malformed_response_may_have_run_and_ends_its_connection(response: bytes) -> None:
+def test_malformed_response_is_an_error_and_closes_its_connection(response: bytes) -> None:
     """What follows on such a connection can't be told from the response to a later request."""
 
     async def scenario() -> None:
@@ -69,7 +69,7 @@
             link = await attempts.start_on(peer)
             link.write(response)
             assert await attempts.outcome() == (AttemptStatus.ERROR, b"")
-            assert await link.ended()
+            assert await link.closed_by_peer()
             assert not attempts.pool.connections
 
     run(scenario)
--- a/tests/test_net_client_connection.py
+++ b/tests/test_net_client_connection.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from cache_router.net import client_connection as clients
+from cache_router.net import client_connection
 from cache_router.net.client_connection import MAX_PIPELINED_COMMANDS
-from tests.loopback import HIT, Router, command, error, read, run
+from tests.loopback import HIT, Router, command, error_text, read, run
 
 
-def test_answers_come_in_the_order_of_the_commands() -> None:
+def test_replies_are_written_in_the_order_of_the_commands() -> None:
     """Answered in another order, each client would take another request's value for its own."""
 
     async def scenario() -> None:
@@ -26,13 +26,13 @@
             assert [await client.resp() for _ in range(3)] == [b"value", b"later", b"PONG"]
 
     async def by_request_ended(router: Router, name: str) -> None:
-        while name in router.host.requests:
+        while name in router.dispatcher.requests:
             await asyncio.sleep(0)
 
     run(scenario)
 
 
-BAD_COMMANDS = [
+INVALID_COMMANDS = [
     (command("GET", "k"), "unknown command"),
     (command("CLIENT", "LIST"), "unknown command"),
     (command("A\r\n+PONG"), "unknown command"),  # said back as it came, it would be a second answer
@@ -63,15 +63,15 @@
 ]
 
 
-@pytest.mark.parametrize(("sent", "said"), BAD_COMMANDS)
-def test_a_bad_command_gets_an_error_and_no_more(sent: bytes, said: str) -> None:
+@pytest.mark.parametrize(("sent", "said"), INVALID_COMMANDS)
+def test_invalid_command_gets_an_error_and_keeps_its_connection(sent: bytes, said: str) -> None:
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
             client.write(sent + command("PING"))
-            assert said in error(await client.resp())
+            assert said in error_text(await client.resp())
             assert await client.resp() == b"PONG"
-            assert not router.host.requests
+            assert not router.dispatcher.requests
 
     run(scenario)
 
@@ -92,27 +92,27 @@
         b"*1\r\n" * 9,
     ],
 )
-def test_lost_framing_ends_the_connection(sent: bytes) -> None:
+def test_framing_error_closes_the_connection(sent: bytes) -> None:
     """Anything read after it might be a part of a value, carried out as a command."""
 
     async def scenario() -> None:
         async with Router() as router:
             client, other = await router.client(), await router.client()
             client.write(sent)
-            assert error(await client.resp()).startswith("ERR")
-            assert await client.ended()
+            assert error_text(await client.resp()).startswith("ERR")
+            assert await client.closed_by_peer()
             other.write(command("PING"))
             assert await other.resp() == b"PONG"
 
     run(scenario)
 
 
-def test_nothing_is_read_behind_lost_framing() -> None:
+def test_nothing_is_read_after_a_framing_error() -> None:
     """While an earlier answer is owed, all that such a client goes on sending would be kept in memory."""
 
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun()
+            client, cache = await router.start_read()
             client.write(b"noise\r\n" + b"x" * 100_000)
             (connection,) = router.listener.connections
             while not connection.closing:
@@ -120,13 +120,13 @@
             assert not connection.transport.is_reading() and not connection.reader.buffer
             cache.write(HIT)
             assert await client.resp() == b"value"
-            assert error(await client.resp()).startswith("ERR")
-            assert await client.ended()
+            assert error_text(await client.resp()).startswith("ERR")
+            assert await client.closed_by_peer()
 
     run(scenario)
 
 
-def test_errors_slow_their_connection_down() -> None:
+def test_connection_is_throttled_after_errors() -> None:
     """A client that sends the same again as soon as it is turned away would take the core for itself."""
 
     async def scenario() -> None:
@@ -136,13 +136,13 @@
             began = loop.time()
             client.write(read("r1", info="c=unheard-of,d=900") * 3)
             for _ in range(3):
-                error(await client.resp())
-            assert loop.time() - began >= 2 * clients.ERROR_THROTTLE_TIME - 0.01
+                error_text(await client.resp())
+            assert loop.time() - began >= 2 * client_connection.ERROR_THROTTLE_TIME - 0.01
 
     run(scenario)
 
 
-def test_more_commands_than_are_held_are_read_later() -> None:
+def test_commands_beyond_the_pipeline_limit_are_processed_later() -> None:
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
@@ -152,13 +152,13 @@
             assert (await cache.resp())[2] == b"last"
             cache.write(HIT)
             for _ in names:
-                error(await client.resp())
+                error_text(await client.resp())
             assert await client.resp() == b"value"
 
     run(scenario)
 
 
-def test_what_waits_unread_is_bounded() -> None:
+def test_number_of_pipelined_commands_is_bounded() -> None:
     """One client could make the router hold requests without end."""
 
     async def scenario() -> None:
@@ -175,7 +175,7 @@
     run(scenario)
 
 
-def test_nothing_is_taken_from_a_connection_that_is_closing() -> None:
+def test_no_request_is_accepted_from_a_closing_connection() -> None:
     """Its client is gone, and what is taken after that would be worked on to its deadline for nobody."""
 
     async def scenario() -> None:
@@ -188,56 +188,56 @@
             while len(connection.replies) < MAX_PIPELINED_COMMANDS:
                 await asyncio.sleep(0)
             connection.transport.abort()
-            router.host.requests.respond("r0", b"-ERR failed\r\n")
+            router.dispatcher.requests.respond("r0", b"-ERR failed\r\n")
             while router.listener.connections:
                 await asyncio.sleep(0)
             await asyncio.sleep(0)
-            assert set(router.host.requests) == {"r0"}  # whose end the module was not told here
+            assert set(router.dispatcher.requests) == {"r0"}  # whose end the module was not told here
 
     run(scenario)
 
 
-def test_ping_is_answered_once_a_server_is_known() -> None:
+def test_ping_fails_until_a_cache_server_is_known() -> None:
     async def scenario() -> None:
-        async with Router(listed=False) as router:
+        async with Router(with_endpoints=False) as router:
             client = await router.client()
             client.write(command("PING"))
-            assert "no cache server" in error(await client.resp())
-            router.list("a")
+            assert "no cache server" in error_text(await client.resp())
+            router.list_caches("a")
             client.write(command("PING"))
             assert await client.resp() == b"PONG"
 
     run(scenario)
 
 
-def test_a_fault_ends_its_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_closes_only_the_connection_that_caused_it(monkeypatch: pytest.MonkeyPatch) -> None:
     """One request that the code can't handle would take the whole router, and all it has taken, along."""
 
     async def scenario() -> None:
         async with Router() as router:
             other = await router.client()
-            first, cache = await router.begun()
+            first, cache = await router.start_read()
             with monkeypatch.context() as patch:
-                patch.setattr(router.host, "accept", None)
+                patch.setattr(router.dispatcher, "accept", None)
                 first.write(read("r2"))
-                assert await first.ended()
-            assert await cache.ended() and not router.host.router.pending
+                assert await first.closed_by_peer()
+            assert await cache.closed_by_peer() and not router.dispatcher.router.pending
             other.write(command("PING"))
             assert await other.resp() == b"PONG"
 
     run(scenario)
 
 
-def test_a_connection_that_ended_leaves_the_books() -> None:
+def test_closed_connection_is_removed_from_the_table() -> None:
     """Looked at again, one without a socket stopped the listener: nobody could connect any more."""
 
     async def scenario() -> None:
         async with Router() as router:
             client, other = await router.client(), await router.client()
             client.write(read("r1", info="c=unheard-of,d=900"))
-            error(await client.resp())
+            error_text(await client.resp())
             next(iter(router.listener.connections)).transport.abort()
-            await asyncio.sleep(2 * clients.ERROR_THROTTLE_TIME)
+            await asyncio.sleep(2 * client_connection.ERROR_THROTTLE_TIME)
             other.write(command("PING"))
             assert await other.resp() == b"PONG"
             connections = router.listener.connections
--- a/tests/test_net_connection_pool.py
+++ b/tests/test_net_connection_pool.py
@@ -7,11 +7,11 @@
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net import connection_pool
-from tests.loopback import HIT, MISS, Peer, run, spelled
+from tests.loopback import HIT, MISS, Peer, format_address, run
 from tests.upstream_attempts import GET, cache_attempts
 
 
-def test_the_connection_idle_for_longest_is_used_first() -> None:
+def test_longest_idle_connection_is_used_first() -> None:
     """What follows a good response late would come behind the next request, and be served as its response."""
 
     async def scenario() -> None:
@@ -24,7 +24,7 @@
             links[1].write(HIT)  # a second response
             attempts.start(peer.address)
             await links[0].resp()
-            assert await links[1].ended()
+            assert await links[1].closed_by_peer()
             links[0].write(MISS)
             assert await attempts.outcome() == (AttemptStatus.MISS, b"")
             attempts.pool.close()
@@ -32,7 +32,7 @@
     run(scenario)
 
 
-def test_a_connection_to_an_earlier_incarnation_is_not_used() -> None:
+def test_connection_to_an_earlier_incarnation_is_not_used() -> None:
     """A machine that vanished never closes it; what is written to it would wait for its deadline."""
 
     async def scenario() -> None:
@@ -42,14 +42,14 @@
             link.write(HIT)
             await attempts.outcome()
             attempts.pool.start(peer.address, GET, 0.5, lambda response: None, incarnation="another")
-            assert await link.ended()
+            assert await link.closed_by_peer()
             assert (await (await peer.link()).resp())[2] == b"r1"
             attempts.pool.close()
 
     run(scenario)
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_refused_connection_is_a_failed_connect() -> None:
     """Counted otherwise, a request that is not idempotent could not be sent elsewhere."""
 
     async def scenario() -> None:
@@ -63,7 +63,7 @@
     run(scenario)
 
 
-def test_connecting_has_a_time_limit() -> None:
+def test_connecting_times_out() -> None:
     """A machine cut off says nothing: without a limit on connecting the request waits out its deadline."""
 
     async def scenario() -> None:
@@ -72,20 +72,20 @@
             full.listen(0)  # room for one, which `first` takes; the next gets no response
             first.connect(full.getsockname())
             attempts = cache_attempts(connect_timeout=0.05)
-            attempts.start(spelled(full.getsockname()))
+            attempts.start(format_address(full.getsockname()))
             assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
 
     run(scenario)
 
 
-def test_an_idle_connection_that_was_closed_is_not_used() -> None:
+def test_closed_idle_connection_is_not_used() -> None:
     """A request written to it would end as a reset, and an unsafe one would be failed for nothing."""
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
             server.setblocking(False)
-            address = spelled(server.getsockname())
+            address = format_address(server.getsockname())
             attempts = cache_attempts()
             attempts.start(address)
             first, _ = await loop.sock_accept(server)
@@ -103,7 +103,7 @@
     run(scenario)
 
 
-def test_an_idle_connection_is_closed_before_its_server_would() -> None:
+def test_idle_connection_is_closed_before_its_server_would() -> None:
     """One used just as the server closes it loses the request that is written to it."""
 
     async def scenario() -> None:
@@ -112,7 +112,7 @@
             link = await attempts.start_on(peer)
             link.write(HIT)
             assert await attempts.outcome() == (AttemptStatus.OK, b"value")
-            assert await link.ended()
+            assert await link.closed_by_peer()
             assert not attempts.pool.connections
 
     run(scenario)
@@ -133,14 +133,14 @@
             link.write(HIT)
             assert await attempts.outcome() == (AttemptStatus.OK, b"value")
             attempts.start(other.address)  # an idle one is closed for it
-            assert await link.ended()
+            assert await link.closed_by_peer()
             await (await other.link()).resp()
             attempts.pool.close()
 
     run(scenario)
 
 
-def test_the_connection_idle_for_longest_is_closed_for_another_whichever_server_it_is_to() -> None:
+def test_longest_idle_connection_to_any_server_is_closed_for_another() -> None:
     """Taken from one server each time, that server alone would cost a handshake for every request."""
 
     async def scenario() -> None:
@@ -151,7 +151,7 @@
                 link.write(HIT)
                 await attempts.outcome()
             attempts.start(three.address)
-            assert await second.ended()
+            assert await second.closed_by_peer()
             assert len(attempts.pool.idle) == 1
             attempts.pool.close()
 
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -12,17 +12,19 @@
 from cache_router.net.endpoint_list_reader import EndpointListError, read_endpoint_list
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.settings import WatchBudget
-from tests.endpoint_lists import LINE, WatchRecorder, call, message
+from tests.endpoint_lists import ENDPOINT_ENTRY, WatchRecorder, accept_poll, encode_endpoint_list
 from tests.loopback import Peer, http, run
 
 
-def test_an_entry_is_read() -> None:
-    update = read_endpoint_list(orjson.loads(message(7, True, LINE)))
+def test_endpoint_entry_is_read() -> None:
+    update = read_endpoint_list(orjson.loads(encode_endpoint_list(7, True, ENDPOINT_ENTRY)))
     (endpoint,) = update.endpoints
     assert (update.index, update.is_snapshot, endpoint.address) == (7, True, "127.0.0.9:6379")
     entry = Endpoint("s-1", EndpointState.READY, "m2", "a", 3, 1.5, 1_790_000_000.25)
     assert endpoint.entry == entry  # named as at every router, since on the router's own clock
-    (old,) = read_endpoint_list(orjson.loads(message(7, True, {**LINE, "since_ms": 0}))).endpoints
+    (old,) = read_endpoint_list(
+        orjson.loads(encode_endpoint_list(7, True, {**ENDPOINT_ENTRY, "since_ms": 0}))
+    ).endpoints
     assert old.entry.started_at == 0
 
 
@@ -38,25 +40,30 @@
         ({"since_ms": None}, "since_ms"),
     ],
 )
-def test_a_malformed_entry_is_named(change: dict[str, Any], named: str) -> None:
+def test_malformed_entry_is_named_in_the_error(change: dict[str, Any], named: str) -> None:
     with pytest.raises(EndpointListError, match=rf"^known\.endpoints\[1\]\.{named}"):
-        read_endpoint_list({"index": 1, "snapshot": True, "endpoints": [LINE, {**LINE, **change}]}, "known")
+        read_endpoint_list(
+            {"index": 1, "snapshot": True, "endpoints": [ENDPOINT_ENTRY, {**ENDPOINT_ENTRY, **change}]},
+            "known",
+        )
 
 
-def test_a_watch_continues_from_the_index_it_received() -> None:
+def test_watch_continues_from_the_received_index() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
             recorder = WatchRecorder(peer)
-            first, link = await call(peer)
+            first, link = await accept_poll(peer)
             assert first == "GET /registry/instances?after=41&wait_ms=1000 HTTP/1.1"
-            link.write(http("200 OK", message(43, False, {**LINE, "status": "terminating"})))
+            link.write(
+                http("200 OK", encode_endpoint_list(43, False, {**ENDPOINT_ENTRY, "status": "terminating"}))
+            )
             kind, (endpoint,) = await recorder.updates.get() or pytest.fail()
             assert kind is EndpointUpdateKind.DELTA and endpoint.entry.state is EndpointState.DRAINING
-            first, link = await call(peer)
+            first, link = await accept_poll(peer)
             assert "after=43&" in first
-            link.write(http("200 OK", message(50, True, LINE)))
+            link.write(http("200 OK", encode_endpoint_list(50, True, ENDPOINT_ENTRY)))
             assert (await recorder.updates.get() or pytest.fail())[0] is EndpointUpdateKind.SNAPSHOT
-            assert "after=50&" in (await call(peer))[0]
+            assert "after=50&" in (await accept_poll(peer))[0]
             recorder.discovery.close()
 
     run(scenario)
@@ -67,10 +74,10 @@
         async with Peer() as peer:
             recorder = WatchRecorder(peer)
             recorder.discovery.subscribe()
-            _, link = await call(peer)
-            link.write(http("200 OK", message(42, False)))
+            _, link = await accept_poll(peer)
+            link.write(http("200 OK", encode_endpoint_list(42, False)))
             await recorder.updates.get()
-            assert "after=42&" in (await call(peer))[0]  # and none with 41 before it
+            assert "after=42&" in (await accept_poll(peer))[0]  # and none with 41 before it
             recorder.discovery.close()
 
     run(scenario)
@@ -83,30 +90,30 @@
         http("200 OK", b"not json"),
         http("200 OK", b"[]"),
         http("200 OK", b'{"index":42,"snapshot":false}'),
-        http("200 OK", message(42, False, {**LINE, "address": ""})),
+        http("200 OK", encode_endpoint_list(42, False, {**ENDPOINT_ENTRY, "address": ""})),
         b"hello\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{",
         b"",
     ],
 )
-def test_a_failed_poll_is_notified_and_the_next_continues_from_the_list_held(answer: bytes) -> None:
+def test_failed_poll_is_notified_and_the_next_continues_from_the_last_index(answer: bytes) -> None:
     """Half a list taken for whole would drop servers that are well; an exception would end the watch."""
 
     async def scenario() -> None:
         async with Peer() as peer:
             recorder = WatchRecorder(peer)
-            _, link = await call(peer)
+            _, link = await accept_poll(peer)
             link.write(answer)
             link.close()
             assert await recorder.updates.get() is None
             recorder.discovery.subscribe()
-            assert "after=41&" in (await call(peer))[0]
+            assert "after=41&" in (await accept_poll(peer))[0]
             recorder.discovery.close()
 
     run(scenario)
 
 
-def test_a_refused_connection_is_notified() -> None:
+def test_refused_connection_is_notified_as_a_failed_poll() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
             pass
@@ -115,7 +122,7 @@
     run(scenario)
 
 
-def test_a_poll_of_a_silent_discovery_times_out() -> None:
+def test_poll_of_a_silent_discovery_times_out() -> None:
     """Its changes count as notified: a router that waits on sends to servers it should have left."""
 
     async def scenario() -> None:
@@ -126,14 +133,14 @@
                     response_timeout=0.05, max_backoff=0.0, scheduling_slack=0.0, notification_deadline=0.15
                 ),
             )
-            _, link = await call(peer)
+            _, link = await accept_poll(peer)
             assert await recorder.updates.get() is None
-            assert await link.ended()
+            assert await link.closed_by_peer()
 
     run(scenario)
 
 
-def test_a_fault_in_an_update_is_notified_as_a_failed_poll() -> None:
+def test_exception_in_an_update_is_notified_as_a_failed_poll() -> None:
     """A watch that ended without a word would leave the router with its old list for good."""
 
     async def scenario() -> None:
@@ -144,28 +151,28 @@
                 raise RuntimeError("a fault")
 
             recorder.discovery.on_update = faulty
-            _, link = await call(peer)
-            link.write(http("200 OK", message(42, False, LINE)))
+            _, link = await accept_poll(peer)
+            link.write(http("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
             assert await recorder.updates.get() is None and recorder.discovery.watch_task is None
 
     run(scenario)
 
 
-def test_a_watch_at_a_new_address_starts_anew_and_the_old_one_notifies_nothing() -> None:
+def test_watch_of_a_new_address_starts_anew_and_the_old_one_notifies_nothing() -> None:
     """Each counts by itself: asked for what is newer than another discovery's list, it may say nothing."""
 
     async def scenario() -> None:
         async with Peer() as old, Peer() as new:
             recorder = WatchRecorder(old)
-            _, link = await call(old)
+            _, link = await accept_poll(old)
             recorder.discovery.change_address(new.address)
-            assert await link.ended()
+            assert await link.closed_by_peer()
             recorder.discovery.subscribe()
-            first, link = await call(new)
+            first, link = await accept_poll(new)
             assert first == "GET /registry/instances HTTP/1.1"
-            link.write(http("200 OK", message(3, True, LINE)))
+            link.write(http("200 OK", encode_endpoint_list(3, True, ENDPOINT_ENTRY)))
             assert (await recorder.updates.get() or pytest.fail())[0] is EndpointUpdateKind.SNAPSHOT
-            assert "after=3&" in (await call(new))[0]
+            assert "after=3&" in (await accept_poll(new))[0]
             assert recorder.updates.empty()
             recorder.discovery.close()
 
--- a/tests/test_net_dispatcher.py
+++ b/tests/test_net_dispatcher.py
@@ -8,11 +8,11 @@
 
 from cache_router.decisions.actions import Action, Fail, LogMessage, Send
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, Event, Request
-from cache_router.net import dispatcher as dispatchers
-from tests.loopback import HIT, MISS, Router, book, error, http, read, run
+from cache_router.net import dispatcher
+from tests.loopback import HIT, MISS, Router, error_text, http, keyed_write, read, run
 
 
-def test_a_hit_is_passed_on() -> None:
+def test_hit_is_returned_to_the_client() -> None:
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
@@ -29,10 +29,10 @@
     run(scenario)
 
 
-def test_a_miss_is_fetched_from_the_origin() -> None:
+def test_miss_is_fetched_from_the_origin() -> None:
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun()
+            client, cache = await router.start_read()
             cache.write(MISS)
             origin = await router.origin.link()
             first, headers, _ = await origin.http()
@@ -43,11 +43,11 @@
     run(scenario)
 
 
-def test_a_write_goes_to_the_origin_whole() -> None:
+def test_write_is_forwarded_to_the_origin_unchanged() -> None:
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
-            client.write(book("r1", value=b"two\r\nlines"))
+            client.write(keyed_write("r1", value=b"two\r\nlines"))
             origin = await router.origin.link()
             first, headers, body = await origin.http()
             assert first == "PUT /k HTTP/1.1" and body == b"two\r\nlines"
@@ -58,10 +58,10 @@
     run(scenario)
 
 
-def test_a_busy_server_is_left_for_another() -> None:
+def test_read_is_retried_after_a_connection_reset() -> None:
     async def scenario() -> None:
         async with Router() as router:
-            client, first = await router.begun()
+            client, first = await router.start_read()
             first.reset()
             second = await router.cache()
             assert (await second.resp())[2] == b"r1"
@@ -71,53 +71,53 @@
     run(scenario)
 
 
-def test_a_client_that_leaves_takes_its_attempts_along() -> None:
+def test_attempts_of_a_disconnected_client_are_cancelled() -> None:
     """Cache servers would go on working for nobody."""
 
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun()
+            client, cache = await router.start_read()
             client.close()
-            assert await cache.ended()
-            assert not router.host.router.pending and not router.host.router.attempts
+            assert await cache.closed_by_peer()
+            assert not router.dispatcher.router.pending and not router.dispatcher.router.attempts
 
     run(scenario)
 
 
-def test_the_deadline_ends_what_is_silent() -> None:
+def test_request_without_a_response_is_rejected_at_its_deadline() -> None:
     """A client that is not answered in time counts its request as lost."""
 
     async def scenario() -> None:
         async with Router() as router:
             loop = asyncio.get_running_loop()
             sent = loop.time()
-            client, cache = await router.begun(info="c=read,t=x,d=150")
-            assert error(await client.resp()).startswith("BUSY")
-            assert loop.time() - sent >= 0.15 - dispatchers.DEADLINE_MARGIN - 0.001
-            assert await cache.ended() and not router.host.requests
+            client, cache = await router.start_read(info="c=read,t=x,d=150")
+            assert error_text(await client.resp()).startswith("BUSY")
+            assert loop.time() - sent >= 0.15 - dispatcher.DEADLINE_MARGIN - 0.001
+            assert await cache.closed_by_peer() and not router.dispatcher.requests
 
     run(scenario)
 
 
-def test_events_that_come_while_actions_run_wait_their_turn(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_events_posted_while_actions_run_are_handled_afterwards(monkeypatch: pytest.MonkeyPatch) -> None:
     """Entered again, the module would go on with a state that the first call has not finished."""
 
     async def scenario() -> None:
-        async with Router(listed=False) as router:
+        async with Router(with_endpoints=False) as router:
             depth: list[int] = []
 
             def handle(now: float, event: Event) -> list[Action]:
-                depth.append(router.host.handling)
+                depth.append(router.dispatcher.handling)
                 if isinstance(event, Request):
                     return [Send("r1", "unheard-of"), LogMessage("after"), Fail("r1")]
                 if isinstance(event, AttemptCompleted):
                     assert event.status is AttemptStatus.CONNECT_FAILED and event.request_closed
                 return []
 
-            monkeypatch.setattr(router.host.router, "handle", handle)
+            monkeypatch.setattr(router.dispatcher.router, "handle", handle)
             client = await router.client()
             client.write(read("r1"))
-            assert error(await client.resp()) == "ERR failed"
+            assert error_text(await client.resp()) == "ERR failed"
             assert len(depth) == 2
 
     run(scenario)
--- a/tests/test_net_endpoint_table.py
+++ b/tests/test_net_endpoint_table.py
@@ -22,17 +22,17 @@
 
 
 @pytest.mark.parametrize("change", ["gone", "draining", "restarted", "replaced"])
-def test_connections_to_a_process_that_ends_are_closed(change: str) -> None:
+def test_idle_connections_to_an_ended_process_are_closed(change: str) -> None:
     """Those to a machine that vanished never close, and another process may come to its address."""
 
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun()
+            client, cache = await router.start_read()
             cache.write(HIT)
             assert await client.resp() == b"value"
-            (connection,) = router.servers.idle
-            (name,) = (n for n, m in router.host.endpoints.items() if m.address == connection.address)
-            entry = router.host.endpoints[name].entry
+            (connection,) = router.cache_pool.idle
+            (name,) = (n for n, m in router.dispatcher.endpoints.items() if m.address == connection.address)
+            entry = router.dispatcher.endpoints[name].entry
             told = {
                 "gone": replace(entry, state=EndpointState.REMOVED),
                 "draining": replace(entry, state=EndpointState.DRAINING),
@@ -42,13 +42,13 @@
             members = [NetworkEndpoint(told[change], connection.address)]
             if change == "replaced":
                 members.append(NetworkEndpoint(replace(entry, name="new"), connection.address))
-            router.host.on_endpoint_update(EndpointUpdateKind.DELTA, members)
-            assert await cache.ended()
+            router.dispatcher.on_endpoint_update(EndpointUpdateKind.DELTA, members)
+            assert await cache.closed_by_peer()
 
     run(scenario)
 
 
-def steps(work: Callable[[], object]) -> int:
+def count_bytecodes(work: Callable[[], object]) -> int:
     """How many bytecodes of ours run; what C code does for one of them is not seen."""
     count = 0
 
@@ -66,7 +66,7 @@
     return count
 
 
-def cost_of(change: Endpoint, size: int) -> int:
+def update_cost(change: Endpoint, size: int) -> int:
     """Of one entry that changes in a list of so many, from the host on."""
     counted = 0
 
@@ -77,7 +77,7 @@
         members = [NetworkEndpoint(entry(f"s{i}"), f"127.0.0.1:{1000 + i}") for i in range(size)]
         host.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, members)
         host.on_endpoint_update(EndpointUpdateKind.DELTA, [NetworkEndpoint(entry("s0"), members[0].address)])
-        counted = steps(
+        counted = count_bytecodes(
             lambda: host.on_endpoint_update(
                 EndpointUpdateKind.DELTA, [NetworkEndpoint(change, members[0].address)]
             )
@@ -98,15 +98,15 @@
     ],
     ids=["drain", "gone", "restart", "weight", "join"],
 )
-def test_a_change_costs_no_more_than_in_proportion_to_the_list(change: Endpoint) -> None:
+def test_update_costs_no_more_than_in_proportion_to_the_list(change: Endpoint) -> None:
     """All points in one list and one table went through the interpreter with each change: it answered
     nobody for 33 to 48 ms at 840 servers, and for the square of that at twice as many."""
-    small, large = cost_of(change, 60), cost_of(change, 240)
+    small, large = update_cost(change, 60), update_cost(change, 240)
     assert large - small <= 180 * 128 / 2  # half a step for each point of the others, where it was a dozen
     assert large < 4 * small
 
 
-def test_no_news_costs_nothing() -> None:
+def test_empty_update_costs_the_same_for_any_list() -> None:
     """A watch that ends its wait without news came with a new ring, some times a minute at every router."""
 
     async def scenario() -> None:
@@ -118,7 +118,7 @@
                 EndpointUpdateKind.SNAPSHOT,
                 [NetworkEndpoint(entry(f"s{i}"), "127.0.0.1:1") for i in range(size)],
             )
-            counts.append(steps(lambda: host.on_endpoint_update(EndpointUpdateKind.DELTA, [])))
+            counts.append(count_bytecodes(lambda: host.on_endpoint_update(EndpointUpdateKind.DELTA, [])))
         assert counts[0] == counts[1]
 
     run(scenario)
--- a/tests/test_net_listener.py
+++ b/tests/test_net_listener.py
@@ -12,7 +12,7 @@
 from tests.loopback import HIT, Router, command, run
 
 
-def test_a_failed_accept_is_tried_again_without_a_spin(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_accept_is_retried_after_a_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     """Out of descriptors, a loop that ended would leave the router deaf, and one that spun would stop it."""
 
     async def scenario() -> None:
@@ -41,7 +41,7 @@
     run(scenario)
 
 
-def test_half_a_command_does_not_hold_up_the_end() -> None:
+def test_incomplete_command_does_not_delay_shutdown() -> None:
     """The router would be killed while it waits for a client that never goes on."""
 
     async def scenario() -> None:
@@ -56,21 +56,21 @@
     run(scenario)
 
 
-def test_stopping_serves_what_was_taken() -> None:
+def test_accepted_requests_are_answered_during_shutdown() -> None:
     """What a router had taken and not answered when it ended is lost."""
 
     async def scenario() -> None:
         async with Router() as router:
             idle = await router.client()
-            busy, cache = await router.begun()
+            busy, cache = await router.start_read()
             stop = asyncio.create_task(router.listener.stop(0.05, 5.0))
             late = await router.client()  # connections still come
             late.write(command("PING"))
             assert await late.resp() == b"PONG"
-            assert await idle.ended() and await late.ended() and not stop.done()
+            assert await idle.closed_by_peer() and await late.closed_by_peer() and not stop.done()
             cache.write(HIT)
             assert await busy.resp() == b"value"
-            assert await busy.ended()
+            assert await busy.closed_by_peer()
             await stop
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*busy.writer.get_extra_info("peername"))
--- a/tests/test_net_origin_connection.py
+++ b/tests/test_net_origin_connection.py
@@ -89,14 +89,14 @@
             link.write(response)
             link.close()
             assert (await attempts.outcome())[0] is status
-            assert await link.ended()
+            assert await link.closed_by_peer()
             assert not attempts.pool.idle
 
     run(scenario)
 
 
 @pytest.mark.parametrize("key", [b"a/../b", b"a?x=1", b"a b", b"a\r\nX: y", b"%2e", "ó".encode(), b"\xff#"])
-def test_a_key_stays_one_segment_of_the_path(key: bytes) -> None:
+def test_key_is_encoded_as_one_path_segment(key: bytes) -> None:
     """A key that spells another path would fetch, or overwrite, what nobody asked for."""
 
     async def scenario() -> None:
@@ -114,7 +114,7 @@
     run(scenario)
 
 
-def test_a_request_that_cannot_be_encoded_ends_its_attempt_at_once() -> None:
+def test_request_that_cannot_be_encoded_ends_its_attempt_at_once() -> None:
     """Left without an outcome it would hold its request until the deadline."""
 
     async def scenario() -> None:
@@ -122,7 +122,7 @@
             attempts = origin_attempts()
             attempts.start(peer.address, Command(b"C.GET", b"k", b"r1", {"x": "a\r\nb", "d": "9"}, 9))
             assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
-            assert await (await peer.link()).ended()
+            assert await (await peer.link()).closed_by_peer()
             assert not attempts.pool.connections
 
     run(scenario)
--- a/tests/test_net_request_table.py
+++ b/tests/test_net_request_table.py
@@ -2,32 +2,32 @@
 
 from __future__ import annotations
 
-from tests.loopback import HIT, Router, error, read, run
+from tests.loopback import HIT, Router, error_text, read, run
 
 
-def test_an_id_in_use_is_not_taken_again() -> None:
+def test_request_id_in_use_is_rejected() -> None:
     async def scenario() -> None:
         async with Router() as router:
             other = await router.client()
-            client, cache = await router.begun()
+            client, cache = await router.start_read()
             other.write(read("r1"))
-            assert "in use" in error(await other.resp())
+            assert "in use" in error_text(await other.resp())
             cache.write(HIT)
             assert await client.resp() == b"value"
             other.write(read("r1"))  # nor right after: it would be served with what another asked for
-            assert "in use" in error(await other.resp())
+            assert "in use" in error_text(await other.resp())
 
     run(scenario)
 
 
-def test_an_ended_request_is_forgotten_at_once() -> None:
+def test_answered_request_is_removed_at_once() -> None:
     """Kept until its deadline, each would hold its id and value in memory for up to ten minutes."""
 
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun(info="c=read,t=x,d=600000,h=" + "9" * 400)
+            client, cache = await router.start_read(info="c=read,t=x,d=600000,h=" + "9" * 400)
             cache.write(HIT)
             assert await client.resp() == b"value"
-            assert not router.host.requests
+            assert not router.dispatcher.requests
 
     run(scenario)
--- a/tests/test_net_resp.py
+++ b/tests/test_net_resp.py
@@ -33,7 +33,7 @@
     assert not resp_reader.buffer
 
 
-def test_an_encoded_command_is_read() -> None:
+def test_encoded_command_is_read() -> None:
     """Commands are arrays of bulk strings, which may hold any bytes."""
     resp_reader = make_reader()
     resp_reader.feed(encode_command([b"C.GET", b"", b"\r\n"]))
@@ -66,7 +66,7 @@
         b"(12\r\n",
     ],
 )
-def test_what_is_malformed_or_too_large_is_rejected_at_once(data: bytes) -> None:
+def test_malformed_or_too_large_message_is_rejected_at_once(data: bytes) -> None:
     """Waited for, it would hold memory, or its request to the deadline."""
     resp_reader = make_reader()
     resp_reader.feed(data)
--- a/tests/test_net_upstream_connection.py
+++ b/tests/test_net_upstream_connection.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("kind", [CacheConnection, OriginConnection])
-def test_a_response_that_starts_and_is_not_completed_ends_its_attempt(
+def test_incomplete_response_ends_its_attempt(
     kind: type[UpstreamConnection], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Said to be longer than it is, it would hold its request to the deadline, on a connection of no use."""
@@ -31,13 +31,13 @@
             await (link.resp() if kind is CacheConnection else link.http())
             link.write(b"*3\r\n$9\r\nvalue\r\n" if kind is CacheConnection else http("200 OK", b"value")[:-1])
             assert await attempts.outcome() == (AttemptStatus.ERROR, b"")
-            assert await link.ended()
+            assert await link.closed_by_peer()
             assert not attempts.pool.connections
 
     run(scenario)
 
 
-def test_more_than_a_response_ends_the_connection() -> None:
+def test_data_after_a_response_closes_the_connection() -> None:
     """The rest would be taken for the response to the next request, which would get another's value."""
 
     async def scenario() -> None:
@@ -46,14 +46,14 @@
             link = await attempts.start_on(peer)
             link.write(HIT + HIT)
             assert await attempts.outcome() == (AttemptStatus.OK, b"value")
-            assert await link.ended()
+            assert await link.closed_by_peer()
             assert not attempts.pool.idle
 
     run(scenario)
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_a_break_after_the_last_byte_may_have_run(how: str) -> None:
+def test_disconnect_after_the_last_byte_is_a_reset(how: str) -> None:
     """Sent elsewhere, a request that is not idempotent might run twice."""
 
     async def scenario() -> None:
@@ -66,7 +66,7 @@
     run(scenario)
 
 
-def test_a_break_before_the_last_byte_never_ran() -> None:
+def test_disconnect_before_the_last_byte_is_a_failed_connect() -> None:
     """Counted as a reset, a request that is not idempotent could not be retried, though it can't have run."""
 
     async def scenario() -> None:
@@ -81,7 +81,7 @@
     run(scenario)
 
 
-def test_a_request_written_in_pieces_may_have_run_once_all_are() -> None:
+def test_disconnect_after_a_request_written_in_pieces_is_a_reset() -> None:
     """Bytes that the event loop buffers are written only when the kernel has them."""
 
     async def scenario() -> None:
@@ -106,7 +106,7 @@
             link = await peer.link()
             await link.resp()
             attempt.abandon()
-            assert await link.ended()
+            assert await link.closed_by_peer()
             assert attempts.results.empty()
 
     run(scenario)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -18,8 +18,8 @@
 from cache_router import server
 from cache_router.config import ConfigError, read_config
 from cache_router.settings import RequestClass, Settings
-from tests.endpoint_lists import LINE, message
-from tests.loopback import HIT, PATIENCE, Peer, http, read, run, spelled
+from tests.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
+from tests.loopback import HIT, TEST_TIMEOUT, Peer, format_address, http, read, run
 from tests.router_process import (
     CACHED_LIST,
     VALID_CONFIG,
@@ -50,7 +50,7 @@
         ({"settings": {**CONF, "classes": [{"name": "x", "aim": 1, "giveUp": 0}]}}, "classes[x].giveUp"),
         ({"settings": {**CONF, "classes": [{"name": "x"}, {"name": "x"}]}}, "classes[1].name"),
         (
-            {"known": {**CACHED_LIST, "endpoints": [{**LINE, "address": "127.0.0.1:\u00b2"}]}},
+            {"known": {**CACHED_LIST, "endpoints": [{**ENDPOINT_ENTRY, "address": "127.0.0.1:\u00b2"}]}},
             "known.endpoints[0]",
         ),
         ({"known": None}, "known"),
@@ -61,7 +61,7 @@
         ({"settings": {**CONF, "limits": {"dialTimeout": "x"}}}, "limits.dialTimeout"),
     ],
 )
-def test_an_unusable_configuration_ends_the_start_in_one_line(
+def test_invalid_configuration_fails_the_start_with_one_line(
     change: dict[str, Any],
     field: str,
     tmp_path: Path,
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize(
     ("limit", "room"), [(resource.RLIM_INFINITY, 1024), (4096, 1024), (1024, 1024), (64, 64), (63, None)]
 )
-def test_no_more_descriptors_are_planned_with_than_the_process_may_open(
+def test_usable_descriptors_are_bounded_by_the_process_limit(
     limit: int, room: int | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda _: (limit, resource.RLIM_INFINITY))
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize(("client_timeout", "sigkill_at"), [(0.6, 1.3), (3.0, 3.7), (9.0, 3.7)])
-def test_a_shutdown_is_over_before_sigkill(client_timeout: float, sigkill_at: float) -> None:
+def test_shutdown_schedule_ends_before_sigkill(client_timeout: float, sigkill_at: float) -> None:
     settings = Settings({"read": RequestClass("read", 0.3, client_timeout=client_timeout)})
     schedule = server.ShutdownSchedule.from_settings(settings)
     assert schedule.accept_until == 0.5
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("text", [None, b"", b"{", b"[]"])
-def test_no_configuration_ends_the_start_in_one_line(
+def test_unreadable_configuration_fails_the_start_with_one_line(
     text: bytes | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "config.json"
@@ -117,19 +117,19 @@
     assert len(capsys.readouterr().err.splitlines()) == 1
 
 
-def test_an_address_in_use_ends_the_start_in_one_line(
+def test_listen_address_in_use_fails_the_start_with_one_line(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path = tmp_path / "config.json"
-        path.write_bytes(orjson.dumps({**VALID_CONFIG, "listen": spelled(taken.getsockname())}))
+        path.write_bytes(orjson.dumps({**VALID_CONFIG, "listen": format_address(taken.getsockname())}))
         monkeypatch.setenv("RELAY_CONFIG", str(path))
         assert server.main() == 2
     assert capsys.readouterr().err.splitlines()[-1].startswith("cache_router: listen: ")
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
-def test_the_program_serves_and_ends_on_sigterm_when_nothing_is_owed(mode: str, tmp_path: Path) -> None:
+def test_sigterm_ends_the_process_once_all_requests_are_answered(mode: str, tmp_path: Path) -> None:
     """Ended too early it loses what it has taken; too late it is killed with what it holds."""
 
     async def scenario() -> None:
@@ -140,7 +140,7 @@
         ):
             watch = await discovery.link()
             assert "after=1&" in (await watch.http())[0]
-            watch.write(http("200 OK", message(2, False)))
+            watch.write(http("200 OK", encode_endpoint_list(2, False)))
             address = await listen_address(process.stderr)
             client = await connected_client(address)
             client.write(read("r1"))
@@ -148,17 +148,17 @@
             await served.resp()
             process.send_signal(signal.SIGTERM)
             late = await connected_client(address)
-            assert await late.ended()
+            assert await late.closed_by_peer()
             served.write(HIT)
             assert await client.resp() == b"value"
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT):
                 assert await process.wait() == 0
 
     run(scenario)
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
-def test_sighup_moves_the_watch_twice_under_load(mode: str, tmp_path: Path) -> None:
+def test_sighup_moves_the_watch_to_the_new_address_under_load(mode: str, tmp_path: Path) -> None:
     """Unhandled it kills the router; a watch left on the old discovery would miss drains told by the new."""
 
     async def scenario() -> None:
@@ -175,8 +175,8 @@
                     process.send_signal(signal.SIGHUP)
                     watch = await discovery.link()
                     assert (await watch.http())[0] == "GET /registry/instances HTTP/1.1"
-                    assert await old.ended()
-                    watch.write(http("200 OK", message(7, True, *config["known"]["endpoints"])))
+                    assert await old.closed_by_peer()
+                    watch.write(http("200 OK", encode_endpoint_list(7, True, *config["known"]["endpoints"])))
                     old = await discovery.link()
                     assert "after=7&" in (await old.http())[0]
                     await cache.serve(HIT)
@@ -189,7 +189,7 @@
                     assert not process.stderr.at_eof()
                 await cache.serve(HIT)
                 assert await client.resp() == b"value"
-                old.write(http("200 OK", message(8, False)))
+                old.write(http("200 OK", encode_endpoint_list(8, False)))
                 assert "after=8&" in (await (await third.link()).http())[0]
 
     run(scenario)
@@ -200,7 +200,7 @@
     """The program in this process, and where it will listen."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         address: tuple[str, int] = free.getsockname()
-    config = {**config, "listen": spelled(address)}
+    config = {**config, "listen": format_address(address)}
     serving = asyncio.create_task(server.serve(read_config(orjson.dumps(config)), str(path)))
     try:
         yield address
@@ -209,11 +209,11 @@
         await serving
 
 
-def test_a_new_process_is_not_there_before_its_first_list(
+def test_router_listens_only_after_its_first_endpoint_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What the agent holds counts as told from the first moment; the list known may be long out of date."""
-    monkeypatch.setattr(server, "FIRST_LIST_TIMEOUT", PATIENCE)
+    monkeypatch.setattr(server, "FIRST_LIST_TIMEOUT", TEST_TIMEOUT)
 
     async def scenario() -> None:
         async with Peer() as left, Peer() as stays, Peer() as agent:
@@ -226,7 +226,7 @@
                 assert "after=1&wait_ms=0 " in (await call.http())[0]  # so that no news is an answer as well
                 with pytest.raises(ConnectionRefusedError):
                     await asyncio.open_connection(*address)
-                call.write(http("200 OK", message(2, False, {**gone, "status": "terminating"})))
+                call.write(http("200 OK", encode_endpoint_list(2, False, {**gone, "status": "terminating"})))
                 budget = read_config(orjson.dumps(config)).settings.watch_budget
                 call = await agent.link()
                 assert f"after=2&wait_ms={int(budget.long_poll_wait * 1000)} " in (await call.http())[0]
@@ -241,7 +241,7 @@
     run(scenario)
 
 
-def test_a_new_process_serves_from_the_list_known_while_its_agent_is_silent(
+def test_router_serves_from_the_cached_list_while_discovery_is_silent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Discovery may be down for long, and has told nothing then."""
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -11,9 +11,22 @@
 import pytest
 
 from cache_router.net import client_connection_table
-from tests.endpoint_lists import message
+from tests.endpoint_lists import encode_endpoint_list
 from tests.event_order import wait_until
-from tests.loopback import BOOK, HIT, MISS, PATIENCE, READ, SETTINGS, Link, Peer, Router, http, read, run
+from tests.loopback import (
+    HIT,
+    KEYED_WRITE,
+    MISS,
+    READ,
+    SETTINGS,
+    TEST_TIMEOUT,
+    Link,
+    Peer,
+    Router,
+    http,
+    read,
+    run,
+)
 from tests.router_process import config_with_cache, connected_client, listen_address, router_process
 
 
@@ -23,11 +36,11 @@
 
     async def scenario() -> None:
         kind = replace(READ, latency_objective=600.0, client_timeout=0.01)
-        async with Router(replace(SETTINGS, classes={"read": kind, "book": BOOK})) as router:
+        async with Router(replace(SETTINGS, classes={"read": kind, "book": KEYED_WRITE})) as router:
             client = await router.client()
             info = "c=read,t=x,d=600000"
             if wait == "place":
-                origin = router.host.router.endpoints.origins[0].concurrency
+                origin = router.dispatcher.router.endpoints.origins[0].concurrency
                 origin.limit = origin.in_flight  # no capacity there, and none is freed
             client.write(read("r1", info=info))
             cache = await router.cache()
@@ -37,12 +50,12 @@
             if wait == "origin":
                 await (await router.origin.link()).http()
             if wait == "place":
-                await wait_until(lambda: any(h.is_queued for h in router.host.router.pending.values()))
-            router.host.start_shutdown(0.05)
+                await wait_until(lambda: any(h.is_queued for h in router.dispatcher.router.pending.values()))
+            router.dispatcher.start_shutdown(0.05)
             assert isinstance(await client.resp(), hiredis.ReplyError)
             client.write(read("r2", info=info))  # and what comes after that, at once
             assert str(await client.resp()).startswith("BUSY")
-            await wait_until(lambda: not router.host.requests)
+            await wait_until(lambda: not router.dispatcher.requests)
 
     run(scenario)
 
@@ -58,7 +71,7 @@
             async with router_process(config, tmp_path / "config.json") as process:
                 watch = await agent.link()
                 await watch.http()
-                watch.write(http("200 OK", message(2, False)))
+                watch.write(http("200 OK", encode_endpoint_list(2, False)))
                 client = await connected_client(await listen_address(process.stderr))
                 client.write(read("r1", info="c=read,t=t,d=600000"))
                 await (await cache.link()).resp()
@@ -73,8 +86,8 @@
     """The kernel has accepted it and its request: closing the listening socket would reset both."""
 
     async def scenario() -> None:
-        async with Router(clients=1) as router:
-            first, cache = await router.begun()
+        async with Router(max_clients=1) as router:
+            first, cache = await router.start_read()
             second = await router.client()
             await wait_until(lambda: len(router.listener.connections) == 2)  # one too many, and none to evict
             second.write(read("r2"))
@@ -82,16 +95,16 @@
             third.write(read("r3"))
             served = await router.cache()
             assert (await served.resp())[2] == b"r2"
-            ending = asyncio.create_task(router.listener.stop(0.0, PATIENCE))
+            ending = asyncio.create_task(router.listener.stop(0.0, TEST_TIMEOUT))
             await wait_until(lambda: router.listener.connections.draining)
             cache.write(HIT)
             served.write(HIT)
             assert await first.resp() == await second.resp() == b"value"
-            assert await first.ended() and await second.ended()
+            assert await first.closed_by_peer() and await second.closed_by_peer()
             last = await next_request(router, cache, served)
             last.write(HIT)
             assert await third.resp() == b"value"
-            assert await third.ended()
+            assert await third.closed_by_peer()
             await ending
 
     run(scenario)
@@ -117,15 +130,15 @@
         async with Router() as router:
             client = await router.client()
             await wait_until(lambda: router.listener.connections.awaiting_command)
-            monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", PATIENCE)
-            ending = asyncio.create_task(router.listener.stop(0.0, PATIENCE))
+            monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", TEST_TIMEOUT)
+            ending = asyncio.create_task(router.listener.stop(0.0, TEST_TIMEOUT))
             await wait_until(lambda: router.listener.socket.fileno() < 0)
             client.write(read("r1"))
             cache = await router.cache()
             await cache.resp()
             cache.write(HIT)
             assert await client.resp() == b"value"
-            assert await client.ended()
+            assert await client.closed_by_peer()
             await ending
 
     run(scenario)
@@ -136,14 +149,14 @@
 
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun()
+            client, cache = await router.start_read()
             (connection,) = router.listener.connections
-            ending = asyncio.create_task(router.listener.stop(0.0, PATIENCE))
+            ending = asyncio.create_task(router.listener.stop(0.0, TEST_TIMEOUT))
             await wait_until(lambda: router.listener.connections.draining)
-            router.host.requests.respond("r1", b"-ERR failed\r\n")
+            router.dispatcher.requests.respond("r1", b"-ERR failed\r\n")
             assert connection.transport.is_closing()
             assert isinstance(await client.resp(), hiredis.ReplyError)
-            assert await client.ended()
+            assert await client.closed_by_peer()
             await ending
             del cache
 
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -20,7 +20,7 @@
 from cache_router.net.dispatcher import Dispatcher
 from cache_router.net.endpoint_list_reader import read_endpoint_list
 from cache_router.net.origin_connection import OriginConnection
-from tests.endpoint_lists import LINE, message
+from tests.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
 from tests.loopback import Peer, command, http, run
 from tests.router_process import (
     PROCESS_TEST_TIMEOUT,
@@ -35,7 +35,12 @@
 def cache_entries(count: int) -> list[dict[str, Any]]:
     """Entries of cache servers at addresses that nobody connects to here."""
     return [
-        {**LINE, "name": f"s-{n:08x}", "address": f"10.1.{n // 200}.{n % 200 + 1}:6379", "type": "std"}
+        {
+            **ENDPOINT_ENTRY,
+            "name": f"s-{n:08x}",
+            "address": f"10.1.{n // 200}.{n % 200 + 1}:6379",
+            "type": "std",
+        }
         for n in range(count)
     ]
 
@@ -47,7 +52,7 @@
         entries = cache_entries(count)
         self.config = {**VALID_CONFIG, "known": {"index": 1, "snapshot": True, "endpoints": entries}}
         self.text = orjson.dumps(self.config)
-        self.answer = message(2, True, *entries)
+        self.answer = encode_endpoint_list(2, True, *entries)
 
     def run(self) -> None:
         config = read_config(self.text)
@@ -83,7 +88,7 @@
         return min(spent)
 
 
-def test_the_work_of_a_start_grows_no_faster_than_the_list() -> None:
+def test_startup_work_grows_no_faster_than_the_endpoint_list() -> None:
     """On a shared core, with 840 entries, nine in ten have to be ready within 10 s."""
     few, many = RouterStart(210), RouterStart(840)
     assert many.calls() < 1.25 * 4 * few.calls()
@@ -95,7 +100,7 @@
     return sum(map(int, fields[11:13])) / os.sysconf("SC_CLK_TCK")
 
 
-def test_a_start_with_840_entries_asks_discovery_once(
+def test_startup_with_840_entries_polls_the_complete_list_once(
     tmp_path: Path, record_property: Callable[[str, object], None]
 ) -> None:
     """Where all that were killed start together, a second call for the list waits behind all first ones."""
@@ -108,7 +113,7 @@
             async with router_process(config, tmp_path / "config.json") as process:
                 call = await agent.link()
                 assert "after=1&" in (await call.http())[0]
-                call.write(http("200 OK", message(2, True, *entries)))
+                call.write(http("200 OK", encode_endpoint_list(2, True, *entries)))
                 client = await connected_client(await listen_address(process.stderr))
                 record_property("processor_seconds", processor_seconds(process))
                 watch = await agent.link()  # on what comes after the list: no second call for it
--- a/tests/test_upstream_responses.py
+++ b/tests/test_upstream_responses.py
@@ -8,22 +8,22 @@
 
 from cache_router.net import upstream_connection
 from cache_router.net.origin_connection import OriginConnection
-from tests.loopback import HIT, Router, book, http, read, run
+from tests.loopback import HIT, Router, http, keyed_write, read, run
 
 
 def test_late_second_response_is_not_taken_for_another_request() -> None:
     """On a connection reused at once it came after the next request, and was served as its value."""
 
     async def scenario() -> None:
-        async with Router(rest=60.0) as router:
-            client, first = await router.begun()
+        async with Router(reuse_delay=60.0) as router:
+            client, first = await router.start_read()
             first.write(HIT)
             assert await client.resp() == b"value"
             client.write(read("r2"))
             second = await router.cache()  # made anew
             assert (await second.resp())[2] == b"r2"
             first.write(HIT.replace(b"value", b"stale"))
-            assert await first.ended()
+            assert await first.closed_by_peer()
             second.write(HIT.replace(b"value", b"fresh"))
             assert await client.resp() == b"fresh"
 
@@ -32,8 +32,8 @@
 
 def test_connection_is_reused_after_the_reuse_delay() -> None:
     async def scenario() -> None:
-        async with Router(rest=0.0) as router:
-            client, cache = await router.begun()
+        async with Router(reuse_delay=0.0) as router:
+            client, cache = await router.start_read()
             cache.write(HIT)
             assert await client.resp() == b"value"
             client.write(read("r2"))
@@ -59,7 +59,7 @@
         monkeypatch.setattr(OriginConnection, "data_received", noted)
         async with Router() as router:
             client = await router.client()
-            client.write(book("r1"))
+            client.write(keyed_write("r1"))
             origin = await router.origin.link()
             await origin.http()
             origin.write(b"HTTP/1.1 100 Continue\r\n\r\n")
--- a/tests/test_watch_budget.py
+++ b/tests/test_watch_budget.py
@@ -19,7 +19,7 @@
 from cache_router.decisions.router import Router
 from cache_router.settings import MIN_BACKOFF, WatchBudget
 from tests.driver import Driver, entry, settings
-from tests.endpoint_lists import LINE, WatchRecorder, call, message
+from tests.endpoint_lists import ENDPOINT_ENTRY, WatchRecorder, accept_poll, encode_endpoint_list
 from tests.loopback import Peer, http, run
 
 FAILED_CALL = EndpointUpdate(EndpointUpdateKind.FAILED)
@@ -118,15 +118,15 @@
         async with Peer() as peer:
             budget = WatchBudget(response_timeout=0.05, notification_deadline=600.0)
             recorder = WatchRecorder(peer, budget)
-            first, link = await call(peer)
+            first, link = await accept_poll(peer)
             assert f"wait_ms={int(budget.long_poll_wait * 1000)} " in first
             recorder.discovery.change_address(peer.address)
             recorder.discovery.subscribe()
-            assert "wait_ms" not in (await call(peer))[0]
+            assert "wait_ms" not in (await accept_poll(peer))[0]
             assert await recorder.updates.get() is None  # and not after ten minutes
             recorder.discovery.subscribe()
-            _, link = await call(peer)
-            link.write(http("200 OK", message(3, True, LINE)))
+            _, link = await accept_poll(peer)
+            link.write(http("200 OK", encode_endpoint_list(3, True, ENDPOINT_ENTRY)))
             assert await recorder.updates.get() is not None
             recorder.discovery.close()
 
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cache_router.settings import WatchBudget
-from tests.endpoint_lists import LINE, message
+from tests.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
 from tests.loopback import HIT, SETTINGS, Link, Peer, Router, http, read, run
 
 PUSHED = replace(
@@ -17,7 +17,14 @@
 
 
 def list_entry(name: str, peer: Peer, status: str = "in_service") -> dict[str, Any]:
-    return {**LINE, "name": name, "address": peer.address, "type": "std", "status": status, "since_ms": 0}
+    return {
+        **ENDPOINT_ENTRY,
+        "name": name,
+        "address": peer.address,
+        "type": "std",
+        "status": status,
+        "since_ms": 0,
+    }
 
 
 async def next_poll(agent: Peer) -> Link:
@@ -47,7 +54,12 @@
             link = await next_poll(agent)
             assert router.discovery is not None
             router.discovery.budget = PUSHED.watch_budget
-            link.write(http("200 OK", message(2, False, list_entry("a", router.caches["a"], "terminating"))))
+            link.write(
+                http(
+                    "200 OK",
+                    encode_endpoint_list(2, False, list_entry("a", router.caches["a"], "terminating")),
+                )
+            )
             await next_poll(agent)  # a long poll, in flight from now on
             client = await router.client()
             for n in range(8):
@@ -71,12 +83,12 @@
             await next_poll(old)
             assert router.discovery is not None
             router.discovery.change_address(new.address)
-            router.host.on_discovery_address_changed()
+            router.dispatcher.on_discovery_address_changed()
             router.discovery.subscribe()
             await next_poll(new)  # and lost
             link = await next_poll(new)
-            link.write(http("200 OK", message(2, True, list_entry("b", router.caches["b"]))))
+            link.write(http("200 OK", encode_endpoint_list(2, True, list_entry("b", router.caches["b"]))))
             await next_poll(new)
-            assert list(router.host.endpoints) == ["b"]
+            assert list(router.dispatcher.endpoints) == ["b"]
 
     run(scenario)
