--- a/tests/endpoint_lists.py
+++ b/tests/endpoint_lists.py
@@ -25,14 +25,16 @@
 }
 
 
-def encode_endpoint_list(index: int, is_snapshot: bool, *lines: dict[str, Any]) -> bytes:
-    return orjson.dumps({"index": index, "snapshot": is_snapshot, "endpoints": lines})
+def encode_endpoint_list(index: int, is_snapshot: bool, *entries: dict[str, Any]) -> bytes:
+    """Encode an endpoint list as discovery sends it; not a snapshot, it holds changed entries only."""
+    return orjson.dumps({"index": index, "snapshot": is_snapshot, "endpoints": entries})
 
 
 class WatchRecorder:
     """What a watch notifies its router of, in order; a failure is None."""
 
     def __init__(self, peer: Peer, budget: WatchBudget | None = None) -> None:
+        """Watch the list of a peer from index 41 on."""
         self.updates: asyncio.Queue[tuple[EndpointUpdateKind, list[NetworkEndpoint]] | None] = asyncio.Queue()
         self.discovery = Discovery(
             peer.address,
@@ -45,5 +47,6 @@
 
 
 async def accept_poll(peer: Peer) -> tuple[str, Link]:
+    """Accept the next poll of a watch; return its request line and its connection."""
     link = await peer.link()
     return (await link.http())[0], link
--- a/tests/event_order.py
+++ b/tests/event_order.py
@@ -13,38 +13,39 @@
 
 
 class DelayedConnections:
-    """Delays the establishment of connections to some peers until `up` is set."""
+    """Delays the establishment of connections to some peers until `released` is set."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, *peers: Peer) -> None:
-        self.up = asyncio.Event()
+        """Delay all connections made to `peers` from now on."""
+        self.released = asyncio.Event()
         ports = {int(p.address.rpartition(":")[2]) for p in peers}
         connect = asyncio.base_events.BaseEventLoop.create_connection
 
-        async def late(loop: Any, factory: Any, host: Any = None, port: Any = None, **others: Any) -> Any:
-            made = await connect(loop, factory, host, port, **others)
+        async def delayed(loop: Any, factory: Any, host: Any = None, port: Any = None, **others: Any) -> Any:
+            result = await connect(loop, factory, host, port, **others)
             if port in ports:
-                await self.up.wait()
-            return made
+                await self.released.wait()
+            return result
 
-        monkeypatch.setattr(asyncio.base_events.BaseEventLoop, "create_connection", late)
+        monkeypatch.setattr(asyncio.base_events.BaseEventLoop, "create_connection", delayed)
 
 
 def record_written_requests(monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """Return a list to which the id of each request is appended when the router writes it to a server."""
-    names: list[str] = []
+    request_ids: list[str] = []
     begin = UpstreamConnection.begin
 
-    def noted(connection: UpstreamConnection, exchange: AttemptInFlight) -> None:
-        names.append(exchange.command.request_id.decode())
-        begin(connection, exchange)
+    def recorded(connection: UpstreamConnection, attempt: AttemptInFlight) -> None:
+        request_ids.append(attempt.command.request_id.decode())
+        begin(connection, attempt)
 
-    monkeypatch.setattr(UpstreamConnection, "begin", noted)
-    return names
+    monkeypatch.setattr(UpstreamConnection, "begin", recorded)
+    return request_ids
 
 
-async def wait_until(holds: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     """Run the event loop until a condition holds that only the router's own work brings about."""
-    while not holds():
+    while not condition():
         await asyncio.sleep(0)
 
 
--- a/tests/router_process.py
+++ b/tests/router_process.py
@@ -34,7 +34,7 @@
 
 
 async def connected_client(address: tuple[str, int]) -> Link:
-    """A client's connection that has been answered."""
+    """Open a client's connection and wait for the reply to a PING."""
     client = Link(*await asyncio.open_connection(*address))
     client.write(command("PING"))
     assert await client.resp() == b"PONG"
@@ -42,7 +42,7 @@
 
 
 async def listen_address(log: asyncio.StreamReader | None) -> tuple[str, int]:
-    """Where the program says that it listens."""
+    """Read the address at which the program listens from its log."""
     assert log is not None
     while (found := re.search(rb"listening on ([0-9.]+:\d+)", await log.readline())) is None:
         assert not log.at_eof()
@@ -53,10 +53,10 @@
 async def router_process(
     config: dict[str, Any], path: Path, descriptors: int | None = None
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """The program with a configuration, and a limit on its descriptors."""
+    """Run the program with a configuration written to `path`, and a limit on its descriptors if given."""
     path.write_bytes(orjson.dumps(config))
 
-    def limit() -> None:
+    def limit_descriptors() -> None:
         if descriptors is not None:
             resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
 
@@ -66,7 +66,7 @@
         "cache_router",
         env={**os.environ, "RELAY_CONFIG": str(path)},
         stderr=asyncio.subprocess.PIPE,
-        preexec_fn=limit,
+        preexec_fn=limit_descriptors,
     )
     try:
         yield process
@@ -77,7 +77,7 @@
 
 
 def config_with_cache(cache: Peer, discovery: Peer, mode: str) -> dict[str, Any]:
-    """A configuration with one cache server known."""
+    """Return a configuration with one cache server in its cached endpoint list."""
     line = {**ENDPOINT_ENTRY, "address": cache.address, "type": "std", "since_ms": 0}
     return {
         **VALID_CONFIG,
@@ -92,6 +92,6 @@
 
 
 async def discard_log(log: asyncio.StreamReader | None) -> None:
-    """A log that nobody reads would stop its process."""
+    """Read a process's log to its end: once the pipe is full, the process would block."""
     while log is not None and await log.readline():
         pass
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect while their connection is not read, over loopback."""
+"""Clients that disconnect while the router does not read, or just before an attempt, over loopback."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
     await wait_until(lambda: is_hung_up(connection.transport))
 
 
-@pytest.mark.parametrize("why", ["error", "framing", "slow"])
-@pytest.mark.parametrize("end", [MISS, None])  # the origin would be next, or a retry
+@pytest.mark.parametrize("state", ["error", "framing", "slow"])
+@pytest.mark.parametrize("response", [MISS, None])  # an attempt at the origin would follow, or a retry
 def test_no_attempt_follows_for_a_client_that_disconnected_while_not_read(
-    why: str, end: bytes | None, monkeypatch: pytest.MonkeyPatch
+    state: str, response: bytes | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The end of the stream comes behind unread input, so that the event loop does not report it."""
 
@@ -38,16 +38,16 @@
         async with Router() as router:
             written = record_written_requests(monkeypatch)
             client = await router.client()
-            client.write(read("r1") + {"error": command("GET", "k"), "framing": b"noise\r\n"}.get(why, b""))
+            client.write(read("r1") + {"error": command("GET", "k"), "framing": b"noise\r\n"}.get(state, b""))
             cache = await router.cache()
             await cache.resp()
-            if why == "slow":  # as its transport does when it takes no answers
+            if state == "slow":  # as its transport does when the client reads no replies
                 next(iter(router.listener.connections)).pause_writing()
             await disconnect(router, client)
-            if end is None:
+            if response is None:
                 cache.reset()
             else:
-                cache.write(end)
+                cache.write(response)
             await wait_until(lambda: not router.dispatcher.requests)
             assert written == ["r1"] and not router.dispatcher.router.pending and router.origin.links.empty()
             await wait_until(lambda: not router.listener.connections)
@@ -63,15 +63,15 @@
         monkeypatch.setattr(client_connection, "ERROR_THROTTLE_TIME", 60.0)
         async with Router() as router:
             written = record_written_requests(monkeypatch)
-            module = router.dispatcher.router
+            decisions = router.dispatcher.router
             first = await router.client()
-            first.write(keyed_write("w1"))  # takes the only place at the origin
+            first.write(keyed_write("w1"))  # uses up the concurrency limit of the origin
             origin = await router.origin.link()
             await origin.http()
-            module.endpoints.origins[0].concurrency.limit = 1.0
+            decisions.endpoints.origins[0].concurrency.limit = 1.0
             client = await router.client()
             client.write(keyed_write("w2") + (b"" if is_read else command("GET", "k")))
-            await wait_until(lambda: "w2" in module.pending and module.pending["w2"].is_queued)
+            await wait_until(lambda: "w2" in decisions.pending and decisions.pending["w2"].is_queued)
             connection = list(router.listener.connections)[1]
             if is_read:
                 client.close()
@@ -83,7 +83,7 @@
             origin.write(http("200 OK", b"receipt"))
             assert await first.resp() == b"receipt"
             await wait_until(lambda: not router.dispatcher.requests)
-            assert written == ["w1"] and not module.pending
+            assert written == ["w1"] and not decisions.pending
 
     run(scenario)
 
@@ -97,8 +97,8 @@
         async with Router() as router:
             written = record_written_requests(monkeypatch)
             client, cache = await router.start_read("r0")
-            names = [f"r{n}" for n in range(1, 2 * client_connection.MAX_PIPELINED_COMMANDS)]
-            client.write(b"".join(read(n) for n in names))
+            request_ids = [f"r{n}" for n in range(1, 2 * client_connection.MAX_PIPELINED_COMMANDS)]
+            client.write(b"".join(read(n) for n in request_ids))
             await wait_until(lambda: not next(iter(router.listener.connections)).transport.is_reading())
             await disconnect(router, client)
             before = list(written)
@@ -109,15 +109,17 @@
     run(scenario)
 
 
+# how a client disconnects
 DISCONNECTS = ["closes", "half-closes", "resets"]
 
 
 def blocking_client(router: Router) -> socket.socket:
+    """Return a client on a blocking socket, which can act before the router's event loop runs again."""
     return socket.create_connection(router.listener.socket.getsockname())
 
 
 def disconnect_blocking_client(client: socket.socket, how: str) -> None:
-    """The router's machine knows of it when this returns."""
+    """Disconnect in one of the ways of DISCONNECTS; the kernel knows of it when this returns."""
     if how == "half-closes":
         client.shutdown(socket.SHUT_WR)
         return
@@ -127,66 +129,65 @@
 
 
 async def connection_of(router: Router, client: socket.socket) -> ClientConnection:
-    """The router's end of a client's connection."""
-    name = client.getsockname()
+    """Wait for the router's side of a client's connection, and return it."""
+    address = client.getsockname()
 
     def found() -> list[ClientConnection]:
-        made = router.listener.connections
-        return [c for c in made if c.transport.get_extra_info("peername") == name]
+        return [c for c in router.listener.connections if c.transport.get_extra_info("peername") == address]
 
     await wait_until(found)
     return found()[0]
 
 
 async def wait_until_settled(router: Router) -> None:
-    """Nothing is out and nothing is held, so that no attempt can follow."""
-    host = router.dispatcher
+    """Wait until nothing is in flight, so that no attempt can follow."""
+    dispatcher = router.dispatcher
     await wait_until(
-        lambda: not (host.requests or router.cache_pool.connecting or router.origin_pool.connecting)
+        lambda: not (dispatcher.requests or router.cache_pool.connecting or router.origin_pool.connecting)
     )
-    assert not host.router.pending and not host.router.attempts
+    assert not dispatcher.router.pending and not dispatcher.router.attempts
 
 
 async def open_idle_connections(router: Router) -> dict[str, Link]:
-    """A kept connection to every server, by its name: an attempt there is written at once."""
-    host = router.dispatcher
+    """Open an idle connection to every server, by its name: an attempt there is written at once."""
+    endpoints = router.dispatcher.endpoints
     links: dict[str, Link] = {}
-    for name, listed in host.endpoints.items():
-        ended = asyncio.Event()
-        pool, peer = host.endpoints.pool_of(listed), router.caches.get(name, router.origin)
-        pool.start(listed.address, GET, 60.0, lambda *_, ended=ended: ended.set(), listed.incarnation)
+    for name, endpoint in endpoints.items():
+        completed = asyncio.Event()
+        pool, peer = endpoints.pool_of(endpoint), router.caches.get(name, router.origin)
+        pool.start(endpoint.address, GET, 60.0, lambda *_, event=completed: event.set(), endpoint.incarnation)
         links[name] = link = await peer.link()
         await (link.http() if peer is router.origin else link.resp())
         link.write(http("200 OK", b"value") if peer is router.origin else HIT)
-        await ended.wait()
+        await completed.wait()
     return links
 
 
 async def next_reader(links: dict[str, Link]) -> Link:
-    """The cache server's end on which the next request comes."""
-    waits = {asyncio.ensure_future(links[name].resp()): links[name] for name in ("a", "b")}
-    done, (other,) = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+    """Return the cache server's side of the connection on which the next request comes."""
+    reads = {asyncio.ensure_future(links[name].resp()): links[name] for name in ("a", "b")}
+    done, (other,) = await asyncio.wait(reads, return_when=asyncio.FIRST_COMPLETED)
     other.cancel()
-    return waits[done.pop()]
+    return reads[done.pop()]
 
 
 @pytest.mark.parametrize("how", DISCONNECTS)
-@pytest.mark.parametrize("why", ["backlog", "pipeline", "error", "slow", "lag"])
+@pytest.mark.parametrize("cause", ["backlog", "pipeline", "error", "slow", "lag"])
 def test_request_read_after_its_client_disconnected_is_not_forwarded(
-    why: str, how: str, monkeypatch: pytest.MonkeyPatch
+    cause: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The end of a connection comes behind what was sent on it, and is read later, or not for long."""
+    """The end of the stream comes after the request, and may be read only long after it."""
     monkeypatch.setattr(client_connection, "ERROR_THROTTLE_TIME", 600.0)
 
     async def scenario() -> None:
-        async with Router(max_clients=1 if why == "backlog" else 16) as router:
+        async with Router(max_clients=1 if cause == "backlog" else 16) as router:
             router.list_caches("a")
-            usual, cache = await router.client(), (await open_idle_connections(router))["a"]
+            regular, cache = await router.client(), (await open_idle_connections(router))["a"]
             written = record_written_requests(monkeypatch)
-            if why == "backlog":
-                usual.write(read("u1"))
+            if cause == "backlog":
+                regular.write(read("u1"))
                 assert (await cache.resp())[2] == b"u1"
-                crowd = await router.client()  # the one too many: all later ones wait outside
+                crowd = await router.client()  # one above the limit: later ones stay in the backlog
                 crowd.write(read("u2"))
                 other = await router.caches["a"].link()
                 assert (await other.resp())[2] == b"u2"
@@ -194,31 +195,31 @@
                 client.sendall(read("r1"))
                 disconnect_blocking_client(client, how)
                 cache.write(HIT)
-                assert await usual.resp() == b"value"
+                assert await regular.resp() == b"value"
                 last = await router.client()
                 last.write(command("PING"))
-                assert await last.resp() == b"PONG"  # so that the one ahead of it has had its turn
+                assert await last.resp() == b"PONG"  # so that the client before it has been accepted
                 other.write(HIT)
                 assert await crowd.resp() == b"value"
             else:
                 client = blocking_client(router)
                 connection = await connection_of(router, client)
-                if why == "pipeline":
+                if cause == "pipeline":
                     monkeypatch.setattr(client_connection, "MAX_PIPELINED_COMMANDS", 1)
                     client.sendall(read("r0"))
                     assert (await cache.resp())[2] == b"r0"
-                elif why == "error":
+                elif cause == "error":
                     client.sendall(command("GET", "k"))
                     await wait_until(lambda: connection.throttled)
-                elif why == "slow":
+                elif cause == "slow":
                     connection.pause_writing()
                 client.sendall(read("r1"))
                 disconnect_blocking_client(client, how)
-                if why == "pipeline":
+                if cause == "pipeline":
                     cache.write(HIT)
-                elif why == "error":
+                elif cause == "error":
                     connection._end_throttling()
-                elif why == "slow":
+                elif cause == "slow":
                     connection.resume_writing()
                 await wait_until(lambda: connection not in router.listener.connections)
             client.close()
@@ -229,28 +230,28 @@
 
 
 @pytest.mark.parametrize("how", DISCONNECTS)
-@pytest.mark.parametrize("why", ["miss", "reset", "refused write", "timer", "dial"])
+@pytest.mark.parametrize("cause", ["miss", "reset", "rejected write", "timer", "connect"])
 def test_no_attempt_starts_for_a_client_that_disconnected_at_the_same_time(
-    why: str, how: str, monkeypatch: pytest.MonkeyPatch
+    cause: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What asks for the attempt comes first, and the loop would hear of the client's end right behind it."""
+    """The event loop handles what causes the attempt first, and the client's disconnect right after it."""
 
     async def scenario() -> None:
         async with Router() as router:
             links = await open_idle_connections(router)
             origin = links["o"]
             written = record_written_requests(monkeypatch)
-            dials = DelayedConnections(monkeypatch, *router.caches.values())
+            connections = DelayedConnections(monkeypatch, *router.caches.values())
             client = blocking_client(router)
             await connection_of(router, client)
-            if why == "dial":
+            if cause == "connect":
                 for idle in list(router.cache_pool.idle):
                     idle.abort()
                 client.sendall(read("r1"))
                 await first_connection(router)
                 disconnect_blocking_client(client, how)
-                dials.up.set()
-            elif why == "refused write":
+                connections.released.set()
+            elif cause == "rejected write":
                 client.sendall(keyed_write("r1"))
                 await origin.http()
                 origin.write(http("503 Busy", b"", "Not-Started: 1"))
@@ -258,25 +259,24 @@
             else:
                 client.sendall(read("r1"))
                 cache = await next_reader(links)
-                if why == "miss":
+                if cause == "miss":
                     cache.write(MISS)
-                elif why == "reset":
+                elif cause == "reset":
                     cache.reset()
-                    await asyncio.sleep(0)  # in which it is reset
+                    await asyncio.sleep(0)  # in which the reset is sent
                 disconnect_blocking_client(client, how)
-                if why == "timer":
+                if cause == "timer":
                     with monkeypatch.context() as patch:
-                        names = router.dispatcher.endpoints
-                        wanted = [Send("r1", n) for n in names]
+                        sends = [Send("r1", name) for name in router.dispatcher.endpoints]
                         # once: the outcomes of these sends are events too, and a loop of them never ends
                         # and never yields to the test's time limit (it took 9 GB; ended three times by hand)
-                        answers = iter([wanted])
+                        batches = iter([sends])
                         patch.setattr(
-                            router.dispatcher.router, "handle", lambda now, event: next(answers, [])
+                            router.dispatcher.router, "handle", lambda now, event: next(batches, [])
                         )
                         router.dispatcher.post(TimerFired(Timer(TimerKind.HEDGE, "r1")))
             await wait_until_settled(router)
-            assert written == ([] if why == "dial" else ["r1"])
+            assert written == ([] if cause == "connect" else ["r1"])
             client.close()
 
     run(scenario)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -17,7 +17,7 @@
     config = read_config(orjson.dumps(VALID_CONFIG))
     assert (config.listen, config.discovery) == (("127.0.0.1", 6379), "127.0.0.1:8500")
     assert (config.seed, config.max_descriptors, config.cached_index) == (0x8C1F30D27A5BE964, 1024, 41)
-    assert [m.entry.name for m in config.cached_endpoints] == ["s-1"]
+    assert [e.entry.name for e in config.cached_endpoints] == ["s-1"]
     assert config.settings.classes["pay"].idempotency_window == 5.0
 
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -13,7 +13,7 @@
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 
-# stands in for `python3 -m venv` and for the pip in what it makes: nothing is fetched
+# stand-ins for `python3 -m venv` and for the pip in the environment that it makes: nothing is downloaded
 PYTHON = """#!/bin/sh
 rm -rf .venv && mkdir -p .venv/bin && cp "$0.pip" .venv/bin/pip && chmod +x .venv/bin/pip
 """
@@ -23,9 +23,10 @@
 
 
 class Checkout:
-    """A checkout with its requirements, and stand-ins for the tools that note what was installed."""
+    """A checkout with its requirements, and stand-ins for the tools that record what was installed."""
 
     def __init__(self, root: Path) -> None:
+        """Create the stand-ins, and requirements of one package."""
         self.root = root
         self.tools = root / "tools"
         self.tools.mkdir()
@@ -39,14 +40,14 @@
         (self.root / "requirements.txt").write_text(text)
 
     def build(self) -> int:
-        """Run the build command; returns its exit status."""
+        """Run the build command and return its exit status."""
         path = f"{self.tools}{os.pathsep}{os.environ['PATH']}"
         return subprocess.run(
             ["/bin/sh", "-c", DEPLOY["build"]], cwd=self.root, env={"PATH": path}, check=False
         ).returncode
 
     def installed(self) -> str:
-        """The requirements from which the environment was made."""
+        """Return the requirements from which the environment was made."""
         return (self.root / ".venv" / "packages").read_text()
 
 
@@ -57,7 +58,7 @@
 
 
 def test_interrupted_build_is_repeated(checkout: Checkout) -> None:
-    """Taken for a complete environment, it would start no router after any later build either."""
+    """Mistaken for a complete environment, it would start no router after any later build either."""
     (checkout.root / "broken").touch()
     assert checkout.build() != 0
     (checkout.root / "broken").unlink()
@@ -73,14 +74,14 @@
 
 def test_complete_build_is_kept_until_the_requirements_change(checkout: Checkout) -> None:
     assert checkout.build() == 0
-    kept = checkout.root / ".venv" / "kept"
-    kept.touch()
+    marker = checkout.root / ".venv" / "marker"
+    marker.touch()
     assert checkout.build() == 0
-    assert kept.exists()
+    assert marker.exists()
     checkout.require("one==2\n")
     assert checkout.build() == 0
     assert checkout.installed() == "one==2\n"
-    assert not kept.exists()
+    assert not marker.exists()
 
 
 @pytest.mark.parametrize("part", ["policy", "node"])
@@ -94,5 +95,5 @@
 
 
 def test_run_replaces_its_shell() -> None:
-    """A shell that stays in front would take SIGTERM, and starting it costs a second process."""
+    """A shell that remained as the parent would receive SIGTERM in place of the router."""
     assert DEPLOY["run"].startswith("exec ") and not set("&|;") & set(DEPLOY["run"])
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors that clients and attempts use up."""
+"""A process whose descriptors are used up by clients and attempts still polls discovery."""
 
 from __future__ import annotations
 
@@ -29,14 +29,15 @@
 LONG_DEADLINE = "c=read,t=t,d=600000"
 
 
-async def poll_until(holds: Callable[[], object]) -> None:
-    """Go on once something holds that another process brings about."""
-    while not holds():
+async def poll_until(condition: Callable[[], object]) -> None:
+    """Poll until a condition holds that another process brings about."""
+    while not condition():
         await asyncio.sleep(0.01)
 
 
 @asynccontextmanager
 async def listening_peers(count: int) -> AsyncIterator[list[Peer]]:
+    """Run so many servers."""
     async with AsyncExitStack() as stack:
         yield [await stack.enter_async_context(Peer()) for _ in range(count)]
 
@@ -53,10 +54,10 @@
 
 
 async def serve_and_record(peer: Peer, served: list[Peer]) -> None:
-    """Answer all that comes, and note at whom."""
+    """Answer all reads at a server, and append the server to `served` for each."""
 
-    async def answer(link: Link) -> None:
-        with suppress(AssertionError, ConnectionError):  # the connection's end
+    async def answer_all(link: Link) -> None:
+        with suppress(AssertionError, ConnectionError):  # the connection was closed
             while True:
                 await link.resp()
                 link.write(HIT)
@@ -64,63 +65,67 @@
 
     async with asyncio.TaskGroup() as links:
         while True:
-            links.create_task(answer(await peer.link()))
+            links.create_task(answer_all(await peer.link()))
 
 
 class UnavailableAgent(Peer):
-    """Discovery on a port that refuses until it comes back."""
+    """Discovery on a port that refuses connections until `start_listening`."""
 
     def __init__(self) -> None:
+        """Reserve a port without listening on it."""
         super().__init__()
         self.socket = socket.socket()
         self.socket.bind(("127.0.0.1", 0))
         self.address = format_address(self.socket.getsockname())
 
     async def start_listening(self) -> None:
+        """Accept connections from now on."""
         self.server = await asyncio.start_server(self._accept, sock=self.socket)
 
 
-# what the configuration allows; the limit of the process counts in both cases
+# descriptors that the configuration allows; the smaller limit of the process applies in both cases
 @pytest.mark.parametrize("allowed", [DESCRIPTOR_LIMIT, 1024])
 @pytest.mark.parametrize("agent_state", ["refused", "silent"])
 def test_endpoint_list_is_received_while_descriptors_are_exhausted(
     agent_state: str, allowed: int, tmp_path: Path
 ) -> None:
-    """Idle clients, silent ones and attempts that hang, as many as there may be of each."""
+    """Idle clients, silent ones and attempts that hang, as many of each as the router admits."""
 
     async def scenario() -> None:
         async with listening_peers(5) as (*caches, fresh, origin):
             agent = UnavailableAgent()
             config = config_with_cache(caches[0], agent, "automatic")
-            known = [list_entry(f"s-{n}", c) for n, c in enumerate(caches)]
-            known.append(list_entry("o", origin, "store"))
-            config["known"]["endpoints"] = known
+            entries = [list_entry(f"s-{n}", c) for n, c in enumerate(caches)]
+            entries.append(list_entry("o", origin, "store"))
+            config["known"]["endpoints"] = entries
             config["limits"] = {"sockets": allowed}
             if agent_state == "silent":
                 await agent.start_listening()
             async with router_process(config, tmp_path / "config.json", DESCRIPTOR_LIMIT) as process:
                 address = await listen_address(process.stderr)
-                drain = asyncio.create_task(discard_log(process.stderr))
+                log_reader = asyncio.create_task(discard_log(process.stderr))
                 shared_descriptors = DESCRIPTOR_LIMIT - 32
-                busy = [await connected_client(address) for _ in range(3)]
+                busy_clients = [await connected_client(address) for _ in range(3)]
                 for n in range(31):
                     for i in (0, 1):
-                        busy[i].write(read(f"r{i}-{n}", f"k{i}-{n}", LONG_DEADLINE))
-                    busy[2].write(command("C.SET", f"k{n}", f"w{n}", "c=pay,t=t,d=600000,k=1", "v"))
+                        busy_clients[i].write(read(f"r{i}-{n}", f"k{i}-{n}", LONG_DEADLINE))
+                    busy_clients[2].write(command("C.SET", f"k{n}", f"w{n}", "c=pay,t=t,d=600000,k=1", "v"))
                 await poll_until(lambda: sum(p.links.qsize() for p in caches) == shared_descriptors * 3 // 8)
                 await poll_until(lambda: origin.links.qsize() == shared_descriptors // 8)
-                crowd = [await connected_client(address) for _ in range(DESCRIPTOR_LIMIT)]
-                crowd += [await idle_client(address) for _ in range(DESCRIPTOR_LIMIT)]
-                used = len(os.listdir(f"/proc/{process.pid}/fd"))
-                assert shared_descriptors < used <= DESCRIPTOR_LIMIT
+                idle_clients = [await connected_client(address) for _ in range(DESCRIPTOR_LIMIT)]
+                idle_clients += [await idle_client(address) for _ in range(DESCRIPTOR_LIMIT)]
+                open_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
+                assert shared_descriptors < open_descriptors <= DESCRIPTOR_LIMIT
                 if agent_state == "refused":
                     await agent.start_listening()
                 else:
                     while not agent.links.empty():
                         (await agent.link()).reset()
-                call = await agent.link()
-                await call.http()
-                call.write(http("200 OK", encode_endpoint_list(50, True, *known, list_entry("s-new", fresh))))
+                poll = await agent.link()
+                await poll.http()
+                poll.write(
+                    http("200 OK", encode_endpoint_list(50, True, *entries, list_entry("s-new", fresh)))
+                )
                 assert "after=50&" in (await (await agent.link()).http())[0]
                 client = await connected_client(address)
                 served: list[Peer] = []
@@ -130,9 +135,9 @@
                     n = next(keys)
                     client.write(read(f"x{n}", f"x{n}", LONG_DEADLINE))
                     await client.resp()
-                for task in (*serving, drain):
+                for task in (*serving, log_reader):
                     task.cancel()
-                for link in (*busy, *crowd, client):
+                for link in (*busy_clients, *idle_clients, client):
                     link.close()
             await agent.__aexit__(None, None, None)
 
@@ -140,4 +145,5 @@
 
 
 async def idle_client(address: tuple[str, int]) -> Link:
+    """Open a client's connection on which nothing is sent."""
     return Link(*await asyncio.open_connection(*address))
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -13,35 +13,35 @@
 from tests.loopback import HIT, KEYED_WRITE, READ, SETTINGS, Router, http, keyed_write, read, run
 
 
-@pytest.mark.parametrize("news", ["draining", "gone", "restarted"])
+@pytest.mark.parametrize("change", ["draining", "gone", "restarted"])
 def test_connection_established_after_a_drain_notice_is_not_written_to(
-    news: str, monkeypatch: pytest.MonkeyPatch
+    change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Established later than the drain grace period allows, it wrote to a server known to be draining."""
 
     async def scenario() -> None:
         async with Router() as router:
-            dials = DelayedConnections(monkeypatch, *router.caches.values())
+            connections = DelayedConnections(monkeypatch, *router.caches.values())
             client = await router.client()
             client.write(read("r1"))
             name, link = await first_connection(router)
-            member = router.dispatcher.endpoints[name]
-            told = {
-                "draining": replace(member.entry, state=EndpointState.DRAINING),
-                "gone": replace(member.entry, state=EndpointState.REMOVED),
-                "restarted": replace(member.entry, started_at=9.0),
+            endpoint = router.dispatcher.endpoints[name]
+            updated = {
+                "draining": replace(endpoint.entry, state=EndpointState.DRAINING),
+                "gone": replace(endpoint.entry, state=EndpointState.REMOVED),
+                "restarted": replace(endpoint.entry, started_at=9.0),
             }
             router.dispatcher.on_endpoint_update(
-                EndpointUpdateKind.DELTA, [replace(member, entry=told[news])]
+                EndpointUpdateKind.DELTA, [replace(endpoint, entry=updated[change])]
             )
-            dials.up.set()
-            assert await link.closed_by_peer()  # and never a byte
-            if news == "restarted":
-                served = await router.cache()  # it may well be the one that is new there
+            connections.released.set()
+            assert await link.closed_by_peer()  # without a byte
+            if change == "restarted":
+                other = await router.cache()  # it may be the restarted server
             else:
-                served = await next(p for n, p in router.caches.items() if n != name).link()
-            assert (await served.resp())[2] == b"r1"
-            served.write(HIT)
+                other = await next(p for n, p in router.caches.items() if n != name).link()
+            assert (await other.resp())[2] == b"r1"
+            other.write(HIT)
             assert await client.resp() == b"value"
 
     run(scenario)
@@ -53,58 +53,58 @@
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         async with Router() as router:
-            dials = DelayedConnections(monkeypatch, *router.caches.values())
+            connections = DelayedConnections(monkeypatch, *router.caches.values())
             client = await router.client()
             sent_at = loop.time()
             client.write(read("r1"))
             _, link = await first_connection(router)
             await asyncio.sleep(0.3)
-            dialled = loop.time() - sent_at
-            dials.up.set()
+            elapsed = loop.time() - sent_at
+            connections.released.set()
             info = (await link.resp())[3].decode()
-            told = int(dict(pair.split("=") for pair in info.split(","))["d"]) / 1000
-            assert 0 < told <= 2.0 - dialled + 0.001
+            time_left = int(dict(pair.split("=") for pair in info.split(","))["d"]) / 1000
+            assert 0 < time_left <= 2.0 - elapsed + 0.001
             link.write(HIT)
             assert await client.resp() == b"value"
 
     run(scenario)
 
 
-@pytest.mark.parametrize("may_cancel", [True, False])
+@pytest.mark.parametrize("cancellation_allowed", [True, False])
 def test_connection_established_after_its_client_disconnected_is_not_written_to(
-    may_cancel: bool, monkeypatch: pytest.MonkeyPatch
+    cancellation_allowed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        async with Router(replace(SETTINGS, cancellation_allowed=may_cancel)) as router:
+        async with Router(replace(SETTINGS, cancellation_allowed=cancellation_allowed)) as router:
             written = record_written_requests(monkeypatch)
-            dials = DelayedConnections(monkeypatch, *router.caches.values())
+            connections = DelayedConnections(monkeypatch, *router.caches.values())
             client = await router.client()
             client.write(read("r1"))
             await first_connection(router)
             client.close()
             await wait_until(lambda: not router.listener.connections)
-            dials.up.set()
+            connections.released.set()
             await wait_until(lambda: not router.cache_pool.connecting)
             assert not written and not router.dispatcher.router.pending
 
     run(scenario)
 
 
-@pytest.mark.parametrize(("window", "again"), [(0.9, False), (60.0, True)])
+@pytest.mark.parametrize(("window", "is_retried"), [(0.9, False), (60.0, True)])
 def test_keyed_write_is_not_retried_if_it_may_be_written_after_the_idempotency_window(
-    window: float, again: bool
+    window: float, is_retried: bool
 ) -> None:
     """Servers recognize a retry only within the window; connecting may take a second here."""
 
     async def scenario() -> None:
-        kinds = {"read": READ, "book": replace(KEYED_WRITE, idempotency_window=window)}
-        async with Router(replace(SETTINGS, classes=kinds, connect_timeout=1.0)) as router:
+        classes = {"read": READ, "book": replace(KEYED_WRITE, idempotency_window=window)}
+        async with Router(replace(SETTINGS, classes=classes, connect_timeout=1.0)) as router:
             client = await router.client()
             client.write(keyed_write("r1"))
             origin = await router.origin.link()
-            await origin.http()  # whole: it may have run
+            await origin.http()  # completely received: it may have run
             origin.reset()
-            if again:
+            if is_retried:
                 origin = await router.origin.link()
                 await origin.http()
                 origin.write(http("200 OK", b"receipt"))
--- a/tests/test_net_attempt_runner.py
+++ b/tests/test_net_attempt_runner.py
@@ -16,11 +16,11 @@
 ) -> None:
     async def scenario() -> None:
         async with Router(replace(SETTINGS, max_attempts=1)) as router:
-            seen: list[AttemptCompleted] = []
+            completed: list[AttemptCompleted] = []
 
             def handle(now: float, event: Event) -> list[Action]:
                 if isinstance(event, AttemptCompleted):
-                    seen.append(event)
+                    completed.append(event)
                 if isinstance(event, Request):
                     return [Send("r1", "a"), Send("r1", "b")]
                 if isinstance(event, AttemptCompleted) and event.attempt_number == 1:
@@ -32,9 +32,12 @@
             client.write(read("r1") + command("PING"))
             assert error_text(await client.resp()) == "BUSY 250"
             assert await client.resp() == b"PONG"
-            ends = [(o.attempt_number, o.status, o.request_closed) for o in seen]
-            moot, cancelled = AttemptStatus.NOT_SENT, AttemptStatus.CANCELLED
-            assert ends == [(1, moot, False), (2, moot, True), (0, cancelled, True)]
+            outcomes = [(a.attempt_number, a.status, a.request_closed) for a in completed]
+            assert outcomes == [
+                (1, AttemptStatus.NOT_SENT, False),
+                (2, AttemptStatus.NOT_SENT, True),
+                (0, AttemptStatus.CANCELLED, True),
+            ]
 
     run(scenario)
 
--- a/tests/test_net_client_connection.py
+++ b/tests/test_net_client_connection.py
@@ -7,35 +7,32 @@
 import pytest
 
 from cache_router.net import client_connection
-from cache_router.net.client_connection import MAX_PIPELINED_COMMANDS
-from tests.loopback import HIT, Router, command, error_text, read, run
+from cache_router.net.client_connection import MAX_PIPELINED_COMMANDS, ClientConnection
+from tests.event_order import wait_until
+from tests.loopback import HIT, Link, Router, command, error_text, read, run
 
 
 def test_replies_are_written_in_the_order_of_the_commands() -> None:
-    """Answered in another order, each client would take another request's value for its own."""
+    """RESP replies carry no id: in another order a client would take one value for another."""
 
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
             client.write(read("r1") + read("r2") + command("PING"))
-            links = [await router.cache(), await router.cache()]
-            by_request = {(await link.resp())[2]: link for link in links}
+            caches = [await router.cache(), await router.cache()]
+            by_request = {(await cache.resp())[2]: cache for cache in caches}
             by_request[b"r2"].write(HIT.replace(b"value", b"later"))
-            await by_request_ended(router, "r2")
+            await wait_until(lambda: "r2" not in router.dispatcher.requests)
             by_request[b"r1"].write(HIT)
             assert [await client.resp() for _ in range(3)] == [b"value", b"later", b"PONG"]
 
-    async def by_request_ended(router: Router, name: str) -> None:
-        while name in router.dispatcher.requests:
-            await asyncio.sleep(0)
-
     run(scenario)
 
 
 INVALID_COMMANDS = [
     (command("GET", "k"), "unknown command"),
     (command("CLIENT", "LIST"), "unknown command"),
-    (command("A\r\n+PONG"), "unknown command"),  # said back as it came, it would be a second answer
+    (command("A\r\n+PONG"), "unknown command"),  # echoed unescaped, it would be a second reply
     (command("C.GET", "k", "r1"), "wrong number"),
     (command("C.SET", "k", "r1", "c=book,d=900"), "wrong number"),
     (command("C.GET", "", "r1", "c=read,d=900"), "key"),
@@ -63,13 +60,13 @@
 ]
 
 
-@pytest.mark.parametrize(("sent", "said"), INVALID_COMMANDS)
-def test_invalid_command_gets_an_error_and_keeps_its_connection(sent: bytes, said: str) -> None:
+@pytest.mark.parametrize(("sent", "expected"), INVALID_COMMANDS)
+def test_invalid_command_gets_an_error_and_keeps_its_connection(sent: bytes, expected: str) -> None:
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
             client.write(sent + command("PING"))
-            assert said in error_text(await client.resp())
+            assert expected in error_text(await client.resp())
             assert await client.resp() == b"PONG"
             assert not router.dispatcher.requests
 
@@ -82,18 +79,18 @@
         b"PING\r\n",
         b"\x00\xff",
         b"*x\r\n",
-        b"*100000000\r\n",  # refused at the header: the list for it would be made, and gone through, whole
+        b"*100000000\r\n",  # rejected at the header, before a list of that length is allocated
         b"*4\r\n$-5\r\n",
-        b"*4\r\n$62914560\r\n",  # before the value comes
-        b"*5\r\n" + b"$60000\r\n%b\r\n" % (b"x" * 60000) + b"$60000\r\n",  # more than any whole command
+        b"*4\r\n$62914560\r\n",  # rejected before the value comes
+        b"*5\r\n" + b"$60000\r\n%b\r\n" % (b"x" * 60000) + b"$60000\r\n",  # longer than any valid command
         b"*1\r\n$4\r\nPINGPONG\r\n",
-        b"*1\r\n$" + b"0" * 40,  # lines without end
+        b"*1\r\n$" + b"0" * 40,  # lines that do not end
         b"+" + b"x" * 2000,
         b"*1\r\n" * 9,
     ],
 )
 def test_framing_error_closes_the_connection(sent: bytes) -> None:
-    """Anything read after it might be a part of a value, carried out as a command."""
+    """What follows might be a part of a value, and would be executed as a command."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -108,15 +105,14 @@
 
 
 def test_nothing_is_read_after_a_framing_error() -> None:
-    """While an earlier answer is owed, all that such a client goes on sending would be kept in memory."""
+    """Otherwise input would be buffered without limit while an earlier reply is pending."""
 
     async def scenario() -> None:
         async with Router() as router:
             client, cache = await router.start_read()
             client.write(b"noise\r\n" + b"x" * 100_000)
             (connection,) = router.listener.connections
-            while not connection.closing:
-                await asyncio.sleep(0)
+            await wait_until(lambda: connection.closing)
             assert not connection.transport.is_reading() and not connection.reader.buffer
             cache.write(HIT)
             assert await client.resp() == b"value"
@@ -127,17 +123,17 @@
 
 
 def test_connection_is_throttled_after_errors() -> None:
-    """A client that sends the same again as soon as it is turned away would take the core for itself."""
+    """A client that repeats a rejected command at once would take up all processor time."""
 
     async def scenario() -> None:
         async with Router() as router:
             loop = asyncio.get_running_loop()
             client = await router.client()
-            began = loop.time()
+            started_at = loop.time()
             client.write(read("r1", info="c=unheard-of,d=900") * 3)
             for _ in range(3):
                 error_text(await client.resp())
-            assert loop.time() - began >= 2 * client_connection.ERROR_THROTTLE_TIME - 0.01
+            assert loop.time() - started_at >= 2 * client_connection.ERROR_THROTTLE_TIME - 0.01
 
     run(scenario)
 
@@ -146,53 +142,51 @@
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
-            names = [f"r{n}" for n in range(3 * MAX_PIPELINED_COMMANDS)]
-            client.write(b"".join(read(n, info="c=read,t=x,d=1") for n in names) + read("last"))
+            request_ids = [f"r{n}" for n in range(3 * MAX_PIPELINED_COMMANDS)]
+            client.write(b"".join(read(n, info="c=read,t=x,d=1") for n in request_ids) + read("last"))
             cache = await router.cache()
             assert (await cache.resp())[2] == b"last"
             cache.write(HIT)
-            for _ in names:
+            for _ in request_ids:
                 error_text(await client.resp())
             assert await client.resp() == b"value"
 
     run(scenario)
 
 
+async def client_with_full_pipeline(router: Router) -> tuple[Link, ClientConnection]:
+    """Return a client that has sent twice the commands that may be pipelined, and the router's side of it."""
+    client = await router.client()
+    client.write(b"".join(read(f"r{n}") for n in range(2 * MAX_PIPELINED_COMMANDS)))
+    await wait_until(lambda: router.listener.connections)
+    (connection,) = router.listener.connections
+    await wait_until(lambda: len(connection.replies) >= MAX_PIPELINED_COMMANDS)
+    return client, connection
+
+
 def test_number_of_pipelined_commands_is_bounded() -> None:
-    """One client could make the router hold requests without end."""
+    """Otherwise one client could make the router hold any number of requests."""
 
     async def scenario() -> None:
         async with Router() as router:
-            client = await router.client()
-            client.write(b"".join(read(f"r{n}") for n in range(2 * MAX_PIPELINED_COMMANDS)))
-            while not router.listener.connections:
-                await asyncio.sleep(0)
-            (connection,) = router.listener.connections
-            while len(connection.replies) < MAX_PIPELINED_COMMANDS:
-                await asyncio.sleep(0)
+            _client, connection = await client_with_full_pipeline(router)
             assert len(connection.replies) == MAX_PIPELINED_COMMANDS and not connection.transport.is_reading()
 
     run(scenario)
 
 
 def test_no_request_is_accepted_from_a_closing_connection() -> None:
-    """Its client is gone, and what is taken after that would be worked on to its deadline for nobody."""
+    """Its client has disconnected: the request would be processed until its deadline for nobody."""
 
     async def scenario() -> None:
         async with Router() as router:
-            client = await router.client()
-            client.write(b"".join(read(f"r{n}") for n in range(2 * MAX_PIPELINED_COMMANDS)))
-            while not router.listener.connections:
-                await asyncio.sleep(0)
-            (connection,) = router.listener.connections
-            while len(connection.replies) < MAX_PIPELINED_COMMANDS:
-                await asyncio.sleep(0)
+            _client, connection = await client_with_full_pipeline(router)
             connection.transport.abort()
             router.dispatcher.requests.respond("r0", b"-ERR failed\r\n")
-            while router.listener.connections:
-                await asyncio.sleep(0)
+            await wait_until(lambda: not router.listener.connections)
             await asyncio.sleep(0)
-            assert set(router.dispatcher.requests) == {"r0"}  # whose end the module was not told here
+            # the decision module was not notified of the reply above, and has not removed it
+            assert set(router.dispatcher.requests) == {"r0"}
 
     run(scenario)
 
@@ -211,7 +205,7 @@
 
 
 def test_exception_closes_only_the_connection_that_caused_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One request that the code can't handle would take the whole router, and all it has taken, along."""
+    """Otherwise one request that the code can't handle would end the router and all requests in flight."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -229,7 +223,7 @@
 
 
 def test_closed_connection_is_removed_from_the_table() -> None:
-    """Looked at again, one without a socket stopped the listener: nobody could connect any more."""
+    """A closed connection has no socket: examining it stopped the listener, and nobody could connect."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -241,7 +235,7 @@
             other.write(command("PING"))
             assert await other.resp() == b"PONG"
             connections = router.listener.connections
-            (left,) = connections
-            assert list(connections.idle) == [left] and not connections.awaiting_command
+            (remaining,) = connections
+            assert list(connections.idle) == [remaining] and not connections.awaiting_command
 
     run(scenario)
--- a/tests/test_net_connection_pool.py
+++ b/tests/test_net_connection_pool.py
@@ -12,7 +12,7 @@
 
 
 def test_longest_idle_connection_is_used_first() -> None:
-    """What follows a good response late would come behind the next request, and be served as its response."""
+    """A late second response would come after the next request, and be taken for its response."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -64,12 +64,12 @@
 
 
 def test_connecting_times_out() -> None:
-    """A machine cut off says nothing: without a limit on connecting the request waits out its deadline."""
+    """An unreachable machine sends nothing: without a timeout the request waits until its deadline."""
 
     async def scenario() -> None:
         with socket.socket() as full, socket.socket() as first:
             full.bind(("127.0.0.1", 0))
-            full.listen(0)  # room for one, which `first` takes; the next gets no response
+            full.listen(0)  # a backlog of one, which `first` occupies; the next gets no response
             first.connect(full.getsockname())
             attempts = cache_attempts(connect_timeout=0.05)
             attempts.start(format_address(full.getsockname()))
@@ -79,7 +79,7 @@
 
 
 def test_closed_idle_connection_is_not_used() -> None:
-    """A request written to it would end as a reset, and an unsafe one would be failed for nothing."""
+    """A request written to it would end as a reset, and one that is not idempotent would fail needlessly."""
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
@@ -92,7 +92,7 @@
             await loop.sock_recv(first, 4096)
             await loop.sock_sendall(first, HIT)
             await attempts.outcome()
-            first.close()  # and the loop has not looked since
+            first.close()  # and the event loop has not run since
             attempts.start(address)
             second, _ = await loop.sock_accept(server)
             await loop.sock_recv(second, 4096)
@@ -104,7 +104,7 @@
 
 
 def test_idle_connection_is_closed_before_its_server_would() -> None:
-    """One used just as the server closes it loses the request that is written to it."""
+    """A request written just as the server closes the connection is lost."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -119,7 +119,7 @@
 
 
 def test_connections_stay_within_their_limit() -> None:
-    """Without it a burst takes the descriptors that clients need, and nobody can connect any more."""
+    """Otherwise a burst would use up the descriptors that clients need."""
 
     async def scenario() -> None:
         async with Peer() as one, Peer() as other:
@@ -141,7 +141,7 @@
 
 
 def test_longest_idle_connection_to_any_server_is_closed_for_another() -> None:
-    """Taken from one server each time, that server alone would cost a handshake for every request."""
+    """Closed at one server each time, that server would need a handshake for every request."""
 
     async def scenario() -> None:
         async with Peer() as one, Peer() as two, Peer() as three:
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on discovery's list, over loopback."""
+"""The watch of discovery's endpoint list, over loopback."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
     (endpoint,) = update.endpoints
     assert (update.index, update.is_snapshot, endpoint.address) == (7, True, "127.0.0.9:6379")
     entry = Endpoint("s-1", EndpointState.READY, "m2", "a", 3, 1.5, 1_790_000_000.25)
-    assert endpoint.entry == entry  # named as at every router, since on the router's own clock
-    (old,) = read_endpoint_list(
+    assert endpoint.entry == entry  # the name as every router has it, the start on this router's clock
+    (started_long_ago,) = read_endpoint_list(
         orjson.loads(encode_endpoint_list(7, True, {**ENDPOINT_ENTRY, "since_ms": 0}))
     ).endpoints
-    assert old.entry.started_at == 0
+    assert started_long_ago.entry.started_at == 0
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("change", "field"),
     [
         ({"name": 5}, "name"),
         ({"address": "nowhere"}, "address"),
@@ -40,8 +40,8 @@
         ({"since_ms": None}, "since_ms"),
     ],
 )
-def test_malformed_entry_is_named_in_the_error(change: dict[str, Any], named: str) -> None:
-    with pytest.raises(EndpointListError, match=rf"^known\.endpoints\[1\]\.{named}"):
+def test_malformed_entry_is_named_in_the_error(change: dict[str, Any], field: str) -> None:
+    with pytest.raises(EndpointListError, match=rf"^known\.endpoints\[1\]\.{field}"):
         read_endpoint_list(
             {"index": 1, "snapshot": True, "endpoints": [ENDPOINT_ENTRY, {**ENDPOINT_ENTRY, **change}]},
             "known",
@@ -77,14 +77,14 @@
             _, link = await accept_poll(peer)
             link.write(http("200 OK", encode_endpoint_list(42, False)))
             await recorder.updates.get()
-            assert "after=42&" in (await accept_poll(peer))[0]  # and none with 41 before it
+            assert "after=42&" in (await accept_poll(peer))[0]  # and none after 41 before it
             recorder.discovery.close()
 
     run(scenario)
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         http("503 Busy"),
         http("200 OK", b"not json"),
@@ -96,14 +96,14 @@
         b"",
     ],
 )
-def test_failed_poll_is_notified_and_the_next_continues_from_the_last_index(answer: bytes) -> None:
-    """Half a list taken for whole would drop servers that are well; an exception would end the watch."""
+def test_failed_poll_is_notified_and_the_next_continues_from_the_last_index(response: bytes) -> None:
+    """An incomplete list applied would remove ready servers; an exception would end the watch."""
 
     async def scenario() -> None:
         async with Peer() as peer:
             recorder = WatchRecorder(peer)
             _, link = await accept_poll(peer)
-            link.write(answer)
+            link.write(response)
             link.close()
             assert await recorder.updates.get() is None
             recorder.discovery.subscribe()
@@ -123,7 +123,7 @@
 
 
 def test_poll_of_a_silent_discovery_times_out() -> None:
-    """Its changes count as notified: a router that waits on sends to servers it should have left."""
+    """Its changes count as notified: a router that waited on would send to draining servers."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -141,14 +141,14 @@
 
 
 def test_exception_in_an_update_is_notified_as_a_failed_poll() -> None:
-    """A watch that ended without a word would leave the router with its old list for good."""
+    """A watch that ended without a notification would leave the router with its old list for good."""
 
     async def scenario() -> None:
         async with Peer() as peer:
             recorder = WatchRecorder(peer)
 
             def faulty(kind: EndpointUpdateKind, endpoints: list[NetworkEndpoint]) -> None:
-                raise RuntimeError("a fault")
+                raise RuntimeError("faulty")
 
             recorder.discovery.on_update = faulty
             _, link = await accept_poll(peer)
@@ -159,7 +159,7 @@
 
 
 def test_watch_of_a_new_address_starts_anew_and_the_old_one_notifies_nothing() -> None:
-    """Each counts by itself: asked for what is newer than another discovery's list, it may say nothing."""
+    """Indexes are those of one discovery: polled with another's index, it may send nothing."""
 
     async def scenario() -> None:
         async with Peer() as old, Peer() as new:
--- a/tests/test_net_dispatcher.py
+++ b/tests/test_net_dispatcher.py
@@ -1,4 +1,4 @@
-"""A router between clients, cache servers and an origin, over loopback."""
+"""The dispatcher between clients, cache servers and an origin, over loopback."""
 
 from __future__ import annotations
 
@@ -20,9 +20,10 @@
             cache = await router.cache()
             verb, key, request, info = await cache.resp()
             assert (verb, key, request) == (b"C.GET", b"key", b"r1")
-            named = dict(pair.split("=") for pair in info.decode().split(","))
-            assert list(named) == ["c", "t", "d", "h", "size"] and named["size"] == "7"
-            assert 0 < int(named["d"]) < 2000  # what is left
+            fields = dict(pair.split("=") for pair in info.decode().split(","))
+            assert list(fields) == ["c", "t", "d", "h", "size"]
+            assert fields["size"] == "7"
+            assert 0 < int(fields["d"]) < 2000  # the time that is left
             cache.write(HIT)
             assert await client.resp() == b"value"
 
@@ -72,7 +73,7 @@
 
 
 def test_attempts_of_a_disconnected_client_are_cancelled() -> None:
-    """Cache servers would go on working for nobody."""
+    """Otherwise cache servers would go on working for a client that no longer waits."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -85,29 +86,29 @@
 
 
 def test_request_without_a_response_is_rejected_at_its_deadline() -> None:
-    """A client that is not answered in time counts its request as lost."""
+    """A client that has no reply by its deadline counts the request as lost."""
 
     async def scenario() -> None:
         async with Router() as router:
             loop = asyncio.get_running_loop()
-            sent = loop.time()
+            sent_at = loop.time()
             client, cache = await router.start_read(info="c=read,t=x,d=150")
             assert error_text(await client.resp()).startswith("BUSY")
-            assert loop.time() - sent >= 0.15 - dispatcher.DEADLINE_MARGIN - 0.001
+            assert loop.time() - sent_at >= 0.15 - dispatcher.DEADLINE_MARGIN - 0.001
             assert await cache.closed_by_peer() and not router.dispatcher.requests
 
     run(scenario)
 
 
 def test_events_posted_while_actions_run_are_handled_afterwards(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Entered again, the module would go on with a state that the first call has not finished."""
+    """A re-entrant call would see a state that the outer call has not finished changing."""
 
     async def scenario() -> None:
         async with Router(with_endpoints=False) as router:
-            depth: list[int] = []
+            handling: list[bool] = []  # at each event
 
             def handle(now: float, event: Event) -> list[Action]:
-                depth.append(router.dispatcher.handling)
+                handling.append(router.dispatcher.handling)
                 if isinstance(event, Request):
                     return [Send("r1", "unheard-of"), LogMessage("after"), Fail("r1")]
                 if isinstance(event, AttemptCompleted):
@@ -118,6 +119,6 @@
             client = await router.client()
             client.write(read("r1"))
             assert error_text(await client.resp()) == "ERR failed"
-            assert len(depth) == 2
+            assert len(handling) == 2
 
     run(scenario)
--- a/tests/test_net_endpoint_table.py
+++ b/tests/test_net_endpoint_table.py
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("change", ["gone", "draining", "restarted", "replaced"])
 def test_idle_connections_to_an_ended_process_are_closed(change: str) -> None:
-    """Those to a machine that vanished never close, and another process may come to its address."""
+    """A machine that vanished never closes them, and another process may come to its address."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -31,25 +31,25 @@
             cache.write(HIT)
             assert await client.resp() == b"value"
             (connection,) = router.cache_pool.idle
-            (name,) = (n for n, m in router.dispatcher.endpoints.items() if m.address == connection.address)
+            (name,) = (n for n, e in router.dispatcher.endpoints.items() if e.address == connection.address)
             entry = router.dispatcher.endpoints[name].entry
-            told = {
+            updated = {
                 "gone": replace(entry, state=EndpointState.REMOVED),
                 "draining": replace(entry, state=EndpointState.DRAINING),
                 "restarted": replace(entry, started_at=9.0),
                 "replaced": replace(entry, state=EndpointState.REMOVED),
             }
-            members = [NetworkEndpoint(told[change], connection.address)]
+            endpoints = [NetworkEndpoint(updated[change], connection.address)]
             if change == "replaced":
-                members.append(NetworkEndpoint(replace(entry, name="new"), connection.address))
-            router.dispatcher.on_endpoint_update(EndpointUpdateKind.DELTA, members)
+                endpoints.append(NetworkEndpoint(replace(entry, name="new"), connection.address))
+            router.dispatcher.on_endpoint_update(EndpointUpdateKind.DELTA, endpoints)
             assert await cache.closed_by_peer()
 
     run(scenario)
 
 
 def count_bytecodes(work: Callable[[], object]) -> int:
-    """How many bytecodes of ours run; what C code does for one of them is not seen."""
+    """Count the bytecodes of Python code; unlike a time, the count is the same on a busy machine."""
     count = 0
 
     def trace(frame: FrameType, event: str, _: Any) -> Any:
@@ -67,19 +67,21 @@
 
 
 def update_cost(change: Endpoint, size: int) -> int:
-    """Of one entry that changes in a list of so many, from the host on."""
+    """Count the bytecodes that the dispatcher runs when one entry changes in a list of so many."""
     counted = 0
 
     async def scenario() -> None:
         nonlocal counted
         pools = ConnectionPool(CacheConnection, 8, 1.0, 60.0), ConnectionPool(OriginConnection, 8, 1.0, 60.0)
-        host = Dispatcher(settings(), 1, *pools, lambda: None)
-        members = [NetworkEndpoint(entry(f"s{i}"), f"127.0.0.1:{1000 + i}") for i in range(size)]
-        host.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, members)
-        host.on_endpoint_update(EndpointUpdateKind.DELTA, [NetworkEndpoint(entry("s0"), members[0].address)])
+        dispatcher = Dispatcher(settings(), 1, *pools, lambda: None)
+        endpoints = [NetworkEndpoint(entry(f"s{i}"), f"127.0.0.1:{1000 + i}") for i in range(size)]
+        dispatcher.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, endpoints)
+        dispatcher.on_endpoint_update(
+            EndpointUpdateKind.DELTA, [NetworkEndpoint(entry("s0"), endpoints[0].address)]
+        )
         counted = count_bytecodes(
-            lambda: host.on_endpoint_update(
-                EndpointUpdateKind.DELTA, [NetworkEndpoint(change, members[0].address)]
+            lambda: dispatcher.on_endpoint_update(
+                EndpointUpdateKind.DELTA, [NetworkEndpoint(change, endpoints[0].address)]
             )
         )
 
@@ -99,26 +101,28 @@
     ids=["drain", "gone", "restart", "weight", "join"],
 )
 def test_update_costs_no_more_than_in_proportion_to_the_list(change: Endpoint) -> None:
-    """All points in one list and one table went through the interpreter with each change: it answered
-    nobody for 33 to 48 ms at 840 servers, and for the square of that at twice as many."""
+    """When each change rebuilt all points of the ring, the router answered nobody for 33 to 48 ms at 840
+    servers."""
     small, large = update_cost(change, 60), update_cost(change, 240)
-    assert large - small <= 180 * 128 / 2  # half a step for each point of the others, where it was a dozen
+    assert large - small <= 180 * 128 / 2  # half a bytecode for each point of the others
     assert large < 4 * small
 
 
 def test_empty_update_costs_the_same_for_any_list() -> None:
-    """A watch that ends its wait without news came with a new ring, some times a minute at every router."""
+    """A watch whose wait ends without a change used to rebuild the ring several times a minute."""
 
     async def scenario() -> None:
         pools = ConnectionPool(CacheConnection, 8, 1.0, 60.0), ConnectionPool(OriginConnection, 8, 1.0, 60.0)
-        host = Dispatcher(settings(), 1, *pools, lambda: None)
+        dispatcher = Dispatcher(settings(), 1, *pools, lambda: None)
         counts = []
         for size in (10, 200):
-            host.on_endpoint_update(
+            dispatcher.on_endpoint_update(
                 EndpointUpdateKind.SNAPSHOT,
                 [NetworkEndpoint(entry(f"s{i}"), "127.0.0.1:1") for i in range(size)],
             )
-            counts.append(count_bytecodes(lambda: host.on_endpoint_update(EndpointUpdateKind.DELTA, [])))
+            counts.append(
+                count_bytecodes(lambda: dispatcher.on_endpoint_update(EndpointUpdateKind.DELTA, []))
+            )
         assert counts[0] == counts[1]
 
     run(scenario)
--- a/tests/test_net_eviction.py
+++ b/tests/test_net_eviction.py
@@ -14,26 +14,29 @@
 
 
 def test_incomplete_command_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Connections that never send a whole command would fill the budget: nobody could connect any more."""
+    """Otherwise connections that never send a complete command would use up the connection limit."""
 
     async def scenario() -> None:
         monkeypatch.setattr(eviction, "COMMAND_TIMEOUT", 0.5)
         monkeypatch.setattr(eviction, "OVERDUE_CHECK_INTERVAL", 0.01)
         async with Router() as router:
-            usual, silent, half = [await router.client() for _ in range(3)]
-            usual.write(command("PING"))
-            half.write(command("PING") + b"*4\r\n$5\r\nC.G")
-            assert await usual.resp() == await half.resp() == b"PONG"
-            assert "no whole command" in error_text(await half.resp()) and await half.closed_by_peer()
+            regular, silent, incomplete = [await router.client() for _ in range(3)]
+            regular.write(command("PING"))
+            incomplete.write(command("PING") + b"*4\r\n$5\r\nC.G")
+            assert await regular.resp() == await incomplete.resp() == b"PONG"
+            assert (
+                "no whole command" in error_text(await incomplete.resp())
+                and await incomplete.closed_by_peer()
+            )
             assert "no whole command" in error_text(await silent.resp()) and await silent.closed_by_peer()
-            usual.write(command("PING"))
-            assert await usual.resp() == b"PONG"
+            regular.write(command("PING"))
+            assert await regular.resp() == b"PONG"
 
     run(scenario)
 
 
 def test_idle_client_is_evicted_at_the_connection_limit() -> None:
-    """Past the limit on descriptors nothing works: no attempt and no list. Idle clients make room."""
+    """Out of descriptors, neither attempts nor polls of discovery can connect: idle clients are evicted."""
 
     async def scenario() -> None:
         async with Router(max_clients=2) as router:
@@ -50,7 +53,7 @@
 
 
 def test_new_client_is_not_evicted_while_all_others_are_busy() -> None:
-    """Closed for its own sake, it would take its first request along."""
+    """Evicted itself, it would lose its first request."""
 
     async def scenario() -> None:
         async with Router(max_clients=1) as router:
@@ -65,7 +68,7 @@
 
 
 async def client_after_pings(router: Router, times: int) -> Link:
-    """A client that has asked so often and stays."""
+    """Return a client that has sent so many commands and stays connected."""
     client = await router.client()
     for _ in range(times):
         client.write(command("PING"))
@@ -74,98 +77,96 @@
 
 
 def test_clients_awaiting_a_command_are_evicted_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Silent clients by hundreds would drive out the usual ones, which ask on connections that they keep."""
+    """Hundreds of silent clients would otherwise evict regular ones, which reuse their connections."""
 
     async def scenario() -> None:
         monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", 0.0)
         async with Router(max_clients=3) as router:
-            usual = await client_after_pings(router, 1)
-            silent, half = await router.client(), await router.client()
-            half.write(b"*4\r\n$5\r\nC.G")
-            newer = []  # kept, or they would close
-            for gone in (silent, half):
+            regular = await client_after_pings(router, 1)
+            silent, incomplete = await router.client(), await router.client()
+            incomplete.write(b"*4\r\n$5\r\nC.G")
+            newer = []  # referenced, or they would be closed
+            for evicted in (silent, incomplete):
                 newer.append(await client_after_pings(router, 1))
-                assert await gone.closed_by_peer()
-            usual.write(command("PING"))
-            assert await usual.resp() == b"PONG"
+                assert await evicted.closed_by_peer()
+            regular.write(command("PING"))
+            assert await regular.resp() == b"PONG"
 
     run(scenario)
 
 
 def test_throttled_clients_are_evicted_first() -> None:
-    """Never idle, as the next error waits behind the last, they would hold their places for good."""
+    """They are never idle, as the next error follows the last, and would otherwise never be evicted."""
 
     async def scenario() -> None:
         async with Router(max_clients=2) as router:
-            usual, wrong = await client_after_pings(router, 1), await client_after_pings(router, 2)
-            wrong.write(read("r1", info="c=unheard-of,d=900") * 100)
-            error_text(await wrong.resp())
+            regular, erroneous = await client_after_pings(router, 1), await client_after_pings(router, 2)
+            erroneous.write(read("r1", info="c=unheard-of,d=900") * 100)
+            error_text(await erroneous.resp())
             _newest = await client_after_pings(router, 1)
             with suppress(ConnectionResetError):
-                await wrong.reader.read()  # to its end
-            usual.write(command("PING"))
-            assert await usual.resp() == b"PONG"
+                await erroneous.reader.read()  # to its end
+            regular.write(command("PING"))
+            assert await regular.resp() == b"PONG"
 
     run(scenario)
 
 
 def test_clients_with_a_single_command_are_evicted_before_regular_ones() -> None:
-    """A crowd that asks once and stays would cost the usual clients a connection for every request."""
+    """Otherwise a crowd of single-command clients would make regular ones reconnect for every request."""
 
     async def scenario() -> None:
         async with Router(max_clients=2) as router:
-            usual, once = await client_after_pings(router, 2), await client_after_pings(router, 1)
+            regular, single = await client_after_pings(router, 2), await client_after_pings(router, 1)
             _newest = await client_after_pings(router, 1)
-            assert await once.closed_by_peer()
-            usual.write(command("PING"))
-            assert await usual.resp() == b"PONG"
+            assert await single.closed_by_peer()
+            regular.write(command("PING"))
+            assert await regular.resp() == b"PONG"
 
     run(scenario)
 
 
 def test_crowd_of_single_command_clients_is_accepted_at_once() -> None:
-    """Let in only as others had been idle for long, usual clients waited in the backlog past deadlines."""
+    """Accepted only after others were idle for long, regular clients waited in the backlog past deadlines."""
 
     async def scenario() -> None:
         async with Router(max_clients=4) as router:
             crowd = []
             for _ in range(20):
-                crowd += [
-                    await router.client(),
-                    await client_after_pings(router, 1),
-                ]  # the first says nothing
+                crowd.append(await router.client())  # sends nothing
+                crowd.append(await client_after_pings(router, 1))
 
     run(scenario)
 
 
 def test_idle_clients_are_evicted_above_half_of_the_connection_limit(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Clients that ask once and stay for good would take memory and descriptors without end."""
+    """Otherwise clients that send one command and stay would hold memory and descriptors for good."""
 
     async def scenario() -> None:
         monkeypatch.setattr(eviction, "IDLE_TIMEOUT", 1.0)
         async with Router(max_clients=4) as router:
-            usual = [await client_after_pings(router, 2) for _ in range(3)]
-            once = await client_after_pings(router, 1)
-            assert await once.closed_by_peer() and len(router.listener.connections) == 3
-            assert await usual[0].closed_by_peer()
-            usual[2].write(command("PING"))
-            assert await usual[2].resp() == b"PONG"
+            regular = [await client_after_pings(router, 2) for _ in range(3)]
+            single = await client_after_pings(router, 1)
+            assert await single.closed_by_peer() and len(router.listener.connections) == 3
+            assert await regular[0].closed_by_peer()
+            regular[2].write(command("PING"))
+            assert await regular[2].resp() == b"PONG"
 
     run(scenario)
 
 
-async def client_with_unread_reply(router: Router, answer: bytes) -> Link:
+async def client_with_unread_reply(router: Router, value: bytes) -> Link:
     """Return a client that has not read its reply, a part of which the router still buffers."""
-    plain = socket.socket()
-    plain.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    plain.connect(router.listener.socket.getsockname())
-    client = Link(*await asyncio.open_connection(sock=plain, limit=1024))
+    small_buffer = socket.socket()
+    small_buffer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    small_buffer.connect(router.listener.socket.getsockname())
+    client = Link(*await asyncio.open_connection(sock=small_buffer, limit=1024))
     client.write(read("r1"))
     cache = await router.cache()
     await cache.resp()
     (connection,) = router.listener.connections
     connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    cache.write(b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % (len(answer), answer))
+    cache.write(b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % (len(value), value))
     await wait_until(
         lambda: connection in router.listener.connections.idle and connection.has_unsent_output()
     )
@@ -176,13 +177,13 @@
     """A reply cut short by the router is lost."""
 
     async def scenario() -> None:
-        answer = b"x" * 60_000
+        value = b"x" * 60_000
         async with Router(max_clients=1) as router:
-            slow = await client_with_unread_reply(router, answer)
+            client = await client_with_unread_reply(router, value)
             other = await router.client()
             other.write(command("PING"))
             assert await other.resp() == b"PONG"  # the eviction would have happened by now
-            assert await slow.resp() == answer
+            assert await client.resp() == value
 
     run(scenario)
 
@@ -191,9 +192,9 @@
     async def scenario() -> None:
         monkeypatch.setattr(eviction, "OVERDUE_CHECK_INTERVAL", 0.01)
         async with Router() as router:
-            slow = await client_with_unread_reply(router, b"x" * 60_000)
+            client = await client_with_unread_reply(router, b"x" * 60_000)
             router.listener.evictor.longest_client_timeout = 0.0
             await wait_until(lambda: not router.listener.connections)
-            slow.close()
+            client.close()
 
     run(scenario)
--- a/tests/test_net_listener.py
+++ b/tests/test_net_listener.py
@@ -13,17 +13,17 @@
 
 
 def test_failed_accept_is_retried_after_a_delay(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Out of descriptors, a loop that ended would leave the router deaf, and one that spun would stop it."""
+    """Out of descriptors, the accept loop must neither end nor retry without a pause."""
 
     async def scenario() -> None:
         async with Router() as router:
-            accept, calls, full = socket.socket.accept, 0, True
+            accept, calls, exhausted = socket.socket.accept, 0, True
 
             def failing(listener: socket.socket) -> tuple[socket.socket, object]:
                 nonlocal calls
                 if listener is router.listener.socket:
                     calls += 1
-                    if full:
+                    if exhausted:
                         raise OSError(errno.EMFILE, "too many open files")
                 return accept(listener)
 
@@ -31,8 +31,8 @@
             first = await router.client()
             first.write(command("PING"))
             await asyncio.sleep(3 * listener.ACCEPT_RETRY_DELAY)
-            assert 1 <= calls <= 10  # one a pause; a spin makes thousands
-            full = False
+            assert 1 <= calls <= 10  # one for each pause; a busy loop makes thousands
+            exhausted = False
             assert await first.resp() == b"PONG"
             second = await router.client()
             second.write(command("PING"))
@@ -42,7 +42,7 @@
 
 
 def test_incomplete_command_does_not_delay_shutdown() -> None:
-    """The router would be killed while it waits for a client that never goes on."""
+    """Otherwise the router would wait for a client that never completes its command, until SIGKILL."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -57,21 +57,21 @@
 
 
 def test_accepted_requests_are_answered_during_shutdown() -> None:
-    """What a router had taken and not answered when it ended is lost."""
+    """Requests that are accepted and not answered when the router ends are lost."""
 
     async def scenario() -> None:
         async with Router() as router:
             idle = await router.client()
             busy, cache = await router.start_read()
-            stop = asyncio.create_task(router.listener.stop(0.05, 5.0))
-            late = await router.client()  # connections still come
+            shutdown = asyncio.create_task(router.listener.stop(0.05, 5.0))
+            late = await router.client()  # connections are still accepted
             late.write(command("PING"))
             assert await late.resp() == b"PONG"
-            assert await idle.closed_by_peer() and await late.closed_by_peer() and not stop.done()
+            assert await idle.closed_by_peer() and await late.closed_by_peer() and not shutdown.done()
             cache.write(HIT)
             assert await busy.resp() == b"value"
             assert await busy.closed_by_peer()
-            await stop
+            await shutdown
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*busy.writer.get_extra_info("peername"))
 
--- a/tests/test_net_origin_connection.py
+++ b/tests/test_net_origin_connection.py
@@ -72,9 +72,12 @@
         (b"hello\r\n\r\n", AttemptStatus.ERROR),
         (http("200 OK", b"x" * 70000), AttemptStatus.ERROR),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nval", AttemptStatus.RESET),
-        (b"HTTP/1.1 200 OK\r\n\r\nvalue", AttemptStatus.RESET),  # who could tell whether it is whole
+        (
+            b"HTTP/1.1 200 OK\r\n\r\nvalue",
+            AttemptStatus.RESET,
+        ),  # without a length nothing shows that it is complete
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nv", AttemptStatus.ERROR),
-        (b"ICY 200 OK", AttemptStatus.ERROR),  # and waits for no more of it
+        (b"ICY 200 OK", AttemptStatus.ERROR),  # without waiting for the rest
         (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 20000, AttemptStatus.ERROR),
         (b"", AttemptStatus.RESET),
     ],
@@ -97,7 +100,7 @@
 
 @pytest.mark.parametrize("key", [b"a/../b", b"a?x=1", b"a b", b"a\r\nX: y", b"%2e", "ó".encode(), b"\xff#"])
 def test_key_is_encoded_as_one_path_segment(key: bytes) -> None:
-    """A key that spells another path would fetch, or overwrite, what nobody asked for."""
+    """A key that names another path would read or overwrite another resource."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -115,7 +118,7 @@
 
 
 def test_request_that_cannot_be_encoded_ends_its_attempt_at_once() -> None:
-    """Left without an outcome it would hold its request until the deadline."""
+    """Without an outcome its request would stay in flight until the deadline."""
 
     async def scenario() -> None:
         async with Peer() as peer:
--- a/tests/test_net_request_table.py
+++ b/tests/test_net_request_table.py
@@ -14,14 +14,14 @@
             assert "in use" in error_text(await other.resp())
             cache.write(HIT)
             assert await client.resp() == b"value"
-            other.write(read("r1"))  # nor right after: it would be served with what another asked for
+            other.write(read("r1"))  # nor right after the reply
             assert "in use" in error_text(await other.resp())
 
     run(scenario)
 
 
 def test_answered_request_is_removed_at_once() -> None:
-    """Kept until its deadline, each would hold its id and value in memory for up to ten minutes."""
+    """Otherwise its id and value would stay in memory until its deadline, for up to ten minutes."""
 
     async def scenario() -> None:
         async with Router() as router:
--- a/tests/test_net_resp.py
+++ b/tests/test_net_resp.py
@@ -1,4 +1,4 @@
-"""The RESP reader: whole messages however they come, and nothing held that is not wanted."""
+"""The RESP reader: complete messages from pieces of any size, and bounded buffering."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize("step", [1, 2, 3, 1000])
 def test_messages_are_read_in_pieces_of_any_size(step: int) -> None:
-    """A message is given once it is complete, and nothing is left over."""
+    """A message is returned once it is complete, and nothing remains buffered."""
     stream, read = b"".join(m[0] for m in MESSAGES), []
     resp_reader = make_reader()
     for start in range(0, len(stream), step):
@@ -67,7 +67,7 @@
     ],
 )
 def test_malformed_or_too_large_message_is_rejected_at_once(data: bytes) -> None:
-    """Waited for, it would hold memory, or its request to the deadline."""
+    """Read on, it would use up memory, or keep its request in flight until the deadline."""
     resp_reader = make_reader()
     resp_reader.feed(data)
     with pytest.raises(RespError):
--- a/tests/test_net_upstream_connection.py
+++ b/tests/test_net_upstream_connection.py
@@ -20,7 +20,7 @@
 def test_incomplete_response_ends_its_attempt(
     kind: type[UpstreamConnection], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Said to be longer than it is, it would hold its request to the deadline, on a connection of no use."""
+    """Otherwise a response shorter than announced would keep its request in flight until the deadline."""
 
     async def scenario() -> None:
         monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_TIMEOUT", 0.02)
@@ -97,7 +97,7 @@
 
 
 def test_abandoning_an_attempt_closes_its_connection() -> None:
-    """Left open, the server would go on working, and its late response would meet the next request."""
+    """Left open, the server would go on working, and its late response would be taken for the next one."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -113,7 +113,7 @@
 
 
 def test_abandoning_an_attempt_while_connecting_sends_nothing() -> None:
-    """Written after all, it would run for nobody, and be in the way of the next request."""
+    """Written after all, it would run for nobody, and delay the next request."""
 
     async def scenario() -> None:
         async with Peer() as peer:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -77,17 +77,17 @@
 
 
 @pytest.mark.parametrize(
-    ("limit", "room"), [(resource.RLIM_INFINITY, 1024), (4096, 1024), (1024, 1024), (64, 64), (63, None)]
+    ("limit", "usable"), [(resource.RLIM_INFINITY, 1024), (4096, 1024), (1024, 1024), (64, 64), (63, None)]
 )
 def test_usable_descriptors_are_bounded_by_the_process_limit(
-    limit: int, room: int | None, monkeypatch: pytest.MonkeyPatch
+    limit: int, usable: int | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda _: (limit, resource.RLIM_INFINITY))
-    if room is None:
+    if usable is None:
         with pytest.raises(ConfigError, match=r"^limits\.sockets"):
             server.usable_descriptors(1024)
     else:
-        assert server.usable_descriptors(1024) == room
+        assert server.usable_descriptors(1024) == usable
 
 
 def test_descriptors_are_divided_between_the_kinds_of_connections() -> None:
@@ -120,9 +120,9 @@
 def test_listen_address_in_use_fails_the_start_with_one_line(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as taken:
+    with socket.create_server(("127.0.0.1", 0)) as occupied:
         path = tmp_path / "config.json"
-        path.write_bytes(orjson.dumps({**VALID_CONFIG, "listen": format_address(taken.getsockname())}))
+        path.write_bytes(orjson.dumps({**VALID_CONFIG, "listen": format_address(occupied.getsockname())}))
         monkeypatch.setenv("RELAY_CONFIG", str(path))
         assert server.main() == 2
     assert capsys.readouterr().err.splitlines()[-1].startswith("cache_router: listen: ")
@@ -130,7 +130,7 @@
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
 def test_sigterm_ends_the_process_once_all_requests_are_answered(mode: str, tmp_path: Path) -> None:
-    """Ended too early it loses what it has taken; too late it is killed with what it holds."""
+    """Ended too early it loses accepted requests; too late it is killed with requests in flight."""
 
     async def scenario() -> None:
         async with (
@@ -144,12 +144,12 @@
             address = await listen_address(process.stderr)
             client = await connected_client(address)
             client.write(read("r1"))
-            served = await cache.link()
-            await served.resp()
+            cache_link = await cache.link()
+            await cache_link.resp()
             process.send_signal(signal.SIGTERM)
             late = await connected_client(address)
             assert await late.closed_by_peer()
-            served.write(HIT)
+            cache_link.write(HIT)
             assert await client.resp() == b"value"
             async with asyncio.timeout(TEST_TIMEOUT):
                 assert await process.wait() == 0
@@ -159,26 +159,26 @@
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
 def test_sighup_moves_the_watch_to_the_new_address_under_load(mode: str, tmp_path: Path) -> None:
-    """Unhandled it kills the router; a watch left on the old discovery would miss drains told by the new."""
+    """Unhandled, SIGHUP kills the router; a watch of the old address would miss later drains."""
 
     async def scenario() -> None:
         path = tmp_path / "config.json"
         async with Peer() as cache, Peer() as first, Peer() as second, Peer() as third:
             config = config_with_cache(cache, first, mode)
             async with router_process(config, path) as process:
-                old, address = await first.link(), await listen_address(process.stderr)
-                await old.http()
+                watch, address = await first.link(), await listen_address(process.stderr)
+                await watch.http()
                 client = await connected_client(address)
                 client.write(read("r0"))
                 for number, discovery in enumerate((second, third), 1):
                     path.write_bytes(orjson.dumps({**config, "discovery": discovery.address}))
                     process.send_signal(signal.SIGHUP)
+                    poll = await discovery.link()
+                    assert (await poll.http())[0] == "GET /registry/instances HTTP/1.1"
+                    assert await watch.closed_by_peer()
+                    poll.write(http("200 OK", encode_endpoint_list(7, True, *config["known"]["endpoints"])))
                     watch = await discovery.link()
-                    assert (await watch.http())[0] == "GET /registry/instances HTTP/1.1"
-                    assert await old.closed_by_peer()
-                    watch.write(http("200 OK", encode_endpoint_list(7, True, *config["known"]["endpoints"])))
-                    old = await discovery.link()
-                    assert "after=7&" in (await old.http())[0]
+                    assert "after=7&" in (await watch.http())[0]
                     await cache.serve(HIT)
                     assert await client.resp() == b"value"
                     client.write(read(f"r{number}"))
@@ -189,7 +189,7 @@
                     assert not process.stderr.at_eof()
                 await cache.serve(HIT)
                 assert await client.resp() == b"value"
-                old.write(http("200 OK", encode_endpoint_list(8, False)))
+                watch.write(http("200 OK", encode_endpoint_list(8, False)))
                 assert "after=8&" in (await (await third.link()).http())[0]
 
     run(scenario)
@@ -197,7 +197,7 @@
 
 @asynccontextmanager
 async def serving_in_process(config: dict[str, Any], path: Path) -> AsyncIterator[tuple[str, int]]:
-    """The program in this process, and where it will listen."""
+    """Run the program in this process, and return the address at which it will listen."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         address: tuple[str, int] = free.getsockname()
     config = {**config, "listen": format_address(address)}
@@ -212,30 +212,32 @@
 def test_router_listens_only_after_its_first_endpoint_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What the agent holds counts as told from the first moment; the list known may be long out of date."""
+    """The drain deadline of discovery's list counts from the start; the cached list may be outdated."""
     monkeypatch.setattr(server, "FIRST_LIST_TIMEOUT", TEST_TIMEOUT)
 
     async def scenario() -> None:
-        async with Peer() as left, Peer() as stays, Peer() as agent:
-            config = config_with_cache(left, agent, "automatic")
-            gone = config["known"]["endpoints"][0]
-            other = {**gone, "name": "s-2", "address": stays.address}
-            config["known"]["endpoints"].append(other)
+        async with Peer() as draining, Peer() as ready, Peer() as agent:
+            config = config_with_cache(draining, agent, "automatic")
+            draining_entry = config["known"]["endpoints"][0]
+            ready_entry = {**draining_entry, "name": "s-2", "address": ready.address}
+            config["known"]["endpoints"].append(ready_entry)
             async with serving_in_process(config, tmp_path / "config.json") as address:
-                call = await agent.link()
-                assert "after=1&wait_ms=0 " in (await call.http())[0]  # so that no news is an answer as well
+                poll = await agent.link()
+                # without a wait, so that discovery answers also when nothing has changed
+                assert "after=1&wait_ms=0 " in (await poll.http())[0]
                 with pytest.raises(ConnectionRefusedError):
                     await asyncio.open_connection(*address)
-                call.write(http("200 OK", encode_endpoint_list(2, False, {**gone, "status": "terminating"})))
+                update = encode_endpoint_list(2, False, {**draining_entry, "status": "terminating"})
+                poll.write(http("200 OK", update))
                 budget = read_config(orjson.dumps(config)).settings.watch_budget
-                call = await agent.link()
-                assert f"after=2&wait_ms={int(budget.long_poll_wait * 1000)} " in (await call.http())[0]
+                poll = await agent.link()
+                assert f"after=2&wait_ms={int(budget.long_poll_wait * 1000)} " in (await poll.http())[0]
                 client = await connected_client(address)
                 for n in range(8):
                     client.write(read(f"r{n}", f"k{n}"))
-                    await stays.serve(HIT)
+                    await ready.serve(HIT)
                     assert await client.resp() == b"value"
-                assert left.links.empty()
+                assert draining.links.empty()
                 client.close()
 
     run(scenario)
@@ -244,7 +246,7 @@
 def test_router_serves_from_the_cached_list_while_discovery_is_silent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Discovery may be down for long, and has told nothing then."""
+    """Discovery may be unavailable for long, and has then sent nothing newer."""
     monkeypatch.setattr(server, "FIRST_LIST_TIMEOUT", 0.01)
 
     async def scenario() -> None:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -30,30 +30,30 @@
 from tests.router_process import config_with_cache, connected_client, listen_address, router_process
 
 
-@pytest.mark.parametrize("wait", ["server", "origin", "place"])
-def test_every_request_is_answered_before_the_kill_deadline(wait: str) -> None:
+@pytest.mark.parametrize("waiting_for", ["server", "origin", "capacity"])
+def test_every_request_is_answered_before_the_kill_deadline(waiting_for: str) -> None:
     """With a fixed shutdown time, requests at servers that hang were unanswered at SIGKILL."""
 
     async def scenario() -> None:
-        kind = replace(READ, latency_objective=600.0, client_timeout=0.01)
-        async with Router(replace(SETTINGS, classes={"read": kind, "book": KEYED_WRITE})) as router:
+        read_class = replace(READ, latency_objective=600.0, client_timeout=0.01)
+        async with Router(replace(SETTINGS, classes={"read": read_class, "book": KEYED_WRITE})) as router:
             client = await router.client()
             info = "c=read,t=x,d=600000"
-            if wait == "place":
+            if waiting_for == "capacity":
                 origin = router.dispatcher.router.endpoints.origins[0].concurrency
                 origin.limit = origin.in_flight  # no capacity there, and none is freed
             client.write(read("r1", info=info))
             cache = await router.cache()
             await cache.resp()
-            if wait != "server":
+            if waiting_for != "server":
                 cache.write(MISS)
-            if wait == "origin":
+            if waiting_for == "origin":
                 await (await router.origin.link()).http()
-            if wait == "place":
-                await wait_until(lambda: any(h.is_queued for h in router.dispatcher.router.pending.values()))
+            if waiting_for == "capacity":
+                await wait_until(lambda: any(r.is_queued for r in router.dispatcher.router.pending.values()))
             router.dispatcher.start_shutdown(0.05)
             assert isinstance(await client.resp(), hiredis.ReplyError)
-            client.write(read("r2", info=info))  # and what comes after that, at once
+            client.write(read("r2", info=info))  # one that comes later is rejected at once
             assert str(await client.resp()).startswith("BUSY")
             await wait_until(lambda: not router.dispatcher.requests)
 
@@ -95,7 +95,7 @@
             third.write(read("r3"))
             served = await router.cache()
             assert (await served.resp())[2] == b"r2"
-            ending = asyncio.create_task(router.listener.stop(0.0, TEST_TIMEOUT))
+            shutdown = asyncio.create_task(router.listener.stop(0.0, TEST_TIMEOUT))
             await wait_until(lambda: router.listener.connections.draining)
             cache.write(HIT)
             served.write(HIT)
@@ -105,22 +105,22 @@
             last.write(HIT)
             assert await third.resp() == b"value"
             assert await third.closed_by_peer()
-            await ending
+            await shutdown
 
     run(scenario)
 
 
 async def next_request(router: Router, *links: Link) -> Link:
     """Return the connection, old or new, on which the next request comes."""
-    waits = {asyncio.ensure_future(link.resp()): link for link in links}
-    fresh = asyncio.ensure_future(router.cache())
-    done, rest = await asyncio.wait([*waits, fresh], return_when=asyncio.FIRST_COMPLETED)
-    for wait in rest:
-        wait.cancel()
-    if fresh not in done:
-        return waits[done.pop()]
-    await fresh.result().resp()
-    return fresh.result()
+    reads = {asyncio.ensure_future(link.resp()): link for link in links}
+    accept = asyncio.ensure_future(router.cache())
+    done, pending = await asyncio.wait([*reads, accept], return_when=asyncio.FIRST_COMPLETED)
+    for task in pending:
+        task.cancel()
+    if accept not in done:
+        return reads[done.pop()]
+    await accept.result().resp()
+    return accept.result()
 
 
 def test_client_just_accepted_at_shutdown_may_send_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -131,7 +131,7 @@
             client = await router.client()
             await wait_until(lambda: router.listener.connections.awaiting_command)
             monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", TEST_TIMEOUT)
-            ending = asyncio.create_task(router.listener.stop(0.0, TEST_TIMEOUT))
+            shutdown = asyncio.create_task(router.listener.stop(0.0, TEST_TIMEOUT))
             await wait_until(lambda: router.listener.socket.fileno() < 0)
             client.write(read("r1"))
             cache = await router.cache()
@@ -139,7 +139,7 @@
             cache.write(HIT)
             assert await client.resp() == b"value"
             assert await client.closed_by_peer()
-            await ending
+            await shutdown
 
     run(scenario)
 
@@ -151,13 +151,13 @@
         async with Router() as router:
             client, cache = await router.start_read()
             (connection,) = router.listener.connections
-            ending = asyncio.create_task(router.listener.stop(0.0, TEST_TIMEOUT))
+            shutdown = asyncio.create_task(router.listener.stop(0.0, TEST_TIMEOUT))
             await wait_until(lambda: router.listener.connections.draining)
             router.dispatcher.requests.respond("r1", b"-ERR failed\r\n")
             assert connection.transport.is_closing()
             assert isinstance(await client.resp(), hiredis.ReplyError)
             assert await client.closed_by_peer()
-            await ending
-            del cache
+            await shutdown
+            del cache  # open until here
 
     run(scenario)
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -46,56 +46,59 @@
 
 
 class RouterStart:
-    """What a host does with the list known and then, the same once more, with the first whole one."""
+    """What the program does with its cached endpoint list, and then with an equal first snapshot."""
 
     def __init__(self, count: int) -> None:
+        """Prepare a configuration and a snapshot with so many cache servers."""
         entries = cache_entries(count)
         self.config = {**VALID_CONFIG, "known": {"index": 1, "snapshot": True, "endpoints": entries}}
-        self.text = orjson.dumps(self.config)
-        self.answer = encode_endpoint_list(2, True, *entries)
+        self.encoded_config = orjson.dumps(self.config)
+        self.snapshot = encode_endpoint_list(2, True, *entries)
 
     def run(self) -> None:
-        config = read_config(self.text)
+        """Read the configuration, and hand the dispatcher both lists."""
+        config = read_config(self.encoded_config)
         servers = ConnectionPool(CacheConnection, 8, 1.0, 60.0)
         origin = ConnectionPool(OriginConnection, 8, 1.0, 60.0)
-        host = Dispatcher(config.settings, config.seed, servers, origin, lambda: None)
-        host.on_endpoint_update(EndpointUpdateKind.CACHED, config.cached_endpoints)
-        update = read_endpoint_list(orjson.loads(self.answer))
-        host.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, update.endpoints)
+        dispatcher = Dispatcher(config.settings, config.seed, servers, origin, lambda: None)
+        dispatcher.on_endpoint_update(EndpointUpdateKind.CACHED, config.cached_endpoints)
+        update = read_endpoint_list(orjson.loads(self.snapshot))
+        dispatcher.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, update.endpoints)
 
     def calls(self) -> int:
-        """Functions called, those of the interpreter's own included."""
-        counted = 0
+        """Count the calls of functions, also of those written in C."""
+        calls = 0
 
         def count(frame: FrameType, event: str, argument: object) -> None:
-            nonlocal counted
-            counted += event in ("call", "c_call")
+            nonlocal calls
+            calls += event in ("call", "c_call")
 
         sys.setprofile(count)
         try:
             self.run()
         finally:
             sys.setprofile(None)
-        return counted
+        return calls
 
     def seconds(self) -> float:
-        """Processor time, at best."""
-        spent = []
+        """Return the least processor time of five runs, in seconds."""
+        times = []
         for _ in range(5):
-            began = time.process_time()
+            started_at = time.process_time()
             self.run()
-            spent.append(time.process_time() - began)
-        return min(spent)
+            times.append(time.process_time() - started_at)
+        return min(times)
 
 
 def test_startup_work_grows_no_faster_than_the_endpoint_list() -> None:
-    """On a shared core, with 840 entries, nine in ten have to be ready within 10 s."""
-    few, many = RouterStart(210), RouterStart(840)
-    assert many.calls() < 1.25 * 4 * few.calls()
-    assert many.seconds() < 3.0 * 4 * few.seconds()  # also what no call shows
+    """With 840 entries and a shared core, nine routers in ten have to be ready within 10 s."""
+    small, large = RouterStart(210), RouterStart(840)
+    assert large.calls() < 1.25 * 4 * small.calls()
+    assert large.seconds() < 3.0 * 4 * small.seconds()  # also work in C that no call shows
 
 
 def processor_seconds(process: asyncio.subprocess.Process) -> float:
+    """Return the processor time that a process has used, in seconds."""
     fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
     return sum(map(int, fields[11:13])) / os.sysconf("SC_CLK_TCK")
 
@@ -103,7 +106,7 @@
 def test_startup_with_840_entries_polls_the_complete_list_once(
     tmp_path: Path, record_property: Callable[[str, object], None]
 ) -> None:
-    """Where all that were killed start together, a second call for the list waits behind all first ones."""
+    """When many routers start together, a second poll for the list would wait behind all first ones."""
 
     async def scenario() -> None:
         async with Peer() as agent:
@@ -111,12 +114,12 @@
             config = config_with_cache(agent, agent, "automatic")
             config["known"]["endpoints"] = entries
             async with router_process(config, tmp_path / "config.json") as process:
-                call = await agent.link()
-                assert "after=1&" in (await call.http())[0]
-                call.write(http("200 OK", encode_endpoint_list(2, True, *entries)))
+                poll = await agent.link()
+                assert "after=1&" in (await poll.http())[0]
+                poll.write(http("200 OK", encode_endpoint_list(2, True, *entries)))
                 client = await connected_client(await listen_address(process.stderr))
                 record_property("processor_seconds", processor_seconds(process))
-                watch = await agent.link()  # on what comes after the list: no second call for it
+                watch = await agent.link()  # for changes after the list, and not for the list again
                 first, _, _ = await watch.http()
                 assert "after=2&" in first and "wait_ms=0 " not in first
                 client.write(command("PING"))
--- a/tests/test_upstream_responses.py
+++ b/tests/test_upstream_responses.py
@@ -20,7 +20,7 @@
             first.write(HIT)
             assert await client.resp() == b"value"
             client.write(read("r2"))
-            second = await router.cache()  # made anew
+            second = await router.cache()  # a new connection
             assert (await second.resp())[2] == b"r2"
             first.write(HIT.replace(b"value", b"stale"))
             assert await first.closed_by_peer()
@@ -49,22 +49,22 @@
 
     async def scenario() -> None:
         monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_TIMEOUT", 0.0)
-        came = asyncio.Event()
-        take = OriginConnection.data_received
+        received = asyncio.Event()
+        data_received = OriginConnection.data_received
 
-        def noted(connection: OriginConnection, data: bytes) -> None:
-            take(connection, data)
-            came.set()
+        def recorded(connection: OriginConnection, data: bytes) -> None:
+            data_received(connection, data)
+            received.set()
 
-        monkeypatch.setattr(OriginConnection, "data_received", noted)
+        monkeypatch.setattr(OriginConnection, "data_received", recorded)
         async with Router() as router:
             client = await router.client()
             client.write(keyed_write("r1"))
             origin = await router.origin.link()
             await origin.http()
             origin.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-            await came.wait()
-            for _ in range(5):  # a timer of no time is over
+            await received.wait()
+            for _ in range(5):  # enough for a timer of 0 s
                 await asyncio.sleep(0)
             origin.write(http("200 OK", b"receipt"))
             assert await client.resp() == b"receipt"
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -34,22 +34,22 @@
     return link
 
 
-@pytest.mark.parametrize("end", ["silent", "reset", "spoilt"])
-def test_failed_watch_is_reopened_before_the_drain_deadline(end: str) -> None:
+@pytest.mark.parametrize("failure", ["silent", "reset", "malformed"])
+def test_failed_watch_is_reopened_before_the_drain_deadline(failure: str) -> None:
     """The exponential backoff would last 30 s and more, while discovery was notified of a drain long ago."""
 
-    brief = WatchBudget(
+    short_budget = WatchBudget(
         response_timeout=0.02, max_backoff=0.0, scheduling_slack=0.0, notification_deadline=0.06
     )
 
     async def scenario() -> None:
         async with Peer() as agent, Router(PUSHED) as router:
-            router.watch(agent, budget=brief)
+            router.watch(agent, budget=short_budget)
             for _ in range(3):  # in a row
                 link = await next_poll(agent)
-                if end == "reset":
+                if failure == "reset":
                     link.reset()
-                elif end == "spoilt":
+                elif failure == "malformed":
                     link.write(http("200 OK", b"{"))
             link = await next_poll(agent)
             assert router.discovery is not None
@@ -79,13 +79,13 @@
             router.watch(
                 old, pushed=True, budget=WatchBudget(response_timeout=0.02, notification_deadline=600.0)
             )
-            await next_poll(old)  # at the start
+            await next_poll(old)  # the first, at the start
             await next_poll(old)
             assert router.discovery is not None
             router.discovery.change_address(new.address)
             router.dispatcher.on_discovery_address_changed()
             router.discovery.subscribe()
-            await next_poll(new)  # and lost
+            await next_poll(new)  # lost: it gets no response
             link = await next_poll(new)
             link.write(http("200 OK", encode_endpoint_list(2, True, list_entry("b", router.caches["b"]))))
             await next_poll(new)
--- a/tests/upstream_attempts.py
+++ b/tests/upstream_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts on servers that a test plays, and how they end."""
+"""Attempts on servers that a test emulates, and their outcomes."""
 
 from __future__ import annotations
 
