--- a/tests/endpoint_lists.py
+++ b/tests/endpoint_lists.py
@@ -45,6 +45,12 @@
         )
         self.discovery.subscribe()
 
+    async def next_update(self) -> tuple[EndpointUpdateKind, list[NetworkEndpoint]]:
+        """Return the next update; a failure of the watch fails the test."""
+        update = await self.updates.get()
+        assert update is not None, "the watch has failed"
+        return update
+
 
 async def accept_poll(peer: Peer) -> tuple[str, Link]:
     """Accept the next poll of a watch; return its request line and its connection."""
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -49,7 +49,9 @@
             else:
                 cache.write(response)
             await wait_until(lambda: not router.dispatcher.requests)
-            assert written == ["r1"] and not router.dispatcher.router.pending and router.origin.links.empty()
+            assert written == ["r1"]
+            assert not router.dispatcher.router.pending
+            assert router.origin.links.empty()
             await wait_until(lambda: not router.listener.connections)
 
     run(scenario)
@@ -83,7 +85,8 @@
             origin.write(http("200 OK", b"receipt"))
             assert await first.resp() == b"receipt"
             await wait_until(lambda: not router.dispatcher.requests)
-            assert written == ["w1"] and not decisions.pending
+            assert written == ["w1"]
+            assert not decisions.pending
 
     run(scenario)
 
@@ -104,7 +107,8 @@
             before = list(written)
             cache.write(HIT)
             await wait_until(lambda: not router.listener.connections)
-            assert written == before and not router.dispatcher.router.pending
+            assert written == before
+            assert not router.dispatcher.router.pending
 
     run(scenario)
 
@@ -145,7 +149,8 @@
     await wait_until(
         lambda: not (dispatcher.requests or router.cache_pool.connecting or router.origin_pool.connecting)
     )
-    assert not dispatcher.router.pending and not dispatcher.router.attempts
+    assert not dispatcher.router.pending
+    assert not dispatcher.router.attempts
 
 
 async def open_idle_connections(router: Router) -> dict[str, Link]:
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -86,7 +86,8 @@
 
 @pytest.mark.parametrize("part", ["policy", "node"])
 def test_named_files_exist(part: str) -> None:
-    assert DEPLOY[part] and all((ROOT / name).exists() for name in DEPLOY[part])
+    assert DEPLOY[part]
+    assert all((ROOT / name).exists() for name in DEPLOY[part])
 
 
 @pytest.mark.parametrize("command", ["run", "sim"])
@@ -96,4 +97,5 @@
 
 def test_run_replaces_its_shell() -> None:
     """A shell that remained as the parent would receive SIGTERM in place of the router."""
-    assert DEPLOY["run"].startswith("exec ") and not set("&|;") & set(DEPLOY["run"])
+    assert DEPLOY["run"].startswith("exec ")
+    assert not set("&|;") & set(DEPLOY["run"])
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -63,13 +63,15 @@
                 await asyncio.sleep(0.001)
 
         await wait_for_polls(1)
-        assert len(server.waiting) == 1 and updates.empty()
+        assert len(server.waiting) == 1
+        assert updates.empty()
         server.change(42, [endpoint_entry("b")])
         assert await updates.get() == (EndpointUpdateKind.DELTA, ["b"])
         await wait_for_polls(2)
         await server.set_mode("silent")
         server.change(43, [endpoint_entry("c")])
-        assert not server.waiting and updates.empty()
+        assert not server.waiting
+        assert updates.empty()
         assert server.reset_held() == 1
         assert await updates.get() == (EndpointUpdateKind.FAILED, [])
         await server.set_mode("serve")
@@ -102,12 +104,15 @@
     first, other = (Cache(plan, name, ("127.0.0.1", 0)) for name in "ab")
     plan.missed(b"r1", first)
     plan.fetched(b"k1", b"r1", False, [first, other])
-    assert first.has(b"k1") and not other.has(b"k1") and not plan.misses
+    assert first.has(b"k1")
+    assert not other.has(b"k1")
+    assert not plan.misses
     plan.fetched(b"k1", b"w1", True, [first, other])
     assert not first.has(b"k1")
     for key in (b"k1", b"k2", b"k3"):
         first.hold(key)
-    assert not first.has(b"k1") and first.has(b"k3")  # no more than its capacity
+    assert not first.has(b"k1")  # no more than its capacity
+    assert first.has(b"k3")
 
 
 def test_cache_drains_hangs_fails_and_restarts_empty() -> None:
@@ -121,7 +126,8 @@
             link.write(read("r1"))
             response = await link.resp()
             if value is None:  # over the limit of two
-                assert str(response) == "BUSY" and await link.closed_by_peer()
+                assert str(response) == "BUSY"
+                assert await link.closed_by_peer()
             else:
                 assert response == [value, b"hit", b"svc_ms=0.0,pending=0"]
         await cache.set_mode("drain")
@@ -130,7 +136,8 @@
         await cache.set_mode("hang")
         links[0].write(read("r3"))
         await cache.set_mode("dead")
-        assert await links[0].closed_by_peer() and await links[1].closed_by_peer()
+        assert await links[0].closed_by_peer()
+        assert await links[1].closed_by_peer()
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection(*address)
         await cache.set_mode("serve")
--- a/tests/test_hash_ring_updates.py
+++ b/tests/test_hash_ring_updates.py
@@ -24,11 +24,13 @@
     for name in sorted(counts):
         other.place(name, name, counts[name])
     points = list(ring.points())
-    assert points == list(other.points()) and len(points) == ring.size == sum(counts.values())
+    assert points == list(other.points())
+    assert len(points) == ring.size == sum(counts.values())
     assert points == sorted(points)
     around = [p for p in points if p[0] >= position] + [p for p in points if p[0] < position]
     walked = list(ring.walk(position))
-    assert [m for m, _ in walked] == [m for _, m in around] and walked == list(other.walk(position))
+    assert [m for m, _ in walked] == [m for _, m in around]
+    assert walked == list(other.walk(position))
     for name, count in counts.items():
         ranks = sorted(rank for m, rank in walked if m == name)
         assert ranks == [(j + 0.5) / count for j in range(count)]
@@ -41,10 +43,13 @@
         assert BUCKET_FILL / 8 <= ring.size / len(ring._buckets) <= BUCKET_FILL * 8
     for n in range(300):
         ring.place(f"m{n}", n, 0)
-    assert ring._buckets == [[]] and not ring._counts and not ring._slots
+    assert ring._buckets == [[]]
+    assert not ring._counts
+    assert not ring._slots
     assert ring._members.count(None) == len(ring._free_slots) == 300
     ring.place("again", 1, 8)
-    assert len(ring._members) == 300 and len(list(ring.walk(0))) == 8
+    assert len(ring._members) == 300
+    assert len(list(ring.walk(0))) == 8
 
 
 def test_restarted_member_replaces_its_former_entry() -> None:
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -85,7 +85,8 @@
             await wait_until(lambda: not router.listener.connections)
             connections.released.set()
             await wait_until(lambda: not router.cache_pool.connecting)
-            assert not written and not router.dispatcher.router.pending
+            assert not written
+            assert not router.dispatcher.router.pending
 
     run(scenario)
 
@@ -111,6 +112,7 @@
                 assert await client.resp() == b"receipt"
             else:
                 assert str(await client.resp()).startswith("BUSY")
-                assert router.origin.links.empty() and not router.origin_pool.connecting
+                assert router.origin.links.empty()
+                assert not router.origin_pool.connecting
 
     run(scenario)
--- a/tests/test_net_attempt_runner.py
+++ b/tests/test_net_attempt_runner.py
@@ -50,7 +50,8 @@
                 if isinstance(event, Request):
                     return [Send("r1", "a", 0.05)]
                 if isinstance(event, AttemptCompleted):
-                    assert event.status is AttemptStatus.TIMEOUT and not event.request_closed
+                    assert event.status is AttemptStatus.TIMEOUT
+                    assert not event.request_closed
                     return [Fail("r1")]
                 return []
 
--- a/tests/test_net_client_connection.py
+++ b/tests/test_net_client_connection.py
@@ -113,7 +113,8 @@
             client.write(b"noise\r\n" + b"x" * 100_000)
             (connection,) = router.listener.connections
             await wait_until(lambda: connection.closing)
-            assert not connection.transport.is_reading() and not connection.reader.buffer
+            assert not connection.transport.is_reading()
+            assert not connection.reader.buffer
             cache.write(HIT)
             assert await client.resp() == b"value"
             assert error_text(await client.resp()).startswith("ERR")
@@ -170,7 +171,8 @@
     async def scenario() -> None:
         async with Router() as router:
             _client, connection = await client_with_full_pipeline(router)
-            assert len(connection.replies) == MAX_PIPELINED_COMMANDS and not connection.transport.is_reading()
+            assert len(connection.replies) == MAX_PIPELINED_COMMANDS
+            assert not connection.transport.is_reading()
 
     run(scenario)
 
@@ -215,7 +217,8 @@
                 patch.setattr(router.dispatcher, "accept", None)
                 first.write(read("r2"))
                 assert await first.closed_by_peer()
-            assert await cache.closed_by_peer() and not router.dispatcher.router.pending
+            assert await cache.closed_by_peer()
+            assert not router.dispatcher.router.pending
             other.write(command("PING"))
             assert await other.resp() == b"PONG"
 
@@ -236,6 +239,7 @@
             assert await other.resp() == b"PONG"
             connections = router.listener.connections
             (remaining,) = connections
-            assert list(connections.idle) == [remaining] and not connections.awaiting_command
+            assert list(connections.idle) == [remaining]
+            assert not connections.awaiting_command
 
     run(scenario)
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -57,12 +57,13 @@
             link.write(
                 http("200 OK", encode_endpoint_list(43, False, {**ENDPOINT_ENTRY, "status": "terminating"}))
             )
-            kind, (endpoint,) = await recorder.updates.get() or pytest.fail()
-            assert kind is EndpointUpdateKind.DELTA and endpoint.entry.state is EndpointState.DRAINING
+            kind, (endpoint,) = await recorder.next_update()
+            assert kind is EndpointUpdateKind.DELTA
+            assert endpoint.entry.state is EndpointState.DRAINING
             first, link = await accept_poll(peer)
             assert "after=43&" in first
             link.write(http("200 OK", encode_endpoint_list(50, True, ENDPOINT_ENTRY)))
-            assert (await recorder.updates.get() or pytest.fail())[0] is EndpointUpdateKind.SNAPSHOT
+            assert (await recorder.next_update())[0] is EndpointUpdateKind.SNAPSHOT
             assert "after=50&" in (await accept_poll(peer))[0]
             recorder.discovery.close()
 
@@ -153,7 +154,8 @@
             recorder.discovery.on_update = faulty
             _, link = await accept_poll(peer)
             link.write(http("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
-            assert await recorder.updates.get() is None and recorder.discovery.watch_task is None
+            assert await recorder.updates.get() is None
+            assert recorder.discovery.watch_task is None
 
     run(scenario)
 
@@ -171,7 +173,7 @@
             first, link = await accept_poll(new)
             assert first == "GET /registry/instances HTTP/1.1"
             link.write(http("200 OK", encode_endpoint_list(3, True, ENDPOINT_ENTRY)))
-            assert (await recorder.updates.get() or pytest.fail())[0] is EndpointUpdateKind.SNAPSHOT
+            assert (await recorder.next_update())[0] is EndpointUpdateKind.SNAPSHOT
             assert "after=3&" in (await accept_poll(new))[0]
             assert recorder.updates.empty()
             recorder.discovery.close()
--- a/tests/test_net_dispatcher.py
+++ b/tests/test_net_dispatcher.py
@@ -37,7 +37,8 @@
             cache.write(MISS)
             origin = await router.origin.link()
             first, headers, _ = await origin.http()
-            assert first == "GET /k HTTP/1.1" and headers["request-id"] == "r1"
+            assert first == "GET /k HTTP/1.1"
+            assert headers["request-id"] == "r1"
             origin.write(http("200 OK", b"fetched"))
             assert await client.resp() == b"fetched"
 
@@ -51,7 +52,8 @@
             client.write(keyed_write("r1", value=b"two\r\nlines"))
             origin = await router.origin.link()
             first, headers, body = await origin.http()
-            assert first == "PUT /k HTTP/1.1" and body == b"two\r\nlines"
+            assert first == "PUT /k HTTP/1.1"
+            assert body == b"two\r\nlines"
             assert "k=5c0f" in headers["request-info"].split(",")
             origin.write(http("200 OK", b"receipt"))
             assert await client.resp() == b"receipt"
@@ -80,7 +82,8 @@
             client, cache = await router.start_read()
             client.close()
             assert await cache.closed_by_peer()
-            assert not router.dispatcher.router.pending and not router.dispatcher.router.attempts
+            assert not router.dispatcher.router.pending
+            assert not router.dispatcher.router.attempts
 
     run(scenario)
 
@@ -95,7 +98,8 @@
             client, cache = await router.start_read(info="c=read,t=x,d=150")
             assert error_text(await client.resp()).startswith("BUSY")
             assert loop.time() - sent_at >= 0.15 - dispatcher.DEADLINE_MARGIN - 0.001
-            assert await cache.closed_by_peer() and not router.dispatcher.requests
+            assert await cache.closed_by_peer()
+            assert not router.dispatcher.requests
 
     run(scenario)
 
@@ -112,7 +116,8 @@
                 if isinstance(event, Request):
                     return [Send("r1", "unheard-of"), LogMessage("after"), Fail("r1")]
                 if isinstance(event, AttemptCompleted):
-                    assert event.status is AttemptStatus.CONNECT_FAILED and event.request_closed
+                    assert event.status is AttemptStatus.CONNECT_FAILED
+                    assert event.request_closed
                 return []
 
             monkeypatch.setattr(router.dispatcher.router, "handle", handle)
--- a/tests/test_net_eviction.py
+++ b/tests/test_net_eviction.py
@@ -24,11 +24,10 @@
             regular.write(command("PING"))
             incomplete.write(command("PING") + b"*4\r\n$5\r\nC.G")
             assert await regular.resp() == await incomplete.resp() == b"PONG"
-            assert (
-                "no whole command" in error_text(await incomplete.resp())
-                and await incomplete.closed_by_peer()
-            )
-            assert "no whole command" in error_text(await silent.resp()) and await silent.closed_by_peer()
+            assert "no whole command" in error_text(await incomplete.resp())
+            assert await incomplete.closed_by_peer()
+            assert "no whole command" in error_text(await silent.resp())
+            assert await silent.closed_by_peer()
             regular.write(command("PING"))
             assert await regular.resp() == b"PONG"
 
@@ -147,7 +146,8 @@
         async with Router(max_clients=4) as router:
             regular = [await client_after_pings(router, 2) for _ in range(3)]
             single = await client_after_pings(router, 1)
-            assert await single.closed_by_peer() and len(router.listener.connections) == 3
+            assert await single.closed_by_peer()
+            assert len(router.listener.connections) == 3
             assert await regular[0].closed_by_peer()
             regular[2].write(command("PING"))
             assert await regular[2].resp() == b"PONG"
--- a/tests/test_net_listener.py
+++ b/tests/test_net_listener.py
@@ -67,7 +67,9 @@
             late = await router.client()  # connections are still accepted
             late.write(command("PING"))
             assert await late.resp() == b"PONG"
-            assert await idle.closed_by_peer() and await late.closed_by_peer() and not shutdown.done()
+            assert await idle.closed_by_peer()
+            assert await late.closed_by_peer()
+            assert not shutdown.done()
             cache.write(HIT)
             assert await busy.resp() == b"value"
             assert await busy.closed_by_peer()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -100,7 +100,8 @@
             cache.write(HIT)
             served.write(HIT)
             assert await first.resp() == await second.resp() == b"value"
-            assert await first.closed_by_peer() and await second.closed_by_peer()
+            assert await first.closed_by_peer()
+            assert await second.closed_by_peer()
             last = await next_request(router, cache, served)
             last.write(HIT)
             assert await third.resp() == b"value"
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -121,7 +121,8 @@
                 record_property("processor_seconds", processor_seconds(process))
                 watch = await agent.link()  # for changes after the list, and not for the list again
                 first, _, _ = await watch.http()
-                assert "after=2&" in first and "wait_ms=0 " not in first
+                assert "after=2&" in first
+                assert "wait_ms=0 " not in first
                 client.write(command("PING"))
                 assert await client.resp() == b"PONG"
                 assert agent.links.empty()
