--- a/tests/endpoint_lists.py
+++ b/tests/endpoint_lists.py
@@ -25,6 +25,11 @@
 }
 
 
+def peer_entry(name: str, peer: Peer, **fields: Any) -> dict[str, Any]:
+    """Return the entry of a server that a test emulates: ready, of kind `std`, and started long ago."""
+    return {**ENDPOINT_ENTRY, "name": name, "address": peer.address, "type": "std", "since_ms": 0, **fields}
+
+
 def encode_endpoint_list(index: int, is_snapshot: bool, *entries: dict[str, Any]) -> bytes:
     """Encode an endpoint list as discovery sends it; not a snapshot, it holds changed entries only."""
     return orjson.dumps({"index": index, "snapshot": is_snapshot, "endpoints": entries})
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -94,6 +94,7 @@
     """One connection, seen from the test's end."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Wrap the streams of an open connection."""
         self.reader = reader
         self.writer = writer
         self.parser = hiredis.Reader(notEnoughData=Ellipsis)
@@ -123,6 +124,11 @@
         except ConnectionResetError:
             return True
 
+    async def ping(self) -> None:
+        """Send a PING as a client, and wait for its reply."""
+        self.write(command("PING"))
+        assert await self.resp() == b"PONG"
+
     def close(self) -> None:
         """Close the connection once everything written has been sent."""
         self.writer.close()
@@ -138,10 +144,12 @@
     """A listening server; the test writes the responses on its connections itself."""
 
     def __init__(self) -> None:
+        """Create a server that listens once its context is entered."""
         self.links: asyncio.Queue[Link] = asyncio.Queue()
         self.served: list[Link] = []  # connections on which `serve` reads
 
     async def __aenter__(self) -> Self:
+        """Listen on a free port of loopback."""
         self.server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         self.address = format_address(self.server.sockets[0].getsockname())
         return self
@@ -149,6 +157,7 @@
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
+        """Stop listening; connections stay open."""
         self.server.close()
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -220,6 +229,7 @@
         self.discovery.subscribe()
 
     async def __aenter__(self) -> Self:
+        """Start the servers, and accept clients."""
         for peer in (*self.caches.values(), self.origin):
             await peer.__aenter__()
         if self.with_endpoints:
@@ -237,6 +247,7 @@
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
+        """Abort the connections of clients, and stop everything."""
         for connection in list(self.listener.connections):
             connection.transport.abort()
         await self.listener.stop(0.0, 1.0)
--- a/tests/router_process.py
+++ b/tests/router_process.py
@@ -15,8 +15,8 @@
 import orjson
 
 from cache_router.net.address import parse_address
-from tests.endpoint_lists import ENDPOINT_ENTRY
-from tests.loopback import Link, Peer, command
+from tests.endpoint_lists import ENDPOINT_ENTRY, peer_entry
+from tests.loopback import Link, Peer
 from tests.test_simulator_adapter import CONF
 
 CACHED_LIST = {"index": 41, "snapshot": True, "endpoints": [ENDPOINT_ENTRY]}
@@ -36,8 +36,7 @@
 async def connected_client(address: tuple[str, int]) -> Link:
     """Open a client's connection and wait for the reply to a PING."""
     client = Link(*await asyncio.open_connection(*address))
-    client.write(command("PING"))
-    assert await client.resp() == b"PONG"
+    await client.ping()
     return client
 
 
@@ -78,13 +77,12 @@
 
 def config_with_cache(cache: Peer, discovery: Peer, mode: str) -> dict[str, Any]:
     """Return a configuration with one cache server in its cached endpoint list."""
-    line = {**ENDPOINT_ENTRY, "address": cache.address, "type": "std", "since_ms": 0}
     return {
         **VALID_CONFIG,
         "listen": "127.0.0.1:0",
         "discovery": discovery.address,
         "settings": {**CONF, "membershipMode": mode},
-        "known": {"index": 1, "snapshot": True, "endpoints": [line]},
+        "known": {"index": 1, "snapshot": True, "endpoints": [peer_entry(ENDPOINT_ENTRY["name"], cache)]},
     }
 
 
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -202,8 +202,7 @@
                 cache.write(HIT)
                 assert await regular.resp() == b"value"
                 last = await router.client()
-                last.write(command("PING"))
-                assert await last.resp() == b"PONG"  # so that the client before it has been accepted
+                await last.ping()  # so that the client before it has been accepted
                 other.write(HIT)
                 assert await crowd.resp() == b"value"
             else:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -8,11 +8,10 @@
 from collections.abc import AsyncIterator, Callable
 from contextlib import AsyncExitStack, asynccontextmanager, suppress
 from pathlib import Path
-from typing import Any
 
 import pytest
 
-from tests.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
+from tests.endpoint_lists import encode_endpoint_list, peer_entry
 from tests.loopback import HIT, Link, Peer, command, format_address, http, read, run
 from tests.router_process import (
     PROCESS_TEST_TIMEOUT,
@@ -42,17 +41,6 @@
         yield [await stack.enter_async_context(Peer()) for _ in range(count)]
 
 
-def list_entry(name: str, peer: Peer, kind: str = "std") -> dict[str, Any]:
-    return {
-        **ENDPOINT_ENTRY,
-        "name": name,
-        "address": peer.address,
-        "type": kind,
-        "since_ms": 0,
-        "weight": 1.0,
-    }
-
-
 async def serve_and_record(peer: Peer, served: list[Peer]) -> None:
     """Answer all reads at a server, and append the server to `served` for each."""
 
@@ -95,8 +83,8 @@
         async with listening_peers(5) as (*caches, fresh, origin):
             agent = UnavailableAgent()
             config = config_with_cache(caches[0], agent, "automatic")
-            entries = [list_entry(f"s-{n}", c) for n, c in enumerate(caches)]
-            entries.append(list_entry("o", origin, "store"))
+            entries = [peer_entry(f"s-{n}", c, weight=1.0) for n, c in enumerate(caches)]
+            entries.append(peer_entry("o", origin, type="store", weight=1.0))
             config["known"]["endpoints"] = entries
             config["limits"] = {"sockets": allowed}
             if agent_state == "silent":
@@ -123,9 +111,8 @@
                         (await agent.link()).reset()
                 poll = await agent.link()
                 await poll.http()
-                poll.write(
-                    http("200 OK", encode_endpoint_list(50, True, *entries, list_entry("s-new", fresh)))
-                )
+                entries.append(peer_entry("s-new", fresh, weight=1.0))
+                poll.write(http("200 OK", encode_endpoint_list(50, True, *entries)))
                 assert "after=50&" in (await (await agent.link()).http())[0]
                 client = await connected_client(address)
                 served: list[Peer] = []
--- a/tests/test_net_client_connection.py
+++ b/tests/test_net_client_connection.py
@@ -98,8 +98,7 @@
             client.write(sent)
             assert error_text(await client.resp()).startswith("ERR")
             assert await client.closed_by_peer()
-            other.write(command("PING"))
-            assert await other.resp() == b"PONG"
+            await other.ping()
 
     run(scenario)
 
@@ -200,8 +199,7 @@
             client.write(command("PING"))
             assert "no cache server" in error_text(await client.resp())
             router.list_caches("a")
-            client.write(command("PING"))
-            assert await client.resp() == b"PONG"
+            await client.ping()
 
     run(scenario)
 
@@ -219,8 +217,7 @@
                 assert await first.closed_by_peer()
             assert await cache.closed_by_peer()
             assert not router.dispatcher.router.pending
-            other.write(command("PING"))
-            assert await other.resp() == b"PONG"
+            await other.ping()
 
     run(scenario)
 
@@ -235,8 +232,7 @@
             error_text(await client.resp())
             next(iter(router.listener.connections)).transport.abort()
             await asyncio.sleep(2 * client_connection.ERROR_THROTTLE_TIME)
-            other.write(command("PING"))
-            assert await other.resp() == b"PONG"
+            await other.ping()
             connections = router.listener.connections
             (remaining,) = connections
             assert list(connections.idle) == [remaining]
--- a/tests/test_net_endpoint_table.py
+++ b/tests/test_net_endpoint_table.py
@@ -66,14 +66,20 @@
     return count
 
 
+def make_dispatcher() -> Dispatcher:
+    """Return a dispatcher without a listener, which knows no endpoints yet."""
+    caches = ConnectionPool(CacheConnection, 8, 1.0, 60.0)
+    origins = ConnectionPool(OriginConnection, 8, 1.0, 60.0)
+    return Dispatcher(settings(), 1, caches, origins, lambda: None)
+
+
 def update_cost(change: Endpoint, size: int) -> int:
     """Count the bytecodes that the dispatcher runs when one entry changes in a list of so many."""
     counted = 0
 
     async def scenario() -> None:
         nonlocal counted
-        pools = ConnectionPool(CacheConnection, 8, 1.0, 60.0), ConnectionPool(OriginConnection, 8, 1.0, 60.0)
-        dispatcher = Dispatcher(settings(), 1, *pools, lambda: None)
+        dispatcher = make_dispatcher()
         endpoints = [NetworkEndpoint(entry(f"s{i}"), f"127.0.0.1:{1000 + i}") for i in range(size)]
         dispatcher.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, endpoints)
         dispatcher.on_endpoint_update(
@@ -112,8 +118,7 @@
     """A watch whose wait ends without a change used to rebuild the ring several times a minute."""
 
     async def scenario() -> None:
-        pools = ConnectionPool(CacheConnection, 8, 1.0, 60.0), ConnectionPool(OriginConnection, 8, 1.0, 60.0)
-        dispatcher = Dispatcher(settings(), 1, *pools, lambda: None)
+        dispatcher = make_dispatcher()
         counts = []
         for size in (10, 200):
             dispatcher.on_endpoint_update(
--- a/tests/test_net_eviction.py
+++ b/tests/test_net_eviction.py
@@ -28,8 +28,7 @@
             assert await incomplete.closed_by_peer()
             assert "no whole command" in error_text(await silent.resp())
             assert await silent.closed_by_peer()
-            regular.write(command("PING"))
-            assert await regular.resp() == b"PONG"
+            await regular.ping()
 
     run(scenario)
 
@@ -43,8 +42,7 @@
             busy, cache = await router.start_read()
             third = await router.client()
             assert await idle.closed_by_peer()
-            third.write(command("PING"))
-            assert await third.resp() == b"PONG"
+            await third.ping()
             cache.write(HIT)
             assert await busy.resp() == b"value"
 
@@ -58,8 +56,7 @@
         async with Router(max_clients=1) as router:
             busy, cache = await router.start_read()
             newest = await router.client()
-            newest.write(command("PING"))
-            assert await newest.resp() == b"PONG"
+            await newest.ping()
             cache.write(HIT)
             assert await busy.resp() == b"value"
 
@@ -70,8 +67,7 @@
     """Return a client that has sent so many commands and stays connected."""
     client = await router.client()
     for _ in range(times):
-        client.write(command("PING"))
-        assert await client.resp() == b"PONG"
+        await client.ping()
     return client
 
 
@@ -88,8 +84,7 @@
             for evicted in (silent, incomplete):
                 newer.append(await client_after_pings(router, 1))
                 assert await evicted.closed_by_peer()
-            regular.write(command("PING"))
-            assert await regular.resp() == b"PONG"
+            await regular.ping()
 
     run(scenario)
 
@@ -105,8 +100,7 @@
             _newest = await client_after_pings(router, 1)
             with suppress(ConnectionResetError):
                 await erroneous.reader.read()  # to its end
-            regular.write(command("PING"))
-            assert await regular.resp() == b"PONG"
+            await regular.ping()
 
     run(scenario)
 
@@ -119,8 +113,7 @@
             regular, single = await client_after_pings(router, 2), await client_after_pings(router, 1)
             _newest = await client_after_pings(router, 1)
             assert await single.closed_by_peer()
-            regular.write(command("PING"))
-            assert await regular.resp() == b"PONG"
+            await regular.ping()
 
     run(scenario)
 
@@ -149,8 +142,7 @@
             assert await single.closed_by_peer()
             assert len(router.listener.connections) == 3
             assert await regular[0].closed_by_peer()
-            regular[2].write(command("PING"))
-            assert await regular[2].resp() == b"PONG"
+            await regular[2].ping()
 
     run(scenario)
 
@@ -181,8 +173,7 @@
         async with Router(max_clients=1) as router:
             client = await client_with_unread_reply(router, value)
             other = await router.client()
-            other.write(command("PING"))
-            assert await other.resp() == b"PONG"  # the eviction would have happened by now
+            await other.ping()  # the eviction would have happened by now
             assert await client.resp() == value
 
     run(scenario)
--- a/tests/test_net_listener.py
+++ b/tests/test_net_listener.py
@@ -35,8 +35,7 @@
             exhausted = False
             assert await first.resp() == b"PONG"
             second = await router.client()
-            second.write(command("PING"))
-            assert await second.resp() == b"PONG"
+            await second.ping()
 
     run(scenario)
 
@@ -65,8 +64,7 @@
             busy, cache = await router.start_read()
             shutdown = asyncio.create_task(router.listener.stop(0.05, 5.0))
             late = await router.client()  # connections are still accepted
-            late.write(command("PING"))
-            assert await late.resp() == b"PONG"
+            await late.ping()
             assert await idle.closed_by_peer()
             assert await late.closed_by_peer()
             assert not shutdown.done()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -31,6 +31,14 @@
 from tests.test_simulator_adapter import CONF
 
 
+def exit_status(config: bytes | None, path: Path, monkeypatch: pytest.MonkeyPatch) -> int:
+    """Run the program on a configuration that it rejects, None for a missing file; return its exit status."""
+    if config is not None:
+        path.write_bytes(config)
+    monkeypatch.setenv("RELAY_CONFIG", str(path))
+    return server.main()
+
+
 @pytest.mark.parametrize(
     ("change", "field"),
     [
@@ -68,10 +76,8 @@
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    path = tmp_path / "config.json"
-    path.write_bytes(orjson.dumps({**VALID_CONFIG, **change}))
-    monkeypatch.setenv("RELAY_CONFIG", str(path))
-    assert server.main() == 2
+    config = orjson.dumps({**VALID_CONFIG, **change})
+    assert exit_status(config, tmp_path / "config.json", monkeypatch) == 2
     (line,) = capsys.readouterr().err.splitlines()
     assert field in line
 
@@ -109,11 +115,7 @@
 def test_unreadable_configuration_fails_the_start_with_one_line(
     text: bytes | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    path = tmp_path / "config.json"
-    if text is not None:
-        path.write_bytes(text)
-    monkeypatch.setenv("RELAY_CONFIG", str(path))
-    assert server.main() == 2
+    assert exit_status(text, tmp_path / "config.json", monkeypatch) == 2
     assert len(capsys.readouterr().err.splitlines()) == 1
 
 
@@ -121,10 +123,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as occupied:
-        path = tmp_path / "config.json"
-        path.write_bytes(orjson.dumps({**VALID_CONFIG, "listen": format_address(occupied.getsockname())}))
-        monkeypatch.setenv("RELAY_CONFIG", str(path))
-        assert server.main() == 2
+        config = orjson.dumps({**VALID_CONFIG, "listen": format_address(occupied.getsockname())})
+        assert exit_status(config, tmp_path / "config.json", monkeypatch) == 2
     assert capsys.readouterr().err.splitlines()[-1].startswith("cache_router: listen: ")
 
 
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -21,7 +21,7 @@
 from cache_router.net.endpoint_list_reader import read_endpoint_list
 from cache_router.net.origin_connection import OriginConnection
 from tests.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
-from tests.loopback import Peer, command, http, run
+from tests.loopback import Peer, http, run
 from tests.router_process import (
     PROCESS_TEST_TIMEOUT,
     VALID_CONFIG,
@@ -123,8 +123,7 @@
                 first, _, _ = await watch.http()
                 assert "after=2&" in first
                 assert "wait_ms=0 " not in first
-                client.write(command("PING"))
-                assert await client.resp() == b"PONG"
+                await client.ping()
                 assert agent.links.empty()
                 client.close()
 
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -3,12 +3,11 @@
 from __future__ import annotations
 
 from dataclasses import replace
-from typing import Any
 
 import pytest
 
 from cache_router.settings import WatchBudget
-from tests.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
+from tests.endpoint_lists import accept_poll, encode_endpoint_list, peer_entry
 from tests.loopback import HIT, SETTINGS, Link, Peer, Router, http, read, run
 
 PUSHED = replace(
@@ -16,21 +15,9 @@
 )
 
 
-def list_entry(name: str, peer: Peer, status: str = "in_service") -> dict[str, Any]:
-    return {
-        **ENDPOINT_ENTRY,
-        "name": name,
-        "address": peer.address,
-        "type": "std",
-        "status": status,
-        "since_ms": 0,
-    }
-
-
 async def next_poll(agent: Peer) -> Link:
     """Accept the next poll of the endpoint list."""
-    link = await agent.link()
-    await link.http()
+    _, link = await accept_poll(agent)
     return link
 
 
@@ -54,12 +41,8 @@
             link = await next_poll(agent)
             assert router.discovery is not None
             router.discovery.budget = PUSHED.watch_budget
-            link.write(
-                http(
-                    "200 OK",
-                    encode_endpoint_list(2, False, list_entry("a", router.caches["a"], "terminating")),
-                )
-            )
+            draining = peer_entry("a", router.caches["a"], status="terminating")
+            link.write(http("200 OK", encode_endpoint_list(2, False, draining)))
             await next_poll(agent)  # a long poll, in flight from now on
             client = await router.client()
             for n in range(8):
@@ -87,7 +70,7 @@
             router.discovery.subscribe()
             await next_poll(new)  # lost: it gets no response
             link = await next_poll(new)
-            link.write(http("200 OK", encode_endpoint_list(2, True, list_entry("b", router.caches["b"]))))
+            link.write(http("200 OK", encode_endpoint_list(2, True, peer_entry("b", router.caches["b"]))))
             await next_poll(new)
             assert list(router.dispatcher.endpoints) == ["b"]
 
