--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -61,6 +61,8 @@
 def test_no_attempt_follows_for_a_client_that_disconnected_while_queued(
     is_read: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A slot of the origin that becomes free must not go to a request that nobody waits for."""
+
     async def scenario() -> None:
         monkeypatch.setattr(client_connection, "ERROR_THROTTLE_TIME", 60.0)
         async with Router() as router:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,6 +14,7 @@
 
 
 def test_configuration_is_read() -> None:
+    """Each field of a valid configuration arrives with its type."""
     config = read_config(orjson.dumps(VALID_CONFIG))
     assert (config.listen, config.discovery) == (("127.0.0.1", 6379), "127.0.0.1:8500")
     assert (config.seed, config.max_descriptors, config.cached_index) == (0x8C1F30D27A5BE964, 1024, 41)
@@ -32,6 +33,7 @@
     ],
 )
 def test_configuration_error_names_its_field(change: dict[str, Any], where: str) -> None:
+    """`where` is the part of the configuration that an operator has to correct."""
     with pytest.raises(RouterError) as caught:
         read_config(orjson.dumps({**VALID_CONFIG, **change}))
     assert isinstance(caught.value, ValueError)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -67,12 +67,14 @@
 
 
 def test_incomplete_environment_of_another_build_is_replaced(checkout: Checkout) -> None:
+    """A folder without its packages must not pass for a complete environment."""
     (checkout.root / ".venv" / "bin").mkdir(parents=True)
     assert checkout.build() == 0
     assert checkout.installed() == "one==1\n"
 
 
 def test_complete_build_is_kept_until_the_requirements_change(checkout: Checkout) -> None:
+    """Installing again at each build would delay a start; an outdated environment would break it."""
     assert checkout.build() == 0
     marker = checkout.root / ".venv" / "marker"
     marker.touch()
@@ -86,12 +88,14 @@
 
 @pytest.mark.parametrize("part", ["policy", "node"])
 def test_named_files_exist(part: str) -> None:
+    """The files that the deploy file lists as its parts are in the repository."""
     assert DEPLOY[part]
     assert all((ROOT / name).exists() for name in DEPLOY[part])
 
 
 @pytest.mark.parametrize("command", ["run", "sim"])
 def test_started_modules_exist(command: str) -> None:
+    """The modules that the deploy file's commands start can be found."""
     assert importlib.util.find_spec(DEPLOY[command].rpartition(" -m ")[2]) is not None
 
 
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -30,6 +30,7 @@
 
 
 def test_registry_sends_changes_or_a_snapshot_if_the_index_is_too_old() -> None:
+    """Changes are sent to a known index, a snapshot to one that is unknown or no longer kept."""
     registry = discovery_emulator.Registry(kept=2)
     registry.replace(5, [endpoint_entry("a"), endpoint_entry("b")])
     assert poll(registry, None) == (5, True, {"a": "in_service", "b": "in_service"})
@@ -45,6 +46,8 @@
 
 
 def test_watch_waits_for_updates_and_hangs_with_discovery() -> None:
+    """A poll waits until the list changes, and gets no response while discovery hangs."""
+
     async def scenario() -> None:
         server = discovery_emulator.Discovery()
         await server.listen()
@@ -111,6 +114,7 @@
 
 
 def test_cache_stores_a_missed_key_from_the_origin_response_until_a_write() -> None:
+    """The cache server of a miss stores the value; a write removes it everywhere."""
     plan = Plan(PLAN)
     first, other = (Cache(plan, name, ("127.0.0.1", 0)) for name in "ab")
     plan.missed(b"r1", first)
@@ -127,6 +131,8 @@
 
 
 def test_cache_drains_hangs_fails_and_restarts_empty() -> None:
+    """Each mode answers as a real cache server would, and a restart loses all keys."""
+
     async def scenario() -> None:
         with socket.create_server(("127.0.0.1", 0)) as occupied:
             address = occupied.getsockname()
--- a/tests/test_hash_ring_updates.py
+++ b/tests/test_hash_ring_updates.py
@@ -16,6 +16,7 @@
 def test_rings_of_equal_members_are_equal_after_any_updates(
     moves: list[tuple[int, int]], position: int
 ) -> None:
+    """Routers that received different updates must map each key to the same server."""
     ring: HashRing[str] = HashRing()
     for member, count in moves:
         ring.place(f"m{member}", f"m{member}", count)
@@ -37,6 +38,7 @@
 
 
 def test_bucket_count_follows_the_number_of_points() -> None:
+    """Buckets of bounded size keep the cost of an update from growing with the ring."""
     ring: HashRing[int] = HashRing()
     for n in range(300):
         ring.place(f"m{n}", n, 128)
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -74,6 +74,8 @@
 def test_connection_established_after_its_client_disconnected_is_not_written_to(
     cancellation_allowed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Also a connection whose attempt is not cancelled must not carry a request that nobody waits for."""
+
     async def scenario() -> None:
         async with Router(replace(SETTINGS, cancellation_allowed=cancellation_allowed)) as router:
             written = record_written_requests(monkeypatch)
--- a/tests/test_net_attempt_runner.py
+++ b/tests/test_net_attempt_runner.py
@@ -14,6 +14,8 @@
 def test_useless_attempts_are_not_sent_and_a_request_is_answered_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Attempts beyond the limit or after the reply complete as not sent, and further replies are dropped."""
+
     async def scenario() -> None:
         async with Router(replace(SETTINGS, max_attempts=1)) as router:
             completed: list[AttemptCompleted] = []
@@ -43,6 +45,8 @@
 
 
 def test_attempt_times_out_after_its_own_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The timeout of an attempt may be shorter than the deadline of its request."""
+
     async def scenario() -> None:
         async with Router() as router:
 
--- a/tests/test_net_client_connection.py
+++ b/tests/test_net_client_connection.py
@@ -62,6 +62,8 @@
 
 @pytest.mark.parametrize(("sent", "expected"), INVALID_COMMANDS)
 def test_invalid_command_gets_an_error_and_keeps_its_connection(sent: bytes, expected: str) -> None:
+    """Such a command is complete: what follows can be read."""
+
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
@@ -139,6 +141,8 @@
 
 
 def test_commands_beyond_the_pipeline_limit_are_processed_later() -> None:
+    """They stay in the buffer until earlier replies are written."""
+
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
@@ -193,6 +197,8 @@
 
 
 def test_ping_fails_until_a_cache_server_is_known() -> None:
+    """Health checks must not direct clients to a router that can't serve them."""
+
     async def scenario() -> None:
         async with Router(with_endpoints=False) as router:
             client = await router.client()
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -17,6 +17,7 @@
 
 
 def test_endpoint_entry_is_read() -> None:
+    """The fields of an entry are mapped to those of `Endpoint`; a start long ago is 0."""
     update = read_endpoint_list(orjson.loads(encode_endpoint_list(7, True, ENDPOINT_ENTRY)))
     (endpoint,) = update.endpoints
     assert (update.index, update.is_snapshot, endpoint.address) == (7, True, "127.0.0.9:6379")
@@ -41,6 +42,7 @@
     ],
 )
 def test_malformed_entry_is_named_in_the_error(change: dict[str, Any], field: str) -> None:
+    """The error names the position of the entry and its field."""
     with pytest.raises(EndpointListError, match=rf"^known\.endpoints\[1\]\.{field}"):
         read_endpoint_list(
             {"index": 1, "snapshot": True, "endpoints": [ENDPOINT_ENTRY, {**ENDPOINT_ENTRY, **change}]},
@@ -49,6 +51,8 @@
 
 
 def test_watch_continues_from_the_received_index() -> None:
+    """Each poll asks for what is newer than the last update."""
+
     async def scenario() -> None:
         async with Peer() as peer:
             recorder = WatchRecorder(peer)
@@ -71,6 +75,8 @@
 
 
 def test_subscribing_during_a_watch_makes_no_second_poll() -> None:
+    """One poll is in flight at a time, whatever the decision module asks for."""
+
     async def scenario() -> None:
         async with Peer() as peer:
             recorder = WatchRecorder(peer)
@@ -115,6 +121,8 @@
 
 
 def test_refused_connection_is_notified_as_a_failed_poll() -> None:
+    """The decision module has to schedule the next poll."""
+
     async def scenario() -> None:
         async with Peer() as peer:
             pass
--- a/tests/test_net_dispatcher.py
+++ b/tests/test_net_dispatcher.py
@@ -13,6 +13,8 @@
 
 
 def test_hit_is_returned_to_the_client() -> None:
+    """A read keeps its key, id and info fields on its way, but for the deadline."""
+
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
@@ -31,6 +33,8 @@
 
 
 def test_miss_is_fetched_from_the_origin() -> None:
+    """The value then comes from the origin, under the same request id."""
+
     async def scenario() -> None:
         async with Router() as router:
             client, cache = await router.start_read()
@@ -46,6 +50,8 @@
 
 
 def test_write_is_forwarded_to_the_origin_unchanged() -> None:
+    """The value may hold any bytes, and the idempotency key goes with it."""
+
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
@@ -62,6 +68,8 @@
 
 
 def test_read_is_retried_after_a_connection_reset() -> None:
+    """A read is idempotent and may run twice."""
+
     async def scenario() -> None:
         async with Router() as router:
             client, first = await router.start_read()
--- a/tests/test_net_eviction.py
+++ b/tests/test_net_eviction.py
@@ -180,6 +180,8 @@
 
 
 def test_client_that_never_reads_its_reply_is_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Its client can't be waiting for the reply any more, and the connection would stay for good."""
+
     async def scenario() -> None:
         monkeypatch.setattr(eviction, "OVERDUE_CHECK_INTERVAL", 0.01)
         async with Router() as router:
--- a/tests/test_net_request_table.py
+++ b/tests/test_net_request_table.py
@@ -6,6 +6,8 @@
 
 
 def test_request_id_in_use_is_rejected() -> None:
+    """Two requests under one id would get each other's replies."""
+
     async def scenario() -> None:
         async with Router() as router:
             other = await router.client()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -76,6 +76,7 @@
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
+    """The line names the field that can't be used."""
     config = orjson.dumps({**VALID_CONFIG, **change})
     assert exit_status(config, tmp_path / "config.json", monkeypatch) == 2
     (line,) = capsys.readouterr().err.splitlines()
@@ -88,6 +89,7 @@
 def test_usable_descriptors_are_bounded_by_the_process_limit(
     limit: int, usable: int | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The lower of both limits counts; too low a limit is an error of the configuration."""
     monkeypatch.setattr(resource, "getrlimit", lambda _: (limit, resource.RLIM_INFINITY))
     if usable is None:
         with pytest.raises(ConfigError, match=r"^limits\.sockets"):
@@ -97,12 +99,14 @@
 
 
 def test_descriptors_are_divided_between_the_kinds_of_connections() -> None:
+    """Clients, origins and cache servers have shares of their own."""
     assert server.DescriptorBudget.divide(1024) == server.DescriptorBudget(372, 124, 496)
     assert server.DescriptorBudget.divide(64) == server.DescriptorBudget(12, 4, 16)
 
 
 @pytest.mark.parametrize(("client_timeout", "sigkill_at"), [(0.6, 1.3), (3.0, 3.7), (9.0, 3.7)])
 def test_shutdown_schedule_ends_before_sigkill(client_timeout: float, sigkill_at: float) -> None:
+    """Replies are written 0.2 s before SIGKILL, and connections are closed 0.1 s before it."""
     settings = Settings({"read": RequestClass("read", 0.3, client_timeout=client_timeout)})
     schedule = server.ShutdownSchedule.from_settings(settings)
     assert schedule.accept_until == 0.5
@@ -115,6 +119,7 @@
 def test_unreadable_configuration_fails_the_start_with_one_line(
     text: bytes | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
+    """A missing or malformed file is reported without a traceback."""
     assert exit_status(text, tmp_path / "config.json", monkeypatch) == 2
     assert len(capsys.readouterr().err.splitlines()) == 1
 
@@ -122,6 +127,7 @@
 def test_listen_address_in_use_fails_the_start_with_one_line(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
+    """The last line names the field of the configuration."""
     with socket.create_server(("127.0.0.1", 0)) as occupied:
         config = orjson.dumps({**VALID_CONFIG, "listen": format_address(occupied.getsockname())})
         assert exit_status(config, tmp_path / "config.json", monkeypatch) == 2
--- a/tests/test_upstream_responses.py
+++ b/tests/test_upstream_responses.py
@@ -31,6 +31,8 @@
 
 
 def test_connection_is_reused_after_the_reuse_delay() -> None:
+    """After the delay no late response is expected any more, and reuse saves a handshake."""
+
     async def scenario() -> None:
         async with Router(reuse_delay=0.0) as router:
             client, cache = await router.start_read()
