--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -91,7 +91,7 @@
 
 
 class Link:
-    """One connection, seen from the test's end."""
+    """The test's side of one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Wrap the streams of an open connection."""
@@ -100,7 +100,7 @@
         self.parser = hiredis.Reader(notEnoughData=Ellipsis)
 
     def write(self, data: bytes) -> None:
-        """Send bytes to the other end."""
+        """Send bytes to the peer."""
         self.writer.write(data)
 
     async def resp(self) -> Any:
@@ -190,6 +190,14 @@
     return NetworkEndpoint(Endpoint(name, kind=kind, weight=1.0, **fields), address)
 
 
+async def read_values(client: Link, server: Peer, count: int) -> None:
+    """Send reads of different keys, one after another; each has to be answered by the given server."""
+    for n in range(count):
+        client.write(read(f"r{n}", f"k{n}"))
+        await server.serve(HIT)
+        assert await client.resp() == b"value"
+
+
 class Router:
     """A dispatcher with its listener, between the scripted cache servers `a` and `b` and an origin."""
 
--- a/tests/test_hash_ring_updates.py
+++ b/tests/test_hash_ring_updates.py
@@ -1,4 +1,4 @@
-"""Updates of the hash ring: the result does not depend on their order, and they leave nothing behind."""
+"""Updates of the hash ring: the result does not depend on their order, and removed members leave no state."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(0, 90)), max_size=60), st.integers(0, 2**64 - 1))
 def test_rings_of_equal_members_are_equal_after_any_updates(
-    moves: list[tuple[int, int]], position: int
+    updates: list[tuple[int, int]], position: int
 ) -> None:
     """Routers that received different updates must map each key to the same server."""
     ring: HashRing[str] = HashRing()
-    for member, count in moves:
+    for member, count in updates:
         ring.place(f"m{member}", f"m{member}", count)
-    counts = {f"m{member}": count for member, count in moves}
+    counts = {f"m{member}": count for member, count in updates}
     other: HashRing[str] = HashRing()
     for name in sorted(counts):
         other.place(name, name, counts[name])
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -13,7 +13,7 @@
 from tests.loopback import HIT, KEYED_WRITE, READ, SETTINGS, Router, http, keyed_write, read, run
 
 
-@pytest.mark.parametrize("change", ["draining", "gone", "restarted"])
+@pytest.mark.parametrize("change", ["draining", "removed", "restarted"])
 def test_connection_established_after_a_drain_notice_is_not_written_to(
     change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -28,7 +28,7 @@
             endpoint = router.dispatcher.endpoints[name]
             updated = {
                 "draining": replace(endpoint.entry, state=EndpointState.DRAINING),
-                "gone": replace(endpoint.entry, state=EndpointState.REMOVED),
+                "removed": replace(endpoint.entry, state=EndpointState.REMOVED),
                 "restarted": replace(endpoint.entry, started_at=9.0),
             }
             router.dispatcher.on_endpoint_update(
--- a/tests/test_net_cache_connection.py
+++ b/tests/test_net_cache_connection.py
@@ -61,7 +61,7 @@
     ],
 )
 def test_malformed_response_is_an_error_and_closes_its_connection(response: bytes) -> None:
-    """What follows on such a connection can't be told from the response to a later request."""
+    """What follows on such a connection can't be distinguished from the response to a later request."""
 
     async def scenario() -> None:
         async with Peer() as peer:
--- a/tests/test_net_endpoint_table.py
+++ b/tests/test_net_endpoint_table.py
@@ -21,7 +21,7 @@
 from tests.loopback import HIT, Router, run
 
 
-@pytest.mark.parametrize("change", ["gone", "draining", "restarted", "replaced"])
+@pytest.mark.parametrize("change", ["removed", "draining", "restarted", "replaced"])
 def test_idle_connections_to_an_ended_process_are_closed(change: str) -> None:
     """A machine that vanished never closes them, and another process may come to its address."""
 
@@ -34,7 +34,7 @@
             (name,) = (n for n, e in router.dispatcher.endpoints.items() if e.address == connection.address)
             entry = router.dispatcher.endpoints[name].entry
             updated = {
-                "gone": replace(entry, state=EndpointState.REMOVED),
+                "removed": replace(entry, state=EndpointState.REMOVED),
                 "draining": replace(entry, state=EndpointState.DRAINING),
                 "restarted": replace(entry, started_at=9.0),
                 "replaced": replace(entry, state=EndpointState.REMOVED),
@@ -104,11 +104,10 @@
         entry("s0", weight=0.5),
         entry("new"),
     ],
-    ids=["drain", "gone", "restart", "weight", "join"],
+    ids=["drain", "removal", "restart", "weight", "join"],
 )
 def test_update_costs_no_more_than_in_proportion_to_the_list(change: Endpoint) -> None:
-    """When each change rebuilt all points of the ring, the router answered nobody for 33 to 48 ms at 840
-    servers."""
+    """When each change rebuilt all points of the ring, 840 servers cost a pause of 33 to 48 ms."""
     small, large = update_cost(change, 60), update_cost(change, 240)
     assert large - small <= 180 * 128 / 2  # half a bytecode for each point of the others
     assert large < 4 * small
--- a/tests/test_net_eviction.py
+++ b/tests/test_net_eviction.py
@@ -123,10 +123,10 @@
 
     async def scenario() -> None:
         async with Router(max_clients=4) as router:
-            crowd = []
+            clients = []
             for _ in range(20):
-                crowd.append(await router.client())  # sends nothing
-                crowd.append(await client_after_pings(router, 1))
+                clients.append(await router.client())  # sends nothing
+                clients.append(await client_after_pings(router, 1))
 
     run(scenario)
 
--- a/tests/test_net_request_table.py
+++ b/tests/test_net_request_table.py
@@ -1,4 +1,4 @@
-"""Requests in flight: their ids, and how long they are kept."""
+"""Requests in flight: their ids, and when they are removed."""
 
 from __future__ import annotations
 
--- a/tests/test_net_resp.py
+++ b/tests/test_net_resp.py
@@ -54,9 +54,9 @@
         b"$1_0\r\n",
         b"$\r\n",
         b":1.5\r\n",
-        b"$3\r\nvalu",  # longer than said
+        b"$3\r\nvalu",  # longer than announced
         b"$3\r\nval\n",
-        b"$5\r\nval\r\n$-1\r\n",  # shorter than said
+        b"$5\r\nval\r\n$-1\r\n",  # shorter than announced
         b"*1\r\n" * 6,
         b"-" + b"x" * 1026,
         b"$" + b"1" * 22,
--- a/tests/test_net_upstream_connection.py
+++ b/tests/test_net_upstream_connection.py
@@ -38,7 +38,7 @@
 
 
 def test_data_after_a_response_closes_the_connection() -> None:
-    """The rest would be taken for the response to the next request, which would get another's value."""
+    """The rest would be taken for the response to the next request."""
 
     async def scenario() -> None:
         async with Peer() as peer:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -19,7 +19,7 @@
 from cache_router.config import ConfigError, read_config
 from cache_router.settings import RequestClass, Settings
 from tests.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
-from tests.loopback import HIT, TEST_TIMEOUT, Peer, format_address, http, read, run
+from tests.loopback import HIT, TEST_TIMEOUT, Peer, format_address, http, read, read_values, run
 from tests.router_process import (
     CACHED_LIST,
     VALID_CONFIG,
@@ -239,10 +239,7 @@
                 poll = await agent.link()
                 assert f"after=2&wait_ms={int(budget.long_poll_wait * 1000)} " in (await poll.http())[0]
                 client = await connected_client(address)
-                for n in range(8):
-                    client.write(read(f"r{n}", f"k{n}"))
-                    await ready.serve(HIT)
-                    assert await client.resp() == b"value"
+                await read_values(client, ready, 8)
                 assert draining.links.empty()
                 client.close()
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown over loopback: what is still owed when the router ends."""
+"""Graceful shutdown over loopback: which requests and clients are still served."""
 
 from __future__ import annotations
 
@@ -125,7 +125,7 @@
 
 
 def test_client_just_accepted_at_shutdown_may_send_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Closed without a reply it would count as refused, and many of them as lost."""
+    """Closed without a reply it would count as a refused connection, and many of them as lost requests."""
 
     async def scenario() -> None:
         async with Router() as router:
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -8,7 +8,7 @@
 
 from cache_router.settings import WatchBudget
 from tests.endpoint_lists import accept_poll, encode_endpoint_list, peer_entry
-from tests.loopback import HIT, SETTINGS, Link, Peer, Router, http, read, run
+from tests.loopback import SETTINGS, Link, Peer, Router, http, read_values, run
 
 PUSHED = replace(
     SETTINGS, must_subscribe=False, drain_grace_period=0.5, overload_window=60.0, slow_start_duration=60.0
@@ -45,10 +45,7 @@
             link.write(http("200 OK", encode_endpoint_list(2, False, draining)))
             await next_poll(agent)  # a long poll, in flight from now on
             client = await router.client()
-            for n in range(8):
-                client.write(read(f"r{n}", f"k{n}"))
-                await router.caches["b"].serve(HIT)
-                assert await client.resp() == b"value"
+            await read_values(client, router.caches["b"], 8)
             assert router.caches["a"].links.empty()
 
     run(scenario)
--- a/tests/upstream_attempts.py
+++ b/tests/upstream_attempts.py
@@ -17,7 +17,7 @@
 
 
 class AttemptRunner:
-    """Starts attempts and collects how they end."""
+    """Starts attempts and collects their outcomes."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         """Run attempts over a pool."""
@@ -32,31 +32,34 @@
         return link
 
     def start(self, address: str, command: Command = GET) -> AttemptInFlight:
-        """Start an attempt that has half a second."""
+        """Start an attempt that times out after 0.5 s."""
         return self.pool.start(address, command, 0.5, self._record)
 
     def _record(self, response: UpstreamResponse) -> None:
         self.results.put_nowait((response.status, response.value))
 
     async def outcome(self) -> tuple[AttemptStatus, bytes]:
-        """The status and value of the next attempt that ends."""
+        """Return the status and value of the next attempt that completes."""
         return await self.results.get()
 
 
 def info_without_deadline(info: str) -> str:
-    """The info fields of an attempt but its last, the deadline, which is at most the time that was left."""
+    """Return the info fields of an attempt without the last, the deadline, after checking that one."""
     others, _, time_left = info.rpartition(",d=")
     assert 0 < int(time_left) <= 500
     return others
 
 
 def origin_attempts() -> AttemptRunner:
-    """Attempts on an origin, over connections that may be used again at once."""
+    """Return a runner of attempts on an origin, over connections that may be reused at once."""
     return AttemptRunner(ConnectionPool(OriginConnection, 8, 1.0, 60.0, 0.0))
 
 
 def cache_attempts(
     max_connections: int = 8, idle_timeout: float = 60.0, connect_timeout: float = 1.0
 ) -> AttemptRunner:
-    """Attempts on cache servers, over connections that may be used again at once; times are in seconds."""
+    """Return a runner of attempts on cache servers, over connections that may be reused at once.
+
+    Times are in seconds.
+    """
     return AttemptRunner(ConnectionPool(CacheConnection, max_connections, connect_timeout, idle_timeout, 0.0))
