--- /dev/null
+++ b/tests/endpoint_lists.py
@@ -0,0 +1,63 @@
+"""Endpoint lists as discovery sends them, and a watch that records what it receives."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+import orjson
+
+from cache_router.decisions.events import EndpointUpdateKind
+from cache_router.net.discovery import Discovery
+from cache_router.net.endpoint_table import NetworkEndpoint
+from cache_router.settings import WatchBudget
+from tests.loopback import Link, Peer
+
+ENDPOINT_ENTRY: dict[str, Any] = {
+    "name": "s-1",
+    "address": "127.0.0.9:6379",
+    "zone": "a",
+    "type": "m2",
+    "group": 3,
+    "status": "in_service",
+    "weight": 1.5,
+    "since_ms": 1_790_000_000_250,
+}
+
+
+def peer_entry(name: str, peer: Peer, **fields: Any) -> dict[str, Any]:
+    """Return the entry of a server that a test emulates: ready, of kind `std`, and started long ago."""
+    return {**ENDPOINT_ENTRY, "name": name, "address": peer.address, "type": "std", "since_ms": 0, **fields}
+
+
+def encode_endpoint_list(index: int, is_snapshot: bool, *entries: dict[str, Any]) -> bytes:
+    """Encode an endpoint list as discovery sends it; not a snapshot, it holds changed entries only."""
+    return orjson.dumps({"index": index, "snapshot": is_snapshot, "endpoints": entries})
+
+
+class WatchRecorder:
+    """What a watch notifies its router of, in order; a failure is None."""
+
+    def __init__(self, peer: Peer, budget: WatchBudget | None = None) -> None:
+        """Watch the list of a peer from index 41 on."""
+        self.updates: asyncio.Queue[tuple[EndpointUpdateKind, list[NetworkEndpoint]] | None] = asyncio.Queue()
+        self.discovery = Discovery(
+            peer.address,
+            41,
+            lambda kind, endpoints: self.updates.put_nowait((kind, endpoints)),
+            lambda: self.updates.put_nowait(None),
+            budget=budget,
+        )
+        self.discovery.subscribe()
+
+    async def next_update(self) -> tuple[EndpointUpdateKind, list[NetworkEndpoint]]:
+        """Return the next update; a failure of the watch fails the test."""
+        update = await self.updates.get()
+        assert update is not None, "the watch has failed"
+        return update
+
+
+async def accept_poll(peer: Peer) -> tuple[str, Link]:
+    """Accept the next poll of a watch; return its request line and its connection."""
+    link = await peer.link()
+    return (await link.http())[0], link
--- /dev/null
+++ b/tests/test_client_disconnects.py
@@ -0,0 +1,342 @@
+"""Clients that disconnect while the router does not read, or just before an attempt, over loopback."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import struct
+
+import pytest
+
+from cache_router.decisions.actions import Send
+from cache_router.decisions.events import Timer, TimerFired, TimerKind
+from cache_router.net import client_connection
+from cache_router.net.client_connection import ClientConnection
+from cache_router.net.socket_state import is_hung_up
+from tests.event_order import DelayedConnections, first_connection, record_written_requests, wait_until
+from tests.loopback import HIT, MISS, Link, Router, command, http, keyed_write, read, run
+from tests.upstream_attempts import GET
+
+
+async def disconnect(router: Router, client: Link) -> None:
+    """Close the client's side and wait until the kernel knows, while the router does not read."""
+    (connection,) = router.listener.connections
+    assert not connection.transport.is_reading()
+    client.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
+    await wait_until(lambda: is_hung_up(connection.transport))
+
+
+@pytest.mark.parametrize("state", ["error", "framing", "slow"])
+@pytest.mark.parametrize("response", [MISS, None])  # an attempt at the origin would follow, or a retry
+def test_no_attempt_follows_for_a_client_that_disconnected_while_not_read(
+    state: str, response: bytes | None, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The end of the stream comes behind unread input, so that the event loop does not report it."""
+
+    async def scenario() -> None:
+        monkeypatch.setattr(client_connection, "ERROR_THROTTLE_TIME", 60.0)
+        async with Router() as router:
+            written = record_written_requests(monkeypatch)
+            client = await router.client()
+            client.write(read("r1") + {"error": command("GET", "k"), "framing": b"noise\r\n"}.get(state, b""))
+            cache = await router.cache()
+            await cache.resp()
+            if state == "slow":  # as its transport does when the client reads no replies
+                next(iter(router.listener.connections)).pause_writing()
+            await disconnect(router, client)
+            if response is None:
+                cache.reset()
+            else:
+                cache.write(response)
+            await wait_until(lambda: not router.dispatcher.requests)
+            assert written == ["r1"]
+            assert not router.dispatcher.router.pending
+            assert router.origin.links.empty()
+            await wait_until(lambda: not router.listener.connections)
+
+    run(scenario)
+
+
+@pytest.mark.parametrize("is_read", [True, False])
+def test_no_attempt_follows_for_a_client_that_disconnected_while_queued(
+    is_read: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A slot of the origin that becomes free must not go to a request that nobody waits for."""
+
+    async def scenario() -> None:
+        monkeypatch.setattr(client_connection, "ERROR_THROTTLE_TIME", 60.0)
+        async with Router() as router:
+            written = record_written_requests(monkeypatch)
+            decisions = router.dispatcher.router
+            first = await router.client()
+            first.write(keyed_write("w1"))  # uses up the concurrency limit of the origin
+            origin = await router.origin.link()
+            await origin.http()
+            decisions.endpoints.origins[0].concurrency.limit = 1.0
+            client = await router.client()
+            client.write(keyed_write("w2") + (b"" if is_read else command("GET", "k")))
+            await wait_until(lambda: "w2" in decisions.pending and decisions.pending["w2"].is_queued)
+            connection = list(router.listener.connections)[1]
+            if is_read:
+                client.close()
+                await wait_until(lambda: connection not in router.listener.connections)
+            else:
+                await wait_until(lambda: not connection.transport.is_reading())
+                client.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
+                await wait_until(lambda: is_hung_up(connection.transport))
+            origin.write(http("200 OK", b"receipt"))
+            assert await first.resp() == b"receipt"
+            await wait_until(lambda: not router.dispatcher.requests)
+            assert written == ["w1"]
+            assert not decisions.pending
+
+    run(scenario)
+
+
+def test_no_attempt_follows_for_a_pipelining_client_that_disconnected(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Input beyond the limit of pipelined commands stays unread, and the end of the stream behind it."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            written = record_written_requests(monkeypatch)
+            client, cache = await router.start_read("r0")
+            request_ids = [f"r{n}" for n in range(1, 2 * client_connection.MAX_PIPELINED_COMMANDS)]
+            client.write(b"".join(read(n) for n in request_ids))
+            await wait_until(lambda: not next(iter(router.listener.connections)).transport.is_reading())
+            await disconnect(router, client)
+            before = list(written)
+            cache.write(HIT)
+            await wait_until(lambda: not router.listener.connections)
+            assert written == before
+            assert not router.dispatcher.router.pending
+
+    run(scenario)
+
+
+# how a client disconnects
+DISCONNECTS = ["closes", "half-closes", "resets"]
+
+
+def blocking_client(router: Router) -> socket.socket:
+    """Return a client on a blocking socket, which can act before the router's event loop runs again."""
+    return socket.create_connection(router.listener.socket.getsockname())
+
+
+def disconnect_blocking_client(client: socket.socket, how: str) -> None:
+    """Disconnect in one of the ways of DISCONNECTS; the kernel knows of it when this returns."""
+    if how == "half-closes":
+        client.shutdown(socket.SHUT_WR)
+        return
+    if how == "resets":
+        client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    client.close()
+
+
+async def connection_of(router: Router, client: socket.socket) -> ClientConnection:
+    """Wait for the router's side of a client's connection, and return it."""
+    address = client.getsockname()
+
+    def found() -> list[ClientConnection]:
+        return [c for c in router.listener.connections if c.transport.get_extra_info("peername") == address]
+
+    await wait_until(found)
+    return found()[0]
+
+
+async def wait_until_settled(router: Router) -> None:
+    """Wait until nothing is in flight, so that no attempt can follow."""
+    dispatcher = router.dispatcher
+    await wait_until(
+        lambda: not (dispatcher.requests or router.cache_pool.connecting or router.origin_pool.connecting)
+    )
+    assert not dispatcher.router.pending
+    assert not dispatcher.router.attempts
+
+
+async def open_idle_connections(router: Router) -> dict[str, Link]:
+    """Open an idle connection to every server, by its name: an attempt there is written at once."""
+    endpoints = router.dispatcher.endpoints
+    links: dict[str, Link] = {}
+    for name, endpoint in endpoints.items():
+        completed = asyncio.Event()
+        pool, peer = endpoints.pool_of(endpoint), router.caches.get(name, router.origin)
+        pool.start(endpoint.address, GET, 60.0, lambda *_, event=completed: event.set(), endpoint.incarnation)
+        links[name] = link = await peer.link()
+        await (link.http() if peer is router.origin else link.resp())
+        link.write(http("200 OK", b"value") if peer is router.origin else HIT)
+        await completed.wait()
+    return links
+
+
+async def next_reader(links: dict[str, Link]) -> Link:
+    """Return the cache server's side of the connection on which the next request comes."""
+    reads = {asyncio.ensure_future(links[name].resp()): links[name] for name in ("a", "b")}
+    done, (other,) = await asyncio.wait(reads, return_when=asyncio.FIRST_COMPLETED)
+    other.cancel()
+    return reads[done.pop()]
+
+
+@pytest.mark.parametrize("how", DISCONNECTS)
+def test_request_of_a_client_that_disconnected_in_the_backlog_is_not_forwarded(
+    how: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The connection is accepted, and its request read, only long after the disconnect."""
+
+    async def scenario() -> None:
+        async with Router(max_clients=1) as router:
+            router.list_caches("a")
+            regular, cache = await router.client(), (await open_idle_connections(router))["a"]
+            written = record_written_requests(monkeypatch)
+            regular.write(read("u1"))
+            assert (await cache.resp())[2] == b"u1"
+            surplus = await router.client()  # one above the limit: later ones stay in the backlog
+            surplus.write(read("u2"))
+            other = await router.caches["a"].link()
+            assert (await other.resp())[2] == b"u2"
+            client = blocking_client(router)
+            client.sendall(read("r1"))
+            disconnect_blocking_client(client, how)
+            cache.write(HIT)
+            assert await regular.resp() == b"value"
+            last = await router.client()
+            await last.ping()  # so that the client before it has been accepted
+            other.write(HIT)
+            assert await surplus.resp() == b"value"
+            client.close()
+            await wait_until_settled(router)
+            assert "r1" not in written
+
+    run(scenario)
+
+
+@pytest.mark.parametrize("how", DISCONNECTS)
+@pytest.mark.parametrize("cause", ["pipeline", "error", "slow", "lag"])
+def test_request_read_after_its_client_disconnected_is_not_forwarded(
+    cause: str, how: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The end of the stream comes after the request, and may be read only long after it."""
+    monkeypatch.setattr(client_connection, "ERROR_THROTTLE_TIME", 600.0)
+
+    async def scenario() -> None:
+        async with Router() as router:
+            router.list_caches("a")
+            cache = (await open_idle_connections(router))["a"]
+            written = record_written_requests(monkeypatch)
+            client = blocking_client(router)
+            connection = await connection_of(router, client)
+            if cause == "pipeline":
+                monkeypatch.setattr(client_connection, "MAX_PIPELINED_COMMANDS", 1)
+                client.sendall(read("r0"))
+                assert (await cache.resp())[2] == b"r0"
+            elif cause == "error":
+                client.sendall(command("GET", "k"))
+                await wait_until(lambda: connection.throttled)
+            elif cause == "slow":
+                connection.pause_writing()
+            client.sendall(read("r1"))
+            disconnect_blocking_client(client, how)
+            if cause == "pipeline":
+                cache.write(HIT)
+            elif cause == "error":
+                connection._end_throttling()
+            elif cause == "slow":
+                connection.resume_writing()
+            await wait_until(lambda: connection not in router.listener.connections)
+            client.close()
+            await wait_until_settled(router)
+            assert "r1" not in written
+
+    run(scenario)
+
+
+@pytest.mark.parametrize("how", DISCONNECTS)
+def test_nothing_is_written_for_a_client_that_disconnected_just_before_the_connection_is_established(
+    how: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The event loop handles the new connection first, and the client's disconnect right after it."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            _links = await open_idle_connections(router)
+            written = record_written_requests(monkeypatch)
+            connections = DelayedConnections(monkeypatch, *router.caches.values())
+            client = blocking_client(router)
+            await connection_of(router, client)
+            for idle in list(router.cache_pool.idle):
+                idle.abort()
+            client.sendall(read("r1"))
+            await first_connection(router)
+            disconnect_blocking_client(client, how)
+            connections.released.set()
+            await wait_until_settled(router)
+            assert written == []
+            client.close()
+
+    run(scenario)
+
+
+@pytest.mark.parametrize("how", DISCONNECTS)
+@pytest.mark.parametrize("cause", ["miss", "reset", "timer"])
+def test_read_is_not_attempted_again_for_a_client_that_disconnected_at_the_same_time(
+    cause: str, how: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The event loop handles what causes the attempt first, and the client's disconnect right after it."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            links = await open_idle_connections(router)
+            written = record_written_requests(monkeypatch)
+            DelayedConnections(monkeypatch, *router.caches.values())
+            client = blocking_client(router)
+            await connection_of(router, client)
+            client.sendall(read("r1"))
+            cache = await next_reader(links)
+            if cause == "miss":
+                cache.write(MISS)
+            elif cause == "reset":
+                cache.reset()
+                await asyncio.sleep(0)  # in which the reset is sent
+            disconnect_blocking_client(client, how)
+            if cause == "timer":
+                fire_hedge_timer(router, monkeypatch)
+            await wait_until_settled(router)
+            assert written == ["r1"]
+            client.close()
+
+    run(scenario)
+
+
+def fire_hedge_timer(router: Router, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Fire the hedge timer of `r1`, to which the decision module answers with attempts at all servers."""
+    # Once: the outcomes of these attempts are events too. Answered with attempts again they would go on for
+    # ever without yielding to the test's time limit, and use up all memory.
+    batches = iter([[Send("r1", name) for name in router.dispatcher.endpoints]])
+    with monkeypatch.context() as patch:
+        patch.setattr(router.dispatcher.router, "handle", lambda now, event: next(batches, []))
+        router.dispatcher.post(TimerFired(Timer(TimerKind.HEDGE, "r1")))
+
+
+@pytest.mark.parametrize("how", DISCONNECTS)
+def test_rejected_write_is_not_attempted_again_for_a_client_that_disconnected_at_the_same_time(
+    how: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The event loop handles the rejection first, and the client's disconnect right after it."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            links = await open_idle_connections(router)
+            origin = links["o"]
+            written = record_written_requests(monkeypatch)
+            client = blocking_client(router)
+            await connection_of(router, client)
+            client.sendall(keyed_write("r1"))
+            await origin.http()
+            origin.write(http("503 Busy", b"", "Not-Started: 1"))
+            disconnect_blocking_client(client, how)
+            await wait_until_settled(router)
+            assert written == ["r1"]
+            client.close()
+
+    run(scenario)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -13,7 +13,7 @@
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 
-# stands in for `python3 -m venv` and for the pip in what it makes: nothing is fetched
+# stand-ins for `python3 -m venv` and for the pip in the environment that it makes: nothing is downloaded
 PYTHON = """#!/bin/sh
 rm -rf .venv && mkdir -p .venv/bin && cp "$0.pip" .venv/bin/pip && chmod +x .venv/bin/pip
 """
@@ -23,9 +23,10 @@
 
 
 class Checkout:
-    """A checkout with its requirements, and stand-ins for the tools that note what was installed."""
+    """A checkout with its requirements, and stand-ins for the tools that record what was installed."""
 
     def __init__(self, root: Path) -> None:
+        """Create the stand-ins, and requirements of one package."""
         self.root = root
         self.tools = root / "tools"
         self.tools.mkdir()
@@ -39,14 +40,14 @@
         (self.root / "requirements.txt").write_text(text)
 
     def build(self) -> int:
-        """Run the build command; returns its exit status."""
+        """Run the build command and return its exit status."""
         path = f"{self.tools}{os.pathsep}{os.environ['PATH']}"
         return subprocess.run(
             ["/bin/sh", "-c", DEPLOY["build"]], cwd=self.root, env={"PATH": path}, check=False
         ).returncode
 
     def installed(self) -> str:
-        """The requirements from which the environment was made."""
+        """Return the requirements from which the environment was made."""
         return (self.root / ".venv" / "packages").read_text()
 
 
@@ -56,8 +57,8 @@
     return Checkout(tmp_path)
 
 
-def test_a_build_broken_off_is_made_anew(checkout: Checkout) -> None:
-    """Taken for a complete environment, it would start no router after any later build either."""
+def test_interrupted_build_is_repeated(checkout: Checkout) -> None:
+    """Mistaken for a complete environment, it would start no router after any later build either."""
     (checkout.root / "broken").touch()
     assert checkout.build() != 0
     (checkout.root / "broken").unlink()
@@ -65,34 +66,40 @@
     assert checkout.installed() == "one==1\n"
 
 
-def test_a_folder_that_some_other_build_left_half_made_is_made_anew(checkout: Checkout) -> None:
+def test_incomplete_environment_of_another_build_is_replaced(checkout: Checkout) -> None:
+    """A folder without its packages must not pass for a complete environment."""
     (checkout.root / ".venv" / "bin").mkdir(parents=True)
     assert checkout.build() == 0
     assert checkout.installed() == "one==1\n"
 
 
-def test_a_whole_build_stays_and_other_requirements_make_a_new_one(checkout: Checkout) -> None:
+def test_complete_build_is_kept_until_the_requirements_change(checkout: Checkout) -> None:
+    """Installing again at each build would delay a start; an outdated environment would break it."""
     assert checkout.build() == 0
-    kept = checkout.root / ".venv" / "kept"
-    kept.touch()
+    marker = checkout.root / ".venv" / "marker"
+    marker.touch()
     assert checkout.build() == 0
-    assert kept.exists()
+    assert marker.exists()
     checkout.require("one==2\n")
     assert checkout.build() == 0
     assert checkout.installed() == "one==2\n"
-    assert not kept.exists()
+    assert not marker.exists()
 
 
 @pytest.mark.parametrize("part", ["policy", "node"])
-def test_the_files_named_are_there(part: str) -> None:
-    assert DEPLOY[part] and all((ROOT / name).exists() for name in DEPLOY[part])
+def test_named_files_exist(part: str) -> None:
+    """The files that the deploy file lists as its parts are in the repository."""
+    assert DEPLOY[part]
+    assert all((ROOT / name).exists() for name in DEPLOY[part])
 
 
 @pytest.mark.parametrize("command", ["run", "sim"])
-def test_the_modules_started_are_there(command: str) -> None:
+def test_started_modules_exist(command: str) -> None:
+    """The modules that the deploy file's commands start can be found."""
     assert importlib.util.find_spec(DEPLOY[command].rpartition(" -m ")[2]) is not None
 
 
-def test_run_is_one_process_in_place_of_its_shell() -> None:
-    """A shell that stays in front would take SIGTERM, and starting it costs a second process."""
-    assert DEPLOY["run"].startswith("exec ") and not set("&|;") & set(DEPLOY["run"])
+def test_run_replaces_its_shell() -> None:
+    """A shell that remained as the parent would receive SIGTERM in place of the router."""
+    assert DEPLOY["run"].startswith("exec ")
+    assert not set("&|;") & set(DEPLOY["run"])
--- /dev/null
+++ b/tests/test_descriptors.py
@@ -0,0 +1,149 @@
+"""A process whose descriptors are used up by clients and attempts still polls discovery."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import socket
+from collections.abc import AsyncIterator, Callable
+from contextlib import AsyncExitStack, asynccontextmanager, suppress
+from pathlib import Path
+
+import pytest
+
+from tests.endpoint_lists import encode_endpoint_list, peer_entry
+from tests.loopback import HIT, Link, Peer, command, format_address, http, read, run
+from tests.router_process import (
+    PROCESS_TEST_TIMEOUT,
+    config_with_cache,
+    connected_client,
+    discard_log,
+    listen_address,
+    router_process,
+)
+
+DESCRIPTOR_LIMIT = 64  # the fewest that a configuration may allow
+
+
+# those that clients and attempts share; the router keeps the others for everything else
+SHARED_DESCRIPTORS = DESCRIPTOR_LIMIT - 32
+LONG_DEADLINE = "c=read,t=t,d=600000"
+
+
+async def poll_until(condition: Callable[[], object]) -> None:
+    """Poll until a condition holds that another process brings about."""
+    while not condition():
+        await asyncio.sleep(0.01)
+
+
+@asynccontextmanager
+async def listening_peers(count: int) -> AsyncIterator[list[Peer]]:
+    """Run so many servers."""
+    async with AsyncExitStack() as stack:
+        yield [await stack.enter_async_context(Peer()) for _ in range(count)]
+
+
+async def serve_and_record(peer: Peer, served: list[Peer]) -> None:
+    """Answer all reads at a server, and append the server to `served` for each."""
+
+    async def answer_all(link: Link) -> None:
+        with suppress(AssertionError, ConnectionError):  # the connection was closed
+            while True:
+                await link.resp()
+                link.write(HIT)
+                served.append(peer)
+
+    async with asyncio.TaskGroup() as links:
+        while True:
+            links.create_task(answer_all(await peer.link()))
+
+
+class UnavailableAgent(Peer):
+    """Discovery on a port that refuses connections until `start_listening`."""
+
+    def __init__(self) -> None:
+        """Reserve a port without listening on it."""
+        super().__init__()
+        self.socket = socket.socket()
+        self.socket.bind(("127.0.0.1", 0))
+        self.address = format_address(self.socket.getsockname())
+
+    async def start_listening(self) -> None:
+        """Accept connections from now on."""
+        self.server = await asyncio.start_server(self._accept, sock=self.socket)
+
+
+async def exhaust_descriptors(address: tuple[str, int], caches: list[Peer], origin: Peer) -> list[Link]:
+    """Let attempts that hang and idle clients use up all that they may; return the connections of clients."""
+    busy_clients = [await connected_client(address) for _ in range(3)]
+    for n in range(31):
+        for i in (0, 1):
+            busy_clients[i].write(read(f"r{i}-{n}", f"k{i}-{n}", LONG_DEADLINE))
+        busy_clients[2].write(command("C.SET", f"k{n}", f"w{n}", "c=pay,t=t,d=600000,k=1", "v"))
+    await poll_until(lambda: sum(p.links.qsize() for p in caches) == SHARED_DESCRIPTORS * 3 // 8)
+    await poll_until(lambda: origin.links.qsize() == SHARED_DESCRIPTORS // 8)
+    idle_clients = [await connected_client(address) for _ in range(DESCRIPTOR_LIMIT)]
+    idle_clients += [await idle_client(address) for _ in range(DESCRIPTOR_LIMIT)]
+    return [*busy_clients, *idle_clients]
+
+
+async def read_until_served(client: Link, caches: list[Peer], expected: set[Peer]) -> None:
+    """Send reads of different keys until each of the expected servers has answered one, 200 at most."""
+    served: list[Peer] = []
+    serving = [asyncio.create_task(serve_and_record(peer, served)) for peer in caches]
+    keys = iter(range(200))
+    while not expected <= set(served):
+        n = next(keys)
+        client.write(read(f"x{n}", f"x{n}", LONG_DEADLINE))
+        await client.resp()
+    for task in serving:
+        task.cancel()
+
+
+# descriptors that the configuration allows; the smaller limit of the process applies in both cases
+@pytest.mark.parametrize("allowed", [DESCRIPTOR_LIMIT, 1024])
+@pytest.mark.parametrize("agent_state", ["refused", "silent"])
+def test_endpoint_list_is_received_while_descriptors_are_exhausted(
+    agent_state: str, allowed: int, tmp_path: Path
+) -> None:
+    """Idle clients, silent ones and attempts that hang, as many of each as the router admits."""
+
+    async def scenario() -> None:
+        async with listening_peers(5) as (*caches, fresh, origin):
+            agent = UnavailableAgent()
+            config = config_with_cache(caches[0], agent, "automatic")
+            entries = [peer_entry(f"s-{n}", c, weight=1.0) for n, c in enumerate(caches)]
+            entries.append(peer_entry("o", origin, type="store", weight=1.0))
+            config["known"]["endpoints"] = entries
+            config["limits"] = {"sockets": allowed}
+            if agent_state == "silent":
+                await agent.start_listening()
+            async with router_process(config, tmp_path / "config.json", DESCRIPTOR_LIMIT) as process:
+                address = await listen_address(process.stderr)
+                log_reader = asyncio.create_task(discard_log(process.stderr))
+                clients = await exhaust_descriptors(address, caches, origin)
+                open_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
+                assert SHARED_DESCRIPTORS < open_descriptors <= DESCRIPTOR_LIMIT
+                if agent_state == "refused":
+                    await agent.start_listening()
+                else:
+                    while not agent.links.empty():
+                        (await agent.link()).reset()
+                poll = await agent.link()
+                await poll.http()
+                entries.append(peer_entry("s-new", fresh, weight=1.0))
+                poll.write(http("200 OK", encode_endpoint_list(50, True, *entries)))
+                assert "after=50&" in (await (await agent.link()).http())[0]
+                client = await connected_client(address)
+                await read_until_served(client, [*caches, fresh], {caches[0], fresh})
+                log_reader.cancel()
+                for link in (*clients, client):
+                    link.close()
+            await agent.__aexit__(None, None, None)
+
+    run(scenario, PROCESS_TEST_TIMEOUT)
+
+
+async def idle_client(address: tuple[str, int]) -> Link:
+    """Open a client's connection on which nothing is sent."""
+    return Link(*await asyncio.open_connection(*address))
--- /dev/null
+++ b/tests/test_net_client_connection.py
@@ -0,0 +1,247 @@
+"""Commands of a client's connection, well formed and not, and the order of their replies."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from cache_router.net import client_connection
+from cache_router.net.client_connection import MAX_PIPELINED_COMMANDS, ClientConnection
+from tests.event_order import wait_until
+from tests.loopback import HIT, Link, Router, command, error_text, read, run
+
+
+def test_replies_are_written_in_the_order_of_the_commands() -> None:
+    """RESP replies carry no id: in another order a client would take one value for another."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            client = await router.client()
+            client.write(read("r1") + read("r2") + command("PING"))
+            caches = [await router.cache(), await router.cache()]
+            by_request = {(await cache.resp())[2]: cache for cache in caches}
+            by_request[b"r2"].write(HIT.replace(b"value", b"later"))
+            await wait_until(lambda: "r2" not in router.dispatcher.requests)
+            by_request[b"r1"].write(HIT)
+            assert [await client.resp() for _ in range(3)] == [b"value", b"later", b"PONG"]
+
+    run(scenario)
+
+
+INVALID_COMMANDS = [
+    (command("GET", "k"), "unknown command"),
+    (command("CLIENT", "LIST"), "unknown command"),
+    (command("A\r\n+PONG"), "unknown command"),  # echoed unescaped, it would be a second reply
+    (command("C.GET", "k", "r1"), "wrong number"),
+    (command("C.SET", "k", "r1", "c=book,d=900"), "wrong number"),
+    (command("C.GET", "", "r1", "c=read,d=900"), "key"),
+    (command("C.GET", "stats", "r1", "c=read,d=900"), "key"),
+    (command("C.GET", "..", "r1", "c=read,d=900"), "key"),
+    (command("C.GET", "k" * 2000, "r1", "c=read,d=900"), "key"),
+    (command("C.GET", "k", "r 1", "c=read,d=900"), "id"),
+    (command("C.GET", "k", "", "c=read,d=900"), "id"),
+    (command("C.GET", "k", "r1", "c=read"), "d must"),
+    (command("C.GET", "k", "r1", "c=read,d=soon"), "d must"),
+    (command("C.GET", "k", "r1", "c=read,d=-5"), "d must"),
+    (command("C.GET", "k", "r1", "c=read,d=600001"), "d must"),
+    (command("C.GET", "k", "r1", "c=read,d=" + "9" * 600), "d must"),
+    (command("C.GET", "k", "r1", "c=read,d=9,d=900"), "not a new name"),
+    (command("C.GET", "k", "r1", "c=read,d"), "not a new name"),
+    (command("C.GET", "k", "r1", "c=unheard-of,d=900"), "class is unknown"),
+    (command("C.GET", "k", "r1", "t=x,d=900"), "class is unknown"),
+    (command("C.SET", "k", "r1", "c=book,d=900", "v"), "k is missing"),
+    (command("C.GET", "k", "r1", "c=read,d=900\r\nX: y"), "visible ASCII"),
+    (b"*1\r\n:7\r\n", "array of bulk strings"),
+    (b"*0\r\n", "array of bulk strings"),
+    (b"*-1\r\n", "array of bulk strings"),
+    (b"*1\r\n$-1\r\n", "array of bulk strings"),
+    (b"+PING\r\n", "array of bulk strings"),
+]
+
+
+@pytest.mark.parametrize(("sent", "expected"), INVALID_COMMANDS)
+def test_invalid_command_gets_an_error_and_keeps_its_connection(sent: bytes, expected: str) -> None:
+    """Such a command is complete: what follows can be read."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            client = await router.client()
+            client.write(sent + command("PING"))
+            assert expected in error_text(await client.resp())
+            assert await client.resp() == b"PONG"
+            assert not router.dispatcher.requests
+
+    run(scenario)
+
+
+@pytest.mark.parametrize(
+    "sent",
+    [
+        b"PING\r\n",
+        b"\x00\xff",
+        b"*x\r\n",
+        b"*100000000\r\n",  # rejected at the header, before a list of that length is allocated
+        b"*4\r\n$-5\r\n",
+        b"*4\r\n$62914560\r\n",  # rejected before the value comes
+        b"*5\r\n" + b"$60000\r\n%b\r\n" % (b"x" * 60000) + b"$60000\r\n",  # longer than any valid command
+        b"*1\r\n$4\r\nPINGPONG\r\n",
+        b"*1\r\n$" + b"0" * 40,  # lines that do not end
+        b"+" + b"x" * 2000,
+        b"*1\r\n" * 9,
+    ],
+)
+def test_framing_error_closes_the_connection(sent: bytes) -> None:
+    """What follows might be a part of a value, and would be executed as a command."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            client, other = await router.client(), await router.client()
+            client.write(sent)
+            assert error_text(await client.resp()).startswith("ERR")
+            assert await client.closed_by_peer()
+            await other.ping()
+
+    run(scenario)
+
+
+def test_nothing_is_read_after_a_framing_error() -> None:
+    """Otherwise input would be buffered without limit while an earlier reply is pending."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            client, cache = await router.start_read()
+            client.write(b"noise\r\n" + b"x" * 100_000)
+            (connection,) = router.listener.connections
+            await wait_until(lambda: connection.closing)
+            assert not connection.transport.is_reading()
+            assert not connection.reader.buffer
+            cache.write(HIT)
+            assert await client.resp() == b"value"
+            assert error_text(await client.resp()).startswith("ERR")
+            assert await client.closed_by_peer()
+
+    run(scenario)
+
+
+def test_connection_is_throttled_after_errors() -> None:
+    """A client that repeats a rejected command at once would take up all processor time."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            loop = asyncio.get_running_loop()
+            client = await router.client()
+            started_at = loop.time()
+            client.write(read("r1", info="c=unheard-of,d=900") * 3)
+            for _ in range(3):
+                error_text(await client.resp())
+            assert loop.time() - started_at >= 2 * client_connection.ERROR_THROTTLE_TIME - 0.01
+
+    run(scenario)
+
+
+def test_commands_beyond_the_pipeline_limit_are_processed_later() -> None:
+    """They stay in the buffer until earlier replies are written."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            client = await router.client()
+            request_ids = [f"r{n}" for n in range(3 * MAX_PIPELINED_COMMANDS)]
+            client.write(b"".join(read(n, info="c=read,t=x,d=1") for n in request_ids) + read("last"))
+            cache = await router.cache()
+            assert (await cache.resp())[2] == b"last"
+            cache.write(HIT)
+            for _ in request_ids:
+                error_text(await client.resp())
+            assert await client.resp() == b"value"
+
+    run(scenario)
+
+
+async def client_with_full_pipeline(router: Router) -> tuple[Link, ClientConnection]:
+    """Return a client that has sent twice the commands that may be pipelined, and the router's side of it."""
+    client = await router.client()
+    client.write(b"".join(read(f"r{n}") for n in range(2 * MAX_PIPELINED_COMMANDS)))
+    await wait_until(lambda: router.listener.connections)
+    (connection,) = router.listener.connections
+    await wait_until(lambda: len(connection.replies) >= MAX_PIPELINED_COMMANDS)
+    return client, connection
+
+
+def test_number_of_pipelined_commands_is_bounded() -> None:
+    """Otherwise one client could make the router hold any number of requests."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            _client, connection = await client_with_full_pipeline(router)
+            assert len(connection.replies) == MAX_PIPELINED_COMMANDS
+            assert not connection.transport.is_reading()
+
+    run(scenario)
+
+
+def test_no_request_is_accepted_from_a_closing_connection() -> None:
+    """Its client has disconnected: the request would be processed until its deadline for nobody."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            _client, connection = await client_with_full_pipeline(router)
+            connection.transport.abort()
+            router.dispatcher.requests.respond("r0", b"-ERR failed\r\n")
+            await wait_until(lambda: not router.listener.connections)
+            await asyncio.sleep(0)
+            # the decision module was not notified of the reply above, and has not removed it
+            assert set(router.dispatcher.requests) == {"r0"}
+
+    run(scenario)
+
+
+def test_ping_fails_until_a_cache_server_is_known() -> None:
+    """Health checks must not direct clients to a router that can't serve them."""
+
+    async def scenario() -> None:
+        async with Router(with_endpoints=False) as router:
+            client = await router.client()
+            client.write(command("PING"))
+            assert "no cache server" in error_text(await client.resp())
+            router.list_caches("a")
+            await client.ping()
+
+    run(scenario)
+
+
+def test_exception_closes_only_the_connection_that_caused_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Otherwise one request that the code can't handle would end the router and all requests in flight."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            other = await router.client()
+            first, cache = await router.start_read()
+            with monkeypatch.context() as patch:
+                patch.setattr(router.dispatcher, "accept", None)
+                first.write(read("r2"))
+                assert await first.closed_by_peer()
+            assert await cache.closed_by_peer()
+            assert not router.dispatcher.router.pending
+            await other.ping()
+
+    run(scenario)
+
+
+def test_closed_connection_is_removed_from_the_table() -> None:
+    """A closed connection has no socket: examining it stopped the listener, and nobody could connect."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            client, other = await router.client(), await router.client()
+            client.write(read("r1", info="c=unheard-of,d=900"))
+            error_text(await client.resp())
+            next(iter(router.listener.connections)).transport.abort()
+            await asyncio.sleep(2 * client_connection.ERROR_THROTTLE_TIME)
+            await other.ping()
+            connections = router.listener.connections
+            (remaining,) = connections
+            assert list(connections.idle) == [remaining]
+            assert not connections.awaiting_command
+
+    run(scenario)
--- a/tests/test_net_connection_pool.py
+++ b/tests/test_net_connection_pool.py
@@ -7,12 +7,12 @@
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net import connection_pool
-from tests.loopback import HIT, MISS, Peer, run, spelled
+from tests.loopback import HIT, MISS, Peer, format_address, run
 from tests.upstream_attempts import GET, cache_attempts
 
 
-def test_the_connection_idle_for_longest_is_used_first() -> None:
-    """What follows a good response late would come behind the next request, and be served as its response."""
+def test_longest_idle_connection_is_used_first() -> None:
+    """A late second response would come after the next request, and be taken for its response."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -24,7 +24,7 @@
             links[1].write(HIT)  # a second response
             attempts.start(peer.address)
             await links[0].resp()
-            assert await links[1].ended()
+            assert await links[1].closed_by_peer()
             links[0].write(MISS)
             assert await attempts.outcome() == (AttemptStatus.MISS, b"")
             attempts.pool.close()
@@ -32,7 +32,7 @@
     run(scenario)
 
 
-def test_a_connection_to_an_earlier_incarnation_is_not_used() -> None:
+def test_connection_to_an_earlier_incarnation_is_not_used() -> None:
     """A machine that vanished never closes it; what is written to it would wait for its deadline."""
 
     async def scenario() -> None:
@@ -42,14 +42,14 @@
             link.write(HIT)
             await attempts.outcome()
             attempts.pool.start(peer.address, GET, 0.5, lambda response: None, incarnation="another")
-            assert await link.ended()
+            assert await link.closed_by_peer()
             assert (await (await peer.link()).resp())[2] == b"r1"
             attempts.pool.close()
 
     run(scenario)
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_refused_connection_is_a_failed_connect() -> None:
     """Counted otherwise, a request that is not idempotent could not be sent elsewhere."""
 
     async def scenario() -> None:
@@ -63,36 +63,36 @@
     run(scenario)
 
 
-def test_connecting_has_a_time_limit() -> None:
-    """A machine cut off says nothing: without a limit on connecting the request waits out its deadline."""
+def test_connecting_times_out() -> None:
+    """An unreachable machine sends nothing: without a timeout the request waits until its deadline."""
 
     async def scenario() -> None:
         with socket.socket() as full, socket.socket() as first:
             full.bind(("127.0.0.1", 0))
-            full.listen(0)  # room for one, which `first` takes; the next gets no response
+            full.listen(0)  # a backlog of one, which `first` occupies; the next gets no response
             first.connect(full.getsockname())
             attempts = cache_attempts(connect_timeout=0.05)
-            attempts.start(spelled(full.getsockname()))
+            attempts.start(format_address(full.getsockname()))
             assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
 
     run(scenario)
 
 
-def test_an_idle_connection_that_was_closed_is_not_used() -> None:
-    """A request written to it would end as a reset, and an unsafe one would be failed for nothing."""
+def test_closed_idle_connection_is_not_used() -> None:
+    """A request written to it would end as a reset, and one that is not idempotent would fail needlessly."""
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
             server.setblocking(False)
-            address = spelled(server.getsockname())
+            address = format_address(server.getsockname())
             attempts = cache_attempts()
             attempts.start(address)
             first, _ = await loop.sock_accept(server)
             await loop.sock_recv(first, 4096)
             await loop.sock_sendall(first, HIT)
             await attempts.outcome()
-            first.close()  # and the loop has not looked since
+            first.close()  # and the event loop has not run since
             attempts.start(address)
             second, _ = await loop.sock_accept(server)
             await loop.sock_recv(second, 4096)
@@ -103,8 +103,8 @@
     run(scenario)
 
 
-def test_an_idle_connection_is_closed_before_its_server_would() -> None:
-    """One used just as the server closes it loses the request that is written to it."""
+def test_idle_connection_is_closed_before_its_server_would() -> None:
+    """A request written just as the server closes the connection is lost."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -112,14 +112,14 @@
             link = await attempts.start_on(peer)
             link.write(HIT)
             assert await attempts.outcome() == (AttemptStatus.OK, b"value")
-            assert await link.ended()
+            assert await link.closed_by_peer()
             assert not attempts.pool.connections
 
     run(scenario)
 
 
 def test_connections_stay_within_their_limit() -> None:
-    """Without it a burst takes the descriptors that clients need, and nobody can connect any more."""
+    """Otherwise a burst would use up the descriptors that clients need."""
 
     async def scenario() -> None:
         async with Peer() as one, Peer() as other:
@@ -133,15 +133,15 @@
             link.write(HIT)
             assert await attempts.outcome() == (AttemptStatus.OK, b"value")
             attempts.start(other.address)  # an idle one is closed for it
-            assert await link.ended()
+            assert await link.closed_by_peer()
             await (await other.link()).resp()
             attempts.pool.close()
 
     run(scenario)
 
 
-def test_the_connection_idle_for_longest_is_closed_for_another_whichever_server_it_is_to() -> None:
-    """Taken from one server each time, that server alone would cost a handshake for every request."""
+def test_longest_idle_connection_to_any_server_is_closed_for_another() -> None:
+    """Closed at one server each time, that server would need a handshake for every request."""
 
     async def scenario() -> None:
         async with Peer() as one, Peer() as two, Peer() as three:
@@ -151,7 +151,7 @@
                 link.write(HIT)
                 await attempts.outcome()
             attempts.start(three.address)
-            assert await second.ended()
+            assert await second.closed_by_peer()
             assert len(attempts.pool.idle) == 1
             attempts.pool.close()
 
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -1,8 +1,7 @@
-"""The watch on discovery's list, over loopback."""
+"""The watch of discovery's endpoint list, over loopback."""
 
 from __future__ import annotations
 
-import asyncio
 from typing import Any
 
 import orjson
@@ -10,60 +9,28 @@
 
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.endpoint import Endpoint, EndpointState
-from cache_router.net.discovery import Discovery
 from cache_router.net.endpoint_list_reader import EndpointListError, read_endpoint_list
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.settings import WatchBudget
-from tests.loopback import Link, Peer, http, run
-
-LINE: dict[str, Any] = {
-    "name": "s-1",
-    "address": "127.0.0.9:6379",
-    "zone": "a",
-    "type": "m2",
-    "group": 3,
-    "status": "in_service",
-    "weight": 1.5,
-    "since_ms": 1_790_000_000_250,
-}
-
-
-def message(index: int, is_snapshot: bool, *lines: dict[str, Any]) -> bytes:
-    return orjson.dumps({"index": index, "snapshot": is_snapshot, "endpoints": lines})
-
-
-class WatchRecorder:
-    """What a watch notifies its router of, in order; a failure is None."""
-
-    def __init__(self, peer: Peer, budget: WatchBudget | None = None) -> None:
-        self.updates: asyncio.Queue[tuple[EndpointUpdateKind, list[NetworkEndpoint]] | None] = asyncio.Queue()
-        self.discovery = Discovery(
-            peer.address,
-            41,
-            lambda kind, endpoints: self.updates.put_nowait((kind, endpoints)),
-            lambda: self.updates.put_nowait(None),
-            budget=budget,
-        )
-        self.discovery.subscribe()
-
-
-async def call(peer: Peer) -> tuple[str, Link]:
-    link = await peer.link()
-    return (await link.http())[0], link
+from tests.endpoint_lists import ENDPOINT_ENTRY, WatchRecorder, accept_poll, encode_endpoint_list
+from tests.loopback import Peer, http, run
 
 
-def test_an_entry_is_read() -> None:
-    update = read_endpoint_list(orjson.loads(message(7, True, LINE)))
+def test_endpoint_entry_is_read() -> None:
+    """The fields of an entry are mapped to those of `Endpoint`; a start long ago is 0."""
+    update = read_endpoint_list(orjson.loads(encode_endpoint_list(7, True, ENDPOINT_ENTRY)))
     (endpoint,) = update.endpoints
     assert (update.index, update.is_snapshot, endpoint.address) == (7, True, "127.0.0.9:6379")
     entry = Endpoint("s-1", EndpointState.READY, "m2", "a", 3, 1.5, 1_790_000_000.25)
-    assert endpoint.entry == entry  # named as at every router, since on the router's own clock
-    (old,) = read_endpoint_list(orjson.loads(message(7, True, {**LINE, "since_ms": 0}))).endpoints
-    assert old.entry.started_at == 0
+    assert endpoint.entry == entry  # the name as every router has it, the start on this router's clock
+    (started_long_ago,) = read_endpoint_list(
+        orjson.loads(encode_endpoint_list(7, True, {**ENDPOINT_ENTRY, "since_ms": 0}))
+    ).endpoints
+    assert started_long_ago.entry.started_at == 0
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("change", "field"),
     [
         ({"name": 5}, "name"),
         ({"address": "nowhere"}, "address"),
@@ -74,75 +41,88 @@
         ({"since_ms": None}, "since_ms"),
     ],
 )
-def test_a_malformed_entry_is_named(change: dict[str, Any], named: str) -> None:
-    with pytest.raises(EndpointListError, match=rf"^known\.endpoints\[1\]\.{named}"):
-        read_endpoint_list({"index": 1, "snapshot": True, "endpoints": [LINE, {**LINE, **change}]}, "known")
+def test_malformed_entry_is_named_in_the_error(change: dict[str, Any], field: str) -> None:
+    """The error names the position of the entry and its field."""
+    with pytest.raises(EndpointListError, match=rf"^known\.endpoints\[1\]\.{field}"):
+        read_endpoint_list(
+            {"index": 1, "snapshot": True, "endpoints": [ENDPOINT_ENTRY, {**ENDPOINT_ENTRY, **change}]},
+            "known",
+        )
+
 
+def test_watch_continues_from_the_received_index() -> None:
+    """Each poll asks for what is newer than the last update."""
 
-def test_a_watch_continues_from_the_index_it_received() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
             recorder = WatchRecorder(peer)
-            first, link = await call(peer)
+            first, link = await accept_poll(peer)
             assert first == "GET /registry/instances?after=41&wait_ms=1000 HTTP/1.1"
-            link.write(http("200 OK", message(43, False, {**LINE, "status": "terminating"})))
-            kind, (endpoint,) = await recorder.updates.get() or pytest.fail()
-            assert kind is EndpointUpdateKind.DELTA and endpoint.entry.state is EndpointState.DRAINING
-            first, link = await call(peer)
+            link.write(
+                http("200 OK", encode_endpoint_list(43, False, {**ENDPOINT_ENTRY, "status": "terminating"}))
+            )
+            kind, (endpoint,) = await recorder.next_update()
+            assert kind is EndpointUpdateKind.DELTA
+            assert endpoint.entry.state is EndpointState.DRAINING
+            first, link = await accept_poll(peer)
             assert "after=43&" in first
-            link.write(http("200 OK", message(50, True, LINE)))
-            assert (await recorder.updates.get() or pytest.fail())[0] is EndpointUpdateKind.SNAPSHOT
-            assert "after=50&" in (await call(peer))[0]
+            link.write(http("200 OK", encode_endpoint_list(50, True, ENDPOINT_ENTRY)))
+            assert (await recorder.next_update())[0] is EndpointUpdateKind.SNAPSHOT
+            assert "after=50&" in (await accept_poll(peer))[0]
             recorder.discovery.close()
 
     run(scenario)
 
 
 def test_subscribing_during_a_watch_makes_no_second_poll() -> None:
+    """One poll is in flight at a time, whatever the decision module asks for."""
+
     async def scenario() -> None:
         async with Peer() as peer:
             recorder = WatchRecorder(peer)
             recorder.discovery.subscribe()
-            _, link = await call(peer)
-            link.write(http("200 OK", message(42, False)))
+            _, link = await accept_poll(peer)
+            link.write(http("200 OK", encode_endpoint_list(42, False)))
             await recorder.updates.get()
-            assert "after=42&" in (await call(peer))[0]  # and none with 41 before it
+            assert "after=42&" in (await accept_poll(peer))[0]  # and none after 41 before it
             recorder.discovery.close()
 
     run(scenario)
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         http("503 Busy"),
         http("200 OK", b"not json"),
         http("200 OK", b"[]"),
         http("200 OK", b'{"index":42,"snapshot":false}'),
-        http("200 OK", message(42, False, {**LINE, "address": ""})),
+        http("200 OK", encode_endpoint_list(42, False, {**ENDPOINT_ENTRY, "address": ""})),
         b"hello\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{",
         b"",
     ],
 )
-def test_a_failed_poll_is_notified_and_the_next_continues_from_the_list_held(answer: bytes) -> None:
-    """Half a list taken for whole would drop servers that are well; an exception would end the watch."""
+def test_failed_poll_is_notified_and_the_next_continues_from_the_last_index(response: bytes) -> None:
+    """An incomplete list applied would remove ready servers; an exception would end the watch."""
 
     async def scenario() -> None:
         async with Peer() as peer:
             recorder = WatchRecorder(peer)
-            _, link = await call(peer)
-            link.write(answer)
+            _, link = await accept_poll(peer)
+            link.write(response)
             link.close()
             assert await recorder.updates.get() is None
             recorder.discovery.subscribe()
-            assert "after=41&" in (await call(peer))[0]
+            assert "after=41&" in (await accept_poll(peer))[0]
             recorder.discovery.close()
 
     run(scenario)
 
 
-def test_a_refused_connection_is_notified() -> None:
+def test_refused_connection_is_notified_as_a_failed_poll() -> None:
+    """The decision module has to schedule the next poll."""
+
     async def scenario() -> None:
         async with Peer() as peer:
             pass
@@ -151,8 +131,8 @@
     run(scenario)
 
 
-def test_a_poll_of_a_silent_discovery_times_out() -> None:
-    """Its changes count as notified: a router that waits on sends to servers it should have left."""
+def test_poll_of_a_silent_discovery_times_out() -> None:
+    """Its changes count as notified: a router that waited on would send to draining servers."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -162,46 +142,47 @@
                     response_timeout=0.05, max_backoff=0.0, scheduling_slack=0.0, notification_deadline=0.15
                 ),
             )
-            _, link = await call(peer)
+            _, link = await accept_poll(peer)
             assert await recorder.updates.get() is None
-            assert await link.ended()
+            assert await link.closed_by_peer()
 
     run(scenario)
 
 
-def test_a_fault_in_an_update_is_notified_as_a_failed_poll() -> None:
-    """A watch that ended without a word would leave the router with its old list for good."""
+def test_exception_in_an_update_is_notified_as_a_failed_poll() -> None:
+    """A watch that ended without a notification would leave the router with its old list for good."""
 
     async def scenario() -> None:
         async with Peer() as peer:
             recorder = WatchRecorder(peer)
 
             def faulty(kind: EndpointUpdateKind, endpoints: list[NetworkEndpoint]) -> None:
-                raise RuntimeError("a fault")
+                raise RuntimeError("faulty")
 
             recorder.discovery.on_update = faulty
-            _, link = await call(peer)
-            link.write(http("200 OK", message(42, False, LINE)))
-            assert await recorder.updates.get() is None and recorder.discovery.watch_task is None
+            _, link = await accept_poll(peer)
+            link.write(http("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
+            assert await recorder.updates.get() is None
+            assert recorder.discovery.watch_task is None
 
     run(scenario)
 
 
-def test_a_watch_at_a_new_address_starts_anew_and_the_old_one_notifies_nothing() -> None:
-    """Each counts by itself: asked for what is newer than another discovery's list, it may say nothing."""
+def test_watch_of_a_new_address_starts_anew_and_the_old_one_notifies_nothing() -> None:
+    """Indexes are those of one discovery: polled with another's index, it may send nothing."""
 
     async def scenario() -> None:
         async with Peer() as old, Peer() as new:
             recorder = WatchRecorder(old)
-            _, link = await call(old)
+            _, link = await accept_poll(old)
             recorder.discovery.change_address(new.address)
-            assert await link.ended()
+            assert await link.closed_by_peer()
             recorder.discovery.subscribe()
-            first, link = await call(new)
+            first, link = await accept_poll(new)
             assert first == "GET /registry/instances HTTP/1.1"
-            link.write(http("200 OK", message(3, True, LINE)))
-            assert (await recorder.updates.get() or pytest.fail())[0] is EndpointUpdateKind.SNAPSHOT
-            assert "after=3&" in (await call(new))[0]
+            link.write(http("200 OK", encode_endpoint_list(3, True, ENDPOINT_ENTRY)))
+            assert (await recorder.next_update())[0] is EndpointUpdateKind.SNAPSHOT
+            assert "after=3&" in (await accept_poll(new))[0]
             assert recorder.updates.empty()
             recorder.discovery.close()
 
--- /dev/null
+++ b/tests/test_net_listener.py
@@ -0,0 +1,78 @@
+"""The listening socket: failed accepts and graceful shutdown."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import socket
+
+import pytest
+
+from cache_router.net import listener
+from tests.loopback import HIT, Router, command, run
+
+
+def test_failed_accept_is_retried_after_a_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Out of descriptors, the accept loop must neither end nor retry without a pause."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            accept, calls, exhausted = socket.socket.accept, 0, True
+
+            def failing(listener: socket.socket) -> tuple[socket.socket, object]:
+                nonlocal calls
+                if listener is router.listener.socket:
+                    calls += 1
+                    if exhausted:
+                        raise OSError(errno.EMFILE, "too many open files")
+                return accept(listener)
+
+            monkeypatch.setattr(socket.socket, "accept", failing)
+            first = await router.client()
+            first.write(command("PING"))
+            await asyncio.sleep(3 * listener.ACCEPT_RETRY_DELAY)
+            assert 1 <= calls <= 10  # one for each pause; a busy loop makes thousands
+            exhausted = False
+            assert await first.resp() == b"PONG"
+            second = await router.client()
+            await second.ping()
+
+    run(scenario)
+
+
+def test_incomplete_command_does_not_delay_shutdown() -> None:
+    """Otherwise the router would wait for a client that never completes its command, until SIGKILL."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            client = await router.client()
+            client.write(command("PING") + b"*4\r\n$5\r\nC.G")
+            assert await client.resp() == b"PONG"
+            await router.listener.stop(0.0, 0.05)
+            (connection,) = router.listener.connections
+            connection.transport.abort()
+
+    run(scenario)
+
+
+def test_accepted_requests_are_answered_during_shutdown() -> None:
+    """Requests that are accepted and not answered when the router ends are lost."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            idle = await router.client()
+            busy, cache = await router.start_read()
+            shutdown = asyncio.create_task(router.listener.stop(0.05, 5.0))
+            late = await router.client()  # connections are still accepted
+            await late.ping()
+            assert await idle.closed_by_peer()
+            assert await late.closed_by_peer()
+            assert not shutdown.done()
+            cache.write(HIT)
+            assert await busy.resp() == b"value"
+            assert await busy.closed_by_peer()
+            await shutdown
+            with pytest.raises(ConnectionRefusedError):
+                await asyncio.open_connection(*busy.writer.get_extra_info("peername"))
+
+    run(scenario)
--- a/tests/test_net_upstream_connection.py
+++ b/tests/test_net_upstream_connection.py
@@ -17,10 +17,10 @@
 
 
 @pytest.mark.parametrize("kind", [CacheConnection, OriginConnection])
-def test_a_response_that_starts_and_is_not_completed_ends_its_attempt(
+def test_incomplete_response_ends_its_attempt(
     kind: type[UpstreamConnection], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Said to be longer than it is, it would hold its request to the deadline, on a connection of no use."""
+    """Otherwise a response shorter than announced would keep its request in flight until the deadline."""
 
     async def scenario() -> None:
         monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_TIMEOUT", 0.02)
@@ -31,14 +31,14 @@
             await (link.resp() if kind is CacheConnection else link.http())
             link.write(b"*3\r\n$9\r\nvalue\r\n" if kind is CacheConnection else http("200 OK", b"value")[:-1])
             assert await attempts.outcome() == (AttemptStatus.ERROR, b"")
-            assert await link.ended()
+            assert await link.closed_by_peer()
             assert not attempts.pool.connections
 
     run(scenario)
 
 
-def test_more_than_a_response_ends_the_connection() -> None:
-    """The rest would be taken for the response to the next request, which would get another's value."""
+def test_data_after_a_response_closes_the_connection() -> None:
+    """The rest would be taken for the response to the next request."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -46,14 +46,14 @@
             link = await attempts.start_on(peer)
             link.write(HIT + HIT)
             assert await attempts.outcome() == (AttemptStatus.OK, b"value")
-            assert await link.ended()
+            assert await link.closed_by_peer()
             assert not attempts.pool.idle
 
     run(scenario)
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_a_break_after_the_last_byte_may_have_run(how: str) -> None:
+def test_disconnect_after_the_last_byte_is_a_reset(how: str) -> None:
     """Sent elsewhere, a request that is not idempotent might run twice."""
 
     async def scenario() -> None:
@@ -66,7 +66,7 @@
     run(scenario)
 
 
-def test_a_break_before_the_last_byte_never_ran() -> None:
+def test_disconnect_before_the_last_byte_is_a_failed_connect() -> None:
     """Counted as a reset, a request that is not idempotent could not be retried, though it can't have run."""
 
     async def scenario() -> None:
@@ -81,7 +81,7 @@
     run(scenario)
 
 
-def test_a_request_written_in_pieces_may_have_run_once_all_are() -> None:
+def test_disconnect_after_a_request_written_in_pieces_is_a_reset() -> None:
     """Bytes that the event loop buffers are written only when the kernel has them."""
 
     async def scenario() -> None:
@@ -97,7 +97,7 @@
 
 
 def test_abandoning_an_attempt_closes_its_connection() -> None:
-    """Left open, the server would go on working, and its late response would meet the next request."""
+    """Left open, the server would go on working, and its late response would be taken for the next one."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -106,14 +106,14 @@
             link = await peer.link()
             await link.resp()
             attempt.abandon()
-            assert await link.ended()
+            assert await link.closed_by_peer()
             assert attempts.results.empty()
 
     run(scenario)
 
 
 def test_abandoning_an_attempt_while_connecting_sends_nothing() -> None:
-    """Written after all, it would run for nobody, and be in the way of the next request."""
+    """Written after all, it would run for nobody, and delay the next request."""
 
     async def scenario() -> None:
         async with Peer() as peer:
--- a/tests/test_main.py
+++ b/tests/test_server.py
@@ -1,14 +1,12 @@
-"""The program: its configuration and its signals."""
+"""The program: its descriptors, its signals and its start."""
 
 from __future__ import annotations
 
 import asyncio
 import os
-import re
 import resource
 import signal
 import socket
-import sys
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from pathlib import Path
@@ -19,31 +17,26 @@
 
 from cache_router import server
 from cache_router.config import ConfigError, read_config
-from cache_router.errors import RouterError
-from cache_router.net.address import parse_address
 from cache_router.settings import RequestClass, Settings
-from tests.loopback import HIT, PATIENCE, Link, Peer, command, http, read, run, spelled
-from tests.test_net_discovery import LINE, message
+from tests.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
+from tests.loopback import HIT, TEST_TIMEOUT, Peer, format_address, http, read, read_values, run
+from tests.router_process import (
+    CACHED_LIST,
+    VALID_CONFIG,
+    config_with_cache,
+    connected_client,
+    listen_address,
+    router_process,
+)
 from tests.test_simulator_adapter import CONF
 
-CACHED_LIST = {"index": 41, "snapshot": True, "endpoints": [LINE]}
-VALID_CONFIG: dict[str, Any] = {
-    "name": "n3",
-    "listen": "127.0.0.1:6379",
-    "discovery": "127.0.0.1:8500",
-    "seed": "8c1f30d27a5be964",
-    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-    "known": CACHED_LIST,
-    "settings": CONF,
-}
-
 
-def test_a_configuration_is_read() -> None:
-    config = read_config(orjson.dumps(VALID_CONFIG))
-    assert (config.listen, config.discovery) == (("127.0.0.1", 6379), "127.0.0.1:8500")
-    assert (config.seed, config.max_descriptors, config.cached_index) == (0x8C1F30D27A5BE964, 1024, 41)
-    assert [m.entry.name for m in config.cached_endpoints] == ["s-1"]
-    assert config.settings.classes["pay"].idempotency_window == 5.0
+def exit_status(config: bytes | None, path: Path, monkeypatch: pytest.MonkeyPatch) -> int:
+    """Run the program on a configuration that it rejects, None for a missing file; return its exit status."""
+    if config is not None:
+        path.write_bytes(config)
+    monkeypatch.setenv("RELAY_CONFIG", str(path))
+    return server.main()
 
 
 @pytest.mark.parametrize(
@@ -65,7 +58,7 @@
         ({"settings": {**CONF, "classes": [{"name": "x", "aim": 1, "giveUp": 0}]}}, "classes[x].giveUp"),
         ({"settings": {**CONF, "classes": [{"name": "x"}, {"name": "x"}]}}, "classes[1].name"),
         (
-            {"known": {**CACHED_LIST, "endpoints": [{**LINE, "address": "127.0.0.1:\u00b2"}]}},
+            {"known": {**CACHED_LIST, "endpoints": [{**ENDPOINT_ENTRY, "address": "127.0.0.1:\u00b2"}]}},
             "known.endpoints[0]",
         ),
         ({"known": None}, "known"),
@@ -76,59 +69,44 @@
         ({"settings": {**CONF, "limits": {"dialTimeout": "x"}}}, "limits.dialTimeout"),
     ],
 )
-def test_an_unusable_configuration_ends_the_start_in_one_line(
+def test_invalid_configuration_fails_the_start_with_one_line(
     change: dict[str, Any],
     field: str,
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    path = tmp_path / "config.json"
-    path.write_bytes(orjson.dumps({**VALID_CONFIG, **change}))
-    monkeypatch.setenv("RELAY_CONFIG", str(path))
-    assert server.main() == 2
+    """The line names the field that can't be used."""
+    config = orjson.dumps({**VALID_CONFIG, **change})
+    assert exit_status(config, tmp_path / "config.json", monkeypatch) == 2
     (line,) = capsys.readouterr().err.splitlines()
     assert field in line
 
 
 @pytest.mark.parametrize(
-    ("change", "where"),
-    [
-        ({"listen": "here"}, "listen"),
-        ({"seed": "xyz"}, "seed"),
-        ({"settings": {**CONF, "skus": 3}}, "settings"),
-        ({"limits": {"sockets": 1}}, "limits"),
-        ({"known": None}, "known"),
-    ],
-)
-def test_a_configuration_error_carries_its_field(change: dict[str, Any], where: str) -> None:
-    with pytest.raises(RouterError) as caught:
-        read_config(orjson.dumps({**VALID_CONFIG, **change}))
-    assert isinstance(caught.value, ValueError)
-    assert caught.value.where == where
-
-
-@pytest.mark.parametrize(
-    ("limit", "room"), [(resource.RLIM_INFINITY, 1024), (4096, 1024), (1024, 1024), (64, 64), (63, None)]
+    ("limit", "usable"), [(resource.RLIM_INFINITY, 1024), (4096, 1024), (1024, 1024), (64, 64), (63, None)]
 )
-def test_no_more_descriptors_are_planned_with_than_the_process_may_open(
-    limit: int, room: int | None, monkeypatch: pytest.MonkeyPatch
+def test_usable_descriptors_are_bounded_by_the_process_limit(
+    limit: int, usable: int | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The lower of both limits counts; too low a limit is an error of the configuration."""
     monkeypatch.setattr(resource, "getrlimit", lambda _: (limit, resource.RLIM_INFINITY))
-    if room is None:
+    if usable is None:
         with pytest.raises(ConfigError, match=r"^limits\.sockets"):
             server.usable_descriptors(1024)
     else:
-        assert server.usable_descriptors(1024) == room
+        assert server.usable_descriptors(1024) == usable
 
 
 def test_descriptors_are_divided_between_the_kinds_of_connections() -> None:
+    """Clients, origins and cache servers have shares of their own."""
     assert server.DescriptorBudget.divide(1024) == server.DescriptorBudget(372, 124, 496)
     assert server.DescriptorBudget.divide(64) == server.DescriptorBudget(12, 4, 16)
 
 
 @pytest.mark.parametrize(("client_timeout", "sigkill_at"), [(0.6, 1.3), (3.0, 3.7), (9.0, 3.7)])
-def test_a_shutdown_is_over_before_sigkill(client_timeout: float, sigkill_at: float) -> None:
+def test_shutdown_schedule_ends_before_sigkill(client_timeout: float, sigkill_at: float) -> None:
+    """Replies are written 0.2 s before SIGKILL, and connections are closed 0.1 s before it."""
     settings = Settings({"read": RequestClass("read", 0.3, client_timeout=client_timeout)})
     schedule = server.ShutdownSchedule.from_settings(settings)
     assert schedule.accept_until == 0.5
@@ -138,86 +116,27 @@
 
 
 @pytest.mark.parametrize("text", [None, b"", b"{", b"[]"])
-def test_no_configuration_ends_the_start_in_one_line(
+def test_unreadable_configuration_fails_the_start_with_one_line(
     text: bytes | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    path = tmp_path / "config.json"
-    if text is not None:
-        path.write_bytes(text)
-    monkeypatch.setenv("RELAY_CONFIG", str(path))
-    assert server.main() == 2
+    """A missing or malformed file is reported without a traceback."""
+    assert exit_status(text, tmp_path / "config.json", monkeypatch) == 2
     assert len(capsys.readouterr().err.splitlines()) == 1
 
 
-def test_an_address_in_use_ends_the_start_in_one_line(
+def test_listen_address_in_use_fails_the_start_with_one_line(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        path = tmp_path / "config.json"
-        path.write_bytes(orjson.dumps({**VALID_CONFIG, "listen": spelled(taken.getsockname())}))
-        monkeypatch.setenv("RELAY_CONFIG", str(path))
-        assert server.main() == 2
+    """The last line names the field of the configuration."""
+    with socket.create_server(("127.0.0.1", 0)) as occupied:
+        config = orjson.dumps({**VALID_CONFIG, "listen": format_address(occupied.getsockname())})
+        assert exit_status(config, tmp_path / "config.json", monkeypatch) == 2
     assert capsys.readouterr().err.splitlines()[-1].startswith("cache_router: listen: ")
 
 
-async def connected_client(address: tuple[str, int]) -> Link:
-    """A client's connection that has been answered."""
-    client = Link(*await asyncio.open_connection(*address))
-    client.write(command("PING"))
-    assert await client.resp() == b"PONG"
-    return client
-
-
-async def listen_address(log: asyncio.StreamReader | None) -> tuple[str, int]:
-    """Where the program says that it listens."""
-    assert log is not None
-    while (found := re.search(rb"listening on ([0-9.]+:\d+)", await log.readline())) is None:
-        assert not log.at_eof()
-    return parse_address(found[1].decode())
-
-
-@asynccontextmanager
-async def router_process(
-    config: dict[str, Any], path: Path, descriptors: int | None = None
-) -> AsyncIterator[asyncio.subprocess.Process]:
-    """The program with a configuration, and a limit on its descriptors."""
-    path.write_bytes(orjson.dumps(config))
-
-    def limit() -> None:
-        if descriptors is not None:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
-
-    process = await asyncio.create_subprocess_exec(
-        sys.executable,
-        "-m",
-        "cache_router",
-        env={**os.environ, "RELAY_CONFIG": str(path)},
-        stderr=asyncio.subprocess.PIPE,
-        preexec_fn=limit,
-    )
-    try:
-        yield process
-    finally:
-        if process.returncode is None:
-            process.kill()
-            await process.wait()
-
-
-def config_with_cache(cache: Peer, discovery: Peer, mode: str) -> dict[str, Any]:
-    """A configuration with one cache server known."""
-    line = {**LINE, "address": cache.address, "type": "std", "since_ms": 0}
-    return {
-        **VALID_CONFIG,
-        "listen": "127.0.0.1:0",
-        "discovery": discovery.address,
-        "settings": {**CONF, "membershipMode": mode},
-        "known": {"index": 1, "snapshot": True, "endpoints": [line]},
-    }
-
-
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
-def test_the_program_serves_and_ends_on_sigterm_when_nothing_is_owed(mode: str, tmp_path: Path) -> None:
-    """Ended too early it loses what it has taken; too late it is killed with what it holds."""
+def test_sigterm_ends_the_process_once_all_requests_are_answered(mode: str, tmp_path: Path) -> None:
+    """Ended too early it loses accepted requests; too late it is killed with requests in flight."""
 
     async def scenario() -> None:
         async with (
@@ -227,45 +146,45 @@
         ):
             watch = await discovery.link()
             assert "after=1&" in (await watch.http())[0]
-            watch.write(http("200 OK", message(2, False)))
+            watch.write(http("200 OK", encode_endpoint_list(2, False)))
             address = await listen_address(process.stderr)
             client = await connected_client(address)
             client.write(read("r1"))
-            served = await cache.link()
-            await served.resp()
+            cache_link = await cache.link()
+            await cache_link.resp()
             process.send_signal(signal.SIGTERM)
             late = await connected_client(address)
-            assert await late.ended()
-            served.write(HIT)
+            assert await late.closed_by_peer()
+            cache_link.write(HIT)
             assert await client.resp() == b"value"
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT):
                 assert await process.wait() == 0
 
     run(scenario)
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
-def test_sighup_moves_the_watch_twice_under_load(mode: str, tmp_path: Path) -> None:
-    """Unhandled it kills the router; a watch left on the old discovery would miss drains told by the new."""
+def test_sighup_moves_the_watch_to_the_new_address_under_load(mode: str, tmp_path: Path) -> None:
+    """Unhandled, SIGHUP kills the router; a watch of the old address would miss later drains."""
 
     async def scenario() -> None:
         path = tmp_path / "config.json"
         async with Peer() as cache, Peer() as first, Peer() as second, Peer() as third:
             config = config_with_cache(cache, first, mode)
             async with router_process(config, path) as process:
-                old, address = await first.link(), await listen_address(process.stderr)
-                await old.http()
+                watch, address = await first.link(), await listen_address(process.stderr)
+                await watch.http()
                 client = await connected_client(address)
                 client.write(read("r0"))
                 for number, discovery in enumerate((second, third), 1):
                     path.write_bytes(orjson.dumps({**config, "discovery": discovery.address}))
                     process.send_signal(signal.SIGHUP)
+                    poll = await discovery.link()
+                    assert (await poll.http())[0] == "GET /registry/instances HTTP/1.1"
+                    assert await watch.closed_by_peer()
+                    poll.write(http("200 OK", encode_endpoint_list(7, True, *config["known"]["endpoints"])))
                     watch = await discovery.link()
-                    assert (await watch.http())[0] == "GET /registry/instances HTTP/1.1"
-                    assert await old.ended()
-                    watch.write(http("200 OK", message(7, True, *config["known"]["endpoints"])))
-                    old = await discovery.link()
-                    assert "after=7&" in (await old.http())[0]
+                    assert "after=7&" in (await watch.http())[0]
                     await cache.serve(HIT)
                     assert await client.resp() == b"value"
                     client.write(read(f"r{number}"))
@@ -276,7 +195,7 @@
                     assert not process.stderr.at_eof()
                 await cache.serve(HIT)
                 assert await client.resp() == b"value"
-                old.write(http("200 OK", message(8, False)))
+                watch.write(http("200 OK", encode_endpoint_list(8, False)))
                 assert "after=8&" in (await (await third.link()).http())[0]
 
     run(scenario)
@@ -284,10 +203,10 @@
 
 @asynccontextmanager
 async def serving_in_process(config: dict[str, Any], path: Path) -> AsyncIterator[tuple[str, int]]:
-    """The program in this process, and where it will listen."""
+    """Run the program in this process, and return the address at which it will listen."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         address: tuple[str, int] = free.getsockname()
-    config = {**config, "listen": spelled(address)}
+    config = {**config, "listen": format_address(address)}
     serving = asyncio.create_task(server.serve(read_config(orjson.dumps(config)), str(path)))
     try:
         yield address
@@ -296,42 +215,41 @@
         await serving
 
 
-def test_a_new_process_is_not_there_before_its_first_list(
+def test_router_listens_only_after_its_first_endpoint_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What the agent holds counts as told from the first moment; the list known may be long out of date."""
-    monkeypatch.setattr(server, "FIRST_LIST_TIMEOUT", PATIENCE)
+    """The drain deadline of discovery's list counts from the start; the cached list may be outdated."""
+    monkeypatch.setattr(server, "FIRST_LIST_TIMEOUT", TEST_TIMEOUT)
 
     async def scenario() -> None:
-        async with Peer() as left, Peer() as stays, Peer() as agent:
-            config = config_with_cache(left, agent, "automatic")
-            gone = config["known"]["endpoints"][0]
-            other = {**gone, "name": "s-2", "address": stays.address}
-            config["known"]["endpoints"].append(other)
+        async with Peer() as draining, Peer() as ready, Peer() as agent:
+            config = config_with_cache(draining, agent, "automatic")
+            draining_entry = config["known"]["endpoints"][0]
+            ready_entry = {**draining_entry, "name": "s-2", "address": ready.address}
+            config["known"]["endpoints"].append(ready_entry)
             async with serving_in_process(config, tmp_path / "config.json") as address:
-                call = await agent.link()
-                assert "after=1&wait_ms=0 " in (await call.http())[0]  # so that no news is an answer as well
+                poll = await agent.link()
+                # without a wait, so that discovery answers also when nothing has changed
+                assert "after=1&wait_ms=0 " in (await poll.http())[0]
                 with pytest.raises(ConnectionRefusedError):
                     await asyncio.open_connection(*address)
-                call.write(http("200 OK", message(2, False, {**gone, "status": "terminating"})))
+                update = encode_endpoint_list(2, False, {**draining_entry, "status": "terminating"})
+                poll.write(http("200 OK", update))
                 budget = read_config(orjson.dumps(config)).settings.watch_budget
-                call = await agent.link()
-                assert f"after=2&wait_ms={int(budget.long_poll_wait * 1000)} " in (await call.http())[0]
+                poll = await agent.link()
+                assert f"after=2&wait_ms={int(budget.long_poll_wait * 1000)} " in (await poll.http())[0]
                 client = await connected_client(address)
-                for n in range(8):
-                    client.write(read(f"r{n}", f"k{n}"))
-                    await stays.serve(HIT)
-                    assert await client.resp() == b"value"
-                assert left.links.empty()
+                await read_values(client, ready, 8)
+                assert draining.links.empty()
                 client.close()
 
     run(scenario)
 
 
-def test_a_new_process_serves_from_the_list_known_while_its_agent_is_silent(
+def test_router_serves_from_the_cached_list_while_discovery_is_silent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Discovery may be down for long, and has told nothing then."""
+    """Discovery may be unavailable for long, and has then sent nothing newer."""
     monkeypatch.setattr(server, "FIRST_LIST_TIMEOUT", 0.01)
 
     async def scenario() -> None:
--- /dev/null
+++ b/tests/test_startup.py
@@ -0,0 +1,130 @@
+"""A start with a long endpoint list."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import sys
+import time
+from collections.abc import Callable
+from pathlib import Path
+from types import FrameType
+from typing import Any
+
+import orjson
+
+from cache_router.config import read_config
+from cache_router.decisions.events import EndpointUpdateKind
+from cache_router.net.cache_connection import CacheConnection
+from cache_router.net.connection_pool import ConnectionPool
+from cache_router.net.dispatcher import Dispatcher
+from cache_router.net.endpoint_list_reader import read_endpoint_list
+from cache_router.net.origin_connection import OriginConnection
+from tests.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
+from tests.loopback import Peer, http, run
+from tests.router_process import (
+    PROCESS_TEST_TIMEOUT,
+    VALID_CONFIG,
+    config_with_cache,
+    connected_client,
+    listen_address,
+    router_process,
+)
+
+
+def cache_entries(count: int) -> list[dict[str, Any]]:
+    """Entries of cache servers at addresses that nobody connects to here."""
+    return [
+        {
+            **ENDPOINT_ENTRY,
+            "name": f"s-{n:08x}",
+            "address": f"10.1.{n // 200}.{n % 200 + 1}:6379",
+            "type": "std",
+        }
+        for n in range(count)
+    ]
+
+
+class RouterStart:
+    """What the program does with its cached endpoint list, and then with an equal first snapshot."""
+
+    def __init__(self, count: int) -> None:
+        """Prepare a configuration and a snapshot with so many cache servers."""
+        entries = cache_entries(count)
+        self.config = {**VALID_CONFIG, "known": {"index": 1, "snapshot": True, "endpoints": entries}}
+        self.encoded_config = orjson.dumps(self.config)
+        self.snapshot = encode_endpoint_list(2, True, *entries)
+
+    def run(self) -> None:
+        """Read the configuration, and hand the dispatcher both lists."""
+        config = read_config(self.encoded_config)
+        servers = ConnectionPool(CacheConnection, 8, 1.0, 60.0)
+        origin = ConnectionPool(OriginConnection, 8, 1.0, 60.0)
+        dispatcher = Dispatcher(config.settings, config.seed, servers, origin, lambda: None)
+        dispatcher.on_endpoint_update(EndpointUpdateKind.CACHED, config.cached_endpoints)
+        update = read_endpoint_list(orjson.loads(self.snapshot))
+        dispatcher.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, update.endpoints)
+
+    def calls(self) -> int:
+        """Count the calls of functions, also of those written in C."""
+        calls = 0
+
+        def count(frame: FrameType, event: str, argument: object) -> None:
+            nonlocal calls
+            calls += event in ("call", "c_call")
+
+        sys.setprofile(count)
+        try:
+            self.run()
+        finally:
+            sys.setprofile(None)
+        return calls
+
+    def seconds(self) -> float:
+        """Return the least processor time of five runs, in seconds."""
+        times = []
+        for _ in range(5):
+            started_at = time.process_time()
+            self.run()
+            times.append(time.process_time() - started_at)
+        return min(times)
+
+
+def test_startup_work_grows_no_faster_than_the_endpoint_list() -> None:
+    """With 840 entries and a shared core, nine routers in ten have to be ready within 10 s."""
+    small, large = RouterStart(210), RouterStart(840)
+    assert large.calls() < 1.25 * 4 * small.calls()
+    assert large.seconds() < 3.0 * 4 * small.seconds()  # also work in C that no call shows
+
+
+def processor_seconds(process: asyncio.subprocess.Process) -> float:
+    """Return the processor time that a process has used, in seconds."""
+    fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
+    return sum(map(int, fields[11:13])) / os.sysconf("SC_CLK_TCK")
+
+
+def test_startup_with_840_entries_polls_the_complete_list_once(
+    tmp_path: Path, record_property: Callable[[str, object], None]
+) -> None:
+    """When many routers start together, a second poll for the list would wait behind all first ones."""
+
+    async def scenario() -> None:
+        async with Peer() as agent:
+            entries = cache_entries(840)
+            config = config_with_cache(agent, agent, "automatic")
+            config["known"]["endpoints"] = entries
+            async with router_process(config, tmp_path / "config.json") as process:
+                poll = await agent.link()
+                assert "after=1&" in (await poll.http())[0]
+                poll.write(http("200 OK", encode_endpoint_list(2, True, *entries)))
+                client = await connected_client(await listen_address(process.stderr))
+                record_property("processor_seconds", processor_seconds(process))
+                watch = await agent.link()  # for changes after the list, and not for the list again
+                first, _, _ = await watch.http()
+                assert "after=2&" in first
+                assert "wait_ms=0 " not in first
+                await client.ping()
+                assert agent.links.empty()
+                client.close()
+
+    run(scenario, PROCESS_TEST_TIMEOUT)
