--- /dev/null
+++ b/tests/test_load_report.py
@@ -0,0 +1,41 @@
+"""How load reports are read."""
+
+from __future__ import annotations
+
+import pytest
+
+from cache_router.decisions.events import LoadReport
+from cache_router.load_report import parse_load_report
+from cache_router.settings import SettingsError
+from cache_router.settings_reader import read_settings
+
+NAMES = ("svc_ms", "pending")
+
+
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"",
+        b"svc_ms=1",
+        b"svc_ms=nan,pending=1",
+        b"svc_ms=1,pending=inf",
+        b"svc_ms=-1,pending=0",
+        b"x" * 9000,
+        b"\xff=,=",
+    ],
+)
+def test_a_report_that_cannot_be_read_is_none(text: bytes) -> None:
+    assert parse_load_report(text, NAMES) is None
+
+
+def test_a_report_is_read_by_the_names_in_the_settings() -> None:
+    conf = {"classes": [{"name": "read"}], "loadReport": {"fields": [*NAMES, "x0"]}}
+    names = read_settings(conf).load_report_fields
+    assert parse_load_report(b"x0=1,pending=2.5,svc_ms=40,other=3", names) == LoadReport(0.04, 2.5)
+    assert parse_load_report(b"pending=2.5,svc_ms=40", ()) is None
+
+
+@pytest.mark.parametrize("fields", ["svc_ms", [1], {}])
+def test_names_that_are_none_are_told(fields: object) -> None:
+    with pytest.raises(SettingsError, match=r"loadReport\.fields"):
+        read_settings({"classes": [{"name": "read"}], "loadReport": {"fields": fields}})
--- a/tests/test_load.py
+++ b/tests/test_overload_backoff.py
@@ -1,17 +1,12 @@
-"""Load reports: how they are read, and what a router makes of them."""
+"""Backoff from overloaded servers, by their load reports and timeouts."""
 
 from __future__ import annotations
 
 import pytest
 
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, LoadReport
-from cache_router.load_report import parse_load_report
-from cache_router.settings import SettingsError
-from cache_router.settings_reader import read_settings
 from tests.driver import Driver, entry, settings
 
-NAMES = ("svc_ms", "pending")
-
 
 def jam(d: Driver, name: str, service: float = 0.5, waiting: float = 20.0) -> str:
     """A request whose server refuses it as full and tells how much waits there; answers with the server."""
@@ -57,35 +52,6 @@
     assert len(ends) == 40 and max(ends) - min(ends) > 1.0
 
 
-@pytest.mark.parametrize(
-    "text",
-    [
-        b"",
-        b"svc_ms=1",
-        b"svc_ms=nan,pending=1",
-        b"svc_ms=1,pending=inf",
-        b"svc_ms=-1,pending=0",
-        b"x" * 9000,
-        b"\xff=,=",
-    ],
-)
-def test_a_report_that_cannot_be_read_is_none(text: bytes) -> None:
-    assert parse_load_report(text, NAMES) is None
-
-
-def test_a_report_is_read_by_the_names_in_the_settings() -> None:
-    conf = {"classes": [{"name": "read"}], "loadReport": {"fields": [*NAMES, "x0"]}}
-    names = read_settings(conf).load_report_fields
-    assert parse_load_report(b"x0=1,pending=2.5,svc_ms=40,other=3", names) == LoadReport(0.04, 2.5)
-    assert parse_load_report(b"pending=2.5,svc_ms=40", ()) is None
-
-
-@pytest.mark.parametrize("fields", ["svc_ms", [1], {}])
-def test_names_that_are_none_are_told(fields: object) -> None:
-    with pytest.raises(SettingsError, match=r"loadReport\.fields"):
-        read_settings({"classes": [{"name": "read"}], "loadReport": {"fields": fields}})
-
-
 def seconds_between_sends(siblings: int) -> float:
     """The mean time that one router leaves a server alone that is on its way into a jam."""
     pauses = []
@@ -122,17 +88,3 @@
     d.list(*(entry(s) for s in "abcdef"))
     first = jam(d, "r", service=0.15, waiting=12.0)  # 0.6 of the aim
     assert d.request("s", key="k", finish=True) != first
-
-
-def test_few_quick_answers_of_a_server_set_no_early_copies() -> None:
-    """A server met once or twice seemed quick by chance, and a tenth of all attempts were needless copies."""
-    d = Driver(settings())
-    d.list(*(entry(s) for s in "abcdef"))
-    quick = d.request("r", key="k")
-    d.end("r", AttemptStatus.OK, latency=0.01)
-    for n in range(60):
-        if d.request(f"u{n}", key=f"u{n}") is not None:
-            d.end(f"u{n}", AttemptStatus.OK, latency=0.01 if d.sends[f"u{n}"][0] == quick else 0.1)
-    d.request("s", key="k")
-    copies = [due - d.now for due, token in d.timers if token == "hedge:s"]
-    assert d.sends["s"] == [quick] and all(pause > 0.3 for pause in copies) and copies
--- /dev/null
+++ b/tests/test_router_properties.py
@@ -0,0 +1,152 @@
+"""The four rules under random legal sequences of events."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+from hypothesis import HealthCheck, Phase, given
+from hypothesis import settings as hypothesis_settings
+from hypothesis import strategies as st
+
+from cache_router.decisions.actions import SetTimer
+from cache_router.decisions.events import (
+    AttemptStatus,
+    ClientDisconnected,
+    EndpointUpdate,
+    EndpointUpdateKind,
+)
+from cache_router.decisions.retry_policy import RetryPolicy
+from cache_router.decisions.router import Router
+from cache_router.endpoint import EndpointState
+from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings
+from tests.driver import Driver, entry, settings
+from tests.router_scenarios import ASIDE, fleet
+
+
+class Random(Driver):
+    """Random legal events, chosen by hypothesis."""
+
+    def step(self, data: st.DataObject, n: int) -> None:
+        move = data.draw(st.sampled_from(["request"] * 4 + ["end"] * 5 + ["wait"] * 2 + ["list", "gone"]))
+        outstanding = [k for k, s in self.state.items() if s is None]
+        if move == "request":
+            names = sorted(self.conf.classes)
+            self.request(
+                f"r{n}",
+                request_class=data.draw(st.sampled_from(names)),
+                time_left=data.draw(st.sampled_from([0.0, 0.01, 0.8, 2.0])),
+                key=data.draw(st.sampled_from([None, "k1", "k2", "k3"])),
+                is_write=data.draw(st.booleans()),
+                cost_hint=data.draw(st.sampled_from([None, 0.0, 0.2])),
+            )
+        elif move == "end" and outstanding:
+            name, number = data.draw(st.sampled_from(outstanding))
+            self.end(name, data.draw(st.sampled_from(list(AttemptStatus))), number)
+        elif move == "wait":
+            self.wait(data.draw(st.sampled_from([0.0, 0.05, 0.4, 1.0])))
+        elif move == "list":
+            self.random_list(data)
+        elif move == "gone" and self.open:
+            name = data.draw(st.sampled_from(sorted(self.open)))
+            self.finish(name, "gone")
+            self.feed(ClientDisconnected(name))
+
+    def random_list(self, data: st.DataObject) -> None:
+        kind = data.draw(st.sampled_from(list(EndpointUpdateKind)))
+        names = data.draw(st.lists(st.sampled_from("abcdo"), unique=True))
+        states = st.sampled_from(
+            [EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED]
+        )
+        since = st.sampled_from([0.0, self.now])
+        rows = [
+            entry(
+                n, state=data.draw(states), kind="origin" if n == "o" else "std", started_at=data.draw(since)
+            )
+            for n in names
+        ]
+        if kind is EndpointUpdateKind.FAILED:
+            self.feed(EndpointUpdate(kind))
+        else:
+            self.list(*rows, kind=kind)
+
+
+def groups(group: IdempotencyScope) -> dict[str, RequestClass]:
+    keyed = RequestClass(
+        "keyed", 1.0, Idempotency.WITH_KEY, group, idempotency_window=0.5, priority_weight=5.0
+    )
+    once = RequestClass("once", 1.0, Idempotency.NOT_IDEMPOTENT, priority_weight=5.0)
+    late = RequestClass("late", 0.5)
+    return {c.name: c for c in (RequestClass("read", 1.0), keyed, once, late)}
+
+
+def drive(data: st.DataObject, make: type[Router] = Router) -> None:
+    conf = settings(
+        classes=groups(data.draw(st.sampled_from(list(IdempotencyScope)))),
+        hedging_allowed=data.draw(st.booleans()),
+        cancellation_allowed=data.draw(st.booleans()),
+        max_attempts=data.draw(st.sampled_from([1, 3, 6])),
+        must_subscribe=data.draw(st.booleans()),
+        **(ASIDE if data.draw(st.booleans()) else {}),
+    )
+    d = Random(conf, make=make)
+    d.list(*fleet("a", "b", "c", "d", "o"), kind=EndpointUpdateKind.CACHED)
+    for n in range(data.draw(st.integers(5, 40))):
+        d.step(data, n)
+    d.wait(10.0)
+    assert not d.open, "rule 1: left without an answer"
+    assert not d.router.pending, "something is still held"
+
+
+CHECKS = hypothesis_settings(
+    derandomize=True,
+    max_examples=150,
+    deadline=None,
+    database=None,
+    phases=[Phase.generate],
+    suppress_health_check=list(HealthCheck),
+)
+
+
+@CHECKS
+@given(st.data())
+def test_rules_hold_under_random_events(data: st.DataObject) -> None:
+    drive(data)
+
+
+class PermissivePolicy(RetryPolicy):
+    """Broken on purpose: permits any request to be sent again, or rejected."""
+
+    def permits_attempt(self, pending: Any, server: Any, now: float) -> bool:
+        return True
+
+    def permits_rejection(self, pending: Any) -> bool:
+        return True
+
+
+class Resender(Router):
+    """Broken on purpose: sends anything again."""
+
+    def __init__(self, conf: Settings, seed: int, now: float) -> None:
+        super().__init__(conf, seed, now)
+        self.retry_policy = PermissivePolicy(conf)
+        self.selector.retry_policy = self.hedging.retry_policy = self.retry_policy
+
+
+class Forgetter(Router):
+    """Broken on purpose: sets no timer for what it holds."""
+
+    def _enqueue(self, pending: Any) -> None:
+        super()._enqueue(pending)
+        self._actions = [a for a in self._actions if not isinstance(a, SetTimer)]
+
+
+@pytest.mark.parametrize("broken", [Resender, Forgetter])
+def test_the_property_test_catches_a_broken_module(broken: type[Router]) -> None:
+    @CHECKS
+    @given(st.data())
+    def attempt(data: st.DataObject) -> None:
+        drive(data, broken)
+
+    with pytest.raises(AssertionError):
+        attempt()
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -23,9 +23,11 @@
     Request,
     TimerFired,
 )
+from cache_router.decisions.model import Server
 from cache_router.decisions.router import Router
 from cache_router.endpoint import Endpoint
 from tests.driver import Driver, entry, settings
+from tests.router_scenarios import primaries
 
 ROUTERS, CACHES, START = 30, 10, 5.0
 LATENCY = 0.02
@@ -170,3 +172,69 @@
     cold.concurrency.unanswered_since = d.now + 0.001  # it has answered others since
     d.wait(hedging.LATENCY_FACTOR * 0.01)
     assert d.sends[name] == ["b", copy]
+
+
+def test_warming_server_gets_its_share_and_not_more() -> None:
+    """A surge of a thousand requests in a second just after a start: not the full arcs."""
+    d = Driver(
+        settings(
+            slow_start_duration=10.0, slow_start_initial_share=0.3, overload_multiple=2.0, overload_window=1.0
+        )
+    )
+    d.list(entry("a"), entry("b"), entry("c"))
+    for n in range(4000):
+        if n == 3000:
+            d.list(entry("a"), entry("b"), entry("c"), entry("d", started_at=d.now))
+        d.now += 0.01 if n < 3000 else 0.001
+        d.request(f"r{n}", key=f"k{n}", finish=True)
+    cold = sum(s == ["d"] for s in d.sends.values())
+    assert 5 < cold < 1000 / 4 * 0.45
+
+
+def test_warm_server_gets_all_its_arcs_again() -> None:
+    d = Driver(settings(slow_start_duration=10.0, slow_start_initial_share=0.3))
+    d.list(entry("a"), entry("b", started_at=d.now))
+    d.now += 10.0
+    sent = [d.request(f"r{n}", key=f"k{n}", finish=True) for n in range(400)]
+    assert sent.count("b") > 120
+
+
+def test_a_cold_server_has_its_warm_up_share_of_keys_at_every_router() -> None:
+    """Budgets of each router, always letting one through, added up to an overload at hundreds of them."""
+    shares = []
+    for age in (0.0, 5.0, 10.0):
+        d = Driver(settings(slow_start_duration=10.0, slow_start_initial_share=0.3))
+        d.list(*(entry(f"s{i}") for i in range(9)), entry("cold", started_at=d.now))
+        d.now += age
+        shares.append(primaries(d, "r").count("cold") / 2000 * 10)
+    assert shares == sorted(shares)
+    assert shares == pytest.approx([0.3, 0.65, 1.0], abs=0.2)
+
+
+def test_a_cold_server_takes_no_spills() -> None:
+    """In a burst, what crowded neighbours could not take pushed over a server just started."""
+    d = Driver(settings())
+    d.list(*(entry(n) for n in "abc"), entry("d", started_at=d.now))
+    for n in range(300):
+        for s in "abc":
+            d.router.endpoints.servers[s].concurrency.limit = 0.0
+        d.request(f"r{n}", key=f"k{n}", finish=f"r{n}" in d.sends)
+    assert sum("d" in s for s in d.sends.values()) < 300 / 4 * 0.5
+
+
+def usable_share(d: Driver, server: Server) -> float:
+    """Share of a server's points that count now."""
+    return d.router.slow_start.usable_share(server.endpoint, d.router.health.success_rate, d.now)
+
+
+def test_a_cold_server_gets_less_while_answers_fail() -> None:
+    """In an overload clients retried all that failed, and the multiple pushed over servers just started."""
+    d = Driver(settings(slow_start_initial_share=0.3, max_attempts=1))
+    d.list(*(entry(n) for n in "abc"), entry("d", started_at=d.now))
+    assert primaries(d, "a").count("d") > 80
+    cold = d.router.endpoints.servers["d"]
+    assert usable_share(d, cold) == pytest.approx(0.3)
+    for n in range(20):
+        if d.request(f"f{n}", key=f"k{n}") is not None:
+            d.end(f"f{n}", AttemptStatus.TIMEOUT)
+    assert usable_share(d, cold) < 0.3 / 4
--- a/tests/test_watch_budget.py
+++ b/tests/test_watch_budget.py
@@ -20,9 +20,9 @@
 from cache_router.settings import MIN_BACKOFF, WatchBudget
 from tests.driver import Driver, entry, settings
 from tests.loopback import Peer, http, run
+from tests.router_scenarios import FAILED_CALL
 from tests.test_net_discovery import LINE, WatchRecorder, call, message
 
-FAILED_CALL = EndpointUpdate(EndpointUpdateKind.FAILED)
 WAYS = {
     "asked": settings(must_subscribe=True, overload_window=2.0, slow_start_duration=8.9),
     "pushed": settings(slow_start_duration=8.9),
