--- a/tests/driver.py
+++ b/tests/driver.py
@@ -71,7 +71,8 @@
 
     def check(self, action: Action) -> None:
         if isinstance(action, SetTimer):
-            assert 0 <= action.delay < 4260 and 1 <= len(write_timer(action.timer)) <= 64
+            assert 0 <= action.delay < 4260
+            assert 1 <= len(write_timer(action.timer)) <= 64
             self.timers.append((self.now + action.delay, write_timer(action.timer)))
         elif isinstance(action, Cancel):
             assert (action.request_id, action.attempt_number) in self.state, "cancels an attempt never made"
@@ -87,7 +88,8 @@
         name = action.request_id
         assert name in self.open, f"rule 1: sends for {name}, which is ended or unknown"
         target = self.listed.get(action.server)
-        assert target is not None and target.state is EndpointState.READY, "rule 3: sends to a drained server"
+        assert target is not None, "rule 3: sends to a server that is not listed"
+        assert target.state is EndpointState.READY, "rule 3: sends to a drained server"
         kind = self.conf.classes[self.open[name].request_class]
         earlier = self.sends.setdefault(name, [])
         assert len(earlier) < self.conf.max_attempts, "more attempts than allowed"
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -17,7 +17,8 @@
         d.now += 0.6
         d.end(f"s{n}", AttemptStatus.OK, latency=0.9)
     sent = [d.request(f"r{n}") for n in range(10)]
-    assert sent.count("a") == 1 and sent.count(None) == 9
+    assert sent.count("a") == 1
+    assert sent.count(None) == 9
     assert [d.ended[f"r{n}"] for n in range(1, 10)] == ["refused"] * 9
 
 
--- a/tests/test_endpoint_polling.py
+++ b/tests/test_endpoint_polling.py
@@ -21,7 +21,8 @@
     pauses = []
     for _ in range(6):
         timer, log = d.feed(EndpointUpdate(EndpointUpdateKind.FAILED))
-        assert isinstance(log, LogMessage) and "out of reach" in log.message
+        assert isinstance(log, LogMessage)
+        assert "out of reach" in log.message
         assert isinstance(timer, SetTimer)
         pauses.append(timer.delay)
         d.timers.clear()
@@ -51,5 +52,6 @@
         d.feed(EndpointUpdate(EndpointUpdateKind.FAILED))
     assert d.feed(DiscoveryAddressChanged()) == [SubscribeToEndpoints()]
     timer, _ = d.feed(EndpointUpdate(EndpointUpdateKind.FAILED))
-    assert isinstance(timer, SetTimer) and timer.delay <= d.conf.overload_window
+    assert isinstance(timer, SetTimer)
+    assert timer.delay <= d.conf.overload_window
     assert Driver(settings()).feed(DiscoveryAddressChanged()) == []
--- a/tests/test_hash_ring.py
+++ b/tests/test_hash_ring.py
@@ -55,7 +55,8 @@
     d.list(*everyone[:-1])
     after = primaries(d, "b")
     moved = [k for k, s in enumerate(before) if s != after[k]]
-    assert {before[k] for k in moved} == {f"s{size - 1}"} and len(moved) < 2 * 2000 / size
+    assert {before[k] for k in moved} == {f"s{size - 1}"}
+    assert len(moved) < 2 * 2000 / size
     d.list(*reversed(everyone))  # nor does the order listed matter
     assert primaries(d, "c") == before
 
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -41,11 +41,13 @@
         d.now += 0.001
         d.request("r2", key="k", finish=True)
     d.wait(hedging.LATENCY_FACTOR * 0.01)
-    assert len(d.sends["r1"]) == 2 and (d.sends["r1"][1] == first) is alive
+    assert len(d.sends["r1"]) == 2
+    assert (d.sends["r1"][1] == first) is alive
     d.end("r1", AttemptStatus.MISS)  # and a miss goes on, though the first is still out
     assert d.sends["r1"][2] == "o"
     d.ok("r1")
-    assert d.state["r1", 0] is None and not d.router.pending
+    assert d.state["r1", 0] is None
+    assert not d.router.pending
 
 
 @pytest.mark.parametrize("why", ["not safe", "no retries", "forbidden", "draining"])
@@ -60,7 +62,8 @@
     if why == "draining":
         d.list(entry(first, state=EndpointState.DRAINING), kind=EndpointUpdateKind.DELTA)
     d.wait(hedging.LATENCY_FACTOR * 0.01)
-    assert first not in d.sends["r1"][1:] and (why == "draining" or len(d.sends["r1"]) == 1)
+    assert first not in d.sends["r1"][1:]
+    assert why == "draining" or len(d.sends["r1"]) == 1
 
 
 def test_few_quick_answers_of_a_server_set_no_early_copies() -> None:
@@ -74,4 +77,6 @@
             d.end(f"u{n}", AttemptStatus.OK, latency=0.01 if d.sends[f"u{n}"][0] == quick else 0.1)
     d.request("s", key="k")
     copies = [due - d.now for due, token in d.timers if token == "hedge:s"]
-    assert d.sends["s"] == [quick] and all(pause > 0.3 for pause in copies) and copies
+    assert d.sends["s"] == [quick]
+    assert all(pause > 0.3 for pause in copies)
+    assert copies
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -97,4 +97,5 @@
     names: dict[str, object] = {}
     exec(code.group(1), names)
     send = next(a for a in names["actions"] if isinstance(a, Send))  # type: ignore[attr-defined]
-    assert send.request_id == "r1" and send.server in ("cache-1", "cache-2")
+    assert send.request_id == "r1"
+    assert send.server in ("cache-1", "cache-2")
--- a/tests/test_origin_queue.py
+++ b/tests/test_origin_queue.py
@@ -44,10 +44,12 @@
     d.router.endpoints.servers["o"].concurrency.latency = 0.45
     for n in "123":
         missed(d, f"r{n}", key=f"k{n}")
-    assert d.sends["r2"] == ["a", "o"] and d.sends["r3"] == ["a"]
+    assert d.sends["r2"] == ["a", "o"]
+    assert d.sends["r3"] == ["a"]
     d.now += 0.5
     d.ok("r1")
-    assert d.sends["r3"] == ["a"] and d.ended["r3"] == "refused"
+    assert d.sends["r3"] == ["a"]
+    assert d.ended["r3"] == "refused"
 
 
 def test_a_fetch_needs_twice_the_usual_latency() -> None:
@@ -57,7 +59,8 @@
     d.router.endpoints.servers["o"].concurrency.latency = 0.4
     missed(d, "r1", key="k1")
     d.request("r2", key="k2", time_left=0.7)
-    assert d.end("r2", AttemptStatus.MISS) is None and d.ended["r2"] == "refused"
+    assert d.end("r2", AttemptStatus.MISS) is None
+    assert d.ended["r2"] == "refused"
     d.request("r3", key="k3", time_left=0.9)
     assert d.end("r3", AttemptStatus.MISS) == "o"
 
@@ -70,7 +73,8 @@
     d.router.endpoints.servers["o"].concurrency.latency = 0.6
     assert d.request("r1", key="k1", is_write=True) == "o"
     d.router.endpoints.servers["o"].concurrency.latency = 1.1
-    assert d.request("r2", key="k2", is_write=True) is None and d.ended["r2"] == "refused"
+    assert d.request("r2", key="k2", is_write=True) is None
+    assert d.ended["r2"] == "refused"
 
 
 def test_worth_goes_first_at_the_origin() -> None:
@@ -82,7 +86,8 @@
     missed(d, "r2", key="k2")
     d.request("w", request_class="keyed", key="k3", is_write=True)
     d.end("r1", AttemptStatus.RESET)
-    assert d.sends.get("w") == ["o"] and d.sends["r2"] == ["a"]
+    assert d.sends.get("w") == ["o"]
+    assert d.sends["r2"] == ["a"]
 
 
 def test_the_queue_for_the_origin_stays_bounded() -> None:
@@ -108,7 +113,8 @@
     d.wait(0.35)
     assert "r2" not in d.ended
     d.wait(0.1)
-    assert d.ended["r2"] == "refused" and d.sends["r2"] == ["a"]
+    assert d.ended["r2"] == "refused"
+    assert d.sends["r2"] == ["a"]
 
 
 def test_a_slower_origin_ends_at_once_what_it_leaves_no_time_for() -> None:
--- a/tests/test_overload_backoff.py
+++ b/tests/test_overload_backoff.py
@@ -49,7 +49,8 @@
         d = Driver(settings(), seed=seed)
         d.list(*(entry(s) for s in "abcdef"))
         ends.add(d.router.endpoints.servers[jam(d, "r")].overload.backoff_until)
-    assert len(ends) == 40 and max(ends) - min(ends) > 1.0
+    assert len(ends) == 40
+    assert max(ends) - min(ends) > 1.0
 
 
 def seconds_between_sends(siblings: int) -> float:
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -84,7 +84,8 @@
     d.list(*fleet("a", "b", "c", "d"))
     d.request("r", key="k")
     d.router.retry_budget.tokens, d.router.health.success_rate = 0.0, 0.2
-    assert d.end("r", AttemptStatus.REJECTED) is None and d.ended["r"] == "refused"
+    assert d.end("r", AttemptStatus.REJECTED) is None
+    assert d.ended["r"] == "refused"
 
 
 def test_an_error_of_a_fetch_is_not_tried_elsewhere() -> None:
@@ -92,7 +93,8 @@
     d = Driver(settings())
     d.list(*fleet("a", "b"))
     d.request("r")
-    assert d.end("r", AttemptStatus.ERROR) is None and d.ended["r"] == "refused"
+    assert d.end("r", AttemptStatus.ERROR) is None
+    assert d.ended["r"] == "refused"
 
 
 def test_a_refused_connection_spends_no_retry() -> None:
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -88,7 +88,8 @@
     d.request("r")
     d.feed(ResponseStarted("r", 0))
     d.feed(TimerFired(Timer(TimerKind.QUEUE_DEADLINE, "r")))
-    assert "r" in d.open and len(d.sends["r"]) == 1
+    assert "r" in d.open
+    assert len(d.sends["r"]) == 1
 
 
 def test_equal_events_give_equal_actions() -> None:
@@ -122,6 +123,8 @@
         d.wait(0.05)
     d.wait(5.0)
     r = d.router
-    assert not r.pending and not r.attempts
-    assert len(r.endpoints.servers) <= 5 and len(r.queue) < 100
+    assert not r.pending
+    assert not r.attempts
+    assert len(r.endpoints.servers) <= 5
+    assert len(r.queue) < 100
     assert r.endpoints.ring.size == len(list(r.endpoints.ring.points())) <= 5 * endpoints.POINTS_PER_UNIT
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -32,7 +32,8 @@
     crowd(d, first)
     assert d.request("r1", key="k") == second
     crowd(d, second)
-    assert d.request("r2", key="k") is None and d.ended["r2"] == "refused"
+    assert d.request("r2", key="k") is None
+    assert d.ended["r2"] == "refused"
     assert d.router.endpoints.servers[third].concurrency.in_flight == 0
 
 
@@ -122,7 +123,8 @@
         return eligible(selector, pending, server, now)
 
     monkeypatch.setattr(ServerSelector, "is_eligible", noted)
-    assert d.request("r", key="k") is None and d.ended["r"] == "refused"
+    assert d.request("r", key="k") is None
+    assert d.ended["r"] == "refused"
     assert 0 < len(looked) <= server_selection.MAX_POINTS_VISITED
 
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -124,7 +124,8 @@
     change: dict[str, Any], field: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (fault,) = play(SimulatorAdapter(), 1.0, {"op": "Born", "initSeed": 1, "conf": {**CONF, **change}})
-    assert fault["op"] == "InternalError" and field in fault["line"]
+    assert fault["op"] == "InternalError"
+    assert field in fault["line"]
     assert field in capsys.readouterr().err
 
 
@@ -152,7 +153,8 @@
     play(adapter, 1.1, {"op": "Membership", "scope": "INCREMENTAL", "generation": 2, "lines": lines})
     assert sends(play(adapter, 1.2, ask("1"))) == ["b"]
     timer, _ = play(adapter, 1.3, {"op": "Membership", "scope": "FAILED", "generation": 2, "lines": None})
-    assert timer["op"] == "Timer" and timer["fromNow"] > 0
+    assert timer["op"] == "Timer"
+    assert timer["fromNow"] > 0
     again = play(adapter, 2.0, {"op": "Wake", "ctx": timer["ctx"]})
     assert again == [{"op": "Listen", "enable": True}]
     play(adapter, 2.1, {"op": "Membership", "scope": "FULL", "generation": 3, "lines": [row("z")]})
@@ -185,7 +187,8 @@
 def test_kill_leaves_nothing_behind() -> None:
     adapter = born()
     play(adapter, 1.1, ask("1"))
-    assert play(adapter, 1.2, {"op": "Kill"}) == [] and not adapter.routers
+    assert play(adapter, 1.2, {"op": "Kill"}) == []
+    assert not adapter.routers
     assert play(adapter, 1.3, done("1", 0, "delivered", True)) == []
 
 
@@ -228,8 +231,10 @@
     good = run(b'{"t":1.0,"news":[]}\n')
     assert (good.returncode, good.stdout, good.stderr) == (0, b'{"cmds":[]}\n', b"")
     bad = run(b"oops\n")
-    assert bad.returncode != 0 and not bad.stdout
-    assert b"not a batch" in bad.stderr and b"Traceback" not in bad.stderr
+    assert bad.returncode != 0
+    assert not bad.stdout
+    assert b"not a batch" in bad.stderr
+    assert b"Traceback" not in bad.stderr
 
 
 def test_same_actions_under_any_hash_seed() -> None:
@@ -242,7 +247,8 @@
     ]
     stdin = json.dumps({"t": 1.0, "news": [{"routerId": 0, **e} for e in news]}).encode() + b"\n"
     first, second = run(stdin, "1"), run(stdin, "2")
-    assert first.returncode == 0 and first.stdout == second.stdout
+    assert first.returncode == 0
+    assert first.stdout == second.stdout
 
 
 def test_one_customer_leaves_no_trace_in_the_decisions_for_the_next() -> None:
--- a/tests/test_watch_budget.py
+++ b/tests/test_watch_budget.py
@@ -87,7 +87,8 @@
 @pytest.mark.parametrize("way", WAYS)
 def test_the_parts_of_the_budget_add_up(way: str) -> None:
     budget = WAYS[way].watch_budget
-    assert budget.long_poll_wait >= 1.0 and budget.scheduling_slack >= 0.05
+    assert budget.long_poll_wait >= 1.0
+    assert budget.scheduling_slack >= 0.05
     parts = (
         budget.long_poll_wait
         + budget.response_timeout
@@ -95,7 +96,8 @@
         + budget.response_timeout
         + budget.scheduling_slack
     )
-    assert parts == pytest.approx(budget.notification_deadline) and budget.notification_deadline == 6.0
+    assert parts == pytest.approx(budget.notification_deadline)
+    assert budget.notification_deadline == 6.0
 
 
 @pytest.mark.parametrize("took", [0.0, 1.0])
