--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,20 +1,28 @@
-"""Drives one router by hand and keeps the four rules' books beside it."""
+"""Drives one router by hand, and checks with each action the rules that every router has to keep.
+
+Rule 1: each request gets exactly one final answer, before its client gives up.
+Rule 2: a request that is not idempotent is never executed twice.
+Rule 3: nothing is sent to a server that is draining, removed or unknown.
+"""
 
 from __future__ import annotations
 
 from dataclasses import replace
-from typing import Any
+from enum import Enum
+from typing import Any, NamedTuple
 
 from cache_router.decisions.actions import Action, Cancel, Fail, Reject, Send, SetTimer
 from cache_router.decisions.events import (
     AttemptCompleted,
     AttemptStatus,
+    ClientDisconnected,
     EndpointUpdate,
     EndpointUpdateKind,
     Event,
     Request,
     TimerFired,
 )
+from cache_router.decisions.model import Server
 from cache_router.decisions.router import Router
 from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings
@@ -25,10 +33,29 @@
     "keyed", 1.0, Idempotency.WITH_KEY, IdempotencyScope.ALL, idempotency_window=1.5, priority_weight=5.0
 )
 ONCE = RequestClass("once", 1.0, Idempotency.NOT_IDEMPOTENT, priority_weight=5.0)
-NEVER_RAN = {AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT, AttemptStatus.MISS}
+NOT_EXECUTED = {
+    AttemptStatus.REJECTED,
+    AttemptStatus.CONNECT_FAILED,
+    AttemptStatus.NOT_SENT,
+    AttemptStatus.MISS,
+}
+MAX_TIMER_DELAY = 4260  # seconds that the wire can carry
+MAX_TIMER_TOKEN = 64  # characters that the wire can carry
+LATE_ANSWER_TOLERANCE = 0.02  # seconds
+TIMEOUT_LATENCY = 1.0  # seconds reported for an attempt that timed out
+
+
+class Outcome(Enum):
+    """How a request ended for its client."""
+
+    SERVED = "served"
+    FAILED = "failed"
+    REJECTED = "rejected"
+    CLIENT_DISCONNECTED = "client disconnected"
 
 
 def settings(**changes: Any) -> Settings:
+    """Settings with a class of each idempotency, hedging, cancellation and up to four attempts."""
     base = Settings(
         classes={c.name: c for c in (READ, KEYED, ONCE)},
         hedging_allowed=True,
@@ -39,164 +66,225 @@
 
 
 def entry(server: str, **fields: Any) -> Endpoint:
+    """One entry of an endpoint list, of weight 1 unless `fields` say otherwise."""
     fields.setdefault("weight", 1.0)
     return Endpoint(server, **fields)
 
 
+def share_idempotency_keys(scope: IdempotencyScope, one: Endpoint, other: Endpoint) -> bool:
+    """Whether both servers drop repeats of each other's idempotency keys."""
+    if scope is IdempotencyScope.ALL:
+        return True
+    if scope is IdempotencyScope.ZONE:
+        return one.zone == other.zone
+    return one.cell == other.cell
+
+
+class DueEvent(NamedTuple):
+    """A timer, or the timeout of an attempt, that has not come yet; at one time timers come first."""
+
+    time: float
+    request_name: str  # empty for a timer
+    timer_token: str  # empty for a timeout
+    attempt_number: int | None
+
+
 class Driver:
-    """A router with a clock, and what a client, the servers and the rules would see of it."""
+    """A router with a clock, and what a client, the servers and the rules would see of it.
+
+    Requests are named by the test. Times are in seconds on the driver's clock.
+    """
 
     def __init__(self, conf: Settings, seed: int = 1, make: type[Router] = Router) -> None:
-        self.conf = conf
+        self.settings = conf
         self.now = 100.0
         self.router = make(conf, seed, self.now)
-        self.open: dict[str, Request] = {}
-        self.due: dict[str, float] = {}
-        self.ended: dict[str, str] = {}
-        self.sends: dict[str, list[str]] = {}
+        self.open_requests: dict[str, Request] = {}
+        self.deadlines: dict[str, float] = {}
+        self.outcomes: dict[str, Outcome] = {}
+        self.servers_tried: dict[str, list[str]] = {}
         self.sent_at: dict[str, list[float]] = {}
-        self.state: dict[tuple[str, int], AttemptStatus | None] = {}
-        self.expiry: dict[tuple[str, int], float] = {}
+        self.attempt_statuses: dict[tuple[str, int], AttemptStatus | None] = {}  # None while in flight
+        self.attempt_deadlines: dict[tuple[str, int], float] = {}
         self.timers: list[tuple[float, str]] = []
-        self.listed: dict[str, Endpoint] = {}
-        self.last: list[Action] = []
+        self.listed_endpoints: dict[str, Endpoint] = {}
+        self.last_actions: list[Action] = []
 
-    def feed(self, event: Event) -> list[Action]:
-        self.last = self.router.handle(self.now, event)
-        for action in self.last:
-            self.check(action)
-        return self.last
+    def server(self, name: str) -> Server:
+        """What the router keeps of a listed server."""
+        return self.router.endpoints.servers[name]
 
-    # What each action means, and the rules it must keep
+    def handle(self, event: Event) -> list[Action]:
+        """Feed the router one event and check every action that it answers."""
+        self.last_actions = self.router.handle(self.now, event)
+        for action in self.last_actions:
+            self.check_action(action)
+        return self.last_actions
 
-    def check(self, action: Action) -> None:
+    def check_action(self, action: Action) -> None:
+        """Check the rules for one action and record what it does."""
         if isinstance(action, SetTimer):
-            assert 0 <= action.delay < 4260
-            assert 1 <= len(write_timer(action.timer)) <= 64
-            self.timers.append((self.now + action.delay, write_timer(action.timer)))
+            token = write_timer(action.timer)
+            assert 0 <= action.delay < MAX_TIMER_DELAY
+            assert 1 <= len(token) <= MAX_TIMER_TOKEN
+            self.timers.append((self.now + action.delay, token))
         elif isinstance(action, Cancel):
-            assert (action.request_id, action.attempt_number) in self.state, "cancels an attempt never made"
+            attempt = action.request_id, action.attempt_number
+            assert attempt in self.attempt_statuses, "cancels an attempt never made"
         elif isinstance(action, Send):
             self.check_send(action)
         elif isinstance(action, Reject):
-            self.check_refusal(action.request_id)
-            self.finish(action.request_id, "refused")
+            self.check_rejection(action.request_id)
+            self.record_outcome(action.request_id, Outcome.REJECTED)
         elif isinstance(action, Fail):
-            self.finish(action.request_id, "failed")
+            self.record_outcome(action.request_id, Outcome.FAILED)
 
     def check_send(self, action: Send) -> None:
+        """Check the rules for one attempt and record it as in flight."""
         name = action.request_id
-        assert name in self.open, f"rule 1: sends for {name}, which is ended or unknown"
-        target = self.listed.get(action.server)
+        assert name in self.open_requests, f"rule 1: sends for {name}, which is ended or unknown"
+        target = self.listed_endpoints.get(action.server)
         assert target is not None, "rule 3: sends to a server that is not listed"
         assert target.state is EndpointState.READY, "rule 3: sends to a drained server"
-        kind = self.conf.classes[self.open[name].request_class]
-        earlier = self.sends.setdefault(name, [])
-        assert len(earlier) < self.conf.max_attempts, "more attempts than allowed"
-        ran = [i for i in range(len(earlier)) if self.state[name, i] not in NEVER_RAN]
-        outstanding = [i for i in ran if self.state[name, i] is None]
-        assert self.conf.hedging_allowed or not outstanding, "rule 2: two copies out at once"
-        if ran and kind.idempotency is not Idempotency.IDEMPOTENT:
-            assert kind.idempotency is Idempotency.WITH_KEY, "rule 2: an unsafe request sent again"
-            first = min(self.sent_at[name][i] for i in ran)
-            assert self.now <= first + kind.idempotency_window, (
-                "rule 2: a keyed request sent after its window"
-            )
-            for i in ran:
-                other = self.listed.get(earlier[i])
-                same = kind.idempotency_scope is IdempotencyScope.ALL or (
-                    other is not None
-                    and (
-                        other.zone == target.zone
-                        if kind.idempotency_scope is IdempotencyScope.ZONE
-                        else other.cell == target.cell
-                    )
-                )
-                assert same, "rule 2: a keyed request sent outside its group"
-        self.state[name, len(earlier)] = None
-        limit = self.due[name] if action.timeout is None else min(self.due[name], self.now + action.timeout)
-        self.expiry[name, len(earlier)] = limit
-        earlier.append(action.server)
+        attempt_number = len(self.servers_tried.setdefault(name, []))
+        assert attempt_number < self.settings.max_attempts, "more attempts than allowed"
+        executed = self.attempts_maybe_executed(name)
+        in_flight = [i for i in executed if self.attempt_statuses[name, i] is None]
+        assert self.settings.hedging_allowed or not in_flight, "rule 2: two attempts in flight at once"
+        if executed:
+            self.check_repeat(name, target, executed)
+        timeout_at = self.deadlines[name]
+        if action.timeout is not None:
+            timeout_at = min(timeout_at, self.now + action.timeout)
+        self.attempt_statuses[name, attempt_number] = None
+        self.attempt_deadlines[name, attempt_number] = timeout_at
+        self.servers_tried[name].append(action.server)
         self.sent_at.setdefault(name, []).append(self.now)
 
-    def check_refusal(self, name: str) -> None:
-        assert name in self.open, "rule 1: a second answer"
-        kind = self.conf.classes[self.open[name].request_class]
-        ran = [i for i in range(len(self.sends.get(name, []))) if self.state[name, i] not in NEVER_RAN]
-        if ran and kind.idempotency is not Idempotency.IDEMPOTENT:
-            harmless = (
-                kind.idempotency is Idempotency.WITH_KEY and kind.idempotency_scope is IdempotencyScope.ALL
+    def check_repeat(self, name: str, target: Endpoint, executed: list[int]) -> None:
+        """Check that a request that may have been executed is safe to execute again."""
+        request_class = self.settings.classes[self.open_requests[name].request_class]
+        if request_class.idempotency is Idempotency.IDEMPOTENT:
+            return
+        assert request_class.idempotency is Idempotency.WITH_KEY, (
+            "rule 2: a request that is not idempotent sent again"
+        )
+        first_sent_at = min(self.sent_at[name][i] for i in executed)
+        assert self.now <= first_sent_at + request_class.idempotency_window, (
+            "rule 2: a request sent again after its idempotency window"
+        )
+        scope = request_class.idempotency_scope
+        for i in executed:
+            earlier = self.listed_endpoints.get(self.servers_tried[name][i])
+            is_recognised = scope is IdempotencyScope.ALL or (
+                earlier is not None and share_idempotency_keys(scope, earlier, target)
+            )
+            assert is_recognised, "rule 2: a request sent again outside its idempotency scope"
+
+    def check_rejection(self, name: str) -> None:
+        """Check that the client of a rejected request may safely send it again."""
+        assert name in self.open_requests, "rule 1: a second answer"
+        request_class = self.settings.classes[self.open_requests[name].request_class]
+        if self.attempts_maybe_executed(name) and request_class.idempotency is not Idempotency.IDEMPOTENT:
+            is_harmless = (
+                request_class.idempotency is Idempotency.WITH_KEY
+                and request_class.idempotency_scope is IdempotencyScope.ALL
             )
-            assert harmless, "rule 2: a refusal of what may have run"
+            assert is_harmless, "rule 2: a rejection of what may have been executed"
 
-    def finish(self, name: str, how: str) -> None:
-        assert name in self.open, "rule 1: a second answer"
-        del self.open[name]
-        self.ended[name] = how
+    def attempts_maybe_executed(self, name: str) -> list[int]:
+        """Numbers of the attempts that a server has executed or may yet execute."""
+        attempts = range(len(self.servers_tried.get(name, [])))
+        return [i for i in attempts if self.attempt_statuses[name, i] not in NOT_EXECUTED]
 
-    # Moves
+    def has_attempt_in_flight(self, name: str) -> bool:
+        """Whether the last attempt of a request has not ended."""
+        last = len(self.servers_tried.get(name, [])) - 1
+        return last >= 0 and self.attempt_statuses[name, last] is None
 
-    def list(
-        self, *entries: Endpoint, kind: EndpointUpdateKind = EndpointUpdateKind.SNAPSHOT
+    def record_outcome(self, name: str, outcome: Outcome) -> None:
+        """End a request for its client."""
+        assert name in self.open_requests, "rule 1: a second answer"
+        del self.open_requests[name]
+        self.outcomes[name] = outcome
+
+    def update_endpoints(
+        self, *endpoints: Endpoint, kind: EndpointUpdateKind = EndpointUpdateKind.SNAPSHOT
     ) -> list[Action]:
+        """An endpoint update comes; returns the router's actions."""
         if kind in (EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.CACHED):
-            gone = EndpointState.REMOVED
-            self.listed = {s: replace(e, state=gone) for s, e in self.listed.items()}
-        self.listed.update({e.name: e for e in entries})
-        return self.feed(EndpointUpdate(kind, entries))
+            for name, endpoint in self.listed_endpoints.items():
+                self.listed_endpoints[name] = replace(endpoint, state=EndpointState.REMOVED)
+        self.listed_endpoints.update({endpoint.name: endpoint for endpoint in endpoints})
+        return self.handle(EndpointUpdate(kind, endpoints))
 
     def request(self, name: str, finish: bool = False, **fields: Any) -> str | None:
-        """A request arrives; answers with the server its first attempt went to, if any."""
+        """A request arrives; returns the server of its first attempt, or None when none was sent.
+
+        With `finish` the attempt is answered at once.
+        """
         fields.setdefault("request_class", "read")
         fields.setdefault("time_left", 2.0)
         event = Request(name, **fields)
-        self.open[name] = event
-        self.due[name] = self.now + event.time_left
-        self.feed(event)
-        sent = self.sends.get(name, [None])[0]
+        self.open_requests[name] = event
+        self.deadlines[name] = self.now + event.time_left
+        self.handle(event)
+        server = self.servers_tried.get(name, [None])[0]
         if finish:
-            self.ok(name)
-        return sent
+            self.serve(name)
+        return server
 
-    def end(
+    def complete_attempt(
         self, name: str, status: AttemptStatus, attempt: int | None = None, latency: float = 0.05
     ) -> str | None:
-        """An attempt ends; answers with the server that the next one went to, if one was sent."""
-        count = len(self.sends[name])
+        """An attempt ends, the last one if none is given; returns the server of the next, if one was sent."""
+        count = len(self.servers_tried[name])
         number = count - 1 if attempt is None else attempt
-        assert self.state[name, number] is None
-        self.state[name, number] = status
-        closed = status is AttemptStatus.OK or name not in self.open
-        if closed and name in self.open:
-            self.finish(name, "served")
-        self.feed(AttemptCompleted(name, number, status, closed, latency))
-        return self.sends[name][-1] if len(self.sends[name]) > count else None
-
-    def ok(self, name: str) -> None:
-        self.end(name, AttemptStatus.OK)
-
-    def wait(self, seconds: float) -> None:
-        """Let time pass, with timers and time-outs in their order."""
-        until = self.now + seconds
-        while True:
-            due = [(t, "", n, None) for t, n in self.timers]
-            due += [(t, n, "", i) for (n, i), t in self.expiry.items() if self.state[n, i] is None]  # type: ignore[misc]
-            due.sort(key=lambda d: d[:3])
-            if not due or due[0][0] > until:
-                break
-            at, name, token, attempt = due[0]
-            self.now = max(self.now, at)
-            if name:
-                self.end(name, AttemptStatus.TIMEOUT, attempt, 1.0)
+        assert self.attempt_statuses[name, number] is None
+        self.attempt_statuses[name, number] = status
+        is_final = status is AttemptStatus.OK or name not in self.open_requests
+        if is_final and name in self.open_requests:
+            self.record_outcome(name, Outcome.SERVED)
+        self.handle(AttemptCompleted(name, number, status, is_final, latency))
+        return self.servers_tried[name][-1] if len(self.servers_tried[name]) > count else None
+
+    def serve(self, name: str) -> None:
+        """The last attempt of a request is answered with its value."""
+        self.complete_attempt(name, AttemptStatus.OK)
+
+    def disconnect(self, name: str) -> list[Action]:
+        """The client of an open request disconnects; returns the router's actions."""
+        self.record_outcome(name, Outcome.CLIENT_DISCONNECTED)
+        return self.handle(ClientDisconnected(name))
+
+    def advance(self, seconds: float) -> None:
+        """Let time pass, with timers and timeouts in their order."""
+        end = self.now + seconds
+        while (due := self.next_due_event()) is not None and due.time <= end:
+            self.now = max(self.now, due.time)
+            if due.request_name:
+                name, attempt = due.request_name, due.attempt_number
+                self.complete_attempt(name, AttemptStatus.TIMEOUT, attempt, TIMEOUT_LATENCY)
             else:
-                self.timers.remove((at, token))
-                timer = read_timer(token)
+                self.timers.remove((due.time, due.timer_token))
+                timer = read_timer(due.timer_token)
                 assert timer is not None
-                self.feed(TimerFired(timer))
-            self.check_overdue()
-        self.now = until
-        self.check_overdue()
+                self.handle(TimerFired(timer))
+            self.check_deadlines()
+        self.now = end
+        self.check_deadlines()
+
+    def next_due_event(self) -> DueEvent | None:
+        """The next timer or timeout; None when none is set."""
+        due = [DueEvent(at, "", token, None) for at, token in self.timers]
+        due += [
+            DueEvent(at, name, "", number)
+            for (name, number), at in self.attempt_deadlines.items()
+            if self.attempt_statuses[name, number] is None
+        ]
+        return min(due, key=lambda event: event[:3], default=None)
 
-    def check_overdue(self) -> None:
-        late = [n for n in self.open if self.now > self.due[n] + 0.02]
+    def check_deadlines(self) -> None:
+        """Check that no request is open beyond the time that its client allows."""
+        late = [n for n in self.open_requests if self.now > self.deadlines[n] + LATE_ANSWER_TOLERANCE]
         assert not late, f"rule 1: no answer in time for {late}"
--- a/tests/router_scenarios.py
+++ b/tests/router_scenarios.py
@@ -9,28 +9,42 @@
 from cache_router.endpoint import Endpoint
 from tests.driver import Driver, entry
 
-ASIDE: dict[str, Any] = {"cache_aside": True, "origin_kind": "origin"}
+# settings of a deployment in which the router fetches misses from the origin
+CACHE_ASIDE: dict[str, Any] = {"cache_aside": True, "origin_kind": "origin"}
 FAILED_CALL = EndpointUpdate(EndpointUpdateKind.FAILED)
 
 
 def fleet(*names: str) -> list[Endpoint]:
-    cells = enumerate(names)
-    return [entry(n, zone="xy"[i % 2], cell=i % 2, kind="origin" if n == "o" else "std") for i, n in cells]
+    """Ready servers that lie by turns in two zones and cells; one named "o" is the origin."""
+    kinds = {"o": "origin"}
+    return [
+        entry(name, zone="xy"[i % 2], cell=i % 2, kind=kinds.get(name, "std")) for i, name in enumerate(names)
+    ]
 
 
-def missed(d: Driver, *names: str, key: str = "k") -> None:
+def request_and_miss(driver: Driver, *names: str, key: str = "k") -> None:
+    """Send requests that each miss in their cache."""
     for name in names:
-        d.request(name, key=key)
-        d.end(name, AttemptStatus.MISS)
+        driver.request(name, key=key)
+        driver.complete_attempt(name, AttemptStatus.MISS)
 
 
-def order_of(d: Driver, key: str) -> list[str]:
+def ignore_key_popularity(driver: Driver) -> None:
+    """Let the router treat every key as seldom; it spreads a popular one over more servers."""
+    driver.router.selector.popularity.count = lambda *_: 0.0  # type: ignore[method-assign]
+
+
+def servers_clockwise(driver: Driver, key: str) -> list[str]:
     """The servers clockwise from a key, each once."""
-    r = d.router
-    points = list(r.endpoints.ring.points())
-    start = next((i for i, (p, _) in enumerate(points) if p >= ring_hash(key)[0]), 0)
+    points = list(driver.router.endpoints.ring.points())
+    position = ring_hash(key)[0]
+    start = next((i for i, (point, _) in enumerate(points) if point >= position), 0)
     return list(dict.fromkeys(server.endpoint.name for _, server in points[start:] + points[:start]))
 
 
-def primaries(d: Driver, run: str, count: int = 2000) -> list[str | None]:
-    return [d.request(f"{run}{k}", key=f"k{k}", finish=True) for k in range(count)]
+def primary_servers(driver: Driver, run: str, count: int = 2000) -> list[str | None]:
+    """The server of each of the keys k0, k1, ..., by requests that are served at once.
+
+    `run` begins the names of the requests, which have to differ between calls.
+    """
+    return [driver.request(f"{run}{k}", key=f"k{k}", finish=True) for k in range(count)]
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -11,17 +11,17 @@
 
 def test_a_restarted_server_is_learned_anew() -> None:
     """What an earlier process bore, and its silence, say nothing of its successor."""
-    d = Driver(settings())
-    d.list(*fleet("a"))
-    d.router.endpoints.servers["a"].concurrency.limit = 1.0
-    d.request("r1")
-    d.list(entry("a", started_at=d.now), kind=EndpointUpdateKind.DELTA)
-    assert d.router.endpoints.servers["a"].concurrency.limit == concurrency_limit.INITIAL_LIMIT
-    d.ok("r1")
-    assert d.router.endpoints.servers["a"].concurrency.in_flight == 0
+    driver = Driver(settings())
+    driver.update_endpoints(*fleet("a"))
+    driver.server("a").concurrency.limit = 1.0
+    driver.request("r1")
+    driver.update_endpoints(entry("a", started_at=driver.now), kind=EndpointUpdateKind.DELTA)
+    assert driver.server("a").concurrency.limit == concurrency_limit.INITIAL_LIMIT
+    driver.serve("r1")
+    assert driver.server("a").concurrency.in_flight == 0
 
 
 def test_draining_servers_hold_no_points() -> None:
-    d = Driver(settings())
-    d.list(entry("a"), entry("b", state=EndpointState.DRAINING))
-    assert {d.request(f"r{n}", key=f"k{n}", finish=True) for n in range(50)} == {"a"}
+    driver = Driver(settings())
+    driver.update_endpoints(entry("a"), entry("b", state=EndpointState.DRAINING))
+    assert {driver.request(f"r{n}", key=f"k{n}", finish=True) for n in range(50)} == {"a"}
--- a/tests/test_hash_ring.py
+++ b/tests/test_hash_ring.py
@@ -7,12 +7,12 @@
 from cache_router.decisions.hash_ring import ring_hash, virtual_nodes
 from cache_router.endpoint import EndpointState
 from tests.driver import Driver, entry, settings
-from tests.reference_ring import positions_of, primary_of
-from tests.router_scenarios import primaries
+from tests.reference_ring import primary_server, ring_positions
+from tests.router_scenarios import primary_servers
 
 
 def test_a_digest_gives_eight_positions() -> None:
-    assert list(ring_hash("a-vnode-0")) == positions_of("a-vnode-0")
+    assert list(ring_hash("a-vnode-0")) == ring_positions("a-vnode-0")
     # BLAKE2b-512 of the empty text begins 786a02f742015903
     assert ring_hash("")[0] == 0x786A02F742015903
 
@@ -22,21 +22,21 @@
 
 
 def test_primary_is_first_point_clockwise() -> None:
-    d = Driver(settings())
-    d.list(entry("a", weight=2), entry("b", weight=1), entry("c", weight=1))
+    driver = Driver(settings())
+    driver.update_endpoints(entry("a", weight=2), entry("b", weight=1), entry("c", weight=1))
     for n in range(200):
-        sent = d.request(f"r{n}", key=f"k{n}")
-        assert sent == primary_of(f"k{n}", {"a": 128, "b": 64, "c": 64})
-        d.ok(f"r{n}")
+        sent = driver.request(f"r{n}", key=f"k{n}")
+        assert sent == primary_server(f"k{n}", {"a": 128, "b": 64, "c": 64})
+        driver.serve(f"r{n}")
 
 
 @pytest.mark.parametrize("size", [10, 90, 300])
 def test_shares_of_the_ring_follow_the_weights(size: int) -> None:
     """A fixed total of 150 points left most of a large fleet with one or two, or none."""
-    d = Driver(settings())
-    d.list(*(entry(f"s{i}", weight=1 + i % 2) for i in range(size)))
-    ring = list(d.router.endpoints.ring.points())
-    share = dict.fromkeys(d.router.endpoints.servers, 0)
+    driver = Driver(settings())
+    driver.update_endpoints(*(entry(f"s{i}", weight=1 + i % 2) for i in range(size)))
+    ring = list(driver.router.endpoints.ring.points())
+    share = dict.fromkeys(driver.router.endpoints.servers, 0)
     before = ring[-1][0] - 2**64
     for p, server in ring:
         share[server.endpoint.name] += p - before
@@ -48,41 +48,41 @@
 
 @pytest.mark.parametrize("size", [10, 90, 300])
 def test_a_leave_or_join_moves_its_own_keys_and_no_others(size: int) -> None:
-    d = Driver(settings())
+    driver = Driver(settings())
     everyone = [entry(f"s{i}") for i in range(size)]
-    d.list(*everyone)
-    before = primaries(d, "a")
-    d.list(*everyone[:-1])
-    after = primaries(d, "b")
+    driver.update_endpoints(*everyone)
+    before = primary_servers(driver, "a")
+    driver.update_endpoints(*everyone[:-1])
+    after = primary_servers(driver, "b")
     moved = [k for k, s in enumerate(before) if s != after[k]]
     assert {before[k] for k in moved} == {f"s{size - 1}"}
     assert len(moved) < 2 * 2000 / size
-    d.list(*reversed(everyone))  # nor does the order listed matter
-    assert primaries(d, "c") == before
+    driver.update_endpoints(*reversed(everyone))  # nor does the order listed matter
+    assert primary_servers(driver, "c") == before
 
 
 def test_two_routers_agree_whatever_they_went_through() -> None:
     one, other = Driver(settings(), seed=1), Driver(settings(), seed=2)
-    one.list(*(entry(n) for n in "abcd"))
-    other.list(*(entry(n) for n in "dx"))
-    other.list(entry("d", started_at=50.0), entry("x", state=EndpointState.DRAINING))
-    other.list(*(entry(n) for n in "cbda"))
-    assert primaries(one, "r") == primaries(other, "r")
+    one.update_endpoints(*(entry(n) for n in "abcd"))
+    other.update_endpoints(*(entry(n) for n in "dx"))
+    other.update_endpoints(entry("d", started_at=50.0), entry("x", state=EndpointState.DRAINING))
+    other.update_endpoints(*(entry(n) for n in "cbda"))
+    assert primary_servers(one, "r") == primary_servers(other, "r")
 
 
 def test_live_weights_move_no_keys() -> None:
     """Weights that fall with load moved keys with every list, to servers that lacked them."""
-    d = Driver(settings(live_weights=True))
-    d.list(entry("a", kind="x"), entry("b", kind="x"), entry("c", kind="y", weight=2.0))
-    before = primaries(d, "a")
-    d.list(
+    driver = Driver(settings(live_weights=True))
+    driver.update_endpoints(entry("a", kind="x"), entry("b", kind="x"), entry("c", kind="y", weight=2.0))
+    before = primary_servers(driver, "a")
+    driver.update_endpoints(
         entry("a", kind="x", weight=0.6), entry("b", kind="x", weight=0.9), entry("c", kind="y", weight=1.1)
     )
-    assert primaries(d, "b") == before
+    assert primary_servers(driver, "b") == before
 
 
 def test_weights_show_in_the_keys() -> None:
-    d = Driver(settings())
-    d.list(entry("big", weight=9), entry("small", weight=1))
-    hits = [d.request(f"r{n}", key=f"k{n}", finish=True) for n in range(1000)]
+    driver = Driver(settings())
+    driver.update_endpoints(entry("big", weight=9), entry("small", weight=1))
+    hits = [driver.request(f"r{n}", key=f"k{n}", finish=True) for n in range(1000)]
     assert 800 < hits.count("big") < 980
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -19,55 +19,56 @@
     TimerKind,
 )
 from cache_router.endpoint import EndpointState
-from tests.driver import Driver, entry, settings
-from tests.router_scenarios import ASIDE, fleet
+from tests.driver import Driver, Outcome, entry, settings
+from tests.router_scenarios import CACHE_ASIDE, fleet
 
 
 def test_held_requests_are_answered_in_time_without_any_server() -> None:
-    d = Driver(settings())
-    d.request("r")
-    assert not d.sends
-    d.wait(3.0)
-    assert d.ended["r"] == "refused"
+    driver = Driver(settings())
+    driver.request("r")
+    assert not driver.servers_tried
+    driver.advance(3.0)
+    assert driver.outcomes["r"] is Outcome.REJECTED
 
 
 def test_held_requests_go_out_when_a_server_is_listed() -> None:
-    d = Driver(settings())
-    d.request("r")
-    d.now += 0.2
-    d.list(*fleet("a"))
-    assert d.sends["r"] == ["a"]
+    driver = Driver(settings())
+    driver.request("r")
+    driver.now += 0.2
+    driver.update_endpoints(*fleet("a"))
+    assert driver.servers_tried["r"] == ["a"]
 
 
 def test_a_list_of_draining_servers_only_holds_requests_and_answers_them_in_time() -> None:
-    d = Driver(settings())
-    d.list(entry("a", state=EndpointState.DRAINING), entry("b", weight=0.0, state=EndpointState.DRAINING))
-    d.request("r")
-    assert not d.sends
-    d.wait(3.0)
-    assert d.ended["r"] == "refused"
+    driver = Driver(settings())
+    driver.update_endpoints(
+        entry("a", state=EndpointState.DRAINING), entry("b", weight=0.0, state=EndpointState.DRAINING)
+    )
+    driver.request("r")
+    assert not driver.servers_tried
+    driver.advance(3.0)
+    assert driver.outcomes["r"] is Outcome.REJECTED
 
 
 @pytest.mark.parametrize("time_left", [0.0, 0.001])
 def test_a_budget_of_nothing_is_refused_at_once(time_left: float) -> None:
-    d = Driver(settings())
-    d.list(*fleet("a"))
-    d.request("r", time_left=time_left)
-    assert d.ended["r"] == "refused"
+    driver = Driver(settings())
+    driver.update_endpoints(*fleet("a"))
+    driver.request("r", time_left=time_left)
+    assert driver.outcomes["r"] is Outcome.REJECTED
 
 
 def test_client_gone_ends_everything_for_it() -> None:
-    d = Driver(settings())
-    d.list(*fleet("a", "b"))
-    d.request("r")
-    d.finish("r", "gone")
-    assert d.feed(ClientDisconnected("r")) == [Cancel("r", 0)]
-    assert d.end("r", AttemptStatus.CANCELLED) is None
-    assert d.feed(ClientDisconnected("r")) == []
+    driver = Driver(settings())
+    driver.update_endpoints(*fleet("a", "b"))
+    driver.request("r")
+    assert driver.disconnect("r") == [Cancel("r", 0)]
+    assert driver.complete_attempt("r", AttemptStatus.CANCELLED) is None
+    assert driver.handle(ClientDisconnected("r")) == []
 
 
 def test_unknown_things_are_passed_over() -> None:
-    d = Driver(settings())
+    driver = Driver(settings())
     for event in (
         AttemptCompleted("x", 0, AttemptStatus.OK, True),
         ClientDisconnected("x"),
@@ -78,30 +79,30 @@
         EndpointUpdate(EndpointUpdateKind.DELTA, (entry("a", state=EndpointState.REMOVED),)),
         EndpointUpdate(EndpointUpdateKind.SNAPSHOT, ()),
     ):
-        assert [a for a in d.feed(event) if not isinstance(a, SetTimer)] == []
-    assert d.router.handle(d.now, Request("r", "unheard-of", 1.0)) == [Reject("r")]
+        assert [a for a in driver.handle(event) if not isinstance(a, SetTimer)] == []
+    assert driver.router.handle(driver.now, Request("r", "unheard-of", 1.0)) == [Reject("r")]
 
 
 def test_a_stream_that_began_is_left_alone() -> None:
-    d = Driver(settings())
-    d.list(*fleet("a", "b"))
-    d.request("r")
-    d.feed(ResponseStarted("r", 0))
-    d.feed(TimerFired(Timer(TimerKind.QUEUE_DEADLINE, "r")))
-    assert "r" in d.open
-    assert len(d.sends["r"]) == 1
+    driver = Driver(settings())
+    driver.update_endpoints(*fleet("a", "b"))
+    driver.request("r")
+    driver.handle(ResponseStarted("r", 0))
+    driver.handle(TimerFired(Timer(TimerKind.QUEUE_DEADLINE, "r")))
+    assert "r" in driver.open_requests
+    assert len(driver.servers_tried["r"]) == 1
 
 
 def test_equal_events_give_equal_actions() -> None:
     def run() -> list[list[Action]]:
-        d = Driver(settings(must_subscribe=True), seed=7)
+        driver = Driver(settings(must_subscribe=True), seed=7)
         said = [
-            d.list(*fleet("a", "b", "c"), kind=EndpointUpdateKind.CACHED),
-            d.list(kind=EndpointUpdateKind.FAILED),
+            driver.update_endpoints(*fleet("a", "b", "c"), kind=EndpointUpdateKind.CACHED),
+            driver.update_endpoints(kind=EndpointUpdateKind.FAILED),
         ]
         for n in range(30):
-            d.request(f"r{n}", key=f"k{n}")
-            said.append(d.last)
+            driver.request(f"r{n}", key=f"k{n}")
+            said.append(driver.last_actions)
         return said
 
     assert run() == run()
@@ -109,20 +110,20 @@
 
 def test_a_long_run_holds_bounded_memory() -> None:
     """Many keys, servers and requests pass through; what is kept follows what is in hand."""
-    d = Driver(settings(**ASIDE))
+    driver = Driver(settings(**CACHE_ASIDE))
     for n in range(3000):
         if n % 20 == 0:
-            d.list(*fleet(*(f"s{n // 20 + i}" for i in range(4)), *["o"] * (n % 40 > 0)))
+            driver.update_endpoints(*fleet(*(f"s{n // 20 + i}" for i in range(4)), *["o"] * (n % 40 > 0)))
         if n % 500 == 480:
-            d.list()
+            driver.update_endpoints()
         name = f"r{n}"
-        if d.request(name, key=f"k{n}") is not None:
-            d.end(name, AttemptStatus.MISS if n % 3 else AttemptStatus.OK)
-        if d.sends.get(name, [""])[-1] == "o":
-            d.ok(name)
-        d.wait(0.05)
-    d.wait(5.0)
-    r = d.router
+        if driver.request(name, key=f"k{n}") is not None:
+            driver.complete_attempt(name, AttemptStatus.MISS if n % 3 else AttemptStatus.OK)
+        if driver.servers_tried.get(name, [""])[-1] == "o":
+            driver.serve(name)
+        driver.advance(0.05)
+    driver.advance(5.0)
+    r = driver.router
     assert not r.pending
     assert not r.attempts
     assert len(r.endpoints.servers) <= 5
--- a/tests/test_router_properties.py
+++ b/tests/test_router_properties.py
@@ -10,28 +10,23 @@
 from hypothesis import strategies as st
 
 from cache_router.decisions.actions import SetTimer
-from cache_router.decisions.events import (
-    AttemptStatus,
-    ClientDisconnected,
-    EndpointUpdate,
-    EndpointUpdateKind,
-)
+from cache_router.decisions.events import AttemptStatus, EndpointUpdate, EndpointUpdateKind
 from cache_router.decisions.retry_policy import RetryPolicy
 from cache_router.decisions.router import Router
 from cache_router.endpoint import EndpointState
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings
 from tests.driver import Driver, entry, settings
-from tests.router_scenarios import ASIDE, fleet
+from tests.router_scenarios import CACHE_ASIDE, fleet
 
 
-class Random(Driver):
-    """Random legal events, chosen by hypothesis."""
+class RandomDriver(Driver):
+    """RandomDriver legal events, chosen by hypothesis."""
 
     def step(self, data: st.DataObject, n: int) -> None:
         move = data.draw(st.sampled_from(["request"] * 4 + ["end"] * 5 + ["wait"] * 2 + ["list", "gone"]))
-        outstanding = [k for k, s in self.state.items() if s is None]
+        outstanding = [k for k, s in self.attempt_statuses.items() if s is None]
         if move == "request":
-            names = sorted(self.conf.classes)
+            names = sorted(self.settings.classes)
             self.request(
                 f"r{n}",
                 request_class=data.draw(st.sampled_from(names)),
@@ -42,17 +37,16 @@
             )
         elif move == "end" and outstanding:
             name, number = data.draw(st.sampled_from(outstanding))
-            self.end(name, data.draw(st.sampled_from(list(AttemptStatus))), number)
+            self.complete_attempt(name, data.draw(st.sampled_from(list(AttemptStatus))), number)
         elif move == "wait":
-            self.wait(data.draw(st.sampled_from([0.0, 0.05, 0.4, 1.0])))
+            self.advance(data.draw(st.sampled_from([0.0, 0.05, 0.4, 1.0])))
         elif move == "list":
-            self.random_list(data)
-        elif move == "gone" and self.open:
-            name = data.draw(st.sampled_from(sorted(self.open)))
-            self.finish(name, "gone")
-            self.feed(ClientDisconnected(name))
+            self.random_endpoint_update(data)
+        elif move == "gone" and self.open_requests:
+            name = data.draw(st.sampled_from(sorted(self.open_requests)))
+            self.disconnect(name)
 
-    def random_list(self, data: st.DataObject) -> None:
+    def random_endpoint_update(self, data: st.DataObject) -> None:
         kind = data.draw(st.sampled_from(list(EndpointUpdateKind)))
         names = data.draw(st.lists(st.sampled_from("abcdo"), unique=True))
         states = st.sampled_from(
@@ -66,12 +60,12 @@
             for n in names
         ]
         if kind is EndpointUpdateKind.FAILED:
-            self.feed(EndpointUpdate(kind))
+            self.handle(EndpointUpdate(kind))
         else:
-            self.list(*rows, kind=kind)
+            self.update_endpoints(*rows, kind=kind)
 
 
-def groups(group: IdempotencyScope) -> dict[str, RequestClass]:
+def request_classes(group: IdempotencyScope) -> dict[str, RequestClass]:
     keyed = RequestClass(
         "keyed", 1.0, Idempotency.WITH_KEY, group, idempotency_window=0.5, priority_weight=5.0
     )
@@ -80,22 +74,22 @@
     return {c.name: c for c in (RequestClass("read", 1.0), keyed, once, late)}
 
 
-def drive(data: st.DataObject, make: type[Router] = Router) -> None:
+def run_random_events(data: st.DataObject, make: type[Router] = Router) -> None:
     conf = settings(
-        classes=groups(data.draw(st.sampled_from(list(IdempotencyScope)))),
+        classes=request_classes(data.draw(st.sampled_from(list(IdempotencyScope)))),
         hedging_allowed=data.draw(st.booleans()),
         cancellation_allowed=data.draw(st.booleans()),
         max_attempts=data.draw(st.sampled_from([1, 3, 6])),
         must_subscribe=data.draw(st.booleans()),
-        **(ASIDE if data.draw(st.booleans()) else {}),
+        **(CACHE_ASIDE if data.draw(st.booleans()) else {}),
     )
-    d = Random(conf, make=make)
-    d.list(*fleet("a", "b", "c", "d", "o"), kind=EndpointUpdateKind.CACHED)
+    driver = RandomDriver(conf, make=make)
+    driver.update_endpoints(*fleet("a", "b", "c", "d", "o"), kind=EndpointUpdateKind.CACHED)
     for n in range(data.draw(st.integers(5, 40))):
-        d.step(data, n)
-    d.wait(10.0)
-    assert not d.open, "rule 1: left without an answer"
-    assert not d.router.pending, "something is still held"
+        driver.step(data, n)
+    driver.advance(10.0)
+    assert not driver.open_requests, "rule 1: left without an answer"
+    assert not driver.router.pending, "something is still held"
 
 
 CHECKS = hypothesis_settings(
@@ -111,7 +105,7 @@
 @CHECKS
 @given(st.data())
 def test_rules_hold_under_random_events(data: st.DataObject) -> None:
-    drive(data)
+    run_random_events(data)
 
 
 class PermissivePolicy(RetryPolicy):
@@ -124,7 +118,7 @@
         return True
 
 
-class Resender(Router):
+class UnrestrictedRetryRouter(Router):
     """Broken on purpose: sends anything again."""
 
     def __init__(self, conf: Settings, seed: int, now: float) -> None:
@@ -133,7 +127,7 @@
         self.selector.retry_policy = self.hedging.retry_policy = self.retry_policy
 
 
-class Forgetter(Router):
+class TimerlessRouter(Router):
     """Broken on purpose: sets no timer for what it holds."""
 
     def _enqueue(self, pending: Any) -> None:
@@ -141,12 +135,12 @@
         self._actions = [a for a in self._actions if not isinstance(a, SetTimer)]
 
 
-@pytest.mark.parametrize("broken", [Resender, Forgetter])
+@pytest.mark.parametrize("broken", [UnrestrictedRetryRouter, TimerlessRouter])
 def test_the_property_test_catches_a_broken_module(broken: type[Router]) -> None:
     @CHECKS
     @given(st.data())
     def attempt(data: st.DataObject) -> None:
-        drive(data, broken)
+        run_random_events(data, broken)
 
     with pytest.raises(AssertionError):
         attempt()
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -27,7 +27,7 @@
 from cache_router.decisions.router import Router
 from cache_router.endpoint import Endpoint
 from tests.driver import Driver, entry, settings
-from tests.router_scenarios import primaries
+from tests.router_scenarios import primary_servers
 
 ROUTERS, CACHES, START = 30, 10, 5.0
 LATENCY = 0.02
@@ -156,46 +156,46 @@
 
 def test_a_cold_server_is_sent_to_where_no_other_is() -> None:
     """With nothing warm no router knows what is borne, and a budget of nothing would refuse everybody."""
-    d = Driver(settings(router_count=ROUTERS))
-    d.list(entry("a", started_at=d.now), entry("b", started_at=d.now))
-    assert None not in [d.request(f"r{n}", key=f"k{n}", finish=True) for n in range(20)]
+    driver = Driver(settings(router_count=ROUTERS))
+    driver.update_endpoints(entry("a", started_at=driver.now), entry("b", started_at=driver.now))
+    assert None not in [driver.request(f"r{n}", key=f"k{n}", finish=True) for n in range(20)]
 
 
 @pytest.mark.parametrize(("siblings", "copy"), [(1, "b"), (ROUTERS, "a")])
 def test_a_second_copy_at_a_cold_server_comes_out_of_its_budget(siblings: int, copy: str) -> None:
     """One that still answered others was asked again whatever it had been sent."""
-    d = Driver(settings(router_count=siblings))
-    d.list(entry("a"), entry("b", started_at=d.now))
-    cold = d.router.endpoints.servers["b"]
+    driver = Driver(settings(router_count=siblings))
+    driver.update_endpoints(entry("a"), entry("b", started_at=driver.now))
+    cold = driver.server("b")
     cold.concurrency.latency, cold.slow_start_quota = 0.01, ramp.SlowStartQuota(0.01)
-    name = next(n for n in map(str, count()) if d.request(n) == "b")
-    cold.concurrency.unanswered_since = d.now + 0.001  # it has answered others since
-    d.wait(hedging.LATENCY_FACTOR * 0.01)
-    assert d.sends[name] == ["b", copy]
+    name = next(n for n in map(str, count()) if driver.request(n) == "b")
+    cold.concurrency.unanswered_since = driver.now + 0.001  # it has answered others since
+    driver.advance(hedging.LATENCY_FACTOR * 0.01)
+    assert driver.servers_tried[name] == ["b", copy]
 
 
 def test_warming_server_gets_its_share_and_not_more() -> None:
     """A surge of a thousand requests in a second just after a start: not the full arcs."""
-    d = Driver(
+    driver = Driver(
         settings(
             slow_start_duration=10.0, slow_start_initial_share=0.3, overload_multiple=2.0, overload_window=1.0
         )
     )
-    d.list(entry("a"), entry("b"), entry("c"))
+    driver.update_endpoints(entry("a"), entry("b"), entry("c"))
     for n in range(4000):
         if n == 3000:
-            d.list(entry("a"), entry("b"), entry("c"), entry("d", started_at=d.now))
-        d.now += 0.01 if n < 3000 else 0.001
-        d.request(f"r{n}", key=f"k{n}", finish=True)
-    cold = sum(s == ["d"] for s in d.sends.values())
+            driver.update_endpoints(entry("a"), entry("b"), entry("c"), entry("d", started_at=driver.now))
+        driver.now += 0.01 if n < 3000 else 0.001
+        driver.request(f"r{n}", key=f"k{n}", finish=True)
+    cold = sum(s == ["d"] for s in driver.servers_tried.values())
     assert 5 < cold < 1000 / 4 * 0.45
 
 
 def test_warm_server_gets_all_its_arcs_again() -> None:
-    d = Driver(settings(slow_start_duration=10.0, slow_start_initial_share=0.3))
-    d.list(entry("a"), entry("b", started_at=d.now))
-    d.now += 10.0
-    sent = [d.request(f"r{n}", key=f"k{n}", finish=True) for n in range(400)]
+    driver = Driver(settings(slow_start_duration=10.0, slow_start_initial_share=0.3))
+    driver.update_endpoints(entry("a"), entry("b", started_at=driver.now))
+    driver.now += 10.0
+    sent = [driver.request(f"r{n}", key=f"k{n}", finish=True) for n in range(400)]
     assert sent.count("b") > 120
 
 
@@ -203,38 +203,39 @@
     """Budgets of each router, always letting one through, added up to an overload at hundreds of them."""
     shares = []
     for age in (0.0, 5.0, 10.0):
-        d = Driver(settings(slow_start_duration=10.0, slow_start_initial_share=0.3))
-        d.list(*(entry(f"s{i}") for i in range(9)), entry("cold", started_at=d.now))
-        d.now += age
-        shares.append(primaries(d, "r").count("cold") / 2000 * 10)
+        driver = Driver(settings(slow_start_duration=10.0, slow_start_initial_share=0.3))
+        driver.update_endpoints(*(entry(f"s{i}") for i in range(9)), entry("cold", started_at=driver.now))
+        driver.now += age
+        shares.append(primary_servers(driver, "r").count("cold") / 2000 * 10)
     assert shares == sorted(shares)
     assert shares == pytest.approx([0.3, 0.65, 1.0], abs=0.2)
 
 
 def test_a_cold_server_takes_no_spills() -> None:
     """In a burst, what crowded neighbours could not take pushed over a server just started."""
-    d = Driver(settings())
-    d.list(*(entry(n) for n in "abc"), entry("d", started_at=d.now))
+    driver = Driver(settings())
+    driver.update_endpoints(*(entry(n) for n in "abc"), entry("d", started_at=driver.now))
     for n in range(300):
         for s in "abc":
-            d.router.endpoints.servers[s].concurrency.limit = 0.0
-        d.request(f"r{n}", key=f"k{n}", finish=f"r{n}" in d.sends)
-    assert sum("d" in s for s in d.sends.values()) < 300 / 4 * 0.5
+            driver.server(s).concurrency.limit = 0.0
+        driver.request(f"r{n}", key=f"k{n}", finish=f"r{n}" in driver.servers_tried)
+    assert sum("d" in s for s in driver.servers_tried.values()) < 300 / 4 * 0.5
 
 
-def usable_share(d: Driver, server: Server) -> float:
+def usable_share(driver: Driver, server: Server) -> float:
     """Share of a server's points that count now."""
-    return d.router.slow_start.usable_share(server.endpoint, d.router.health.success_rate, d.now)
+    router = driver.router
+    return router.slow_start.usable_share(server.endpoint, router.health.success_rate, driver.now)
 
 
 def test_a_cold_server_gets_less_while_answers_fail() -> None:
     """In an overload clients retried all that failed, and the multiple pushed over servers just started."""
-    d = Driver(settings(slow_start_initial_share=0.3, max_attempts=1))
-    d.list(*(entry(n) for n in "abc"), entry("d", started_at=d.now))
-    assert primaries(d, "a").count("d") > 80
-    cold = d.router.endpoints.servers["d"]
-    assert usable_share(d, cold) == pytest.approx(0.3)
+    driver = Driver(settings(slow_start_initial_share=0.3, max_attempts=1))
+    driver.update_endpoints(*(entry(n) for n in "abc"), entry("d", started_at=driver.now))
+    assert primary_servers(driver, "a").count("d") > 80
+    cold = driver.server("d")
+    assert usable_share(driver, cold) == pytest.approx(0.3)
     for n in range(20):
-        if d.request(f"f{n}", key=f"k{n}") is not None:
-            d.end(f"f{n}", AttemptStatus.TIMEOUT)
-    assert usable_share(d, cold) < 0.3 / 4
+        if driver.request(f"f{n}", key=f"k{n}") is not None:
+            driver.complete_attempt(f"f{n}", AttemptStatus.TIMEOUT)
+    assert usable_share(driver, cold) < 0.3 / 4
--- a/tests/test_watch_budget.py
+++ b/tests/test_watch_budget.py
@@ -40,17 +40,16 @@
     return any(isinstance(a, SubscribeToEndpoints) for a in actions)
 
 
-def failed_call(d: Driver, took: float) -> float:
+def failed_call(driver: Driver, took: float) -> float:
     """A call that begins now and fails; answers with when the next one begins."""
-    d.now += took
-    timers = [
-        a for a in d.feed(FAILED_CALL) if isinstance(a, SetTimer) and a.timer.kind is TimerKind.ENDPOINT_POLL
-    ]
-    d.timers.clear()
+    driver.now += took
+    timers = [a for a in driver.handle(FAILED_CALL) if isinstance(a, SetTimer)]
+    timers = [timer for timer in timers if timer.timer.kind is TimerKind.ENDPOINT_POLL]
+    driver.timers.clear()
     assert len(timers) == 1
-    d.now += timers[0].delay
-    assert subscribes(d.feed(TimerFired(Timer(TimerKind.ENDPOINT_POLL))))
-    return d.now
+    driver.now += timers[0].delay
+    assert subscribes(driver.handle(TimerFired(Timer(TimerKind.ENDPOINT_POLL))))
+    return driver.now
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -61,11 +60,11 @@
     is answered, after an outage of any length."""
     conf = WAYS[way]
     budget = conf.watch_budget
-    d = Driver(conf, seed)
-    d.list(entry("a"))
-    began = d.now
+    driver = Driver(conf, seed)
+    driver.update_endpoints(entry("a"))
+    began = driver.now
     for n in range(40):
-        after = failed_call(d, CALLS[failure](n) * budget.call_timeout)
+        after = failed_call(driver, CALLS[failure](n) * budget.call_timeout)
         assert after - began + budget.response_timeout <= 6.0 - budget.scheduling_slack + 1e-6
         began = after
 
@@ -73,15 +72,15 @@
 @pytest.mark.parametrize("way", WAYS)
 def test_a_lost_first_call_at_a_new_address_is_made_up_for_in_time(way: str) -> None:
     """What the new discovery has counts as told 4 s after SIGHUP."""
-    d = Driver(WAYS[way])
-    d.list(entry("a"))
-    d.wait(60.0)
+    driver = Driver(WAYS[way])
+    driver.update_endpoints(entry("a"))
+    driver.advance(60.0)
     for _ in range(4):
-        failed_call(d, 0.0)
-    moved = d.now
-    d.feed(DiscoveryAddressChanged())
-    spent = failed_call(d, d.conf.watch_budget.response_timeout) - moved
-    assert spent <= 4.0 - d.conf.watch_budget.response_timeout + MIN_BACKOFF + 1e-6
+        failed_call(driver, 0.0)
+    moved = driver.now
+    driver.handle(DiscoveryAddressChanged())
+    spent = failed_call(driver, driver.settings.watch_budget.response_timeout) - moved
+    assert spent <= 4.0 - driver.settings.watch_budget.response_timeout + MIN_BACKOFF + 1e-6
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -105,10 +104,10 @@
     """All lose discovery at one instant; the next calls are spread over the pause, also the later ones."""
     conf = WAYS["asked"]
     drivers = [Driver(conf, seed) for seed in range(200)]
-    for d in drivers:
-        d.list(entry("a"))
+    for driver in drivers:
+        driver.update_endpoints(entry("a"))
     for _ in range(4):
-        calls = sorted(failed_call(d, took * conf.watch_budget.call_timeout) for d in drivers)
+        calls = sorted(failed_call(driver, took * conf.watch_budget.call_timeout) for driver in drivers)
         most = max(sum(at <= c < at + 0.1 for c in calls) for at in calls)
         assert most <= 60
 
