--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -6,8 +6,8 @@
 from tests.driver import Driver, Outcome, entry, settings
 
 
-def test_what_would_wait_too_long_is_refused_early() -> None:
-    """In an overload every server held thirty requests a core, and all that was served was late."""
+def test_load_is_shed_by_the_reported_queues() -> None:
+    """In an overload without shedding, queues grow until every answer is late."""
     driver = Driver(settings(live_weights=True, max_attempts=1))
     names = "abcdefgh"
     driver.update_endpoints(*(entry(n, weight=6.0) for n in names))
@@ -17,14 +17,14 @@
     assert Outcome.REJECTED not in driver.outcomes.values()
     driver.update_endpoints(*(entry(n, weight=0.2) for n in names))
     sent = [driver.request(f"b{n}", key=f"k{n}", finish=f"b{n}" in driver.servers_tried) for n in range(400)]
-    # 29 held at 0.1 s each against a quarter of the second wanted: one in eleven or so is let in
+    # a queue of 29 at 0.1 s each, against a quarter of the one second left: one in eleven or so is admitted
     assert 10 < sum(s is not None for s in sent) < 80
 
 
-def test_own_late_answers_make_for_early_refusals_where_no_load_is_told() -> None:
-    """Clients gave up on two attempts in three and retried, and nothing told the router but its own waits."""
+def test_load_is_shed_by_own_latencies_where_no_load_is_reported() -> None:
+    """The latency of its own attempts is all that the router knows of the overload."""
     driver = Driver(settings(max_attempts=1))
     driver.update_endpoints(*(entry(f"s{n}") for n in range(30)))
     driver.router.health.queueing_latency = 4.0
     sent = [driver.request(f"r{n}", key=f"k{n}") for n in range(200)]
-    assert 20 < sum(s is not None for s in sent) < 90  # a second of four: one in four is let in
+    assert 20 < sum(s is not None for s in sent) < 90  # one second left of four: one in four is admitted
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -8,8 +8,8 @@
 from tests.router_scenarios import CACHE_ASIDE, fleet, request_and_miss
 
 
-def test_a_server_slow_under_our_load_gets_less_of_it() -> None:
-    """Servers driven past what they bear answered late or not at all, and nothing held us back."""
+def test_slow_answers_reduce_the_limit() -> None:
+    """Otherwise a server that is overloaded goes on to get as much as before."""
     driver = Driver(settings())
     driver.update_endpoints(entry("a"))
     for n in range(40):
@@ -22,8 +22,8 @@
     assert [driver.outcomes[f"r{n}"] for n in range(1, 10)] == [Outcome.REJECTED] * 9
 
 
-def test_one_slow_answer_does_not_cut_a_limit() -> None:
-    """A single heavy request cut the limit of a server that was well."""
+def test_one_slow_answer_does_not_reduce_the_limit() -> None:
+    """A single expensive request says nothing of a server's capacity."""
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a"))
     for n in range(20):
@@ -32,8 +32,8 @@
     assert driver.server("a").concurrency.limit >= concurrency_limit.INITIAL_LIMIT
 
 
-def test_a_full_server_shows_what_it_bears() -> None:
-    """Limits fell a quarter a round while small servers turned two attempts in three away."""
+def test_rejection_sets_the_limit_to_the_attempts_in_flight() -> None:
+    """What is in flight when a server rejects an attempt is what it has capacity for."""
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a"))
     driver.server("a").concurrency.limit = 9.0
@@ -43,7 +43,7 @@
     assert driver.server("a").concurrency.limit == 5.0
 
 
-def test_fast_failures_do_not_make_a_server_look_fast() -> None:
+def test_fast_failure_does_not_lower_the_smoothed_latency() -> None:
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a"))
     for n in range(5):
@@ -55,8 +55,8 @@
     assert driver.server("a").concurrency.latency == before
 
 
-def test_one_lost_fetch_does_not_make_the_origin_look_too_slow() -> None:
-    """After each fetch that timed out, misses were refused by the dozen until others had come back."""
+def test_one_timeout_hardly_raises_the_smoothed_latency_of_the_origin() -> None:
+    """Otherwise misses would be rejected by the dozen until other fetches had come back."""
     driver = Driver(settings(**CACHE_ASIDE))
     driver.update_endpoints(*fleet("a", "o"))
     driver.server("o").concurrency.latency = 0.05
@@ -68,7 +68,7 @@
     assert driver.servers_tried["r2"][-1] == "o"
 
 
-def test_one_lost_answer_does_not_cut_a_limit() -> None:
+def test_one_timeout_does_not_reduce_the_limit() -> None:
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a"))
     driver.request("r1", key="k")
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -9,8 +9,8 @@
 from tests.router_scenarios import fleet
 
 
-def test_a_restarted_server_is_learned_anew() -> None:
-    """What an earlier process bore, and its silence, say nothing of its successor."""
+def test_restarted_server_starts_with_a_fresh_state() -> None:
+    """The limit and the silence of the earlier process say nothing of the new one."""
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a"))
     driver.server("a").concurrency.limit = 1.0
@@ -21,7 +21,7 @@
     assert driver.server("a").concurrency.in_flight == 0
 
 
-def test_draining_servers_hold_no_points() -> None:
+def test_draining_server_gets_no_requests() -> None:
     driver = Driver(settings())
     driver.update_endpoints(entry("a"), entry("b", state=EndpointState.DRAINING))
     assert {driver.request(f"r{n}", key=f"k{n}", finish=True) for n in range(50)} == {"a"}
--- a/tests/test_hash_ring.py
+++ b/tests/test_hash_ring.py
@@ -1,4 +1,4 @@
-"""Placement on the ring and the bounded walk, against values worked by hand from the design's formulas."""
+"""Placement of servers and keys on the ring, against the formulas of its design."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.router_scenarios import primary_servers
 
 
-def test_a_digest_gives_eight_positions() -> None:
+def test_digest_gives_eight_positions() -> None:
     assert list(ring_hash("a-vnode-0")) == ring_positions("a-vnode-0")
     # BLAKE2b-512 of the empty text begins 786a02f742015903
     assert ring_hash("")[0] == 0x786A02F742015903
@@ -21,47 +21,47 @@
     assert virtual_nodes("s", 100)[:37] == virtual_nodes("s", 37)
 
 
-def test_primary_is_first_point_clockwise() -> None:
+def test_primary_server_has_the_first_point_clockwise() -> None:
     driver = Driver(settings())
     driver.update_endpoints(entry("a", weight=2), entry("b", weight=1), entry("c", weight=1))
     for n in range(200):
-        sent = driver.request(f"r{n}", key=f"k{n}")
-        assert sent == primary_server(f"k{n}", {"a": 128, "b": 64, "c": 64})
+        server = driver.request(f"r{n}", key=f"k{n}")
+        assert server == primary_server(f"k{n}", {"a": 128, "b": 64, "c": 64})
         driver.serve(f"r{n}")
 
 
 @pytest.mark.parametrize("size", [10, 90, 300])
 def test_shares_of_the_ring_follow_the_weights(size: int) -> None:
-    """A fixed total of 150 points left most of a large fleet with one or two, or none."""
+    """The number of points grows with the fleet: a fixed total would leave most servers with one or none."""
     driver = Driver(settings())
     driver.update_endpoints(*(entry(f"s{i}", weight=1 + i % 2) for i in range(size)))
     ring = list(driver.router.endpoints.ring.points())
-    share = dict.fromkeys(driver.router.endpoints.servers, 0)
-    before = ring[-1][0] - 2**64
-    for p, server in ring:
-        share[server.endpoint.name] += p - before
-        before = p
-    for i, arc in enumerate(share.values()):
-        fair = 2**64 * (1 + i % 2) / (size + size // 2)
-        assert 0.6 < arc / fair < 1.5  # about four standard deviations with 64 points
+    arcs = dict.fromkeys(driver.router.endpoints.servers, 0)
+    previous = ring[-1][0] - 2**64
+    for point, server in ring:
+        arcs[server.endpoint.name] += point - previous
+        previous = point
+    for i, arc in enumerate(arcs.values()):
+        fair_arc = 2**64 * (1 + i % 2) / (size + size // 2)
+        assert 0.6 < arc / fair_arc < 1.5  # about four standard deviations with 64 points
 
 
 @pytest.mark.parametrize("size", [10, 90, 300])
-def test_a_leave_or_join_moves_its_own_keys_and_no_others(size: int) -> None:
+def test_join_or_removal_moves_only_the_keys_of_that_server(size: int) -> None:
     driver = Driver(settings())
-    everyone = [entry(f"s{i}") for i in range(size)]
-    driver.update_endpoints(*everyone)
+    endpoints = [entry(f"s{i}") for i in range(size)]
+    driver.update_endpoints(*endpoints)
     before = primary_servers(driver, "a")
-    driver.update_endpoints(*everyone[:-1])
+    driver.update_endpoints(*endpoints[:-1])
     after = primary_servers(driver, "b")
-    moved = [k for k, s in enumerate(before) if s != after[k]]
-    assert {before[k] for k in moved} == {f"s{size - 1}"}
+    moved = [key for key, server in enumerate(before) if server != after[key]]
+    assert {before[key] for key in moved} == {f"s{size - 1}"}
     assert len(moved) < 2 * 2000 / size
-    driver.update_endpoints(*reversed(everyone))  # nor does the order listed matter
+    driver.update_endpoints(*reversed(endpoints))  # nor does the order listed matter
     assert primary_servers(driver, "c") == before
 
 
-def test_two_routers_agree_whatever_they_went_through() -> None:
+def test_placement_does_not_depend_on_earlier_endpoint_updates() -> None:
     one, other = Driver(settings(), seed=1), Driver(settings(), seed=2)
     one.update_endpoints(*(entry(n) for n in "abcd"))
     other.update_endpoints(*(entry(n) for n in "dx"))
@@ -71,7 +71,7 @@
 
 
 def test_live_weights_move_no_keys() -> None:
-    """Weights that fall with load moved keys with every list, to servers that lacked them."""
+    """Weights that fall with load would move keys with every update to servers that lack them."""
     driver = Driver(settings(live_weights=True))
     driver.update_endpoints(entry("a", kind="x"), entry("b", kind="x"), entry("c", kind="y", weight=2.0))
     before = primary_servers(driver, "a")
@@ -81,8 +81,8 @@
     assert primary_servers(driver, "b") == before
 
 
-def test_weights_show_in_the_keys() -> None:
+def test_share_of_keys_follows_the_weights() -> None:
     driver = Driver(settings())
     driver.update_endpoints(entry("big", weight=9), entry("small", weight=1))
-    hits = [driver.request(f"r{n}", key=f"k{n}", finish=True) for n in range(1000)]
-    assert 800 < hits.count("big") < 980
+    servers = [driver.request(f"r{n}", key=f"k{n}", finish=True) for n in range(1000)]
+    assert 800 < servers.count("big") < 980
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -1,4 +1,4 @@
-"""House rules: the module's size and words, and the README's example."""
+"""Rules of the sources: size, vocabulary and imports of the decisions, and the README's example."""
 
 import ast
 import re
@@ -22,11 +22,11 @@
 )
 # lines that are not blank. A module holds one concern, and one class of 250 lines the life of a request.
 # Before the decisions were split by concern the bounds were 545 lines for one module, and 700 for all.
-MOST_LINES_OF_A_FUNCTION = 40
-MOST_LINES_OF_A_CLASS = 250
-MOST_LINES_OF_A_MODULE = 280
-MOST_LINES_OF_ALL = 1200  # the operators run no longer module (page BENCH)
-OTHERS_WORDS = (
+MAX_FUNCTION_LINES = 40
+MAX_CLASS_LINES = 250
+MAX_MODULE_LINES = 280
+MAX_LINES_OF_ALL_MODULES = 1200  # the operators run no longer module (page BENCH)
+DEPLOYMENT_WORDS = (
     "lessons mechelen hobart timetable booking slot- grid prize hint-spend quote amend shannonside "
     "lee-valley kruiswoord puzzelkrant mots junior dublin cork hall- launceston devonport gen- fast- mid- "
     "slow- blade tower arrieta overeni bsas podpisu norte bilbao santander oviedo vitoria praha brno ostrava "
@@ -36,37 +36,38 @@
 )
 
 
-def not_blank(text: str) -> int:
+def line_count(text: str) -> int:
+    """Lines that are not blank."""
     return sum(bool(line.strip()) for line in text.splitlines())
 
 
 def test_decisions_stay_small() -> None:
     """Bounds for each function, class and module of the decisions, and for all of them together."""
     for name, text in DECISIONS.items():
-        assert not_blank(text) <= MOST_LINES_OF_A_MODULE, name
+        assert line_count(text) <= MAX_MODULE_LINES, name
         assert max(map(len, text.splitlines())) <= 110, name
         for node in ast.walk(ast.parse(text)):
             if isinstance(node, ast.FunctionDef | ast.ClassDef):
-                lines = not_blank(ast.get_source_segment(text, node) or "")
-                most = (
-                    MOST_LINES_OF_A_FUNCTION if isinstance(node, ast.FunctionDef) else MOST_LINES_OF_A_CLASS
+                lines = line_count(ast.get_source_segment(text, node) or "")
+                is_function = isinstance(node, ast.FunctionDef)
+                assert lines <= (MAX_FUNCTION_LINES if is_function else MAX_CLASS_LINES), (
+                    f"{name}: {node.name}"
                 )
-                assert lines <= most, f"{name}: {node.name}"
-    assert sum(map(not_blank, DECISIONS.values())) <= MOST_LINES_OF_ALL
+    assert sum(map(line_count, DECISIONS.values())) <= MAX_LINES_OF_ALL_MODULES
 
 
-def test_every_decision_is_listed_in_the_deploy_file() -> None:
+def test_every_decision_module_is_listed_in_the_deploy_file() -> None:
     folder = ROOT / "cache_router" / "decisions"
     modules = {str(path.relative_to(ROOT)) for path in folder.glob("*.py") if path.name != "__init__.py"}
     assert set(DECISIONS) | set(TYPES) >= modules
 
 
-def test_module_names_no_deployment() -> None:
+def test_decisions_name_no_deployment() -> None:
     for text in DECISIONS.values():
-        assert not [w for w in OTHERS_WORDS.split() if re.search(rf"\b{w}", text, re.IGNORECASE)]
+        assert not [w for w in DEPLOYMENT_WORDS.split() if re.search(rf"\b{w}", text, re.IGNORECASE)]
 
 
-def test_module_reads_no_clock_and_does_no_io() -> None:
+def test_decisions_read_no_clock_and_do_no_io() -> None:
     allowed = {
         "__future__",
         "hashlib",
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -9,7 +9,7 @@
 from cache_router.settings import SettingsError
 from cache_router.settings_reader import read_settings
 
-NAMES = ("svc_ms", "pending")
+FIELD_NAMES = ("svc_ms", "pending")
 
 
 @pytest.mark.parametrize(
@@ -24,18 +24,18 @@
         b"\xff=,=",
     ],
 )
-def test_a_report_that_cannot_be_read_is_none(text: bytes) -> None:
-    assert parse_load_report(text, NAMES) is None
+def test_malformed_report_is_ignored(text: bytes) -> None:
+    assert parse_load_report(text, FIELD_NAMES) is None
 
 
-def test_a_report_is_read_by_the_names_in_the_settings() -> None:
-    conf = {"classes": [{"name": "read"}], "loadReport": {"fields": [*NAMES, "x0"]}}
+def test_report_is_read_by_the_field_names_of_the_settings() -> None:
+    conf = {"classes": [{"name": "read"}], "loadReport": {"fields": [*FIELD_NAMES, "x0"]}}
     names = read_settings(conf).load_report_fields
     assert parse_load_report(b"x0=1,pending=2.5,svc_ms=40,other=3", names) == LoadReport(0.04, 2.5)
     assert parse_load_report(b"pending=2.5,svc_ms=40", ()) is None
 
 
 @pytest.mark.parametrize("fields", ["svc_ms", [1], {}])
-def test_names_that_are_none_are_told(fields: object) -> None:
+def test_malformed_field_names_are_rejected(fields: object) -> None:
     with pytest.raises(SettingsError, match=r"loadReport\.fields"):
         read_settings({"classes": [{"name": "read"}], "loadReport": {"fields": fields}})
--- a/tests/test_origin_queue.py
+++ b/tests/test_origin_queue.py
@@ -10,7 +10,7 @@
 from tests.router_scenarios import CACHE_ASIDE, fleet, request_and_miss
 
 
-def test_reads_that_wait_for_the_origin_are_answered_in_time() -> None:
+def test_reads_queued_for_the_origin_are_answered_in_time() -> None:
     driver = Driver(settings(**CACHE_ASIDE))
     driver.update_endpoints(*fleet("a", "o"))
     for n in range(60):
@@ -20,14 +20,14 @@
     assert len(driver.outcomes) == 60
 
 
-@pytest.mark.parametrize("how", ["gone", "failed"])
-def test_a_lost_fetch_does_not_strand_those_waiting(how: str) -> None:
+@pytest.mark.parametrize("cause", ["client disconnected", "attempt failed"])
+def test_queued_fetches_go_on_after_one_is_lost(cause: str) -> None:
     driver = Driver(settings(**CACHE_ASIDE))
     driver.update_endpoints(*fleet("a", "o"))
     driver.server("o").concurrency.limit = 1.0
     request_and_miss(driver, "r1", "r2", "r3")
     assert [driver.servers_tried[n] for n in ("r1", "r2", "r3")] == [["a", "o"], ["a"], ["a"]]
-    if how == "gone":
+    if cause == "client disconnected":
         driver.disconnect("r1")
     driver.complete_attempt("r1", AttemptStatus.RESET)
     assert [driver.servers_tried[n] for n in ("r2", "r3")] == [["a", "o"], ["a"]]
@@ -35,8 +35,8 @@
     assert not driver.open_requests
 
 
-def test_no_fetch_is_sent_that_cannot_be_back_in_time() -> None:
-    """With a slow origin, fetches were sent that came back after the aim, and kept others out."""
+def test_fetch_that_cannot_complete_in_time_is_rejected() -> None:
+    """With a slow origin it would come back after its latency objective, and delay others."""
     driver = Driver(settings(**CACHE_ASIDE))
     driver.update_endpoints(*fleet("a", "o"))
     driver.server("o").concurrency.limit = 2.0
@@ -51,8 +51,8 @@
     assert driver.outcomes["r3"] is Outcome.REJECTED
 
 
-def test_a_fetch_needs_twice_the_usual_latency() -> None:
-    """A third of fetches were given up midway by their clients, and so were not even stored."""
+def test_fetch_is_sent_only_with_twice_the_origin_latency_left() -> None:
+    """A fetch that its client gives up midway is not even stored in a cache."""
     driver = Driver(settings(**CACHE_ASIDE))
     driver.update_endpoints(*fleet("a", "o"))
     driver.server("o").concurrency.latency = 0.4
@@ -64,8 +64,8 @@
     assert driver.complete_attempt("r3", AttemptStatus.MISS) == "o"
 
 
-def test_a_write_needs_the_usual_latency_but_once() -> None:
-    """With an origin somewhat slow every booking was failed at once, though most would have been in time."""
+def test_write_is_sent_with_once_the_origin_latency_left() -> None:
+    """A write stores nothing in a cache; a fetch's margin would reject most at a slow origin."""
     driver = Driver(settings(**CACHE_ASIDE))
     driver.update_endpoints(*fleet("a", "o"))
     driver.request("r0", key="k0", is_write=True)
@@ -76,8 +76,8 @@
     assert driver.outcomes["r2"] is Outcome.REJECTED
 
 
-def test_worth_goes_first_at_the_origin() -> None:
-    """Bookings waited behind the misses of reads when the origin was slow."""
+def test_higher_priority_weight_leaves_the_origin_queue_first() -> None:
+    """Otherwise writes wait behind the misses of reads when the origin is slow."""
     driver = Driver(settings(**CACHE_ASIDE))
     driver.update_endpoints(*fleet("a", "o"))
     driver.server("o").concurrency.limit = 1.0
@@ -89,8 +89,8 @@
     assert driver.servers_tried["r2"] == ["a"]
 
 
-def test_the_queue_for_the_origin_stays_bounded() -> None:
-    """Reads long ended lay behind a steady flow of writes of more worth."""
+def test_origin_queue_drops_entries_of_ended_requests() -> None:
+    """Without it, reads long ended would pile up behind a steady flow of writes of higher priority."""
     driver = Driver(settings(**CACHE_ASIDE))
     driver.update_endpoints(*fleet("a", "o"))
     driver.server("o").concurrency.limit = 1.0
@@ -101,8 +101,8 @@
     assert len(driver.router.queue) <= 2 * len(driver.router.pending) + 1 < 200
 
 
-def test_what_can_no_longer_be_fetched_in_time_is_refused_at_once() -> None:
-    """Requests waited for the origin until their aim though no fetch could have been back by then."""
+def test_queued_fetch_is_rejected_once_it_cannot_complete_in_time() -> None:
+    """Rather than at its latency objective, when no fetch could have been back for long."""
     driver = Driver(settings(**CACHE_ASIDE))
     driver.update_endpoints(*fleet("a", "o"))
     driver.server("o").concurrency.limit = 1.0
@@ -116,7 +116,7 @@
     assert driver.servers_tried["r2"] == ["a"]
 
 
-def test_a_slower_origin_ends_at_once_what_it_leaves_no_time_for() -> None:
+def test_queued_fetches_are_rejected_when_the_origin_slows_down() -> None:
     driver = Driver(settings(**CACHE_ASIDE))
     driver.update_endpoints(*fleet("a", "o"))
     driver.server("o").concurrency.limit = 2.0
@@ -128,7 +128,7 @@
     assert driver.outcomes["r3"] is Outcome.REJECTED
 
 
-def test_a_wait_goes_on_when_the_origin_gets_faster() -> None:
+def test_queued_fetch_waits_longer_when_the_origin_gets_faster() -> None:
     driver = Driver(settings(**CACHE_ASIDE))
     driver.update_endpoints(*fleet("a", "o"))
     driver.server("o").concurrency.limit = 1.0
@@ -142,12 +142,14 @@
     assert driver.servers_tried["r2"] == ["a", "o"]
 
 
-@pytest.mark.parametrize(("latency", "longest", "told"), [(1.1, 2.0, 1.1), (1.1, 0.5, 0.5), (1.1, 0.0, 0.0)])
-def test_a_refusal_tells_when_to_come_back(latency: float, longest: float, told: float) -> None:
-    """Clients that ask again at once meet what they were just refused for."""
-    driver = Driver(settings(**CACHE_ASIDE, max_retry_after=longest))
+@pytest.mark.parametrize(
+    ("latency", "max_retry_after", "retry_after"), [(1.1, 2.0, 1.1), (1.1, 0.5, 0.5), (1.1, 0.0, 0.0)]
+)
+def test_rejection_carries_retry_after(latency: float, max_retry_after: float, retry_after: float) -> None:
+    """Clients that retry at once would meet the overload that they were just rejected for."""
+    driver = Driver(settings(**CACHE_ASIDE, max_retry_after=max_retry_after))
     driver.update_endpoints(*fleet("a", "o"))
     driver.request("w0", key="k0", is_write=True)
     driver.server("o").concurrency.latency = latency
     driver.request("w1", key="k1", is_write=True)
-    assert Reject("w1", told) in driver.last_actions
+    assert Reject("w1", retry_after) in driver.last_actions
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -21,40 +21,40 @@
 
 
 @pytest.mark.parametrize("status", events.FAILED)
-def test_a_server_that_fails_in_a_row_is_left_out_for_a_while(status: AttemptStatus) -> None:
-    """Each of its keys' requests went there first and spent a retry, until none were left for anybody."""
+def test_server_is_ejected_after_consecutive_failures(status: AttemptStatus) -> None:
+    """Otherwise each request for its keys goes there first and takes a retry, until the budget is used up."""
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a", "b", "c"))
     ignore_key_popularity(driver)
-    first, second, _ = servers_clockwise(driver, "k")
-    driver.server(first).concurrency.limit = 40.0
-    fail_attempts(driver, first, outlier_detection.CONSECUTIVE_FAILURES, status)
+    primary, second, _ = servers_clockwise(driver, "k")
+    driver.server(primary).concurrency.limit = 40.0
+    fail_attempts(driver, primary, outlier_detection.CONSECUTIVE_FAILURES, status)
     # it may come back as a new process
-    assert driver.server(first).concurrency.limit <= concurrency_limit.INITIAL_LIMIT
+    assert driver.server(primary).concurrency.limit <= concurrency_limit.INITIAL_LIMIT
     assert driver.request("r1", key="k", finish=True) == second
     driver.now += outlier_detection.MIN_EJECTION_TIME
-    assert [driver.request(f"t{n}", key="k") for n in "12"] == [first, second]  # one to try it by
+    assert [driver.request(f"t{n}", key="k") for n in "12"] == [primary, second]  # one attempt on trial
     driver.complete_attempt("t1", status)
     driver.now += outlier_detection.MIN_EJECTION_TIME
-    assert driver.request("r2", key="k", finish=True) == second  # twice as long
+    assert driver.request("r2", key="k", finish=True) == second  # ejected for twice as long
     driver.now += outlier_detection.MIN_EJECTION_TIME
-    assert driver.request("r3", key="k", finish=True) == first
-    assert [driver.request(f"r{n}", key="k") for n in "45"] == [first, first]
+    assert driver.request("r3", key="k", finish=True) == primary
+    assert [driver.request(f"r{n}", key="k") for n in "45"] == [primary, primary]
 
 
-def test_failures_now_and_then_take_no_server_out() -> None:
-    """Spoilt answers come from any server alike: each taken out sends its keys where they are not held."""
+def test_occasional_failures_eject_no_server() -> None:
+    """Malformed answers come from any server; an ejection sends its keys to servers that lack them."""
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a", "b", "c"))
     ignore_key_popularity(driver)
-    first, *_ = servers_clockwise(driver, "k")
+    primary, *_ = servers_clockwise(driver, "k")
     for n in range(8):
-        fail_attempts(driver, first, outlier_detection.CONSECUTIVE_FAILURES - 1, AttemptStatus.ERROR)
-        assert driver.request(f"r{n}", key="k", finish=True) == first
+        fail_attempts(driver, primary, outlier_detection.CONSECUTIVE_FAILURES - 1, AttemptStatus.ERROR)
+        assert driver.request(f"r{n}", key="k", finish=True) == primary
 
 
-def test_no_more_than_half_the_fleet_is_left_out() -> None:
-    """When all fail it is hardly the servers, and those left could not bear the load of the others."""
+def test_no_more_than_half_the_fleet_is_ejected() -> None:
+    """When all fail the cause lies elsewhere, and the rest would have no capacity for the load."""
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a", "b", "c", "d"))
     for server in driver.router.endpoints.servers.values():
@@ -63,18 +63,18 @@
     assert sum(s.failures.ejected_until > driver.now for s in driver.router.endpoints.servers.values()) == 2
 
 
-def test_one_refused_connection_takes_a_server_out() -> None:
-    """Each router met each server that had gone three times, seconds apart, before it went round it."""
+def test_one_failed_connect_ejects_a_server() -> None:
+    """A router of many meets each server seldom: three failures would take it many seconds."""
     driver = Driver(settings())
     driver.update_endpoints(*(entry(s) for s in "abcdef"))
-    gone = driver.request("r", key="k")
-    assert gone is not None
-    assert driver.complete_attempt("r", AttemptStatus.CONNECT_FAILED) not in (None, gone)
-    assert driver.server(gone).failures.ejected_until > driver.now
+    absent = driver.request("r", key="k")
+    assert absent is not None
+    assert driver.complete_attempt("r", AttemptStatus.CONNECT_FAILED) not in (None, absent)
+    assert driver.server(absent).failures.ejected_until > driver.now
 
 
-def test_absent_servers_are_left_out_however_many_they_are() -> None:
-    """With most of an old list gone the counts began anew all the time, and nobody was ever left out."""
+def test_absent_servers_are_ejected_beyond_the_maximum_share() -> None:
+    """Otherwise none would be ejected when most servers of an outdated endpoint list are gone."""
     driver = Driver(settings())
     driver.update_endpoints(*(entry(s) for s in "abcd"))
     for server in driver.router.endpoints.servers.values():
@@ -84,5 +84,5 @@
     now = driver.router.now
     assert driver.server("a").failures.ejection_time > outlier_detection.MIN_EJECTION_TIME
     last = driver.server("d")
-    # beyond half of them never for longer
+    # beyond the maximum share the ejection time does not grow
     assert now < last.failures.ejected_until <= now + outlier_detection.MIN_EJECTION_TIME
--- a/tests/test_overload_backoff.py
+++ b/tests/test_overload_backoff.py
@@ -17,8 +17,8 @@
     return server
 
 
-def test_a_server_that_reports_a_jam_rests_until_it_is_served() -> None:
-    """All routers sent on to servers whose queues were longer than any deadline; all came too late."""
+def test_overloaded_server_is_left_alone_until_its_queue_is_worked_off() -> None:
+    """Requests sent meanwhile would be answered after their deadline."""
     driver = Driver(settings())
     driver.update_endpoints(*(entry(s) for s in "abcdef"))
     first = report_overload(driver, "r0")
@@ -27,7 +27,7 @@
     assert any(driver.request(f"t{n}", key="k", finish=True) == first for n in range(6))
 
 
-def test_a_time_out_is_a_report_of_its_own() -> None:
+def test_timeout_counts_as_a_report_of_overload() -> None:
     driver = Driver(settings())
     driver.update_endpoints(*(entry(s) for s in "abcdef"))
     first = driver.request("r", key="k", time_left=2.0)
@@ -36,7 +36,7 @@
     assert driver.request("s", key="k", finish=True) != first
 
 
-def test_a_light_load_lets_no_server_rest() -> None:
+def test_light_load_causes_no_backoff() -> None:
     driver = Driver(settings())
     driver.update_endpoints(*(entry(s) for s in "abcdef"))
     first = driver.request("r", key="k")
@@ -44,23 +44,23 @@
     assert driver.request("s", key="k", finish=True) == first
 
 
-def test_routers_do_not_come_back_in_step() -> None:
-    ends = set()
+def test_backoff_has_jitter() -> None:
+    backoff_ends = set()
     for seed in range(40):
         driver = Driver(settings(), seed=seed)
         driver.update_endpoints(*(entry(s) for s in "abcdef"))
-        ends.add(driver.server(report_overload(driver, "r")).overload.backoff_until)
-    assert len(ends) == 40
-    assert max(ends) - min(ends) > 1.0
+        backoff_ends.add(driver.server(report_overload(driver, "r")).overload.backoff_until)
+    assert len(backoff_ends) == 40
+    assert max(backoff_ends) - min(backoff_ends) > 1.0
 
 
-def seconds_between_sends(siblings: int) -> float:
-    """The mean time that one router leaves a server alone that is on its way into a jam."""
+def mean_backoff(router_count: int) -> float:
+    """The mean backoff of one router, in seconds, from a server whose queue begins to grow."""
     backoffs = []
     for seed in range(40):
-        driver = Driver(settings(router_count=siblings), seed=seed)
+        driver = Driver(settings(router_count=router_count), seed=seed)
         driver.update_endpoints(*(entry(s) for s in "abcdef"))
-        for n in range(30):  # what a request takes where nothing waits
+        for n in range(30):  # the baseline service time, of servers without a queue
             driver.request(f"u{n}", key=f"u{n}")
             driver.handle(AttemptCompleted(f"u{n}", 0, AttemptStatus.OK, True, 0.05, LoadReport(0.05, 0.0)))
         server = report_overload(driver, "r", service_time=0.15, queue_length=16.0)
@@ -68,24 +68,24 @@
     return sum(backoffs) / len(backoffs)
 
 
-def test_all_routers_together_send_a_crowded_server_less_than_it_bears() -> None:
-    """Each rested it for the one wait that it was told; forty of them still sent twice what it bears."""
-    assert 40 / seconds_between_sends(40) < 1.1 / 0.05
-    assert seconds_between_sends(3) < 0.5 * seconds_between_sends(40)  # a few routers need no such rest
+def test_all_routers_together_send_an_overloaded_server_less_than_its_capacity() -> None:
+    """A backoff of one queueing delay at each of forty routers would still allow twice its capacity."""
+    assert 40 / mean_backoff(40) < 1.1 / 0.05
+    assert mean_backoff(3) < 0.5 * mean_backoff(40)  # a few routers need no such backoff
 
 
-@pytest.mark.parametrize("siblings", [40, 1000, 7100])
-def test_no_fleet_rests_a_server_for_longer_than_it_takes_to_bear_its_all(siblings: int) -> None:
-    """A rest of one service time for each router: after a surge of 3 s those of 7,100 rested for minutes."""
-    driver = Driver(settings(router_count=siblings, slow_start_duration=9.0))
+@pytest.mark.parametrize("router_count", [40, 1000, 7100])
+def test_backoff_is_no_longer_than_a_slow_start(router_count: int) -> None:
+    """One service time for each of 7,100 routers would leave a server alone for minutes."""
+    driver = Driver(settings(router_count=router_count, slow_start_duration=9.0))
     driver.update_endpoints(*(entry(s) for s in "abcdef"))
     driver.router.overload.baseline_service_time = 0.05
-    rest = driver.server(report_overload(driver, "r")).overload.backoff_until - driver.now
-    assert 0 < rest <= 9.0 * 1.25
+    backoff = driver.server(report_overload(driver, "r")).overload.backoff_until - driver.now
+    assert 0 < backoff <= 9.0 * 1.25
 
 
-def test_a_server_on_its_way_into_a_jam_rests_before_it_is_in_one() -> None:
+def test_backoff_begins_before_the_queueing_delay_reaches_the_latency_objective() -> None:
     driver = Driver(settings(router_count=40))
     driver.update_endpoints(*(entry(s) for s in "abcdef"))
-    first = report_overload(driver, "r", service_time=0.15, queue_length=12.0)  # 0.6 of the aim
+    first = report_overload(driver, "r", service_time=0.15, queue_length=12.0)  # 0.6 of the latency objective
     assert driver.request("s", key="k", finish=True) != first
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -9,12 +9,12 @@
 from tests.driver import Driver, Outcome, entry, settings
 from tests.router_scenarios import fleet
 
-MAY_HAVE_RUN = [AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED]
-NEVER_RAN = [AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT]
+MAY_HAVE_EXECUTED = [AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED]
+NOT_EXECUTED = [AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT]
 
 
-@pytest.mark.parametrize("status", MAY_HAVE_RUN)
-def test_unsafe_is_never_resent_nor_refused_once_it_may_have_run(status: AttemptStatus) -> None:
+@pytest.mark.parametrize("status", MAY_HAVE_EXECUTED)
+def test_non_idempotent_request_that_may_have_executed_is_failed(status: AttemptStatus) -> None:
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a", "b", "c"))
     driver.request("r", request_class="once", is_write=True)
@@ -22,15 +22,15 @@
     assert driver.outcomes["r"] is Outcome.FAILED
 
 
-@pytest.mark.parametrize("status", NEVER_RAN)
-def test_unsafe_is_resent_when_proven_not_to_have_run(status: AttemptStatus) -> None:
+@pytest.mark.parametrize("status", NOT_EXECUTED)
+def test_non_idempotent_request_that_was_not_executed_is_retried(status: AttemptStatus) -> None:
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a", "b", "c"))
     first = driver.request("r", request_class="once", is_write=True)
     assert driver.complete_attempt("r", status) not in (None, first)
 
 
-def test_keyed_is_resent_within_its_window_and_not_after() -> None:
+def test_request_with_key_is_retried_within_its_idempotency_window_only() -> None:
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a", "b", "c"))
     driver.request("r", request_class="keyed", time_left=3.0)
@@ -42,11 +42,11 @@
     assert late.complete_attempt("r", AttemptStatus.RESET) is None
 
 
-@pytest.mark.parametrize("group", [IdempotencyScope.ZONE, IdempotencyScope.CELL])
-def test_keyed_stays_within_its_group_and_is_then_failed(group: IdempotencyScope) -> None:
-    kind = RequestClass("keyed", 2.0, Idempotency.WITH_KEY, group, idempotency_window=1.5)
+@pytest.mark.parametrize("scope", [IdempotencyScope.ZONE, IdempotencyScope.CELL])
+def test_request_with_key_is_retried_within_its_idempotency_scope_only(scope: IdempotencyScope) -> None:
+    with_key = RequestClass("keyed", 2.0, Idempotency.WITH_KEY, scope, idempotency_window=1.5)
     for key in map(str, range(20)):
-        driver = Driver(settings(classes={"keyed": kind}))
+        driver = Driver(settings(classes={"keyed": with_key}))
         driver.update_endpoints(*fleet("a", "b", "c", "d"))
         first = driver.request("r", request_class="keyed", time_left=3.0, key=key)
         second = driver.complete_attempt("r", AttemptStatus.RESET)
@@ -55,8 +55,8 @@
         assert driver.outcomes["r"] is Outcome.FAILED
 
 
-def test_retries_are_bounded_by_what_was_taken() -> None:
-    """Failing servers made every request into many attempts and fed the overload."""
+def test_retries_are_a_bounded_share_of_the_requests() -> None:
+    """Otherwise failing servers turn every request into many attempts, which feed the overload."""
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a", "b", "c", "d"))
     for n in range(200):
@@ -67,8 +67,8 @@
     assert sum(map(len, driver.servers_tried.values())) <= 200 * 1.2 + 11
 
 
-def test_refusals_as_full_spend_no_retries() -> None:
-    """Small waiting rooms turned a third of attempts away; requests were refused beside servers with room."""
+def test_retry_after_a_rejection_is_free() -> None:
+    """Servers with short queues reject many attempts while others still have capacity."""
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a", "b", "c", "d"))
     driver.router.retry_budget.tokens = 0.0
@@ -78,8 +78,8 @@
     assert driver.complete_attempt("r", AttemptStatus.RESET) is None
 
 
-def test_refusals_as_full_spend_retries_when_all_is_full() -> None:
-    """In an overload nine attempts in ten were refused as full, and five went out for each request."""
+def test_retry_after_a_rejection_takes_a_token_when_most_attempts_fail() -> None:
+    """In an overload most attempts are rejected: free retries would make five attempts of each request."""
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a", "b", "c", "d"))
     driver.request("r", key="k")
@@ -88,8 +88,8 @@
     assert driver.outcomes["r"] is Outcome.REJECTED
 
 
-def test_an_error_of_a_fetch_is_not_tried_elsewhere() -> None:
-    """With a failing origin each error sent the key to another server, which fetched it again."""
+def test_error_answer_is_not_retried_at_another_cache() -> None:
+    """With a failing origin the other cache would fetch the key again, and fail as well."""
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a", "b"))
     driver.request("r")
@@ -97,7 +97,7 @@
     assert driver.outcomes["r"] is Outcome.REJECTED
 
 
-def test_a_refused_connection_spends_no_retry() -> None:
+def test_retry_after_a_failed_connect_is_free() -> None:
     driver = Driver(settings())
     driver.update_endpoints(*(entry(s) for s in "abcdef"))
     driver.router.retry_budget.tokens = 0.0
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -18,20 +18,27 @@
     TimerFired,
     TimerKind,
 )
-from cache_router.endpoint import EndpointState
+from cache_router.endpoint import Endpoint, EndpointState
 from tests.driver import Driver, Outcome, entry, settings
 from tests.router_scenarios import CACHE_ASIDE, fleet
 
+DRAINING = (entry("a", state=EndpointState.DRAINING), entry("b", weight=0.0, state=EndpointState.DRAINING))
 
-def test_held_requests_are_answered_in_time_without_any_server() -> None:
+
+@pytest.mark.parametrize("endpoints_known", [None, DRAINING], ids=["no endpoint list", "draining only"])
+def test_request_is_queued_and_rejected_in_time_without_a_ready_server(
+    endpoints_known: tuple[Endpoint, ...] | None,
+) -> None:
     driver = Driver(settings())
+    if endpoints_known is not None:
+        driver.update_endpoints(*endpoints_known)
     driver.request("r")
     assert not driver.servers_tried
     driver.advance(3.0)
     assert driver.outcomes["r"] is Outcome.REJECTED
 
 
-def test_held_requests_go_out_when_a_server_is_listed() -> None:
+def test_queued_request_is_sent_when_a_server_is_listed() -> None:
     driver = Driver(settings())
     driver.request("r")
     driver.now += 0.2
@@ -39,26 +46,15 @@
     assert driver.servers_tried["r"] == ["a"]
 
 
-def test_a_list_of_draining_servers_only_holds_requests_and_answers_them_in_time() -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(
-        entry("a", state=EndpointState.DRAINING), entry("b", weight=0.0, state=EndpointState.DRAINING)
-    )
-    driver.request("r")
-    assert not driver.servers_tried
-    driver.advance(3.0)
-    assert driver.outcomes["r"] is Outcome.REJECTED
-
-
 @pytest.mark.parametrize("time_left", [0.0, 0.001])
-def test_a_budget_of_nothing_is_refused_at_once(time_left: float) -> None:
+def test_request_without_time_left_is_rejected_at_once(time_left: float) -> None:
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a"))
     driver.request("r", time_left=time_left)
     assert driver.outcomes["r"] is Outcome.REJECTED
 
 
-def test_client_gone_ends_everything_for_it() -> None:
+def test_client_disconnect_cancels_the_attempt_and_ends_the_request() -> None:
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a", "b"))
     driver.request("r")
@@ -67,7 +63,7 @@
     assert driver.handle(ClientDisconnected("r")) == []
 
 
-def test_unknown_things_are_passed_over() -> None:
+def test_events_about_unknown_requests_and_timers_are_ignored() -> None:
     driver = Driver(settings())
     for event in (
         AttemptCompleted("x", 0, AttemptStatus.OK, True),
@@ -83,7 +79,7 @@
     assert driver.router.handle(driver.now, Request("r", "unheard-of", 1.0)) == [Reject("r")]
 
 
-def test_a_stream_that_began_is_left_alone() -> None:
+def test_started_response_is_neither_retried_nor_rejected() -> None:
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a", "b"))
     driver.request("r")
@@ -93,23 +89,23 @@
     assert len(driver.servers_tried["r"]) == 1
 
 
-def test_equal_events_give_equal_actions() -> None:
+def test_equal_seeds_and_events_give_equal_actions() -> None:
     def run() -> list[list[Action]]:
         driver = Driver(settings(must_subscribe=True), seed=7)
-        said = [
+        answers = [
             driver.update_endpoints(*fleet("a", "b", "c"), kind=EndpointUpdateKind.CACHED),
             driver.update_endpoints(kind=EndpointUpdateKind.FAILED),
         ]
         for n in range(30):
             driver.request(f"r{n}", key=f"k{n}")
-            said.append(driver.last_actions)
-        return said
+            answers.append(driver.last_actions)
+        return answers
 
     assert run() == run()
 
 
-def test_a_long_run_holds_bounded_memory() -> None:
-    """Many keys, servers and requests pass through; what is kept follows what is in hand."""
+def test_memory_stays_bounded_over_many_keys_servers_and_requests() -> None:
+    """State is kept of the requests in flight and the servers listed only."""
     driver = Driver(settings(**CACHE_ASIDE))
     for n in range(3000):
         if n % 20 == 0:
@@ -123,9 +119,13 @@
             driver.serve(name)
         driver.advance(0.05)
     driver.advance(5.0)
-    r = driver.router
-    assert not r.pending
-    assert not r.attempts
-    assert len(r.endpoints.servers) <= 5
-    assert len(r.queue) < 100
-    assert r.endpoints.ring.size == len(list(r.endpoints.ring.points())) <= 5 * endpoints.POINTS_PER_UNIT
+    router = driver.router
+    assert not router.pending
+    assert not router.attempts
+    assert len(router.endpoints.servers) <= 5
+    assert len(router.queue) < 100
+    assert (
+        router.endpoints.ring.size
+        == len(list(router.endpoints.ring.points()))
+        <= 5 * endpoints.POINTS_PER_UNIT
+    )
--- a/tests/test_router_properties.py
+++ b/tests/test_router_properties.py
@@ -1,4 +1,4 @@
-"""The four rules under random legal sequences of events."""
+"""The rules that the driver checks, under random legal sequences of events."""
 
 from __future__ import annotations
 
@@ -18,14 +18,24 @@
 from tests.driver import Driver, entry, settings
 from tests.router_scenarios import CACHE_ASIDE, fleet
 
+# weighted by repetition
+EVENTS = [
+    *["request"] * 4,
+    *["attempt completed"] * 5,
+    *["time passes"] * 2,
+    "endpoint update",
+    "client disconnected",
+]
+
 
 class RandomDriver(Driver):
-    """RandomDriver legal events, chosen by hypothesis."""
+    """A driver that draws legal events from hypothesis."""
 
     def step(self, data: st.DataObject, n: int) -> None:
-        move = data.draw(st.sampled_from(["request"] * 4 + ["end"] * 5 + ["wait"] * 2 + ["list", "gone"]))
-        outstanding = [k for k, s in self.attempt_statuses.items() if s is None]
-        if move == "request":
+        """Feed the router one event; `n` numbers the request that may arrive."""
+        event = data.draw(st.sampled_from(EVENTS))
+        in_flight = [attempt for attempt, status in self.attempt_statuses.items() if status is None]
+        if event == "request":
             names = sorted(self.settings.classes)
             self.request(
                 f"r{n}",
@@ -35,39 +45,44 @@
                 is_write=data.draw(st.booleans()),
                 cost_hint=data.draw(st.sampled_from([None, 0.0, 0.2])),
             )
-        elif move == "end" and outstanding:
-            name, number = data.draw(st.sampled_from(outstanding))
+        elif event == "attempt completed" and in_flight:
+            name, number = data.draw(st.sampled_from(in_flight))
             self.complete_attempt(name, data.draw(st.sampled_from(list(AttemptStatus))), number)
-        elif move == "wait":
+        elif event == "time passes":
             self.advance(data.draw(st.sampled_from([0.0, 0.05, 0.4, 1.0])))
-        elif move == "list":
+        elif event == "endpoint update":
             self.random_endpoint_update(data)
-        elif move == "gone" and self.open_requests:
+        elif event == "client disconnected" and self.open_requests:
             name = data.draw(st.sampled_from(sorted(self.open_requests)))
             self.disconnect(name)
 
     def random_endpoint_update(self, data: st.DataObject) -> None:
+        """Feed the router an endpoint update, or the failure of a call for one."""
         kind = data.draw(st.sampled_from(list(EndpointUpdateKind)))
         names = data.draw(st.lists(st.sampled_from("abcdo"), unique=True))
         states = st.sampled_from(
             [EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED]
         )
-        since = st.sampled_from([0.0, self.now])
-        rows = [
+        start_times = st.sampled_from([0.0, self.now])
+        endpoints = [
             entry(
-                n, state=data.draw(states), kind="origin" if n == "o" else "std", started_at=data.draw(since)
+                n,
+                state=data.draw(states),
+                kind="origin" if n == "o" else "std",
+                started_at=data.draw(start_times),
             )
             for n in names
         ]
         if kind is EndpointUpdateKind.FAILED:
             self.handle(EndpointUpdate(kind))
         else:
-            self.update_endpoints(*rows, kind=kind)
+            self.update_endpoints(*endpoints, kind=kind)
 
 
-def request_classes(group: IdempotencyScope) -> dict[str, RequestClass]:
+def request_classes(scope: IdempotencyScope) -> dict[str, RequestClass]:
+    """A class of each idempotency, and one with a short latency objective."""
     keyed = RequestClass(
-        "keyed", 1.0, Idempotency.WITH_KEY, group, idempotency_window=0.5, priority_weight=5.0
+        "keyed", 1.0, Idempotency.WITH_KEY, scope, idempotency_window=0.5, priority_weight=5.0
     )
     once = RequestClass("once", 1.0, Idempotency.NOT_IDEMPOTENT, priority_weight=5.0)
     late = RequestClass("late", 0.5)
@@ -75,7 +90,8 @@
 
 
 def run_random_events(data: st.DataObject, make: type[Router] = Router) -> None:
-    conf = settings(
+    """Drive a router of random settings with random events, until every request must have ended."""
+    random_settings = settings(
         classes=request_classes(data.draw(st.sampled_from(list(IdempotencyScope)))),
         hedging_allowed=data.draw(st.booleans()),
         cancellation_allowed=data.draw(st.booleans()),
@@ -83,16 +99,16 @@
         must_subscribe=data.draw(st.booleans()),
         **(CACHE_ASIDE if data.draw(st.booleans()) else {}),
     )
-    driver = RandomDriver(conf, make=make)
+    driver = RandomDriver(random_settings, make=make)
     driver.update_endpoints(*fleet("a", "b", "c", "d", "o"), kind=EndpointUpdateKind.CACHED)
     for n in range(data.draw(st.integers(5, 40))):
         driver.step(data, n)
     driver.advance(10.0)
     assert not driver.open_requests, "rule 1: left without an answer"
-    assert not driver.router.pending, "something is still held"
+    assert not driver.router.pending, "a request that has ended is still kept"
 
 
-CHECKS = hypothesis_settings(
+RANDOM_EXAMPLES = hypothesis_settings(
     derandomize=True,
     max_examples=150,
     deadline=None,
@@ -102,7 +118,7 @@
 )
 
 
-@CHECKS
+@RANDOM_EXAMPLES
 @given(st.data())
 def test_rules_hold_under_random_events(data: st.DataObject) -> None:
     run_random_events(data)
@@ -119,7 +135,7 @@
 
 
 class UnrestrictedRetryRouter(Router):
-    """Broken on purpose: sends anything again."""
+    """Broken on purpose: retries and rejects any request."""
 
     def __init__(self, conf: Settings, seed: int, now: float) -> None:
         super().__init__(conf, seed, now)
@@ -128,7 +144,7 @@
 
 
 class TimerlessRouter(Router):
-    """Broken on purpose: sets no timer for what it holds."""
+    """Broken on purpose: sets no timer for queued requests."""
 
     def _enqueue(self, pending: Any) -> None:
         super()._enqueue(pending)
@@ -136,11 +152,11 @@
 
 
 @pytest.mark.parametrize("broken", [UnrestrictedRetryRouter, TimerlessRouter])
-def test_the_property_test_catches_a_broken_module(broken: type[Router]) -> None:
-    @CHECKS
+def test_random_events_reveal_a_broken_router(broken: type[Router]) -> None:
+    @RANDOM_EXAMPLES
     @given(st.data())
-    def attempt(data: st.DataObject) -> None:
+    def run_broken_router(data: st.DataObject) -> None:
         run_random_events(data, broken)
 
     with pytest.raises(AssertionError):
-        attempt()
+        run_broken_router()
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -14,18 +14,20 @@
 
 
 def exhaust_capacity(driver: Driver, *names: str) -> None:
+    """Let servers have no capacity for a further attempt."""
     for name in names:
         driver.server(name).concurrency.limit = 0.0
 
 
-def walk(driver: Driver, name: str, key: str) -> str:
-    sent = driver.request(name, key=key)
-    assert sent is not None
-    return sent
+def send_request(driver: Driver, name: str, key: str) -> str:
+    """Send a request that must not be rejected; returns the server of its first attempt."""
+    server = driver.request(name, key=key)
+    assert server is not None
+    return server
 
 
-def test_a_key_goes_no_further_than_the_second_crowded_server() -> None:
-    """Crowded servers sent keys on to servers that lack them: hits became misses, and all were crowded."""
+def test_walk_ends_at_the_second_server_without_capacity() -> None:
+    """Further servers lack the key: hits would become misses, and these servers be overloaded as well."""
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a", "b", "c", "d"))
     first, second, third, _ = servers_clockwise(driver, "k")
@@ -37,8 +39,8 @@
     assert driver.server(third).concurrency.in_flight == 0
 
 
-def test_silent_servers_are_passed_without_being_counted() -> None:
-    """Servers behind a cut used up the two that a key may pass, and their keys were refused."""
+def test_silent_servers_do_not_count_as_servers_without_capacity() -> None:
+    """Behind a network partition they would be the two that a key may pass, and their keys be rejected."""
     driver = Driver(settings(hedging_allowed=False))
     driver.update_endpoints(*fleet("a", "b", "c", "d"))
     first, second, third, _ = servers_clockwise(driver, "k")
@@ -49,7 +51,7 @@
     assert driver.request("r1", key="k") == third
 
 
-def test_a_silent_server_gets_one_trial_at_a_time_until_it_answers() -> None:
+def test_silent_server_gets_one_attempt_at_a_time_until_it_answers() -> None:
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a", "b"))
     ignore_key_popularity(driver)
@@ -59,15 +61,15 @@
     assert driver.request("r3", key="k", finish=True) == second
     driver.complete_attempt("r1", AttemptStatus.TIMEOUT, latency=1.1)
     driver.complete_attempt("r2", AttemptStatus.TIMEOUT, latency=1.1)
-    driver.now += 1.4  # for so long a server that timed out rests
+    driver.now += 1.4  # the backoff after a timeout is over
     assert driver.request("r4", key="k") == first
     assert driver.request("r5", key="k", finish=True) == second
     driver.complete_attempt("r4", AttemptStatus.ERROR)
     assert driver.request("r6", key="k") == first
 
 
-def test_a_server_reported_crowded_is_passed_by_a_share_of_requests() -> None:
-    """One key drew a crowd that no router alone could see; the list's live weights show it to all."""
+def test_reported_load_sends_a_share_of_a_key_to_the_next_server() -> None:
+    """One key may overload a server though each router sees it seldom; live weights show it to all."""
     driver = Driver(settings(live_weights=True))
     names = "abcdefgh"
     driver.update_endpoints(*(entry(n, weight=2.0) for n in names))
@@ -75,27 +77,27 @@
     driver.update_endpoints(*(entry(n, weight=0.5 if n == first else 1.0) for n in names))
     ignore_key_popularity(driver)
     sent = [driver.request(f"r{n}", key="k", finish=True) for n in range(200)]
-    assert 70 < sent.count(first) < 140  # 3 held against a cap of 1.56: half stay
+    assert 70 < sent.count(first) < 140  # a load of 3 against a cap of 1.56: half stay
 
 
-def test_hot_key_spills_clockwise() -> None:
-    """One key, never answered: its requests spread over the servers instead of piling on the first."""
+def test_hot_key_spreads_to_the_next_servers_clockwise() -> None:
+    """A key whose requests are never answered goes to several servers in place of one."""
     driver = Driver(settings())
     driver.update_endpoints(*(entry(n) for n in "abcd"))
-    sent = [walk(driver, f"r{n}", "hot") for n in range(8)]
+    sent = [send_request(driver, f"r{n}", "hot") for n in range(8)]
     assert len(set(sent)) > 1
     assert sent[0] == primary_server("hot", dict.fromkeys("abcd", 128))
 
 
-def test_few_requests_do_not_split_a_key() -> None:
-    """Own counts near one tripped a plain cap by chance, and neighbours then both kept the key."""
+def test_two_requests_in_flight_do_not_split_a_key() -> None:
+    """Small counts exceed a plain cap by chance, and two servers would then cache the key."""
     driver = Driver(settings())
     driver.update_endpoints(*(entry(f"s{n}") for n in range(90)))
-    assert len({walk(driver, f"r{n}", "k") for n in range(2)}) == 1
+    assert len({send_request(driver, f"r{n}", "k") for n in range(2)}) == 1
 
 
 @pytest.mark.parametrize("is_warming_up", [False, True])
-def test_a_hot_key_spreads_over_as_few_servers_as_carry_it(is_warming_up: bool) -> None:
+def test_hot_key_spreads_over_as_few_servers_as_have_the_capacity(is_warming_up: bool) -> None:
     """One key with a fifth of all requests, at a router that never has two in flight at a server."""
     driver = Driver(settings())
     driver.update_endpoints(*(entry(f"s{i}", weight=2.0 if i % 2 else 1.0) for i in range(30)))
@@ -104,33 +106,35 @@
     driver.update_endpoints(
         *(entry(f"s{i}", started_at=started_at if f"s{i}" == first else 0.0) for i in range(30))
     )
-    sent = [driver.request(f"r{n}", key=f"k{n}" if n % 5 else "hot", finish=True) for n in range(2000)]
-    hot = sent[200::5]
-    assert 5 <= len(set(hot)) <= 8  # a fifth of 30 servers, at 1.25 fair shares each, is 4.8
-    assert hot.count(first) < (0.1 if is_warming_up else 0.3) * len(hot)
-    assert sum(a == b for a, b in zip(sent, primary_servers(driver, "x"), strict=True) if a) > 1000
+    servers = [driver.request(f"r{n}", key=f"k{n}" if n % 5 else "hot", finish=True) for n in range(2000)]
+    hot_key_servers = servers[200::5]
+    assert 5 <= len(set(hot_key_servers)) <= 8  # a fifth of 30 servers, at 1.25 fair shares each, is 4.8
+    assert hot_key_servers.count(first) < (0.1 if is_warming_up else 0.3) * len(hot_key_servers)
+    later = primary_servers(driver, "x")
+    assert sum(server == again for server, again in zip(servers, later, strict=True) if server) > 1000
 
 
-def test_the_walk_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With every server out of the question the walk went round the whole ring for each request."""
+def test_walk_visits_a_bounded_number_of_points(monkeypatch: pytest.MonkeyPatch) -> None:
+    """With every server ineligible the walk would go round the whole ring for each request."""
     driver = Driver(settings())
     driver.update_endpoints(*(entry(f"s{i}") for i in range(90)))
-    for s in driver.router.endpoints.servers.values():
-        s.concurrency.in_flight, s.concurrency.unanswered_since = 1, driver.now - 5.0
-    looked: list[object] = []
-    eligible = ServerSelector.is_eligible
+    for server in driver.router.endpoints.servers.values():
+        server.concurrency.in_flight = 1
+        server.concurrency.unanswered_since = driver.now - 5.0
+    visited: list[object] = []
+    is_eligible = ServerSelector.is_eligible
 
-    def noted(selector: ServerSelector, pending: PendingRequest, server: Server, now: float) -> bool:
-        looked.append(server)
-        return eligible(selector, pending, server, now)
+    def record_visit(selector: ServerSelector, pending: PendingRequest, server: Server, now: float) -> bool:
+        visited.append(server)
+        return is_eligible(selector, pending, server, now)
 
-    monkeypatch.setattr(ServerSelector, "is_eligible", noted)
+    monkeypatch.setattr(ServerSelector, "is_eligible", record_visit)
     assert driver.request("r", key="k") is None
     assert driver.outcomes["r"] is Outcome.REJECTED
-    assert 0 < len(looked) <= server_selection.MAX_POINTS_VISITED
+    assert 0 < len(visited) <= server_selection.MAX_POINTS_VISITED
 
 
-def test_origin_holds_no_points_and_gets_writes_and_misses() -> None:
+def test_origin_gets_writes_and_misses_only() -> None:
     driver = Driver(settings(cache_aside=True, origin_kind="origin"))
     driver.update_endpoints(entry("a"), entry("o", kind="origin"))
     assert driver.request("w", key="k", is_write=True) == "o"
@@ -139,7 +143,7 @@
     assert driver.complete_attempt("r", AttemptStatus.MISS) == "o"
 
 
-def test_through_mode_walks_writes_on_the_ring() -> None:
+def test_writes_go_to_the_primary_server_without_cache_aside() -> None:
     driver = Driver(settings())
     driver.update_endpoints(entry("a"), entry("b"))
     assert driver.request("w", key="k", is_write=True) == primary_server("k", {"a": 128, "b": 128})
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -129,7 +129,7 @@
     assert field in capsys.readouterr().err
 
 
-def test_a_read_goes_miss_then_origin_then_client() -> None:
+def test_missed_read_is_fetched_from_the_origin() -> None:
     adapter = born()
     assert sends(play(adapter, 1.1, ask("1"))) == ["a"]
     assert sends(play(adapter, 1.2, done("1", 0, "empty"))) == ["o"]
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("outcome", sorted(simulator_adapter.ATTEMPT_STATUSES))
-def test_every_outcome_is_taken(outcome: str) -> None:
+def test_every_attempt_status_is_accepted(outcome: str) -> None:
     adapter = born()
     play(adapter, 1.1, ask("1"))
     play(adapter, 1.2, done("1", 0, outcome, outcome == "delivered"))
@@ -147,7 +147,7 @@
     )
 
 
-def test_every_list_kind_and_state_is_taken() -> None:
+def test_every_endpoint_update_kind_and_state_is_accepted() -> None:
     adapter = born()
     lines = [row("b"), row("a", readiness="leaving"), row("c", readiness="left")]
     play(adapter, 1.1, {"op": "Membership", "scope": "INCREMENTAL", "generation": 2, "lines": lines})
@@ -161,7 +161,7 @@
     assert sends(play(adapter, 2.2, ask("2"))) == ["z"]
 
 
-def test_client_gone_cancels() -> None:
+def test_client_disconnect_cancels_the_attempt() -> None:
     adapter = born()
     play(adapter, 1.1, ask("1"))
     gone = play(adapter, 1.2, {"op": "Aborted", "ticket": "1"})
@@ -169,14 +169,14 @@
     assert play(adapter, 1.3, done("1", 0, "revoked", True)) == []
 
 
-def test_final_answers_on_the_wire() -> None:
+def test_rejection_and_failure_in_wire_form() -> None:
     adapter = born(familyInfo={"mode": "through"}, limits={"mostTries": 1})
     play(adapter, 1.1, ask("1"), ask("2", priority="pay"))
     assert play(adapter, 1.2, done("1", 0, "dropped")) == [{"op": "Reject", "ticket": "1"}]
     assert play(adapter, 1.2, done("2", 0, "dropped")) == [{"op": "GiveUp", "ticket": "2"}]
 
 
-def test_begun_and_unused_events_are_passed_over() -> None:
+def test_response_start_and_unused_events_cause_no_action() -> None:
     adapter = born()
     play(adapter, 1.1, ask("1"))
     begun = {"op": "Begun", "ticket": "1", "sendNo": 0, "lag": 0.1, "server": "a"}
@@ -184,7 +184,7 @@
     assert play(adapter, 1.2, begun, pong, {"op": "Heard", "srcPeer": 1, "content": "00"}) == []
 
 
-def test_kill_leaves_nothing_behind() -> None:
+def test_killed_router_keeps_no_state() -> None:
     adapter = born()
     play(adapter, 1.1, ask("1"))
     assert play(adapter, 1.2, {"op": "Kill"}) == []
@@ -216,7 +216,7 @@
         b'{"t":1,"news":[7]}',
     ],
 )
-def test_malformed_lines_are_told_plainly(line: bytes) -> None:
+def test_malformed_line_raises_a_wire_error(line: bytes) -> None:
     with pytest.raises(WireError):
         SimulatorAdapter().handle_line(line)
 
@@ -251,8 +251,8 @@
     assert first.stdout == second.stdout
 
 
-def test_one_customer_leaves_no_trace_in_the_decisions_for_the_next() -> None:
-    """Classes of the same names, with other effects, limits and windows: only what was told last counts."""
+def test_killed_router_leaves_no_trace_in_the_next_one() -> None:
+    """Classes of the same names but other settings: only the settings given last count."""
 
     def day(adapter: SimulatorAdapter, t: float) -> list[list[dict[str, Any]]]:
         lines = [row("a"), row("b"), row("o", "store")]
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Cold servers under what all routers of a fleet send them together: thirty in step on one clock."""
+"""Slow start: what one router, and thirty routers on one simulated clock, send to servers that warm up."""
 
 from __future__ import annotations
 
@@ -12,8 +12,7 @@
 import pytest
 
 from cache_router.decisions import hedging
-from cache_router.decisions import slow_start as ramp
-from cache_router.decisions.actions import Fail, Reject, Send, SetTimer
+from cache_router.decisions.actions import Send, SetTimer
 from cache_router.decisions.events import (
     AttemptCompleted,
     AttemptStatus,
@@ -25,7 +24,7 @@
 )
 from cache_router.decisions.model import Server
 from cache_router.decisions.router import Router
-from cache_router.endpoint import Endpoint
+from cache_router.decisions.slow_start import SlowStartQuota
 from tests.driver import Driver, entry, settings
 from tests.router_scenarios import primary_servers
 
@@ -34,97 +33,118 @@
 STEADY = AttemptStatus.OK, LATENCY
 
 
-class Fleet:
-    """Routers that share nothing but the list, caches that serve at once, and what reaches the cold one."""
+class FleetSimulation:
+    """Routers that share nothing but the endpoint list, and caches that answer after a fixed latency.
 
-    def __init__(self, seed: int, capacity: float, hot: float = 0.0, held: int = 0) -> None:
-        self.conf = settings(router_count=ROUTERS)
-        self.capacity, self.random, self.hot = capacity, random.Random(seed), hot
-        self.held, self.rate = held, capacity * CACHES
-        self.order = count()
-        self.events: list[tuple[float, int, int, Event]] = []
-        self.ended: set[str] = set()
+    Records when an attempt reaches the one cache that warms up. `capacity` is that of each cache, in requests
+    a second; `hot_share` the share of requests for one key of the warming cache; `queued` the number of such
+    requests that each router has accepted before its first endpoint list. Times are in seconds.
+    """
+
+    def __init__(self, seed: int, capacity: float, hot_share: float = 0.0, queued: int = 0) -> None:
+        self.settings = settings(router_count=ROUTERS)
+        self.capacity = capacity
+        self.random = random.Random(seed)
+        self.hot_share = hot_share
+        self.queued = queued
+        self.request_rate = capacity * CACHES
+        self.event_order = count()
+        self.events: list[tuple[float, int, int, Event]] = []  # time, order, router, event
         self.attempts: dict[str, int] = {}
-        self.at_cold: list[float] = []
-        self.key = next(k for k in map(str, count()) if self.first_choice(k) == "cold")
+        self.sent_to_warming: list[float] = []
+        self.hot_key = next(k for k in map(str, count()) if self.first_choice(k) == "warming")
         self.routers: dict[int, Router] = {}
 
-    def entries(self) -> tuple[Endpoint, ...]:
-        return *(entry(f"s{i}") for i in range(CACHES)), entry("cold", started_at=START)
+    def endpoint_update(self, now: float) -> EndpointUpdate:
+        """All servers that are listed at a time: the warming one is the last, from its start on."""
+        endpoints = *(entry(f"s{i}") for i in range(CACHES)), entry("warming", started_at=START)
+        return EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints if now >= START else endpoints[:-1])
 
     def first_choice(self, key: str) -> str:
+        """The server to which a router sends a key at the start of the warming server."""
         router = Router(settings(), 1, START)
-        router.handle(START, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, self.entries()))
+        router.handle(START, self.endpoint_update(START))
         (send, *_) = router.handle(START, Request("r", "read", 1.0, key))
         return send.server if isinstance(send, Send) else ""
 
-    def start(self, number: int, now: float) -> None:
-        self.routers[number] = Router(self.conf, self.random.getrandbits(30), now)
-        for n in range(self.held):
-            self.feed(now, number, Request(f"held{number}-{n}", "read", 1.0, self.key))
-        known = self.entries() if now >= START else self.entries()[:-1]
-        self.feed(now, number, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, known))
+    def start_router(self, number: int, now: float) -> None:
+        """Start a router, or start it again."""
+        self.routers[number] = Router(self.settings, self.random.getrandbits(30), now)
+        for n in range(self.queued):
+            self.handle(now, number, Request(f"queued{number}-{n}", "read", 1.0, self.hot_key))
+        self.handle(now, number, self.endpoint_update(now))
 
     def answer(self) -> tuple[AttemptStatus, float]:
+        """The status and the latency of the next attempt."""
         return STEADY
 
-    def feed(self, now: float, number: int, event: Event) -> None:
+    def handle(self, now: float, number: int, event: Event) -> None:
+        """Feed one router an event and schedule what its actions lead to."""
         for action in self.routers[number].handle(now, event):
             if isinstance(action, Send):
-                attempt = self.attempts[action.request_id] = self.attempts.get(action.request_id, -1) + 1
-                if action.server == "cold":
-                    self.at_cold.append(now)
-                status, latency = self.answer()
-                over = status is AttemptStatus.OK
-                outcome = AttemptCompleted(action.request_id, attempt, status, over, latency)
-                self.later(now + latency, number, outcome)
+                self.send(now, number, action)
             elif isinstance(action, SetTimer):
-                self.later(now + action.delay, number, TimerFired(action.timer))
-            elif isinstance(action, Reject | Fail):
-                self.ended.add(action.request_id)
-
-    def later(self, at: float, number: int, event: Event) -> None:
-        heapq.heappush(self.events, (at, next(self.order), number, event))
+                self.schedule(now + action.delay, number, TimerFired(action.timer))
+
+    def send(self, now: float, number: int, action: Send) -> None:
+        """Record an attempt and schedule its end."""
+        attempt = self.attempts[action.request_id] = self.attempts.get(action.request_id, -1) + 1
+        if action.server == "warming":
+            self.sent_to_warming.append(now)
+        status, latency = self.answer()
+        is_final = status is AttemptStatus.OK
+        completed = AttemptCompleted(action.request_id, attempt, status, is_final, latency)
+        self.schedule(now + latency, number, completed)
+
+    def schedule(self, at: float, number: int, event: Event) -> None:
+        """Let an event reach a router later."""
+        heapq.heappush(self.events, (at, next(self.event_order), number, event))
 
     def run(self, restarts: dict[float, range]) -> float:
-        """Play until the server is warm; answers with the worst excess over what a window allows."""
+        """Run until the server is warm; returns the worst excess over what a window allows."""
         changes = sorted([*restarts, START])
-        busy = [self.random.choice((1, 1, 1, 4)) for _ in range(ROUTERS)]
+        request_shares = [self.random.choice((1, 1, 1, 4)) for _ in range(ROUTERS)]
         now = 0.0
         for n in count():
-            now += self.random.expovariate(self.rate)
-            if now > START + self.conf.slow_start_duration:
-                return self.excess()
+            now += self.random.expovariate(self.request_rate)
+            if now > START + self.settings.slow_start_duration:
+                break
             while changes and changes[0] <= now:
-                at = changes.pop(0)
-                for number in range(ROUTERS) if at == START else ():
-                    if number in self.routers:
-                        self.feed(at, number, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, self.entries()))
-                for number in restarts.get(at, ()):
-                    self.start(number, at)
+                self.change(changes.pop(0), restarts)
             while self.events and self.events[0][0] <= now:
                 at, _, number, event = heapq.heappop(self.events)
-                self.feed(at, number, event)
-            number = self.random.choices(range(ROUTERS), busy)[0]
+                self.handle(at, number, event)
+            number = self.random.choices(range(ROUTERS), request_shares)[0]
             if number in self.routers:
-                key = self.key if self.random.random() < self.hot else f"k{self.random.randrange(20_000)}"
-                self.feed(now, number, Request(f"r{n}", "read", 1.0, key))
-        raise AssertionError
-
-    def excess(self) -> float:
-        worst, conf = -math.inf, self.conf
-        for i, at in enumerate(self.at_cold):
-            share = (
-                conf.slow_start_initial_share
-                + (1 - conf.slow_start_initial_share) * (at - START) / conf.slow_start_duration
-            )
-            most = conf.overload_multiple * share * self.capacity * conf.overload_window
-            sent = bisect_left(self.at_cold, at + conf.overload_window) - i
-            worst = max(worst, sent - most - 2 * math.sqrt(most) - 2)
+                is_hot = self.random.random() < self.hot_share
+                key = self.hot_key if is_hot else f"k{self.random.randrange(20_000)}"
+                self.handle(now, number, Request(f"r{n}", "read", 1.0, key))
+        return self.worst_excess()
+
+    def change(self, at: float, restarts: dict[float, range]) -> None:
+        """Show the warming server to all routers at its start, and restart those that restart now."""
+        if at == START:
+            for number in range(ROUTERS):
+                if number in self.routers:
+                    self.handle(at, number, self.endpoint_update(at))
+        for number in restarts.get(at, ()):
+            self.start_router(number, at)
+
+    def worst_excess(self) -> float:
+        """The most attempts that a window had above its bound, two standard deviations and two attempts."""
+        worst, conf = -math.inf, self.settings
+        initial_share = conf.slow_start_initial_share
+        for i, at in enumerate(self.sent_to_warming):
+            share = initial_share + (1 - initial_share) * (at - START) / conf.slow_start_duration
+            bound = conf.overload_multiple * share * self.capacity * conf.overload_window
+            sent = bisect_left(self.sent_to_warming, at + conf.overload_window) - i
+            worst = max(worst, sent - bound - 2 * math.sqrt(bound) - 2)
         return worst
 
 
-class Failing(Fleet):
+class FailingFleetSimulation(FleetSimulation):
+    """Resets a fifth of the attempts and loses the answers of a tenth."""
+
     def answer(self) -> tuple[AttemptStatus, float]:
         draw = self.random.random()
         if draw < 0.2:
@@ -133,49 +153,63 @@
 
 
 ALL = range(ROUTERS)
-CASES: dict[str, tuple[type[Fleet], dict[str, Any], dict[float, range]]] = {
-    "any key": (Fleet, {}, {0.0: ALL}),
-    "hot key": (Fleet, {"hot": 0.3}, {0.0: ALL}),
-    "hot key, errors and answers lost": (Failing, {"hot": 0.3}, {0.0: ALL}),
-    "hot key, all just started": (Fleet, {"hot": 0.3}, {START: ALL}),
-    "hot key, all just started with some waiting": (Fleet, {"hot": 0.3, "held": 3}, {START: ALL}),
-    "hot key, restarts": (Fleet, {"hot": 0.3}, {0.0: ALL, START + 1: ALL[:15], START + 3: ALL[10:]}),
+CASES: dict[str, tuple[type[FleetSimulation], dict[str, Any], dict[float, range]]] = {
+    "any key": (FleetSimulation, {}, {0.0: ALL}),
+    "hot key": (FleetSimulation, {"hot_share": 0.3}, {0.0: ALL}),
+    "hot key, resets and lost answers": (FailingFleetSimulation, {"hot_share": 0.3}, {0.0: ALL}),
+    "hot key, all just started": (FleetSimulation, {"hot_share": 0.3}, {START: ALL}),
+    "hot key, all just started with queued requests": (
+        FleetSimulation,
+        {"hot_share": 0.3, "queued": 3},
+        {START: ALL},
+    ),
+    "hot key, restarts": (
+        FleetSimulation,
+        {"hot_share": 0.3},
+        {0.0: ALL, START + 1: ALL[:15], START + 3: ALL[10:]},
+    ),
 }
 
 
 @pytest.mark.parametrize("case", CASES)
 @pytest.mark.parametrize("capacity", [20.0, 100.0])
-def test_all_routers_together_keep_within_what_a_cold_server_bears(case: str, capacity: float) -> None:
-    """A share of points holds for many keys alike; all sent one hot key to the server just started."""
+def test_all_routers_together_stay_within_the_capacity_of_a_warming_server(
+    case: str, capacity: float
+) -> None:
+    """Fewer points hold back many keys alike, but not one hot key that all routers send to the new server."""
     make, options, restarts = CASES[case]
     for seed in range(3):
-        fleet = make(seed, capacity, **options)
-        assert fleet.run(restarts) <= 0
-        assert len(fleet.at_cold) > capacity  # of some five times as much that it could serve meanwhile
+        simulation = make(seed, capacity, **options)
+        assert simulation.run(restarts) <= 0
+        # it could serve some five times as much meanwhile
+        assert len(simulation.sent_to_warming) > capacity
 
 
-def test_a_cold_server_is_sent_to_where_no_other_is() -> None:
-    """With nothing warm no router knows what is borne, and a budget of nothing would refuse everybody."""
+def test_warming_servers_get_all_requests_where_no_other_is_listed() -> None:
+    """With no warm server to compare with, a quota of nothing would reject every request."""
     driver = Driver(settings(router_count=ROUTERS))
     driver.update_endpoints(entry("a", started_at=driver.now), entry("b", started_at=driver.now))
     assert None not in [driver.request(f"r{n}", key=f"k{n}", finish=True) for n in range(20)]
 
 
-@pytest.mark.parametrize(("siblings", "copy"), [(1, "b"), (ROUTERS, "a")])
-def test_a_second_copy_at_a_cold_server_comes_out_of_its_budget(siblings: int, copy: str) -> None:
-    """One that still answered others was asked again whatever it had been sent."""
-    driver = Driver(settings(router_count=siblings))
+@pytest.mark.parametrize(("router_count", "hedge_server"), [(1, "b"), (ROUTERS, "a")])
+def test_hedged_request_at_a_warming_server_counts_against_its_quota(
+    router_count: int, hedge_server: str
+) -> None:
+    """A large fleet hedges elsewhere once the quota is used up, though the server answers other requests."""
+    driver = Driver(settings(router_count=router_count))
     driver.update_endpoints(entry("a"), entry("b", started_at=driver.now))
-    cold = driver.server("b")
-    cold.concurrency.latency, cold.slow_start_quota = 0.01, ramp.SlowStartQuota(0.01)
+    warming = driver.server("b")
+    warming.concurrency.latency = 0.01
+    warming.slow_start_quota = SlowStartQuota(0.01)
     name = next(n for n in map(str, count()) if driver.request(n) == "b")
-    cold.concurrency.unanswered_since = driver.now + 0.001  # it has answered others since
+    warming.concurrency.unanswered_since = driver.now + 0.001  # it has answered others since
     driver.advance(hedging.LATENCY_FACTOR * 0.01)
-    assert driver.servers_tried[name] == ["b", copy]
+    assert driver.servers_tried[name] == ["b", hedge_server]
 
 
-def test_warming_server_gets_its_share_and_not_more() -> None:
-    """A surge of a thousand requests in a second just after a start: not the full arcs."""
+def test_warming_server_gets_no_more_than_its_share_of_a_surge() -> None:
+    """A thousand requests in the second after its start."""
     driver = Driver(
         settings(
             slow_start_duration=10.0, slow_start_initial_share=0.3, overload_multiple=2.0, overload_window=1.0
@@ -187,11 +221,11 @@
             driver.update_endpoints(entry("a"), entry("b"), entry("c"), entry("d", started_at=driver.now))
         driver.now += 0.01 if n < 3000 else 0.001
         driver.request(f"r{n}", key=f"k{n}", finish=True)
-    cold = sum(s == ["d"] for s in driver.servers_tried.values())
-    assert 5 < cold < 1000 / 4 * 0.45
+    sent_to_warming = sum(servers == ["d"] for servers in driver.servers_tried.values())
+    assert 5 < sent_to_warming < 1000 / 4 * 0.45
 
 
-def test_warm_server_gets_all_its_arcs_again() -> None:
+def test_server_has_all_its_points_after_the_slow_start() -> None:
     driver = Driver(settings(slow_start_duration=10.0, slow_start_initial_share=0.3))
     driver.update_endpoints(entry("a"), entry("b", started_at=driver.now))
     driver.now += 10.0
@@ -199,27 +233,27 @@
     assert sent.count("b") > 120
 
 
-def test_a_cold_server_has_its_warm_up_share_of_keys_at_every_router() -> None:
-    """Budgets of each router, always letting one through, added up to an overload at hundreds of them."""
+def test_share_of_keys_grows_during_the_slow_start() -> None:
+    """A quota of at least one request at each router would add up to an overload at hundreds of them."""
     shares = []
     for age in (0.0, 5.0, 10.0):
         driver = Driver(settings(slow_start_duration=10.0, slow_start_initial_share=0.3))
-        driver.update_endpoints(*(entry(f"s{i}") for i in range(9)), entry("cold", started_at=driver.now))
+        driver.update_endpoints(*(entry(f"s{i}") for i in range(9)), entry("warming", started_at=driver.now))
         driver.now += age
-        shares.append(primary_servers(driver, "r").count("cold") / 2000 * 10)
+        shares.append(primary_servers(driver, "r").count("warming") / 2000 * 10)
     assert shares == sorted(shares)
     assert shares == pytest.approx([0.3, 0.65, 1.0], abs=0.2)
 
 
-def test_a_cold_server_takes_no_spills() -> None:
-    """In a burst, what crowded neighbours could not take pushed over a server just started."""
+def test_warming_server_takes_no_overflow_of_other_servers() -> None:
+    """In a burst, what its neighbours have no capacity for would overload a server just started."""
     driver = Driver(settings())
     driver.update_endpoints(*(entry(n) for n in "abc"), entry("d", started_at=driver.now))
     for n in range(300):
-        for s in "abc":
-            driver.server(s).concurrency.limit = 0.0
+        for name in "abc":
+            driver.server(name).concurrency.limit = 0.0
         driver.request(f"r{n}", key=f"k{n}", finish=f"r{n}" in driver.servers_tried)
-    assert sum("d" in s for s in driver.servers_tried.values()) < 300 / 4 * 0.5
+    assert sum("d" in servers for servers in driver.servers_tried.values()) < 300 / 4 * 0.5
 
 
 def usable_share(driver: Driver, server: Server) -> float:
@@ -228,14 +262,14 @@
     return router.slow_start.usable_share(server.endpoint, router.health.success_rate, driver.now)
 
 
-def test_a_cold_server_gets_less_while_answers_fail() -> None:
-    """In an overload clients retried all that failed, and the multiple pushed over servers just started."""
+def test_warming_server_gets_less_while_attempts_fail() -> None:
+    """In an overload clients retry what failed, and the additional requests would overload it."""
     driver = Driver(settings(slow_start_initial_share=0.3, max_attempts=1))
     driver.update_endpoints(*(entry(n) for n in "abc"), entry("d", started_at=driver.now))
     assert primary_servers(driver, "a").count("d") > 80
-    cold = driver.server("d")
-    assert usable_share(driver, cold) == pytest.approx(0.3)
+    warming = driver.server("d")
+    assert usable_share(driver, warming) == pytest.approx(0.3)
     for n in range(20):
         if driver.request(f"f{n}", key=f"k{n}") is not None:
             driver.complete_attempt(f"f{n}", AttemptStatus.TIMEOUT)
-    assert usable_share(driver, cold) < 0.3 / 4
+    assert usable_share(driver, warming) < 0.3 / 4
--- a/tests/test_watch_budget.py
+++ b/tests/test_watch_budget.py
@@ -1,9 +1,8 @@
-"""The clock for changes of the list: time-out, pause and the next call's own time add up to one budget."""
+"""The watch budget: timeout, backoff and the next call together keep the notification deadline."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import replace
 
 import pytest
 
@@ -23,26 +22,27 @@
 from tests.router_scenarios import FAILED_CALL
 from tests.test_net_discovery import LINE, WatchRecorder, call, message
 
-WAYS = {
-    "asked": settings(must_subscribe=True, overload_window=2.0, slow_start_duration=8.9),
+SETTINGS = {
+    "polled": settings(must_subscribe=True, overload_window=2.0, slow_start_duration=8.9),
     "pushed": settings(slow_start_duration=8.9),
 }
-# how long a call takes that fails, as a share of the time after which it is given up
-CALLS: dict[str, Callable[[int], float]] = {
+# how long the nth failing call takes, as a share of the call timeout
+FAILED_CALL_DURATIONS: dict[str, Callable[[int], float]] = {
     "hangs": lambda n: 1.0,
-    "refused": lambda n: 0.0,
-    "503 in turn": lambda n: 0.66,
-    "in all ways": lambda n: (1.0, 0.0, 0.66, 0.3)[n % 4],
+    "connection refused": lambda n: 0.0,
+    "503": lambda n: 0.66,
+    "mixed": lambda n: (1.0, 0.0, 0.66, 0.3)[n % 4],
 }
 
 
 def subscribes(actions: list[Action]) -> bool:
+    """Whether one of the actions is a call to discovery."""
     return any(isinstance(a, SubscribeToEndpoints) for a in actions)
 
 
-def failed_call(driver: Driver, took: float) -> float:
-    """A call that begins now and fails; answers with when the next one begins."""
-    driver.now += took
+def fail_call(driver: Driver, duration: float) -> float:
+    """A call begins now and fails after some seconds; returns when the next one begins."""
+    driver.now += duration
     timers = [a for a in driver.handle(FAILED_CALL) if isinstance(a, SetTimer)]
     timers = [timer for timer in timers if timer.timer.kind is TimerKind.ENDPOINT_POLL]
     driver.timers.clear()
@@ -52,40 +52,40 @@
     return driver.now
 
 
-@pytest.mark.parametrize("way", WAYS)
-@pytest.mark.parametrize("failure", CALLS)
+@pytest.mark.parametrize("mode", SETTINGS)
+@pytest.mark.parametrize("failure", FAILED_CALL_DURATIONS)
 @pytest.mark.parametrize("seed", range(5))
-def test_a_change_is_learnt_before_it_counts_as_told(way: str, failure: str, seed: int) -> None:
+def test_update_is_learnt_before_its_notification_deadline(mode: str, failure: str, seed: int) -> None:
     """Discovery comes back right after a call has begun, and has a change: 6 s until that call's successor
     is answered, after an outage of any length."""
-    conf = WAYS[way]
+    conf = SETTINGS[mode]
     budget = conf.watch_budget
     driver = Driver(conf, seed)
     driver.update_endpoints(entry("a"))
-    began = driver.now
+    call_began = driver.now
     for n in range(40):
-        after = failed_call(driver, CALLS[failure](n) * budget.call_timeout)
-        assert after - began + budget.response_timeout <= 6.0 - budget.scheduling_slack + 1e-6
-        began = after
+        next_began = fail_call(driver, FAILED_CALL_DURATIONS[failure](n) * budget.call_timeout)
+        assert next_began - call_began + budget.response_timeout <= 6.0 - budget.scheduling_slack + 1e-6
+        call_began = next_began
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_a_lost_first_call_at_a_new_address_is_made_up_for_in_time(way: str) -> None:
-    """What the new discovery has counts as told 4 s after SIGHUP."""
-    driver = Driver(WAYS[way])
+@pytest.mark.parametrize("mode", SETTINGS)
+def test_lost_first_call_to_a_new_address_is_retried_in_time(mode: str) -> None:
+    """Updates of the new discovery server have a notification deadline of 4 s after SIGHUP."""
+    driver = Driver(SETTINGS[mode])
     driver.update_endpoints(entry("a"))
     driver.advance(60.0)
     for _ in range(4):
-        failed_call(driver, 0.0)
-    moved = driver.now
+        fail_call(driver, 0.0)
+    address_changed = driver.now
     driver.handle(DiscoveryAddressChanged())
-    spent = failed_call(driver, driver.settings.watch_budget.response_timeout) - moved
+    spent = fail_call(driver, driver.settings.watch_budget.response_timeout) - address_changed
     assert spent <= 4.0 - driver.settings.watch_budget.response_timeout + MIN_BACKOFF + 1e-6
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_the_parts_of_the_budget_add_up(way: str) -> None:
-    budget = WAYS[way].watch_budget
+@pytest.mark.parametrize("mode", SETTINGS)
+def test_parts_of_the_watch_budget_add_up_to_the_notification_deadline(mode: str) -> None:
+    budget = SETTINGS[mode].watch_budget
     assert budget.long_poll_wait >= 1.0
     assert budget.scheduling_slack >= 0.05
     parts = (
@@ -99,21 +99,25 @@
     assert budget.notification_deadline == 6.0
 
 
-@pytest.mark.parametrize("took", [0.0, 1.0])
-def test_two_hundred_routers_do_not_call_in_step(took: float) -> None:
-    """All lose discovery at one instant; the next calls are spread over the pause, also the later ones."""
-    conf = WAYS["asked"]
+@pytest.mark.parametrize("timeout_share", [0.0, 1.0])
+def test_calls_of_two_hundred_routers_are_spread_by_jitter(timeout_share: float) -> None:
+    """All lose discovery at one instant; the next calls are spread over the backoff, also the later ones."""
+    conf = SETTINGS["polled"]
     drivers = [Driver(conf, seed) for seed in range(200)]
     for driver in drivers:
         driver.update_endpoints(entry("a"))
     for _ in range(4):
-        calls = sorted(failed_call(driver, took * conf.watch_budget.call_timeout) for driver in drivers)
-        most = max(sum(at <= c < at + 0.1 for c in calls) for at in calls)
-        assert most <= 60
+        calls = sorted(
+            fail_call(driver, timeout_share * conf.watch_budget.call_timeout) for driver in drivers
+        )
+        most_in_a_tenth = max(sum(at <= call < at + 0.1 for call in calls) for at in calls)
+        assert most_in_a_tenth <= 60
 
 
-def test_a_call_is_given_up_by_its_budget() -> None:
-    """With a wait after its wait and turn; for a whole list, which waits for nothing, after its turn."""
+def test_call_times_out_by_its_budget() -> None:
+    """A long poll after its wait and the response timeout; a call for the whole list, which has no wait,
+    after the response timeout alone.
+    """
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -134,9 +138,9 @@
     run(scenario)
 
 
-def test_a_subscription_that_breaks_after_long_is_not_renewed_in_step() -> None:
-    """Where the list comes without calls in between, all instances lose it at once, and have no call out."""
-    conf = replace(WAYS["asked"])
+def test_broken_long_subscriptions_are_renewed_with_jitter() -> None:
+    """Where updates are pushed, all routers lose their subscriptions at once and have no call in flight."""
+    conf = SETTINGS["polled"]
     delays = []
     for seed in range(100):
         router = Router(conf, seed, 0.0)
