--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The wire: every event and action both ways, and bad input."""
+"""The simulator's adapter: every event and action in wire form, and malformed input."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 from cache_router.simulator_adapter import SimulatorAdapter, WireError
 
 ROOT = Path(__file__).parent.parent
+ROUTER_ID = 3
 CONF: dict[str, Any] = {
     "classes": [
         {"name": "read", "aim": 0.5, "giveUp": 2.0, "effect": "free", "value": 1.0},
@@ -35,43 +36,57 @@
 }
 
 
-def row(server: str, kind: str = "std", **fields: Any) -> dict[str, Any]:
+def endpoint_line(server: str, kind: str = "std", **fields: Any) -> dict[str, Any]:
+    """One line of an endpoint list in wire form."""
     base = {"generationHw": kind, "since": None, "readiness": "active", "site": "z", "stripe": 0}
     return {**base, "server": server, "weight": 1.0, **fields}
 
 
-def play(adapter: SimulatorAdapter, t: float, *news: dict[str, Any]) -> list[dict[str, Any]]:
-    line = json.dumps({"t": t, "news": [{"routerId": 3, **e} for e in news]}).encode()
+def endpoint_update(scope: str, generation: int, lines: list[dict[str, Any]] | None) -> dict[str, Any]:
+    """An endpoint update in wire form, or the failure of a call for one."""
+    return {"op": "Membership", "scope": scope, "generation": generation, "lines": lines}
+
+
+def handle_events(adapter: SimulatorAdapter, now: float, *events: dict[str, Any]) -> list[dict[str, Any]]:
+    """Give a router some events at one time, in seconds; returns its commands without the router's number."""
+    line = json.dumps({"t": now, "news": [{"routerId": ROUTER_ID, **event} for event in events]}).encode()
     commands = json.loads(adapter.handle_line(line))["cmds"]
-    assert all(c.pop("routerId") == 3 for c in commands)
+    assert all(command.pop("routerId") == ROUTER_ID for command in commands)
     return list(commands)
 
 
-def born(**changes: Any) -> SimulatorAdapter:
+def started_adapter(**changes: Any) -> SimulatorAdapter:
+    """An adapter with one router, which has a cached list of one cache and the origin.
+
+    `changes` are made to `CONF`.
+    """
     adapter = SimulatorAdapter()
-    lines = [row("a"), row("o", "store")]
-    commands = play(
+    lines = [endpoint_line("a"), endpoint_line("o", "store")]
+    commands = handle_events(
         adapter,
         1.0,
         {"op": "Born", "initSeed": 5, "conf": {**CONF, **changes}},
-        {"op": "Membership", "scope": "SAVED", "generation": 1, "lines": lines},
+        endpoint_update("SAVED", 1, lines),
     )
     assert commands == ([{"op": "Listen", "enable": True}] if not changes else commands)
     return adapter
 
 
-def ask(name: str, **fields: Any) -> dict[str, Any]:
+def request_event(name: str, **fields: Any) -> dict[str, Any]:
+    """The arrival of a request in wire form."""
     base = {"op": "Request", "ticket": name, "priority": "read", "timeBudget": 1.0, "partitionKey": "k"}
     return {**base, "userGroup": None, "effort": None, "retry": False, "update": False, **fields}
 
 
-def done(name: str, number: int, outcome: str, final: bool = False) -> dict[str, Any]:
+def completion_event(name: str, number: int, outcome: str, final: bool = False) -> dict[str, Any]:
+    """The end of an attempt in wire form."""
     base = {"op": "Done", "ticket": name, "sendNo": number, "outcome": outcome, "final": final, "lag": 0.01}
     return {**base, "note": None, "server": "a", "telemetry": None}
 
 
-def sends(commands: list[dict[str, Any]]) -> list[str]:
-    return [c["server"] for c in commands if c["op"] == "Send"]
+def servers_sent_to(commands: list[dict[str, Any]]) -> list[str]:
+    """The servers to which the commands send attempts."""
+    return [command["server"] for command in commands if command["op"] == "Send"]
 
 
 @pytest.mark.parametrize(
@@ -91,73 +106,82 @@
 def test_unusable_settings_name_the_field(
     change: dict[str, Any], field: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    (fault,) = play(SimulatorAdapter(), 1.0, {"op": "Born", "initSeed": 1, "conf": {**CONF, **change}})
-    assert fault["op"] == "InternalError"
-    assert field in fault["line"]
+    (error,) = handle_events(
+        SimulatorAdapter(), 1.0, {"op": "Born", "initSeed": 1, "conf": {**CONF, **change}}
+    )
+    assert error["op"] == "InternalError"
+    assert field in error["line"]
     assert field in capsys.readouterr().err
 
 
 def test_missed_read_is_fetched_from_the_origin() -> None:
-    adapter = born()
-    assert sends(play(adapter, 1.1, ask("1"))) == ["a"]
-    assert sends(play(adapter, 1.2, done("1", 0, "empty"))) == ["o"]
-    assert play(adapter, 1.3, done("1", 1, "delivered", True)) == []
-
-
-@pytest.mark.parametrize("outcome", sorted(simulator_adapter.ATTEMPT_STATUSES))
-def test_every_attempt_status_is_accepted(outcome: str) -> None:
-    adapter = born()
-    play(adapter, 1.1, ask("1"))
-    play(adapter, 1.2, done("1", 0, outcome, outcome == "delivered"))
-    router = adapter.routers[3]
-    assert (
-        sum(s.concurrency.in_flight for s in router.endpoints.servers.values()) == len(router.attempts) <= 1
-    )
+    adapter = started_adapter()
+    assert servers_sent_to(handle_events(adapter, 1.1, request_event("1"))) == ["a"]
+    assert servers_sent_to(handle_events(adapter, 1.2, completion_event("1", 0, "empty"))) == ["o"]
+    assert handle_events(adapter, 1.3, completion_event("1", 1, "delivered", True)) == []
+
+
+@pytest.mark.parametrize("status", sorted(simulator_adapter.ATTEMPT_STATUSES))
+def test_every_attempt_status_is_accepted(status: str) -> None:
+    adapter = started_adapter()
+    handle_events(adapter, 1.1, request_event("1"))
+    handle_events(adapter, 1.2, completion_event("1", 0, status, status == "delivered"))
+    router = adapter.routers[ROUTER_ID]
+    in_flight = sum(server.concurrency.in_flight for server in router.endpoints.servers.values())
+    assert in_flight == len(router.attempts) <= 1
 
 
 def test_every_endpoint_update_kind_and_state_is_accepted() -> None:
-    adapter = born()
-    lines = [row("b"), row("a", readiness="leaving"), row("c", readiness="left")]
-    play(adapter, 1.1, {"op": "Membership", "scope": "INCREMENTAL", "generation": 2, "lines": lines})
-    assert sends(play(adapter, 1.2, ask("1"))) == ["b"]
-    timer, _ = play(adapter, 1.3, {"op": "Membership", "scope": "FAILED", "generation": 2, "lines": None})
+    adapter = started_adapter()
+    lines = [
+        endpoint_line("b"),
+        endpoint_line("a", readiness="leaving"),
+        endpoint_line("c", readiness="left"),
+    ]
+    handle_events(adapter, 1.1, endpoint_update("INCREMENTAL", 2, lines))
+    assert servers_sent_to(handle_events(adapter, 1.2, request_event("1"))) == ["b"]
+    timer, _ = handle_events(adapter, 1.3, endpoint_update("FAILED", 2, None))
     assert timer["op"] == "Timer"
     assert timer["fromNow"] > 0
-    again = play(adapter, 2.0, {"op": "Wake", "ctx": timer["ctx"]})
+    again = handle_events(adapter, 2.0, {"op": "Wake", "ctx": timer["ctx"]})
     assert again == [{"op": "Listen", "enable": True}]
-    play(adapter, 2.1, {"op": "Membership", "scope": "FULL", "generation": 3, "lines": [row("z")]})
-    assert sends(play(adapter, 2.2, ask("2"))) == ["z"]
+    handle_events(adapter, 2.1, endpoint_update("FULL", 3, [endpoint_line("z")]))
+    assert servers_sent_to(handle_events(adapter, 2.2, request_event("2"))) == ["z"]
 
 
 def test_client_disconnect_cancels_the_attempt() -> None:
-    adapter = born()
-    play(adapter, 1.1, ask("1"))
-    gone = play(adapter, 1.2, {"op": "Aborted", "ticket": "1"})
+    adapter = started_adapter()
+    handle_events(adapter, 1.1, request_event("1"))
+    gone = handle_events(adapter, 1.2, {"op": "Aborted", "ticket": "1"})
     assert gone == [{"op": "Cancel", "ticket": "1", "sendNo": 0}]
-    assert play(adapter, 1.3, done("1", 0, "revoked", True)) == []
+    assert handle_events(adapter, 1.3, completion_event("1", 0, "revoked", True)) == []
 
 
 def test_rejection_and_failure_in_wire_form() -> None:
-    adapter = born(familyInfo={"mode": "through"}, limits={"mostTries": 1})
-    play(adapter, 1.1, ask("1"), ask("2", priority="pay"))
-    assert play(adapter, 1.2, done("1", 0, "dropped")) == [{"op": "Reject", "ticket": "1"}]
-    assert play(adapter, 1.2, done("2", 0, "dropped")) == [{"op": "GiveUp", "ticket": "2"}]
+    adapter = started_adapter(familyInfo={"mode": "through"}, limits={"mostTries": 1})
+    handle_events(adapter, 1.1, request_event("1"), request_event("2", priority="pay"))
+    assert handle_events(adapter, 1.2, completion_event("1", 0, "dropped")) == [
+        {"op": "Reject", "ticket": "1"}
+    ]
+    assert handle_events(adapter, 1.2, completion_event("2", 0, "dropped")) == [
+        {"op": "GiveUp", "ticket": "2"}
+    ]
 
 
 def test_response_start_and_unused_events_cause_no_action() -> None:
-    adapter = born()
-    play(adapter, 1.1, ask("1"))
+    adapter = started_adapter()
+    handle_events(adapter, 1.1, request_event("1"))
     begun = {"op": "Begun", "ticket": "1", "sendNo": 0, "lag": 0.1, "server": "a"}
     pong = {"op": "Pong", "server": "a", "outcome": "delivered", "lag": 0.1, "telemetry": None}
-    assert play(adapter, 1.2, begun, pong, {"op": "Heard", "srcPeer": 1, "content": "00"}) == []
+    assert handle_events(adapter, 1.2, begun, pong, {"op": "Heard", "srcPeer": 1, "content": "00"}) == []
 
 
 def test_killed_router_keeps_no_state() -> None:
-    adapter = born()
-    play(adapter, 1.1, ask("1"))
-    assert play(adapter, 1.2, {"op": "Kill"}) == []
+    adapter = started_adapter()
+    handle_events(adapter, 1.1, request_event("1"))
+    assert handle_events(adapter, 1.2, {"op": "Kill"}) == []
     assert not adapter.routers
-    assert play(adapter, 1.3, done("1", 0, "delivered", True)) == []
+    assert handle_events(adapter, 1.3, completion_event("1", 0, "delivered", True)) == []
 
 
 def test_actions_in_wire_form() -> None:
@@ -165,8 +189,8 @@
     assert send == {"op": "Send", "ticket": "1", "server": "a", "timeout": 0.5}
     write_close = simulator_adapter.ACTION_WRITERS[CloseIdleConnections]
     assert write_close(CloseIdleConnections("a")) == {"op": "LetGo", "server": "a"}
-    refuse = simulator_adapter.ACTION_WRITERS[Reject]
-    assert refuse(Reject("1", 0.25)) == {"op": "Reject", "ticket": "1", "coolDown": 0.25}
+    write_reject = simulator_adapter.ACTION_WRITERS[Reject]
+    assert write_reject(Reject("1", 0.25)) == {"op": "Reject", "ticket": "1", "coolDown": 0.25}
     assert simulator_adapter.ACTION_WRITERS[LogMessage](LogMessage("x")) == {"op": "Record", "line": "x"}
 
 
@@ -189,16 +213,17 @@
         SimulatorAdapter().handle_line(line)
 
 
-def run(stdin: bytes, hash_seed: str = "0") -> subprocess.CompletedProcess[bytes]:
+def run_adapter(stdin: bytes, hash_seed: str = "0") -> subprocess.CompletedProcess[bytes]:
+    """Run the adapter as a process of its own until the end of its input."""
     env = {**os.environ, "PYTHONHASHSEED": hash_seed}
     command = [sys.executable, "-m", "cache_router.simulator_adapter"]
     return subprocess.run(command, input=stdin, capture_output=True, cwd=ROOT, env=env, check=False)
 
 
 def test_process_ends_at_end_of_input_and_on_bad_lines() -> None:
-    good = run(b'{"t":1.0,"news":[]}\n')
+    good = run_adapter(b'{"t":1.0,"news":[]}\n')
     assert (good.returncode, good.stdout, good.stderr) == (0, b'{"cmds":[]}\n', b"")
-    bad = run(b"oops\n")
+    bad = run_adapter(b"oops\n")
     assert bad.returncode != 0
     assert not bad.stdout
     assert b"not a batch" in bad.stderr
@@ -206,51 +231,51 @@
 
 
 def test_same_actions_under_any_hash_seed() -> None:
-    lines = [row(f"s{i}") for i in range(6)] + [row("o", "store")]
-    news = [{"op": "Born", "initSeed": 5, "conf": CONF}]
-    news += [{"op": "Membership", "scope": "SAVED", "generation": 1, "lines": lines}]
-    news += [ask(f"{i:x}", partitionKey=f"k{i % 7}") for i in range(60)]
-    news += [
-        {"op": "Membership", "scope": "INCREMENTAL", "generation": 2, "lines": [row("s1", readiness="left")]}
-    ]
-    stdin = json.dumps({"t": 1.0, "news": [{"routerId": 0, **e} for e in news]}).encode() + b"\n"
-    first, second = run(stdin, "1"), run(stdin, "2")
+    lines = [endpoint_line(f"s{i}") for i in range(6)] + [endpoint_line("o", "store")]
+    events = [{"op": "Born", "initSeed": 5, "conf": CONF}]
+    events += [endpoint_update("SAVED", 1, lines)]
+    events += [request_event(f"{i:x}", partitionKey=f"k{i % 7}") for i in range(60)]
+    events += [endpoint_update("INCREMENTAL", 2, [endpoint_line("s1", readiness="left")])]
+    stdin = json.dumps({"t": 1.0, "news": [{"routerId": 0, **event} for event in events]}).encode() + b"\n"
+    first, second = run_adapter(stdin, "1"), run_adapter(stdin, "2")
     assert first.returncode == 0
     assert first.stdout == second.stdout
 
 
+OTHER_SETTINGS: dict[str, Any] = {
+    **CONF,
+    "classes": [
+        {"name": "read", "aim": 0.2, "giveUp": 0.4, "effect": "single_shot", "value": 9.0},
+        {"name": "pay", "aim": 0.3, "giveUp": 0.5, "effect": "free"},
+    ],
+    "limits": {"mostTries": 2},
+    "membershipMode": "automatic",
+}
+
+
+def commands_under_other_settings(adapter: SimulatorAdapter, start: float) -> list[list[dict[str, Any]]]:
+    """Start a router with `OTHER_SETTINGS` and let four requests fail; returns all of its commands."""
+    lines = [endpoint_line("a"), endpoint_line("b"), endpoint_line("o", "store")]
+    start_event = {"op": "Born", "initSeed": 5, "conf": OTHER_SETTINGS}
+    commands = [handle_events(adapter, start, start_event, endpoint_update("SAVED", 1, lines))]
+    for n, priority in enumerate(("read", "pay", "read", "pay")):
+        name = f"n{n}"
+        arrival = request_event(name, priority=priority, partitionKey=f"k{n}")
+        commands.append(handle_events(adapter, start + n, arrival))
+        error = completion_event(name, 0, "app_error")
+        commands.append(handle_events(adapter, start + n + 0.01, error))
+        is_retried = bool(servers_sent_to(commands[-1]))
+        timeout = completion_event(name, 1, "expired")
+        commands.append(handle_events(adapter, start + n + 0.02, timeout) if is_retried else [])
+    return commands
+
+
 def test_killed_router_leaves_no_trace_in_the_next_one() -> None:
     """Classes of the same names but other settings: only the settings given last count."""
-
-    def day(adapter: SimulatorAdapter, t: float) -> list[list[dict[str, Any]]]:
-        lines = [row("a"), row("b"), row("o", "store")]
-        other = {
-            **CONF,
-            "classes": [
-                {"name": "read", "aim": 0.2, "giveUp": 0.4, "effect": "single_shot", "value": 9.0},
-                {"name": "pay", "aim": 0.3, "giveUp": 0.5, "effect": "free"},
-            ],
-            "limits": {"mostTries": 2},
-            "membershipMode": "automatic",
-        }
-        said = [
-            play(
-                adapter,
-                t,
-                {"op": "Born", "initSeed": 5, "conf": other},
-                {"op": "Membership", "scope": "SAVED", "generation": 1, "lines": lines},
-            )
-        ]
-        for n, priority in enumerate(("read", "pay", "read", "pay")):
-            name = f"n{n}"
-            said.append(play(adapter, t + n, ask(name, priority=priority, partitionKey=f"k{n}")))
-            said.append(play(adapter, t + n + 0.01, done(name, 0, "app_error")))
-            said.append(play(adapter, t + n + 0.02, done(name, 1, "expired")) if sends(said[-1]) else [])
-        return said
-
-    used = born()
+    used = started_adapter()
     for n in range(20):
-        play(used, 1.0 + n / 100, ask(f"r{n}", partitionKey=f"k{n % 3}"))
-        play(used, 1.005 + n / 100, done(f"r{n}", 0, "app_error"))
-    play(used, 9.0, {"op": "Kill"})
-    assert day(used, 10.0) == day(SimulatorAdapter(), 10.0)
+        handle_events(used, 1.0 + n / 100, request_event(f"r{n}", partitionKey=f"k{n % 3}"))
+        handle_events(used, 1.005 + n / 100, completion_event(f"r{n}", 0, "app_error"))
+    handle_events(used, 9.0, {"op": "Kill"})
+    fresh = SimulatorAdapter()
+    assert commands_under_other_settings(used, 10.0) == commands_under_other_settings(fresh, 10.0)
