--- a/tests/driver.py
+++ b/tests/driver.py
@@ -96,6 +96,7 @@
     """
 
     def __init__(self, conf: Settings, seed: int = 1, make: type[Router] = Router) -> None:
+        """Start a router of class `make` at 100 s on the driver's clock."""
         self.settings = conf
         self.now = 100.0
         self.router = make(conf, seed, self.now)
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -32,10 +32,12 @@
     """A driver that knows the servers to which an idle connection is kept."""
 
     def __init__(self, conf: Settings) -> None:
+        """Start without any connection."""
         super().__init__(conf)
         self.idle_connections: set[str] = set()
 
     def check_action(self, action: Action) -> None:
+        """Check the rules for one action, and forget a connection that it closes."""
         if isinstance(action, CloseIdleConnections):
             self.idle_connections.discard(action.server)
         super().check_action(action)
--- a/tests/test_router_properties.py
+++ b/tests/test_router_properties.py
@@ -128,9 +128,11 @@
     """Broken on purpose: permits any request to be sent again, or rejected."""
 
     def permits_attempt(self, pending: Any, server: Any, now: float) -> bool:
+        """Permit every attempt."""
         return True
 
     def permits_rejection(self, pending: Any) -> bool:
+        """Permit every rejection."""
         return True
 
 
@@ -138,6 +140,7 @@
     """Broken on purpose: retries and rejects any request."""
 
     def __init__(self, conf: Settings, seed: int, now: float) -> None:
+        """Put the permissive policy in place of the router's own."""
         super().__init__(conf, seed, now)
         self.retry_policy = PermissivePolicy(conf)
         self.selector.retry_policy = self.hedging.retry_policy = self.retry_policy
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -42,6 +42,7 @@
     """
 
     def __init__(self, seed: int, capacity: float, hot_share: float = 0.0, queued: int = 0) -> None:
+        """Choose a hot key, and start no router yet."""
         self.settings = settings(router_count=ROUTERS)
         self.capacity = capacity
         self.random = random.Random(seed)
@@ -146,6 +147,7 @@
     """Resets a fifth of the attempts and loses the answers of a tenth."""
 
     def answer(self) -> tuple[AttemptStatus, float]:
+        """A reset, a timeout or an ordinary answer."""
         draw = self.random.random()
         if draw < 0.2:
             return AttemptStatus.RESET, 0.005
