--- /dev/null
+++ b/tests/router_scenarios.py
@@ -0,0 +1,50 @@
+"""Fleets and requests that the tests of several decision modules share."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from cache_router.decisions.events import AttemptStatus, EndpointUpdate, EndpointUpdateKind
+from cache_router.decisions.hash_ring import ring_hash
+from cache_router.endpoint import Endpoint
+from tests.driver import Driver, entry
+
+# settings of a deployment in which the router fetches misses from the origin
+CACHE_ASIDE: dict[str, Any] = {"cache_aside": True, "origin_kind": "origin"}
+FAILED_CALL = EndpointUpdate(EndpointUpdateKind.FAILED)
+
+
+def fleet(*names: str) -> list[Endpoint]:
+    """Ready servers that lie by turns in two zones and cells; one named "o" is the origin."""
+    kinds = {"o": "origin"}
+    return [
+        entry(name, zone="xy"[i % 2], cell=i % 2, kind=kinds.get(name, "std")) for i, name in enumerate(names)
+    ]
+
+
+def request_and_miss(driver: Driver, *names: str, key: str = "k") -> None:
+    """Send requests that each miss in their cache."""
+    for name in names:
+        driver.request(name, key=key)
+        driver.complete_attempt(name, AttemptStatus.MISS)
+
+
+def ignore_key_popularity(driver: Driver) -> None:
+    """Let the router treat every key as seldom; it spreads a popular one over more servers."""
+    driver.router.selector.popularity.count = lambda *_: 0.0  # type: ignore[method-assign]
+
+
+def servers_clockwise(driver: Driver, key: str) -> list[str]:
+    """The servers clockwise from a key, each once."""
+    points = list(driver.router.endpoints.ring.points())
+    position = ring_hash(key)[0]
+    start = next((i for i, (point, _) in enumerate(points) if point >= position), 0)
+    return list(dict.fromkeys(server.endpoint.name for _, server in points[start:] + points[:start]))
+
+
+def primary_servers(driver: Driver, run: str, count: int = 2000) -> list[str | None]:
+    """The server of each of the keys k0, k1, ..., by requests that are served at once.
+
+    `run` begins the names of the requests, which have to differ between calls.
+    """
+    return [driver.request(f"{run}{k}", key=f"k{k}", finish=True) for k in range(count)]
--- /dev/null
+++ b/tests/test_admission_control.py
@@ -0,0 +1,30 @@
+"""Load is shed before queues make every answer late."""
+
+from __future__ import annotations
+
+from cache_router.decisions.events import AttemptStatus
+from tests.driver import Driver, Outcome, entry, settings
+
+
+def test_load_is_shed_by_the_reported_queues() -> None:
+    """In an overload without shedding, queues grow until every answer is late."""
+    driver = Driver(settings(live_weights=True, max_attempts=1))
+    names = "abcdefgh"
+    driver.update_endpoints(*(entry(n, weight=6.0) for n in names))
+    for n in range(40):
+        driver.request(f"a{n}", key=f"k{n}")
+        driver.complete_attempt(f"a{n}", AttemptStatus.OK, latency=0.1)
+    assert Outcome.REJECTED not in driver.outcomes.values()
+    driver.update_endpoints(*(entry(n, weight=0.2) for n in names))
+    sent = [driver.request(f"b{n}", key=f"k{n}", finish=f"b{n}" in driver.servers_tried) for n in range(400)]
+    # a queue of 29 at 0.1 s each, against a quarter of the one second left: one in eleven or so is admitted
+    assert 10 < sum(s is not None for s in sent) < 80
+
+
+def test_load_is_shed_by_own_latencies_where_no_load_is_reported() -> None:
+    """The latency of its own attempts is all that the router knows of the overload."""
+    driver = Driver(settings(max_attempts=1))
+    driver.update_endpoints(*(entry(f"s{n}") for n in range(30)))
+    driver.router.health.queueing_latency = 4.0
+    sent = [driver.request(f"r{n}", key=f"k{n}") for n in range(200)]
+    assert 20 < sum(s is not None for s in sent) < 90  # one second left of four: one in four is admitted
--- /dev/null
+++ b/tests/test_idle_connections.py
@@ -0,0 +1,75 @@
+"""When idle connections are closed."""
+
+from __future__ import annotations
+
+import pytest
+
+from cache_router.decisions.actions import Action, CloseIdleConnections
+from cache_router.decisions.events import AttemptStatus
+from cache_router.decisions.idle_connections import KEEP_SHARE
+from cache_router.settings import Settings
+from tests.driver import Driver, settings
+from tests.router_scenarios import fleet
+
+
+def test_idle_connections_are_closed_when_they_cost_more_than_a_handshake() -> None:
+    """The connections of hundreds of routers would fill the connection tables of the servers."""
+    driver = Driver(settings(router_count=500, connection_price=0.03, handshake_price=0.03))
+    driver.update_endpoints(*fleet("a", "b"))
+    driver.now += 10.0
+    driver.request("r0", finish=True)
+    for n in range(40):
+        driver.request(f"r{n + 1}", key=f"k{n}", finish=True)
+    driver.advance(0.1)
+    assert isinstance(driver.last_actions[0], CloseIdleConnections)
+    alone = Driver(settings(router_count=1, connection_price=0.03, handshake_price=0.03))
+    alone.update_endpoints(*fleet("a", "b"))
+    alone.request("r", finish=True)
+    assert not [a for a in alone.last_actions if isinstance(a, CloseIdleConnections)]
+
+
+class IdleConnectionDriver(Driver):
+    """A driver that knows the servers to which an idle connection is kept."""
+
+    def __init__(self, conf: Settings) -> None:
+        """Start without any connection."""
+        super().__init__(conf)
+        self.idle_connections: set[str] = set()
+
+    def check_action(self, action: Action) -> None:
+        """Check the rules for one action, and forget a connection that it closes."""
+        if isinstance(action, CloseIdleConnections):
+            self.idle_connections.discard(action.server)
+        super().check_action(action)
+
+
+@pytest.mark.parametrize(("router_count", "max_connections"), [(100, 100.0), (500, 120.0), (5000, 120.0)])
+def test_idle_connections_without_a_price_fit_into_the_connection_table(
+    router_count: int, max_connections: float
+) -> None:
+    """One connection of each of 730 routers would fill a table of 600."""
+    driver = IdleConnectionDriver(settings(router_count=router_count))
+    driver.update_endpoints(*fleet(*"abcdefgh", "o"))
+    connections = []  # at each server, of a fleet whose routers keep as many as this one
+    for n in range(2000):  # two hundred a second
+        name = f"r{n}"
+        server = driver.request(name, key=f"k{n}")
+        assert server is not None
+        driver.idle_connections.add(server)
+        driver.serve(name)
+        driver.advance(0.005)
+        connections.append(len(driver.idle_connections) / 9 * router_count)
+    mean = sum(connections[200:]) / len(connections[200:])
+    assert mean <= max_connections
+    if router_count <= 100:  # one of each fits: none is closed
+        assert mean == 100.0
+
+
+def test_failed_connect_shortens_the_keep_alive_time() -> None:
+    driver = Driver(settings())
+    driver.update_endpoints(*fleet("a", "b"))
+    driver.request("r")
+    driver.complete_attempt("r", AttemptStatus.CONNECT_FAILED)
+    assert driver.router.idle_connections.keep_share == KEEP_SHARE / 2
+    driver.serve("r")
+    assert KEEP_SHARE / 2 < driver.router.idle_connections.keep_share < KEEP_SHARE
--- /dev/null
+++ b/tests/test_origin_queue.py
@@ -0,0 +1,155 @@
+"""Requests that wait for capacity at the origin: priority, deadlines, Retry-After."""
+
+from __future__ import annotations
+
+import pytest
+
+from cache_router.decisions.actions import Reject
+from cache_router.decisions.events import AttemptStatus
+from tests.driver import Driver, Outcome, settings
+from tests.router_scenarios import CACHE_ASIDE, fleet, request_and_miss
+
+
+def test_reads_queued_for_the_origin_are_answered_in_time() -> None:
+    driver = Driver(settings(**CACHE_ASIDE))
+    driver.update_endpoints(*fleet("a", "o"))
+    for n in range(60):
+        driver.request(f"r{n}", key=f"k{n}")
+        driver.complete_attempt(f"r{n}", AttemptStatus.MISS)
+    driver.advance(3.0)
+    assert len(driver.outcomes) == 60
+
+
+@pytest.mark.parametrize("cause", ["client disconnected", "attempt failed"])
+def test_queued_fetches_go_on_after_one_is_lost(cause: str) -> None:
+    driver = Driver(settings(**CACHE_ASIDE))
+    driver.update_endpoints(*fleet("a", "o"))
+    driver.server("o").concurrency.limit = 1.0
+    request_and_miss(driver, "r1", "r2", "r3")
+    assert [driver.servers_tried[n] for n in ("r1", "r2", "r3")] == [["a", "o"], ["a"], ["a"]]
+    if cause == "client disconnected":
+        driver.disconnect("r1")
+    driver.complete_attempt("r1", AttemptStatus.RESET)
+    assert [driver.servers_tried[n] for n in ("r2", "r3")] == [["a", "o"], ["a"]]
+    driver.advance(3.0)
+    assert not driver.open_requests
+
+
+def test_fetch_that_cannot_complete_in_time_is_rejected() -> None:
+    """With a slow origin it would come back after its latency objective, and delay others."""
+    driver = Driver(settings(**CACHE_ASIDE))
+    driver.update_endpoints(*fleet("a", "o"))
+    driver.server("o").concurrency.limit = 2.0
+    driver.server("o").concurrency.latency = 0.45
+    for n in "123":
+        request_and_miss(driver, f"r{n}", key=f"k{n}")
+    assert driver.servers_tried["r2"] == ["a", "o"]
+    assert driver.servers_tried["r3"] == ["a"]
+    driver.now += 0.5
+    driver.serve("r1")
+    assert driver.servers_tried["r3"] == ["a"]
+    assert driver.outcomes["r3"] is Outcome.REJECTED
+
+
+def test_fetch_is_sent_only_with_twice_the_origin_latency_left() -> None:
+    """A fetch that its client gives up midway is not even stored in a cache."""
+    driver = Driver(settings(**CACHE_ASIDE))
+    driver.update_endpoints(*fleet("a", "o"))
+    driver.server("o").concurrency.latency = 0.4
+    request_and_miss(driver, "r1", key="k1")
+    driver.request("r2", key="k2", time_left=0.7)
+    assert driver.complete_attempt("r2", AttemptStatus.MISS) is None
+    assert driver.outcomes["r2"] is Outcome.REJECTED
+    driver.request("r3", key="k3", time_left=0.9)
+    assert driver.complete_attempt("r3", AttemptStatus.MISS) == "o"
+
+
+def test_write_is_sent_with_once_the_origin_latency_left() -> None:
+    """A write stores nothing in a cache; a fetch's margin would reject most at a slow origin."""
+    driver = Driver(settings(**CACHE_ASIDE))
+    driver.update_endpoints(*fleet("a", "o"))
+    driver.request("r0", key="k0", is_write=True)
+    driver.server("o").concurrency.latency = 0.6
+    assert driver.request("r1", key="k1", is_write=True) == "o"
+    driver.server("o").concurrency.latency = 1.1
+    assert driver.request("r2", key="k2", is_write=True) is None
+    assert driver.outcomes["r2"] is Outcome.REJECTED
+
+
+def test_higher_priority_weight_leaves_the_origin_queue_first() -> None:
+    """Otherwise writes wait behind the misses of reads when the origin is slow."""
+    driver = Driver(settings(**CACHE_ASIDE))
+    driver.update_endpoints(*fleet("a", "o"))
+    driver.server("o").concurrency.limit = 1.0
+    request_and_miss(driver, "r1", key="k1")
+    request_and_miss(driver, "r2", key="k2")
+    driver.request("w", request_class="keyed", key="k3", is_write=True)
+    driver.complete_attempt("r1", AttemptStatus.RESET)
+    assert driver.servers_tried.get("w") == ["o"]
+    assert driver.servers_tried["r2"] == ["a"]
+
+
+def test_origin_queue_drops_entries_of_ended_requests() -> None:
+    """Without it, reads long ended would pile up behind a steady flow of writes of higher priority."""
+    driver = Driver(settings(**CACHE_ASIDE))
+    driver.update_endpoints(*fleet("a", "o"))
+    driver.server("o").concurrency.limit = 1.0
+    for n in range(2000):
+        request_and_miss(driver, f"r{n}", key=f"k{n}")
+        driver.server("o").concurrency.limit = 1.0
+        driver.advance(0.05)
+    assert len(driver.router.queue) <= 2 * len(driver.router.pending) + 1 < 200
+
+
+def test_queued_fetch_is_rejected_once_it_cannot_complete_in_time() -> None:
+    """Rather than at its latency objective, when no fetch could have been back for long."""
+    driver = Driver(settings(**CACHE_ASIDE))
+    driver.update_endpoints(*fleet("a", "o"))
+    driver.server("o").concurrency.limit = 1.0
+    driver.server("o").concurrency.latency = 0.3
+    request_and_miss(driver, "r1", key="k1")
+    request_and_miss(driver, "r2", key="k2")
+    driver.advance(0.35)
+    assert "r2" not in driver.outcomes
+    driver.advance(0.1)
+    assert driver.outcomes["r2"] is Outcome.REJECTED
+    assert driver.servers_tried["r2"] == ["a"]
+
+
+def test_queued_fetches_are_rejected_when_the_origin_slows_down() -> None:
+    driver = Driver(settings(**CACHE_ASIDE))
+    driver.update_endpoints(*fleet("a", "o"))
+    driver.server("o").concurrency.limit = 2.0
+    for n in "123":
+        request_and_miss(driver, f"r{n}", key=f"k{n}")
+    driver.server("o").concurrency.limit = 1.0
+    # the smoothed latency is 0.6 now, and twice that is past the latency objective
+    driver.complete_attempt("r1", AttemptStatus.OK, latency=3.0)
+    assert driver.outcomes["r3"] is Outcome.REJECTED
+
+
+def test_queued_fetch_waits_longer_when_the_origin_gets_faster() -> None:
+    driver = Driver(settings(**CACHE_ASIDE))
+    driver.update_endpoints(*fleet("a", "o"))
+    driver.server("o").concurrency.limit = 1.0
+    driver.server("o").concurrency.latency = 0.3
+    request_and_miss(driver, "r1", key="k1")
+    request_and_miss(driver, "r2", key="k2")
+    driver.server("o").concurrency.latency = 0.1
+    driver.advance(0.6)
+    assert "r2" not in driver.outcomes
+    driver.serve("r1")
+    assert driver.servers_tried["r2"] == ["a", "o"]
+
+
+@pytest.mark.parametrize(
+    ("latency", "max_retry_after", "retry_after"), [(1.1, 2.0, 1.1), (1.1, 0.5, 0.5), (1.1, 0.0, 0.0)]
+)
+def test_rejection_carries_retry_after(latency: float, max_retry_after: float, retry_after: float) -> None:
+    """Clients that retry at once would meet the overload that they were just rejected for."""
+    driver = Driver(settings(**CACHE_ASIDE, max_retry_after=max_retry_after))
+    driver.update_endpoints(*fleet("a", "o"))
+    driver.request("w0", key="k0", is_write=True)
+    driver.server("o").concurrency.latency = latency
+    driver.request("w1", key="k1", is_write=True)
+    assert Reject("w1", retry_after) in driver.last_actions
--- /dev/null
+++ b/tests/test_router.py
@@ -0,0 +1,131 @@
+"""The life of a request, and what the router answers where no server can take it."""
+
+from __future__ import annotations
+
+import pytest
+
+from cache_router.decisions import endpoints
+from cache_router.decisions.actions import Action, Cancel, Reject, SetTimer
+from cache_router.decisions.events import (
+    AttemptCompleted,
+    AttemptStatus,
+    ClientDisconnected,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Request,
+    ResponseStarted,
+    Timer,
+    TimerFired,
+    TimerKind,
+)
+from cache_router.endpoint import Endpoint, EndpointState
+from tests.driver import Driver, Outcome, entry, settings
+from tests.router_scenarios import CACHE_ASIDE, fleet
+
+DRAINING = (entry("a", state=EndpointState.DRAINING), entry("b", weight=0.0, state=EndpointState.DRAINING))
+
+
+@pytest.mark.parametrize("endpoints_known", [None, DRAINING], ids=["no endpoint list", "draining only"])
+def test_request_is_queued_and_rejected_in_time_without_a_ready_server(
+    endpoints_known: tuple[Endpoint, ...] | None,
+) -> None:
+    driver = Driver(settings())
+    if endpoints_known is not None:
+        driver.update_endpoints(*endpoints_known)
+    driver.request("r")
+    assert not driver.servers_tried
+    driver.advance(3.0)
+    assert driver.outcomes["r"] is Outcome.REJECTED
+
+
+def test_queued_request_is_sent_when_a_server_is_listed() -> None:
+    driver = Driver(settings())
+    driver.request("r")
+    driver.now += 0.2
+    driver.update_endpoints(*fleet("a"))
+    assert driver.servers_tried["r"] == ["a"]
+
+
+@pytest.mark.parametrize("time_left", [0.0, 0.001])
+def test_request_without_time_left_is_rejected_at_once(time_left: float) -> None:
+    driver = Driver(settings())
+    driver.update_endpoints(*fleet("a"))
+    driver.request("r", time_left=time_left)
+    assert driver.outcomes["r"] is Outcome.REJECTED
+
+
+def test_client_disconnect_cancels_the_attempt_and_ends_the_request() -> None:
+    driver = Driver(settings())
+    driver.update_endpoints(*fleet("a", "b"))
+    driver.request("r")
+    assert driver.disconnect("r") == [Cancel("r", 0)]
+    assert driver.complete_attempt("r", AttemptStatus.CANCELLED) is None
+    assert driver.handle(ClientDisconnected("r")) == []
+
+
+def test_events_about_unknown_requests_and_timers_are_ignored() -> None:
+    driver = Driver(settings())
+    for event in (
+        AttemptCompleted("x", 0, AttemptStatus.OK, True),
+        ClientDisconnected("x"),
+        TimerFired(Timer(TimerKind.QUEUE_DEADLINE, "x")),
+        TimerFired(Timer(TimerKind.IDLE_CONNECTIONS, "odd")),
+        TimerFired(Timer(TimerKind.HEDGE, "odd")),
+        ResponseStarted("x", 0),
+        EndpointUpdate(EndpointUpdateKind.DELTA, (entry("a", state=EndpointState.REMOVED),)),
+        EndpointUpdate(EndpointUpdateKind.SNAPSHOT, ()),
+    ):
+        assert [a for a in driver.handle(event) if not isinstance(a, SetTimer)] == []
+    assert driver.router.handle(driver.now, Request("r", "unheard-of", 1.0)) == [Reject("r")]
+
+
+def test_started_response_is_neither_retried_nor_rejected() -> None:
+    driver = Driver(settings())
+    driver.update_endpoints(*fleet("a", "b"))
+    driver.request("r")
+    driver.handle(ResponseStarted("r", 0))
+    driver.handle(TimerFired(Timer(TimerKind.QUEUE_DEADLINE, "r")))
+    assert "r" in driver.open_requests
+    assert len(driver.servers_tried["r"]) == 1
+
+
+def test_equal_seeds_and_events_give_equal_actions() -> None:
+    def run() -> list[list[Action]]:
+        driver = Driver(settings(must_subscribe=True), seed=7)
+        answers = [
+            driver.update_endpoints(*fleet("a", "b", "c"), kind=EndpointUpdateKind.CACHED),
+            driver.update_endpoints(kind=EndpointUpdateKind.FAILED),
+        ]
+        for n in range(30):
+            driver.request(f"r{n}", key=f"k{n}")
+            answers.append(driver.last_actions)
+        return answers
+
+    assert run() == run()
+
+
+def test_memory_stays_bounded_over_many_keys_servers_and_requests() -> None:
+    """State is kept of the requests in flight and the servers listed only."""
+    driver = Driver(settings(**CACHE_ASIDE))
+    for n in range(3000):
+        if n % 20 == 0:
+            driver.update_endpoints(*fleet(*(f"s{n // 20 + i}" for i in range(4)), *["o"] * (n % 40 > 0)))
+        if n % 500 == 480:
+            driver.update_endpoints()
+        name = f"r{n}"
+        if driver.request(name, key=f"k{n}") is not None:
+            driver.complete_attempt(name, AttemptStatus.MISS if n % 3 else AttemptStatus.OK)
+        if driver.servers_tried.get(name, [""])[-1] == "o":
+            driver.serve(name)
+        driver.advance(0.05)
+    driver.advance(5.0)
+    router = driver.router
+    assert not router.pending
+    assert not router.attempts
+    assert len(router.endpoints.servers) <= 5
+    assert len(router.queue) < 100
+    assert (
+        router.endpoints.ring.size
+        == len(list(router.endpoints.ring.points()))
+        <= 5 * endpoints.POINTS_PER_UNIT
+    )
--- /dev/null
+++ b/tests/test_router_properties.py
@@ -0,0 +1,165 @@
+"""The rules that the driver checks, under random legal sequences of events."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+from hypothesis import HealthCheck, Phase, given
+from hypothesis import settings as hypothesis_settings
+from hypothesis import strategies as st
+
+from cache_router.decisions.actions import SetTimer
+from cache_router.decisions.events import AttemptStatus, EndpointUpdate, EndpointUpdateKind
+from cache_router.decisions.retry_policy import RetryPolicy
+from cache_router.decisions.router import Router
+from cache_router.endpoint import EndpointState
+from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings
+from tests.driver import Driver, entry, settings
+from tests.router_scenarios import CACHE_ASIDE, fleet
+
+# weighted by repetition
+EVENTS = [
+    *["request"] * 4,
+    *["attempt completed"] * 5,
+    *["time passes"] * 2,
+    "endpoint update",
+    "client disconnected",
+]
+
+
+class RandomDriver(Driver):
+    """A driver that draws legal events from hypothesis."""
+
+    def step(self, data: st.DataObject, n: int) -> None:
+        """Feed the router one event; `n` numbers the request that may arrive."""
+        event = data.draw(st.sampled_from(EVENTS))
+        in_flight = [attempt for attempt, status in self.attempt_statuses.items() if status is None]
+        if event == "request":
+            names = sorted(self.settings.classes)
+            self.request(
+                f"r{n}",
+                request_class=data.draw(st.sampled_from(names)),
+                time_left=data.draw(st.sampled_from([0.0, 0.01, 0.8, 2.0])),
+                key=data.draw(st.sampled_from([None, "k1", "k2", "k3"])),
+                is_write=data.draw(st.booleans()),
+                cost_hint=data.draw(st.sampled_from([None, 0.0, 0.2])),
+            )
+        elif event == "attempt completed" and in_flight:
+            name, number = data.draw(st.sampled_from(in_flight))
+            self.complete_attempt(name, data.draw(st.sampled_from(list(AttemptStatus))), number)
+        elif event == "time passes":
+            self.advance(data.draw(st.sampled_from([0.0, 0.05, 0.4, 1.0])))
+        elif event == "endpoint update":
+            self.random_endpoint_update(data)
+        elif event == "client disconnected" and self.open_requests:
+            name = data.draw(st.sampled_from(sorted(self.open_requests)))
+            self.disconnect(name)
+
+    def random_endpoint_update(self, data: st.DataObject) -> None:
+        """Feed the router an endpoint update, or the failure of a call for one."""
+        kind = data.draw(st.sampled_from(list(EndpointUpdateKind)))
+        names = data.draw(st.lists(st.sampled_from("abcdo"), unique=True))
+        states = st.sampled_from(
+            [EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED]
+        )
+        start_times = st.sampled_from([0.0, self.now])
+        endpoints = [
+            entry(
+                n,
+                state=data.draw(states),
+                kind="origin" if n == "o" else "std",
+                started_at=data.draw(start_times),
+            )
+            for n in names
+        ]
+        if kind is EndpointUpdateKind.FAILED:
+            self.handle(EndpointUpdate(kind))
+        else:
+            self.update_endpoints(*endpoints, kind=kind)
+
+
+def request_classes(scope: IdempotencyScope) -> dict[str, RequestClass]:
+    """A class of each idempotency, and one with a short latency objective."""
+    keyed = RequestClass(
+        "keyed", 1.0, Idempotency.WITH_KEY, scope, idempotency_window=0.5, priority_weight=5.0
+    )
+    once = RequestClass("once", 1.0, Idempotency.NOT_IDEMPOTENT, priority_weight=5.0)
+    late = RequestClass("late", 0.5)
+    return {c.name: c for c in (RequestClass("read", 1.0), keyed, once, late)}
+
+
+def run_random_events(data: st.DataObject, make: type[Router] = Router) -> None:
+    """Drive a router of random settings with random events, until every request must have ended."""
+    random_settings = settings(
+        classes=request_classes(data.draw(st.sampled_from(list(IdempotencyScope)))),
+        hedging_allowed=data.draw(st.booleans()),
+        cancellation_allowed=data.draw(st.booleans()),
+        max_attempts=data.draw(st.sampled_from([1, 3, 6])),
+        must_subscribe=data.draw(st.booleans()),
+        **(CACHE_ASIDE if data.draw(st.booleans()) else {}),
+    )
+    driver = RandomDriver(random_settings, make=make)
+    driver.update_endpoints(*fleet("a", "b", "c", "d", "o"), kind=EndpointUpdateKind.CACHED)
+    for n in range(data.draw(st.integers(5, 40))):
+        driver.step(data, n)
+    driver.advance(10.0)
+    assert not driver.open_requests, "rule 1: left without an answer"
+    assert not driver.router.pending, "a request that has ended is still kept"
+
+
+RANDOM_EXAMPLES = hypothesis_settings(
+    derandomize=True,
+    max_examples=150,
+    deadline=None,
+    database=None,
+    phases=[Phase.generate],
+    suppress_health_check=list(HealthCheck),
+)
+
+
+@RANDOM_EXAMPLES
+@given(st.data())
+def test_rules_hold_under_random_events(data: st.DataObject) -> None:
+    run_random_events(data)
+
+
+class PermissivePolicy(RetryPolicy):
+    """Broken on purpose: permits any request to be sent again, or rejected."""
+
+    def permits_attempt(self, pending: Any, server: Any, now: float) -> bool:
+        """Permit every attempt."""
+        return True
+
+    def permits_rejection(self, pending: Any) -> bool:
+        """Permit every rejection."""
+        return True
+
+
+class UnrestrictedRetryRouter(Router):
+    """Broken on purpose: retries and rejects any request."""
+
+    def __init__(self, conf: Settings, seed: int, now: float) -> None:
+        """Put the permissive policy in place of the router's own."""
+        super().__init__(conf, seed, now)
+        self.retry_policy = PermissivePolicy(conf)
+        self.selector.retry_policy = self.hedging.retry_policy = self.retry_policy
+
+
+class TimerlessRouter(Router):
+    """Broken on purpose: sets no timer for queued requests."""
+
+    def _enqueue(self, pending: Any) -> None:
+        super()._enqueue(pending)
+        self._actions = [a for a in self._actions if not isinstance(a, SetTimer)]
+
+
+@pytest.mark.parametrize("broken", [UnrestrictedRetryRouter, TimerlessRouter])
+def test_random_events_reveal_a_broken_router(broken: type[Router]) -> None:
+    @RANDOM_EXAMPLES
+    @given(st.data())
+    def run_broken_router(data: st.DataObject) -> None:
+        run_random_events(data, broken)
+
+    with pytest.raises(AssertionError):
+        run_broken_router()
