--- a/scale_experiments/__main__.py
+++ b/scale_experiments/__main__.py
@@ -12,7 +12,13 @@
 
 from scale_experiments import log
 from scale_experiments.exit_status import ExitStatus
-from scale_experiments.experiment import InputError, kind_named, kind_names, load_experiment, size_schema
+from scale_experiments.experiment import (
+    InputError,
+    load_experiment,
+    load_scenario,
+    scenario_names,
+    size_model,
+)
 from scale_experiments.runner import RunOutcome
 from scale_experiments.runner import run as run_experiment
 
@@ -102,7 +108,7 @@
     The result is written after each sample. Ctrl-C ends the run and all processes that it has started. What
     was measured until then, or until the time limit, is kept with "complete": false.
     """
-    checked, kind, parameters = load_experiment(experiment)
+    checked, scenario, parameters = load_experiment(experiment)
     if label and not label.replace("-", "").isalnum():
         raise InputError(f"{experiment}: --label: must be of letters, digits and -, not {label!r}")
     try:
@@ -111,7 +117,7 @@
         raise InputError(f"{out}: --out: must be a folder that can be made: {e.strerror or e}") from e
     path = out / f"{checked.name}{'.' if label else ''}{label}.json"
     try:
-        outcome = run_experiment(checked, kind, parameters, path)
+        outcome = run_experiment(checked, scenario, parameters, path)
     except InputError:  # bad input that only a measurement could find
         raise
     except Exception:
@@ -140,17 +146,17 @@
     That is its description, its parameters with their defaults, the columns of its sizes, and its metrics.
     """
     if kind is None:
-        for name in kind_names():
-            summary, _, _ = (kind_named(name).__doc__ or "").partition("\n")
+        for name in scenario_names():
+            summary, _, _ = (load_scenario(name).__doc__ or "").partition("\n")
             click.echo(f"{name:{NAME_WIDTH}}{summary}")
         return
-    if kind not in kind_names():
-        raise InputError(f"kinds: KIND: must be one of {', '.join(kind_names())}, not {kind!r}")
-    module = kind_named(kind)
+    if kind not in scenario_names():
+        raise InputError(f"kinds: KIND: must be one of {', '.join(scenario_names())}, not {kind!r}")
+    module = load_scenario(kind)
     click.echo((module.__doc__ or "").strip())
     click.echo("\n[parameters]")
     _print_fields(module.Parameters)
-    if (size := size_schema(module)) is not None:
+    if (size := size_model(module)) is not None:
         click.echo("\n[[sizes]]")
         _print_fields(size)
     click.echo("\nMetrics")
--- a/scale_experiments/capacity/reader.py
+++ b/scale_experiments/capacity/reader.py
@@ -9,7 +9,7 @@
 
 from scale_experiments.capacity.references import resolve_in_code
 from scale_experiments.capacity.schema import MISSING_MECHANISM, CapacityTable, Heading
-from scale_experiments.experiment import InputError, fault, read_table
+from scale_experiments.experiment import InputError, describe_validation_error, read_toml
 from scale_experiments.expression import Expression
 
 # parameters that may stand for a column of a result's size, and so need not occur in a formula
@@ -19,9 +19,9 @@
 def read_capacity(path: Path) -> CapacityTable:
     """Read and check a capacity table; raises InputError with file and field."""
     try:
-        table = CapacityTable.model_validate(read_table(path))
+        table = CapacityTable.model_validate(read_toml(path))
     except ValidationError as e:
-        raise InputError(fault(path, e)) from e
+        raise InputError(describe_validation_error(path, e)) from e
     _check_mechanisms(table, path)
     _check_demands_differ(table, path)
     _check_parameters_are_used(table, path)
--- a/scale_experiments/context.py
+++ b/scale_experiments/context.py
@@ -17,7 +17,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-GRACE = 5.0  # seconds from SIGTERM to SIGKILL for all that a run has started, together
+TERMINATION_GRACE_S = 5.0  # seconds from SIGTERM to SIGKILL for all that a run has started, together
 
 
 class TimeLimit(KeyboardInterrupt):
@@ -28,40 +28,42 @@
 class Sample:
     """What one measurement gave."""
 
-    metrics: dict[
-        str, float
-    ]  # unit is the suffix of the name: _s _bytes _per_s _share, _count or none for counts
-    histograms: dict[str, HdrHistogram] = field(default_factory=dict)  # microseconds
+    # by name, whose suffix is the unit: _s, _bytes, _per_s, _share; _count or none for counts
+    metrics: dict[str, float]
+    # by name, in microseconds
+    histograms: dict[str, HdrHistogram] = field(default_factory=dict)
 
 
-class Lab:
+class ExperimentContext:
     """The surroundings of one run; on exit, however it comes, all that it started is ended, by id."""
 
-    def __init__(self, time_limit_s: float, tell: Callable[[str], None] = lambda text: None) -> None:
-        self.ends_at = time.monotonic() + time_limit_s
-        self.tell = tell
+    def __init__(
+        self, time_limit_s: float, report_progress: Callable[[str], None] = lambda text: None
+    ) -> None:
+        self.deadline = time.monotonic() + time_limit_s
+        self.report_progress = report_progress
         self.folder = Path(tempfile.mkdtemp(prefix="scale_experiments-"))
         self.processes: list[subprocess.Popen[bytes]] = []
-        self.shields = 0  # while any is up, an interruption waits
+        self.shield_depth = 0  # while any is up, an interruption waits
         self.interruption: KeyboardInterrupt | None = None
 
     def interrupt(self, error: KeyboardInterrupt) -> None:
         """End the run, from a signal handler: once, and not between a process's start and its noting."""
         if self.interruption is None:
             self.interruption = error
-            if not self.shields:
+            if not self.shield_depth:
                 raise error
 
     @contextlib.contextmanager
     def shielded(self) -> Iterator[None]:
         """What must not be broken off; an interruption that came meanwhile follows it."""
         before = self.interruption
-        self.shields += 1
+        self.shield_depth += 1
         try:
             yield
         finally:
-            self.shields -= 1
-        if not self.shields and self.interruption is not None and before is None:
+            self.shield_depth -= 1
+        if not self.shield_depth and self.interruption is not None and before is None:
             raise self.interruption
 
     def __enter__(self) -> Self:
@@ -74,15 +76,15 @@
 
     def progress(self, text: str) -> None:
         """Tell the user how far the run is."""
-        self.tell(text)
+        self.report_progress(text)
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Seconds until the run's time limit; 0 once it is over."""
-        return max(0.0, self.ends_at - time.monotonic())
+        return max(0.0, self.deadline - time.monotonic())
 
     def expired(self) -> bool:
         """Whether the run's time is over."""
-        return self.left_s() <= 0
+        return self.remaining_s() <= 0
 
     def spawn(self, args: Sequence[str], **popen: Any) -> subprocess.Popen[bytes]:
         """Start a process in a group of its own, so that Ctrl-C reaches it only through this run's end.
@@ -95,24 +97,27 @@
             self.processes.append(process)
         return process
 
-    def stop(self, process: subprocess.Popen[bytes], grace_s: float = GRACE) -> None:
+    def stop(self, process: subprocess.Popen[bytes], grace_s: float = TERMINATION_GRACE_S) -> None:
         """End one process and what it started in its group, and reap it; one that ended is left alone."""
         self._stop([process], grace_s)
 
     def close(self) -> None:
-        """End all that was started and remove the folder; takes `GRACE` s at most and isn't interrupted."""
-        self.shields += 1
-        self._stop(self.processes, GRACE)
+        """End all that was started and remove the folder, without being interrupted.
+
+        Takes `TERMINATION_GRACE_S` seconds at most.
+        """
+        self.shield_depth += 1
+        self._stop(self.processes, TERMINATION_GRACE_S)
         shutil.rmtree(self.folder, ignore_errors=True)
 
     def _stop(self, processes: Sequence[subprocess.Popen[bytes]], grace_s: float) -> None:
         running = [p for p in processes if p.poll() is None]
         for process in running:
             _signal_group(process, signal.SIGTERM)
-        ends_at = time.monotonic() + grace_s
+        deadline = time.monotonic() + grace_s
         for process in running:
             try:
-                process.wait(max(0.0, ends_at - time.monotonic()))
+                process.wait(max(0.0, deadline - time.monotonic()))
             except subprocess.TimeoutExpired:
                 _signal_group(process, signal.SIGKILL)
                 process.wait()
--- a/scale_experiments/emulators/__init__.py
+++ b/scale_experiments/emulators/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what surrounds the routers, written from the protocol; each runs as a process of its own."""
+"""Emulators of what surrounds the routers, written from the protocol; each runs as a process of its own."""
--- a/scale_experiments/emulators/cache.py
+++ b/scale_experiments/emulators/cache.py
@@ -16,18 +16,18 @@
 from typing import Any, Literal
 
 from cache_router.net.resp import INCOMPLETE, RespError, RespReader
-from scale_experiments.emulators.control import serve, usage
+from scale_experiments.emulators.control import process_usage, serve_commands
 from scale_experiments.emulators.origin import Origin
 
-MAX_VALUE = 64 * 1024
-KEPT_MISSES = 50_000  # requests that missed and wait for the origin
-SAMPLE_S = 0.1  # between counts of open connections
+MAX_VALUE_BYTES = 64 * 1024
+MAX_PENDING_MISSES = 50_000  # requests that missed and wait for the origin
+SAMPLE_INTERVAL_S = 0.1  # between counts of open connections
 BACKLOG = 512
 Mode = Literal["serve", "drain", "hang", "dead"]
 MODES = ("serve", "drain", "hang", "dead")
 
 
-class Plan:
+class CacheCluster:
     """What all caches of the process share."""
 
     def __init__(self, command: dict[str, Any]) -> None:
@@ -35,36 +35,36 @@
         self.service_s: float = command["service_s"]
         self.handshake_s: float = command["handshake_s"]
         self.idle_s: float = command["idle_s"]
-        self.most_connections: int = command["most_connections"]
-        self.most_keys: int = command["most_keys"]
+        self.max_connections: int = command["most_connections"]
+        self.max_keys: int = command["most_keys"]
         self.warm: bool = command["warm"]  # each cache holds every key that was not dropped
-        self.misses: OrderedDict[bytes, list[Cache]] = OrderedDict()
+        self.pending_misses: OrderedDict[bytes, list[Cache]] = OrderedDict()
 
-    def fetched(self, key: bytes, name: bytes, write: bool, caches: list[Cache]) -> None:
+    def on_fetched(self, key: bytes, name: bytes, write: bool, caches: list[Cache]) -> None:
         """The origin has answered: the caches that missed hold the key; a write drops it everywhere."""
         if write:
             for cache in caches:
-                cache.drop(key)
-        for cache in self.misses.pop(name, ()):
+                cache.remove(key)
+        for cache in self.pending_misses.pop(name, ()):
             if not write:
-                cache.hold(key)
+                cache.store(key)
 
-    def missed(self, name: bytes, cache: Cache) -> None:
+    def on_miss(self, name: bytes, cache: Cache) -> None:
         """A request missed at a cache."""
-        self.misses.setdefault(name, []).append(cache)
-        if len(self.misses) > KEPT_MISSES:
-            self.misses.popitem(last=False)
+        self.pending_misses.setdefault(name, []).append(cache)
+        if len(self.pending_misses) > MAX_PENDING_MISSES:
+            self.pending_misses.popitem(last=False)
 
 
 class Cache:
     """One page cache."""
 
-    def __init__(self, plan: Plan, name: str, address: tuple[str, int]) -> None:
-        self.plan = plan
+    def __init__(self, cluster: CacheCluster, name: str, address: tuple[str, int]) -> None:
+        self.cluster = cluster
         self.name = name
         self.address = address
         self.mode: Mode = "serve"
-        self.warm = plan.warm
+        self.warm = cluster.warm
         self.keys: OrderedDict[bytes, None] = OrderedDict()  # held; where warm: not held
         self.connections: dict[CacheConnection, None] = {}
         self.server: asyncio.Server | None = None
@@ -79,7 +79,7 @@
             lambda: CacheConnection(self), *self.address, backlog=BACKLOG, reuse_address=True
         )
 
-    def has(self, key: bytes) -> bool:
+    def contains(self, key: bytes) -> bool:
         """Whether a key is held."""
         if self.warm:
             return key not in self.keys
@@ -88,16 +88,16 @@
             return True
         return False
 
-    def hold(self, key: bytes) -> None:
+    def store(self, key: bytes) -> None:
         """Hold a key from now on."""
         if self.warm:
             self.keys.pop(key, None)
         else:
             self.keys[key] = None
-            if len(self.keys) > self.plan.most_keys:
+            if len(self.keys) > self.cluster.max_keys:
                 self.keys.popitem(last=False)
 
-    def drop(self, key: bytes) -> None:
+    def remove(self, key: bytes) -> None:
         """Hold a key no longer."""
         if self.warm:
             self.keys[key] = None
@@ -105,8 +105,8 @@
             self.keys.pop(key, None)
 
     def report(self) -> bytes:
-        """The load report of an answer."""
-        return b"svc_ms=%.1f,pending=%d" % (self.plan.service_s * 1000, self.waiting)
+        """The load report of a reply."""
+        return b"svc_ms=%.1f,pending=%d" % (self.cluster.service_s * 1000, self.waiting)
 
     async def set_mode(self, mode: Mode) -> None:
         """Serve, drain, hang or die."""
@@ -128,12 +128,12 @@
 
     def __init__(self, cache: Cache) -> None:
         self.cache = cache
-        self.reader = RespReader(16, MAX_VALUE, MAX_VALUE + 8192)
-        self.ready_at = 0.0  # when the latest answer goes out: a later request's does not overtake it
-        self.turned_away = False
+        self.reader = RespReader(16, MAX_VALUE_BYTES, MAX_VALUE_BYTES + 8192)
+        self.reply_at = 0.0  # when the latest reply goes out: a later request's does not overtake it
+        self.over_limit = False
         self.requests = 0
-        self.expiry: asyncio.TimerHandle | None = None
-        self.owed: deque[bytes] = deque()  # answers, a timer each
+        self.idle_timer: asyncio.TimerHandle | None = None
+        self.pending_replies: deque[bytes] = deque()  # answers, a timer each
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -142,18 +142,18 @@
         cache.accepted += 1
         cache.connections[self] = None
         cache.most_open = max(cache.most_open, len(cache.connections))
-        self.turned_away = len(cache.connections) > cache.plan.most_connections
-        cache.handshakes += not self.turned_away
-        self._expire_later()
+        self.over_limit = len(cache.connections) > cache.cluster.max_connections
+        cache.handshakes += not self.over_limit
+        self._restart_idle_timer()
 
-    def _expire_later(self) -> None:
+    def _restart_idle_timer(self) -> None:
         """The machine closes a connection that is idle for so long."""
-        if self.expiry is not None:
-            self.expiry.cancel()
-        self.expiry = asyncio.get_running_loop().call_later(self.cache.plan.idle_s, self._expire)
+        if self.idle_timer is not None:
+            self.idle_timer.cancel()
+        self.idle_timer = asyncio.get_running_loop().call_later(self.cache.cluster.idle_s, self._on_idle)
 
-    def _expire(self) -> None:
-        if not self.owed and self.cache.mode != "hang":
+    def _on_idle(self) -> None:
+        if not self.pending_replies and self.cache.mode != "hang":
             self.transport.close()
 
     def data_received(self, data: bytes) -> None:
@@ -162,13 +162,13 @@
         self.reader.feed(data)
         try:
             while (parts := self.reader.next()) is not INCOMPLETE:
-                self._take(parts)
+                self._handle_request(parts)
         except RespError as e:
             self.transport.write(b"-SYNTAX %b\r\n" % str(e).encode())
             self.transport.close()
 
-    def _take(self, parts: object) -> None:
-        cache, plan = self.cache, self.cache.plan
+    def _handle_request(self, parts: object) -> None:
+        cache, cluster = self.cache, self.cache.cluster
         if not isinstance(parts, list) or not all(isinstance(p, bytes) for p in parts):
             raise RespError("not a command")
         match [bytes(p) for p in parts]:
@@ -176,53 +176,53 @@
                 self.transport.write(b"+PONG\r\n")
                 return
             case [b"C.GET", key, name, _]:
-                value = plan.value if cache.has(key) else None
+                value = cluster.value if cache.contains(key) else None
             case [b"C.SET", key, name, _, _]:
                 value = None  # writes go to the origin; one that comes here is told as not held
             case _:
                 raise RespError("unknown command")
         cache.requests += 1
-        if self.turned_away or cache.mode == "drain":
+        if self.over_limit or cache.mode == "drain":
             cache.busy += 1
             self.transport.write(b"-BUSY\r\n")
-            if self.turned_away:
+            if self.over_limit:
                 self.transport.close()
             return
         self.requests += 1
         if value is None:
             cache.missed += 1
-            plan.missed(name, cache)
-            answer = b"*3\r\n$-1\r\n$4\r\nmiss\r\n"
+            cluster.on_miss(name, cache)
+            reply = b"*3\r\n$-1\r\n$4\r\nmiss\r\n"
         else:
             cache.hits += 1
-            answer = b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n" % (len(value), value)
+            reply = b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n" % (len(value), value)
         loop = asyncio.get_running_loop()
-        took = plan.service_s + (plan.handshake_s if self.requests == 1 else 0.0)
-        self.ready_at = max(self.ready_at, loop.time() + took)
+        duration_s = cluster.service_s + (cluster.handshake_s if self.requests == 1 else 0.0)
+        self.reply_at = max(self.reply_at, loop.time() + duration_s)
         cache.waiting += 1
-        self.owed.append(answer)
-        loop.call_at(self.ready_at, self._answer)
+        self.pending_replies.append(reply)
+        loop.call_at(self.reply_at, self._send_reply)
 
-    def _answer(self) -> None:
-        if not self.owed:  # the connection has ended
+    def _send_reply(self) -> None:
+        if not self.pending_replies:  # the connection has ended
             return
-        answer = self.owed.popleft()
+        reply = self.pending_replies.popleft()
         self.cache.waiting -= 1
         if self.cache.mode == "hang":
             return
         report = self.cache.report()
-        self.transport.write(answer + b"$%d\r\n%b\r\n" % (len(report), report))
-        self._expire_later()
+        self.transport.write(reply + b"$%d\r\n%b\r\n" % (len(report), report))
+        self._restart_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.expiry is not None:
-            self.expiry.cancel()
-        self.cache.waiting -= len(self.owed)
-        self.owed.clear()
+        if self.idle_timer is not None:
+            self.idle_timer.cancel()
+        self.cache.waiting -= len(self.pending_replies)
+        self.pending_replies.clear()
         self.cache.connections.pop(self, None)
 
 
-class Caches:
+class CachesEmulator:
     """The process."""
 
     def __init__(self) -> None:
@@ -233,16 +233,16 @@
 
     async def start(self, command: dict[str, Any]) -> dict[str, Any]:
         """Start caches at `addresses` (name to host:port) and the origin at `origin`; where that listens."""
-        plan = Plan(command)
+        cluster = CacheCluster(command)
         for name, address in command["addresses"].items():
             host, _, port = address.rpartition(":")
-            self.caches[name] = Cache(plan, name, (host, int(port)))
-        every = list(self.caches.values())
-        for cache in every:
+            self.caches[name] = Cache(cluster, name, (host, int(port)))
+        caches = list(self.caches.values())
+        for cache in caches:
             await cache.listen()
         self.origin = Origin(
-            lambda key, name, write: plan.fetched(key, name, write, every),
-            plan.value,
+            lambda key, name, write: cluster.on_fetched(key, name, write, caches),
+            cluster.value,
             command["origin_service_s"],
             command["origin_most_at_once"],
         )
@@ -255,7 +255,7 @@
             self.samples += 1
             for cache in self.caches.values():
                 cache.open_sum += len(cache.connections)
-            await asyncio.sleep(SAMPLE_S)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     def stats(self) -> dict[str, Any]:
         """Counts of each cache and the origin since the start, and what the process has used."""
@@ -265,7 +265,13 @@
             for c in self.caches.values()
         }
         origin = self.origin.stats() if self.origin is not None else {}
-        return {**usage(), "time": time.time(), "samples": self.samples, "caches": each, "origin": origin}
+        return {
+            **process_usage(),
+            "time": time.time(),
+            "samples": self.samples,
+            "caches": each,
+            "origin": origin,
+        }
 
     async def handle(self, command: dict[str, Any]) -> dict[str, Any]:
         """Carry out a command of the control channel."""
@@ -285,4 +291,4 @@
 
 
 if __name__ == "__main__":
-    asyncio.run(serve(Caches().handle))
+    asyncio.run(serve_commands(CachesEmulator().handle))
--- a/scale_experiments/emulators/clients.py
+++ b/scale_experiments/emulators/clients.py
@@ -21,26 +21,26 @@
 from hdrh.histogram import HdrHistogram
 
 from cache_router.net.resp import INCOMPLETE, ErrorReply, Message, RespError, RespReader, encode_command
-from scale_experiments.emulators.control import serve, usage
+from scale_experiments.emulators.control import process_usage, serve_commands
 
 MAX_VALUE = 64 * 1024
-LONGEST_US = 60_000_000
-CHUNK = 4096  # keys drawn at once
-MOST_CONNECTIONS = 4000  # to one router
-GRACE_S = 0.2  # after a deadline, until its connection is given up
+MAX_LATENCY_US = 60_000_000
+KEYS_PER_DRAW = 4096  # keys drawn at once
+MAX_CONNECTIONS_PER_ROUTER = 4000  # to one router
+DEADLINE_GRACE_S = 0.2  # after a deadline, until its connection is given up
 
 
-class Asked:
+class ClientRequest:
     """One request."""
 
-    __slots__ = ("again", "data", "due", "ended", "sent_at")
+    __slots__ = ("is_retry", "data", "due_at", "completed", "sent_at")
 
-    def __init__(self, data: bytes, due: float) -> None:
+    def __init__(self, data: bytes, due_at: float) -> None:
         self.data = data
-        self.due = due  # when it was to be sent: its latency counts from there
+        self.due_at = due_at  # when it was to be sent: its latency counts from there
         self.sent_at = 0.0
-        self.again = False  # sent once more
-        self.ended = False
+        self.is_retry = False  # sent once more
+        self.completed = False
 
 
 class ClientConnection(asyncio.Protocol):
@@ -49,35 +49,35 @@
     def __init__(self, load: RouterLoad) -> None:
         self.load = load
         self.reader = RespReader(16, MAX_VALUE, MAX_VALUE + 8192)
-        self.asked: Asked | None = None
-        self.served = 0
+        self.request: ClientRequest | None = None
+        self.completed_requests = 0
         self.expiry: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.load.open += 1
-        self.load.connections += 1
+        self.load.open_connections += 1
+        self.load.connections_opened += 1
 
-    def ask(self, asked: Asked) -> None:
+    def send(self, request: ClientRequest) -> None:
         """Send a request."""
         loop = asyncio.get_running_loop()
-        self.asked = asked
-        asked.sent_at = loop.time()
-        self.expiry = loop.call_at(asked.due + self.load.deadline_s + GRACE_S, self._give_up)
-        self.transport.write(asked.data)
+        self.request = request
+        request.sent_at = loop.time()
+        self.expiry = loop.call_at(request.due_at + self.load.deadline_s + DEADLINE_GRACE_S, self._time_out)
+        self.transport.write(request.data)
 
-    def _end(self, what: str) -> None:
+    def _complete(self, outcome: str) -> None:
         """The request in hand has ended."""
-        asked, self.asked = self.asked, None
+        request, self.request = self.request, None
         if self.expiry is not None:
             self.expiry.cancel()
-        if asked is not None and not asked.ended:
-            asked.ended = True
-            self.load.ended(what, asked)
+        if request is not None and not request.completed:
+            request.completed = True
+            self.load.record_outcome(outcome, request)
 
-    def _give_up(self) -> None:
-        self._end("unanswered")
+    def _time_out(self) -> None:
+        self._complete("unanswered")
         self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
@@ -85,33 +85,33 @@
         try:
             answer = self.reader.next()
         except RespError:
-            self._end("failed")
+            self._complete("failed")
             self.transport.abort()
             return
         if answer is INCOMPLETE:
             return
-        self.served += 1
-        self._end(kind_of(answer))
+        self.completed_requests += 1
+        self._complete(outcome_of(answer))
         self.load.idle.append(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        load, asked = self.load, self.asked
-        load.open -= 1
+        load, request = self.load, self.request
+        load.open_connections -= 1
         if self in load.idle:
             load.idle.remove(self)
-        if asked is None:
+        if request is None:
             return
-        if self.served and not asked.again:  # a close between requests that crossed this one
-            self.asked, asked.again = None, True
+        if self.completed_requests and not request.is_retry:  # a close between requests that crossed this one
+            self.request, request.is_retry = None, True
             if self.expiry is not None:
                 self.expiry.cancel()
             load.counts["sent_again"] += 1
-            load.send(asked)
+            load.send(request)
         else:
-            self._end("lost")
+            self._complete("lost")
 
 
-def kind_of(answer: Message) -> str:
+def outcome_of(answer: Message) -> str:
     """What an answer says: served, refused or failed."""
     match answer:
         case bytes() | [bytes(), *_]:
@@ -135,77 +135,77 @@
         self.write_info = f"c={command['write']},t=t,d={int(self.deadline_s * 1000)}".encode()
         self.random = np.random.default_rng(seed)
         weights = 1.0 / np.arange(1, int(command["keys"]) + 1) ** float(command["zipf"])
-        self.cumulative = np.cumsum(weights) / weights.sum()
+        self.cumulative_popularity = np.cumsum(weights) / weights.sum()
         self.seed = seed
-        self.number = 0
+        self.request_count = 0
         self.idle: deque[ClientConnection] = deque()
-        self.open = self.connections = 0
+        self.open_connections = self.connections_opened = 0
         self.counts: Counter[str] = Counter()
-        self.latency = HdrHistogram(1, LONGEST_US, 2)
-        self.dials: set[asyncio.Task[None]] = set()
-        self.resting = False
+        self.latency = HdrHistogram(1, MAX_LATENCY_US, 2)
+        self.pending_connects: set[asyncio.Task[None]] = set()
+        self.paused = False
 
     def requests(self) -> Iterator[bytes]:
         """Requests without end, the same for the same seed."""
         while True:
-            keys = np.searchsorted(self.cumulative, self.random.random(CHUNK))
-            writes = self.random.random(CHUNK) < self.write_share
+            keys = np.searchsorted(self.cumulative_popularity, self.random.random(KEYS_PER_DRAW))
+            writes = self.random.random(KEYS_PER_DRAW) < self.write_share
             for key, write in zip(keys.tolist(), writes.tolist(), strict=True):
-                self.number += 1
-                name = b"%08x%08x" % (self.seed, self.number)
+                self.request_count += 1
+                name = b"%08x%08x" % (self.seed, self.request_count)
                 if write:
-                    info = self.write_info + b",k=" + name
-                    yield encode_command([b"C.SET", b"%016x" % key, name, info, self.value])
+                    request_info = self.write_info + b",k=" + name
+                    yield encode_command([b"C.SET", b"%016x" % key, name, request_info, self.value])
                 else:
                     yield encode_command([b"C.GET", b"%016x" % key, name, self.read_info])
 
     async def run(self) -> None:
         """Send at the rate until told to rest; what is late is sent at once and counts from its due time."""
         loop = asyncio.get_running_loop()
-        due = loop.time()
+        due_at = loop.time()
         for data in self.requests():
-            due += -math.log(1.0 - self.random.random()) / self.rate
-            if (left := due - loop.time()) > 0:
-                await asyncio.sleep(left)
-            if self.resting:
+            due_at += -math.log(1.0 - self.random.random()) / self.rate
+            if (remaining_s := due_at - loop.time()) > 0:
+                await asyncio.sleep(remaining_s)
+            if self.paused:
                 return
             self.counts["asked"] += 1
-            self.send(Asked(data, due))
+            self.send(ClientRequest(data, due_at))
 
-    def send(self, asked: Asked) -> None:
+    def send(self, request: ClientRequest) -> None:
         """Send on an idle connection, the one used last, or on a new one."""
         while self.idle:
             connection = self.idle.pop()
             if not connection.transport.is_closing():
-                connection.ask(asked)
+                connection.send(request)
                 return
-        if self.open + len(self.dials) >= MOST_CONNECTIONS:
-            self.ended("not_sent", asked)
+        if self.open_connections + len(self.pending_connects) >= MAX_CONNECTIONS_PER_ROUTER:
+            self.record_outcome("not_sent", request)
             return
-        task = asyncio.create_task(self._dial(asked))
-        self.dials.add(task)
-        task.add_done_callback(self.dials.discard)
+        task = asyncio.create_task(self._connect(request))
+        self.pending_connects.add(task)
+        task.add_done_callback(self.pending_connects.discard)
 
-    async def _dial(self, asked: Asked) -> None:
+    async def _connect(self, request: ClientRequest) -> None:
         try:
             async with asyncio.timeout(self.deadline_s):
                 _, connection = await asyncio.get_running_loop().create_connection(
                     lambda: ClientConnection(self), *self.address
                 )
         except OSError:  # also a time-out
-            self.ended("not_connected", asked)
+            self.record_outcome("not_connected", request)
             return
-        connection.ask(asked)
+        connection.send(request)
 
-    def ended(self, what: str, asked: Asked) -> None:
+    def record_outcome(self, outcome: str, request: ClientRequest) -> None:
         """Count an answer, or that there is none."""
-        self.counts[what] += 1
-        if what == "served":
-            took = asyncio.get_running_loop().time() - asked.due
-            self.latency.record_value(max(1, min(LONGEST_US, round(took * 1e6))))
+        self.counts[outcome] += 1
+        if outcome == "served":
+            latency_s = asyncio.get_running_loop().time() - request.due_at
+            self.latency.record_value(max(1, min(MAX_LATENCY_US, round(latency_s * 1e6))))
 
 
-class Clients:
+class ClientsEmulator:
     """The process."""
 
     def __init__(self) -> None:
@@ -223,7 +223,7 @@
                 return {}
             case "rest":
                 for load in self.loads:
-                    load.resting = True
+                    load.paused = True
                 return {}
             case "stats":
                 stats = self.stats()
@@ -237,14 +237,14 @@
     def stats(self) -> dict[str, Any]:
         """Counts since the start, in sum over the routers, and what the process has used."""
         counts: Counter[str] = Counter()
-        latency = HdrHistogram(1, LONGEST_US, 2)
+        latency = HdrHistogram(1, MAX_LATENCY_US, 2)
         for load in self.loads:
             counts.update(load.counts)
-            counts.update({"open": load.open, "connections": load.connections})
+            counts.update({"open": load.open_connections, "connections": load.connections_opened})
             latency.add(load.latency)
         text = bytes(latency.encode()).decode("ascii")
-        return {**usage(), "time": time.time(), "counts": dict(counts), "latency": text}
+        return {**process_usage(), "time": time.time(), "counts": dict(counts), "latency": text}
 
 
 if __name__ == "__main__":
-    asyncio.run(serve(Clients().handle))
+    asyncio.run(serve_commands(ClientsEmulator().handle))
--- a/scale_experiments/emulators/control.py
+++ b/scale_experiments/emulators/control.py
@@ -1,4 +1,4 @@
-"""The control channel of a stand-in: JSON objects, one a line, on standard input; as many replies on output.
+"""The control channel of an emulator: JSON objects, one a line, on standard input; as many replies on output.
 
 The end of standard input ends the process, so that none outlives the experiment that started it.
 """
@@ -17,17 +17,16 @@
 import orjson
 import psutil
 
-LONGEST_LINE = (
-    64 * 1024 * 1024
-)  # bytes; a list of some thousand entries, or the times of some thousand routers
+# a list of some thousand entries, or the times of some thousand routers
+MAX_LINE_BYTES = 64 * 1024 * 1024
 Handler = Callable[[dict[str, Any]], Coroutine[Any, Any, dict[str, Any]]]
 
 
 class ControlError(RuntimeError):
-    """A stand-in that ended, answered too late, or reported an error."""
+    """An emulator that ended, answered too late, or reported an error."""
 
 
-def usage() -> dict[str, float]:
+def process_usage() -> dict[str, float]:
     """What this process uses: CPU seconds (user and system), resident bytes, descriptors; and the time."""
     process = psutil.Process()
     return {
@@ -38,10 +37,10 @@
     }
 
 
-async def serve(handle: Handler) -> None:
+async def serve_commands(handle: Handler) -> None:
     """Answer commands until standard input ends; one that fails answers with `error` and ends nothing."""
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(limit=LONGEST_LINE)
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
         try:
@@ -52,37 +51,37 @@
         sys.stdout.buffer.flush()
 
 
-class Control:
-    """The experiment's end of a stand-in's control channel.
+class ControlClient:
+    """The experiment's end of an emulator's control channel.
 
     `process` was started with pipes for standard input and output; who started it ends it.
     """
 
-    def __init__(self, process: subprocess.Popen[bytes], name: str, patience_s: float = 30.0) -> None:
+    def __init__(self, process: subprocess.Popen[bytes], name: str, reply_timeout_s: float = 30.0) -> None:
         assert process.stdin is not None and process.stdout is not None
         self.process = process
         self.name = name
-        self.patience_s = patience_s
+        self.reply_timeout_s = reply_timeout_s
         self.unread = bytearray()
         self.input = process.stdin
         self.output = process.stdout.fileno()
 
-    def tell(self, do: str, **fields: Any) -> None:
-        """Send a command; its reply is read by `reply`."""
+    def send(self, do: str, **fields: Any) -> None:
+        """Send a command; its reply is read by `receive`."""
         try:
             self.input.write(orjson.dumps({"do": do, **fields}) + b"\n")
             self.input.flush()
         except OSError as e:
             raise ControlError(f"{self.name} has ended: {e}") from e
 
-    def reply(self) -> dict[str, Any]:
+    def receive(self) -> dict[str, Any]:
         """The reply to the oldest command that has none yet."""
-        until = time.monotonic() + self.patience_s
+        deadline = time.monotonic() + self.reply_timeout_s
         with selectors.DefaultSelector() as selector:
             selector.register(self.output, selectors.EVENT_READ)
             while (end := self.unread.find(b"\n")) < 0:
-                if not selector.select(max(0.0, until - time.monotonic())):
-                    raise ControlError(f"{self.name} gave no answer within {self.patience_s:g} s")
+                if not selector.select(max(0.0, deadline - time.monotonic())):
+                    raise ControlError(f"{self.name} gave no answer within {self.reply_timeout_s:g} s")
                 data = os.read(self.output, 1 << 20)
                 if not data:
                     raise ControlError(f"{self.name} has ended")
@@ -93,14 +92,14 @@
             raise ControlError(f"{self.name}: {reply}")
         return reply
 
-    def ask(self, do: str, **fields: Any) -> dict[str, Any]:
+    def request(self, do: str, **fields: Any) -> dict[str, Any]:
         """Send a command and wait for its reply."""
-        self.tell(do, **fields)
-        return self.reply()
+        self.send(do, **fields)
+        return self.receive()
 
 
-def ask_all(controls: list[Control], do: str, **fields: Any) -> list[dict[str, Any]]:
-    """Send one command to several stand-ins at once, then collect their replies in order."""
+def request_all(controls: list[ControlClient], do: str, **fields: Any) -> list[dict[str, Any]]:
+    """Send one command to several emulators at once, then collect their replies in order."""
     for control in controls:
-        control.tell(do, **fields)
-    return [control.reply() for control in controls]
+        control.send(do, **fields)
+    return [control.receive() for control in controls]
--- a/scale_experiments/emulators/discovery.py
+++ b/scale_experiments/emulators/discovery.py
@@ -20,29 +20,29 @@
 
 import orjson
 
-from scale_experiments.emulators.control import serve, usage
-
-LONGEST_HEAD = 8192  # bytes of a call
-LONGEST_WAIT_MS = 60_000
-KEPT_CHANGES = 1024  # indices; an older `after` is answered with the whole list
-KEPT_BODIES = 256  # answers kept ready, by `after`
-BUCKET_S = 0.1  # of the counts of calls over time
-KEPT_BUCKETS = 6000
+from scale_experiments.emulators.control import process_usage, serve_commands
+
+MAX_HEAD_BYTES = 8192  # of a call
+MAX_WAIT_MS = 60_000
+CHANGE_LOG_LENGTH = 1024  # indices; an older `after` is answered with the whole list
+MAX_CACHED_BODIES = 256  # encoded bodies, by `after`
+BUCKET_SECONDS = 0.1  # of the counts of calls over time
+MAX_BUCKETS = 6000
 BACKLOG = 4096
 Entry = dict[str, Any]
 
 
-class CallError(ValueError):
+class PollError(ValueError):
     """A call that is not of the protocol."""
 
 
 class Registry:
     """The list and a bounded log of its changes; no I/O."""
 
-    def __init__(self, kept: int = KEPT_CHANGES) -> None:
+    def __init__(self, log_length: int = CHANGE_LOG_LENGTH) -> None:
         self.index = 0
         self.entries: dict[str, Entry] = {}
-        self.changes: deque[tuple[int, list[Entry]]] = deque(maxlen=kept)
+        self.changes: deque[tuple[int, list[Entry]]] = deque(maxlen=log_length)
         self.bodies: dict[int | None, bytes] = {}  # of the present index, by `after`
 
     def replace(self, index: int, entries: Iterable[Entry]) -> None:
@@ -65,11 +65,11 @@
         self.changes.append((index, entries))
         self.bodies.clear()
 
-    def news(self, after: int | None) -> bool:
+    def has_update(self, after: int | None) -> bool:
         """Whether something other than `after` is held."""
         return after != self.index
 
-    def answer(self, after: int | None) -> bytes:
+    def response_body(self, after: int | None) -> bytes:
         """The answer's body: changed entries, each as it is now told last, or the whole list."""
         body = self.bodies.get(after)
         if body is None:
@@ -80,59 +80,59 @@
             )
             told = self.entries if whole else changed
             body = orjson.dumps({"index": self.index, "snapshot": whole, "endpoints": list(told.values())})
-            if len(self.bodies) < KEPT_BODIES:
+            if len(self.bodies) < MAX_CACHED_BODIES:
                 self.bodies[after] = body
         return body
 
 
-def read_call(target: str) -> tuple[int | None, int]:
+def parse_poll(target: str) -> tuple[int | None, int]:
     """The index and the milliseconds of a call's target."""
     parts = urlsplit(target)
     if parts.path != "/registry/instances":
-        raise CallError("no such path")
+        raise PollError("no such path")
     query = parse_qs(parts.query)
     try:
         after = int(query["after"][0]) if "after" in query else None
         wait_ms = int(query["wait_ms"][0]) if "wait_ms" in query else 0
     except ValueError as e:
-        raise CallError("not a number") from e
-    return after, min(max(0, wait_ms), LONGEST_WAIT_MS)
+        raise PollError("not a number") from e
+    return after, min(max(0, wait_ms), MAX_WAIT_MS)
 
 
-def response(status: str, body: bytes, close: bool) -> bytes:
+def encode_response(status: str, body: bytes, close: bool) -> bytes:
     """An HTTP/1.1 response."""
     ending = b"Connection: close\r\n" if close else b""
     head = b"HTTP/1.1 %b\r\nContent-Length: %d\r\n%b\r\n" % (status.encode(), len(body), ending)
     return head + body
 
 
-class Call(asyncio.Protocol):
+class PollConnection(asyncio.Protocol):
     """One connection: a call at a time, in the order in which they come."""
 
-    __slots__ = ("after", "buffer", "close_after", "discovery", "held", "timer", "transport")
+    __slots__ = ("after", "buffer", "close_after", "discovery", "is_unanswered", "timer", "transport")
 
-    def __init__(self, discovery: Discovery) -> None:
+    def __init__(self, discovery: DiscoveryEmulator) -> None:
         self.discovery = discovery
         self.buffer = b""
         self.after: int | None = None
         self.close_after = False
-        self.held = False  # a call has no answer yet
+        self.is_unanswered = False  # a call has no answer yet
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.discovery.connected(self)
+        self.discovery.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
         self.discovery.bytes_in += len(data)
         self.buffer += data
-        if len(self.buffer) > LONGEST_HEAD:
+        if len(self.buffer) > MAX_HEAD_BYTES:
             self.transport.abort()
-        elif not self.held:
-            self._take()
+        elif not self.is_unanswered:
+            self._read_poll()
 
-    def _take(self) -> None:
+    def _read_poll(self) -> None:
         head, found, self.buffer = self.buffer.partition(b"\r\n\r\n")
         if not found:
             self.buffer = head
@@ -142,48 +142,48 @@
         try:
             method, target, _ = first.decode("ascii").split(" ")
             if method != "GET":
-                raise CallError("not a GET")
-            self.after, wait_ms = read_call(target)
-        except ValueError:  # also CallError, and text that is not ASCII
+                raise PollError("not a GET")
+            self.after, wait_ms = parse_poll(target)
+        except ValueError:  # also PollError, and text that is not ASCII
             self.close_after = True
             self.write("400 Bad Request", b"")
             return
-        self.held = True
-        self.discovery.called(self, wait_ms)
+        self.is_unanswered = True
+        self.discovery.on_poll(self, wait_ms)
 
     def write(self, status: str, body: bytes) -> None:
         """Answer the call; the next one may have come meanwhile."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        self.held = False
-        data = response(status, body, self.close_after)
+        self.is_unanswered = False
+        data = encode_response(status, body, self.close_after)
         self.discovery.bytes_out += len(data)
         self.transport.write(data)
         if self.close_after:
             self.transport.close()
         elif self.buffer:
-            self._take()
+            self._read_poll()
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.discovery.disconnected(self)
+        self.discovery.on_disconnected(self)
 
 
-class Discovery:
+class DiscoveryEmulator:
     """One process of discovery: its list, its connections, its counts."""
 
     def __init__(self) -> None:
         self.registry = Registry()
         self.mode = "serve"
         self.busy_after_s = 2.0
-        self.open: dict[Call, None] = {}
-        self.waiting: dict[Call, None] = {}
+        self.open: dict[PollConnection, None] = {}
+        self.waiting: dict[PollConnection, None] = {}
         self.server: asyncio.Server | None = None
         self.address = ("127.0.0.1", 0)
         self.calls = self.connections = self.answered = self.refused = self.bytes_in = self.bytes_out = 0
-        self.over_time: deque[list[float]] = deque(maxlen=KEPT_BUCKETS)  # [bucket's number, calls]
+        self.over_time: deque[list[float]] = deque(maxlen=MAX_BUCKETS)  # [bucket's number, calls]
         self.told_s = 0.0  # from the latest change until it was written to all that waited
         self.told_calls = 0
 
@@ -191,22 +191,22 @@
         """Begin to accept; the port stays the same once chosen."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
-            lambda: Call(self), *self.address, backlog=BACKLOG, reuse_address=True
+            lambda: PollConnection(self), *self.address, backlog=BACKLOG, reuse_address=True
         )
         self.address = self.server.sockets[0].getsockname()
 
-    def connected(self, call: Call) -> None:
+    def on_connected(self, connection: PollConnection) -> None:
         self.connections += 1
-        self.open[call] = None
+        self.open[connection] = None
 
-    def disconnected(self, call: Call) -> None:
-        self.open.pop(call, None)
-        self.waiting.pop(call, None)
+    def on_disconnected(self, connection: PollConnection) -> None:
+        self.open.pop(connection, None)
+        self.waiting.pop(connection, None)
 
-    def called(self, call: Call, wait_ms: int) -> None:
+    def on_poll(self, connection: PollConnection, wait_ms: int) -> None:
         """Take a call: answer it, or let it wait for news."""
         self.calls += 1
-        bucket = time.monotonic() // BUCKET_S
+        bucket = time.monotonic() // BUCKET_SECONDS
         if self.over_time and self.over_time[-1][0] == bucket:
             self.over_time[-1][1] += 1
         else:
@@ -215,32 +215,32 @@
             return
         loop = asyncio.get_running_loop()
         if self.mode == "busy":
-            call.timer = loop.call_later(self.busy_after_s, self._refuse, call)
-        elif wait_ms == 0 or self.registry.news(call.after):
-            self._answer(call)
+            connection.timer = loop.call_later(self.busy_after_s, self._reject, connection)
+        elif wait_ms == 0 or self.registry.has_update(connection.after):
+            self._respond(connection)
         else:
-            self.waiting[call] = None
-            call.timer = loop.call_later(wait_ms / 1000, self._answer, call)
+            self.waiting[connection] = None
+            connection.timer = loop.call_later(wait_ms / 1000, self._respond, connection)
 
-    def _answer(self, call: Call) -> None:
-        self.waiting.pop(call, None)
+    def _respond(self, connection: PollConnection) -> None:
+        self.waiting.pop(connection, None)
         self.answered += 1
-        call.write("200 OK", self.registry.answer(call.after))
+        connection.write("200 OK", self.registry.response_body(connection.after))
 
-    def _refuse(self, call: Call) -> None:
+    def _reject(self, connection: PollConnection) -> None:
         self.refused += 1
-        call.write("503 Service Unavailable", b"")
+        connection.write("503 Service Unavailable", b"")
 
     def change(self, index: int, endpoints: list[Entry]) -> None:
         """Apply a change and answer all that wait, unless calls go unanswered now."""
-        began = time.monotonic()
+        started_at = time.monotonic()
         self.registry.change(index, endpoints)
         if self.mode != "serve":
             return
         self.told_calls = len(self.waiting)
-        for call in list(self.waiting):
-            self._answer(call)
-        self.told_s = time.monotonic() - began
+        for connection in list(self.waiting):
+            self._respond(connection)
+        self.told_s = time.monotonic() - started_at
 
     async def set_mode(self, mode: str) -> None:
         """Serve, or leave calls without an answer in one of the ways."""
@@ -249,20 +249,20 @@
         self.mode = mode
         if mode == "refuse" and self.server is not None:
             self.server.close()
-            for call in list(self.open):
-                call.transport.abort()
+            for connection in list(self.open):
+                connection.transport.abort()
         if mode != "serve":
-            for call in self.waiting:  # forgotten: never answered
-                if call.timer is not None:
-                    call.timer.cancel()
+            for connection in self.waiting:  # forgotten: never answered
+                if connection.timer is not None:
+                    connection.timer.cancel()
             self.waiting.clear()
 
-    def reset_held(self) -> int:
+    def reset_unanswered(self) -> int:
         """Reset the connections whose calls went without an answer, as a machine that comes back does."""
-        held = [c for c in self.open if c.held and c not in self.waiting]
-        for call in held:
-            call.transport.abort()
-        return len(held)
+        unanswered = [c for c in self.open if c.is_unanswered and c not in self.waiting]
+        for connection in unanswered:
+            connection.transport.abort()
+        return len(unanswered)
 
     def stats(self) -> dict[str, Any]:
         """Counts since the start, and what the process has used."""
@@ -278,7 +278,13 @@
         )
         counts = {name: getattr(self, name) for name in names}
         now = {"index": self.registry.index, "open": len(self.open), "waiting": len(self.waiting)}
-        return {**counts, **now, **usage(), "bucket_s": BUCKET_S, "over_time": list(self.over_time)}
+        return {
+            **counts,
+            **now,
+            **process_usage(),
+            "bucket_s": BUCKET_SECONDS,
+            "over_time": list(self.over_time),
+        }
 
     async def handle(self, command: dict[str, Any]) -> dict[str, Any]:
         """Carry out a command of the control channel."""
@@ -291,7 +297,7 @@
                 self.busy_after_s = command.get("after_s", self.busy_after_s)
                 await self.set_mode(mode)
             case "reset_held":
-                return {"at": time.monotonic(), "reset": self.reset_held()}
+                return {"at": time.monotonic(), "reset": self.reset_unanswered()}
             case "stats":
                 return self.stats()
             case other:
@@ -301,12 +307,12 @@
 
 async def main(listen: str) -> None:
     """Serve at an address until standard input ends; the first line on standard output tells the address."""
-    discovery = Discovery()
+    discovery = DiscoveryEmulator()
     host, _, port = listen.rpartition(":")
     discovery.address = (host, int(port))
     await discovery.listen()
     print(orjson.dumps({"address": "{}:{}".format(*discovery.address)}).decode(), flush=True)
-    await serve(discovery.handle)
+    await serve_commands(discovery.handle)
 
 
 if __name__ == "__main__":
--- a/scale_experiments/emulators/origin.py
+++ b/scale_experiments/emulators/origin.py
@@ -6,20 +6,20 @@
 from collections.abc import Callable
 from urllib.parse import unquote_to_bytes
 
-MAX_BODY = 64 * 1024
-MAX_HEAD = 16 * 1024
-Fetched = Callable[[bytes, bytes, bool], None]  # key, request's id, whether it was a write
+MAX_BODY_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+OnFetched = Callable[[bytes, bytes, bool], None]  # key, request's id, whether it was a write
 
 
 class Origin:
     """What all its connections share: its pace, its limit and its counts."""
 
-    def __init__(self, fetched: Fetched, value: bytes, service_s: float, most_at_once: int) -> None:
-        self.fetched = fetched
+    def __init__(self, on_fetched: OnFetched, value: bytes, service_s: float, max_concurrent: int) -> None:
+        self.on_fetched = on_fetched
         self.value = value
         self.service_s = service_s
-        self.most_at_once = most_at_once
-        self.at_once = self.requests = self.turned_away = self.connections = self.open = self.most_open = 0
+        self.max_concurrent = max_concurrent
+        self.concurrent = self.requests = self.turned_away = self.connections = self.open = self.most_open = 0
         self.server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
@@ -41,7 +41,7 @@
     def __init__(self, origin: Origin) -> None:
         self.origin = origin
         self.buffer = b""
-        self.timer: asyncio.TimerHandle | None = None  # of the request in hand
+        self.response_timer: asyncio.TimerHandle | None = None  # of the request in hand
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -52,13 +52,13 @@
 
     def data_received(self, data: bytes) -> None:
         self.buffer += data
-        if self.timer is None:
-            self._take()
+        if self.response_timer is None:
+            self._read_request()
 
-    def _take(self) -> None:
+    def _read_request(self) -> None:
         head, found, rest = self.buffer.partition(b"\r\n\r\n")
         if not found:
-            if len(self.buffer) > MAX_HEAD:
+            if len(self.buffer) > MAX_HEAD_BYTES:
                 self.transport.abort()
             return
         first, *lines = head.split(b"\r\n")
@@ -68,7 +68,7 @@
             method, target, _ = first.split(b" ")
         except ValueError:
             length = -1
-        if not 0 <= length <= MAX_BODY or method not in (b"GET", b"PUT") or b"request-id" not in fields:
+        if not 0 <= length <= MAX_BODY_BYTES or method not in (b"GET", b"PUT") or b"request-id" not in fields:
             self.transport.write(
                 b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
             )
@@ -79,29 +79,29 @@
         body, self.buffer = rest[:length], rest[length:]
         origin = self.origin
         origin.requests += 1
-        if origin.at_once >= origin.most_at_once:
+        if origin.concurrent >= origin.max_concurrent:
             origin.turned_away += 1
-            self._write(b"503 Service Unavailable\r\nNot-Started: 1", b"")
+            self._send_response(b"503 Service Unavailable\r\nNot-Started: 1", b"")
             return
-        origin.at_once += 1
+        origin.concurrent += 1
         key, name = unquote_to_bytes(target.removeprefix(b"/")), fields[b"request-id"]
         loop = asyncio.get_running_loop()
         write = method == b"PUT"
-        self.timer = loop.call_later(origin.service_s, self._done, key, name, write, body)
+        self.response_timer = loop.call_later(origin.service_s, self._complete, key, name, write, body)
 
-    def _done(self, key: bytes, name: bytes, write: bool, body: bytes) -> None:
-        self.timer = None
-        self.origin.at_once -= 1
-        self.origin.fetched(key, name, write)
-        self._write(b"200 OK", b"receipt" if write else self.origin.value)
+    def _complete(self, key: bytes, name: bytes, write: bool, body: bytes) -> None:
+        self.response_timer = None
+        self.origin.concurrent -= 1
+        self.origin.on_fetched(key, name, write)
+        self._send_response(b"200 OK", b"receipt" if write else self.origin.value)
 
-    def _write(self, status: bytes, body: bytes) -> None:
+    def _send_response(self, status: bytes, body: bytes) -> None:
         self.transport.write(b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body))
         if self.buffer:
-            asyncio.get_running_loop().call_soon(self._take)
+            asyncio.get_running_loop().call_soon(self._read_request)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.origin.open -= 1
-        if self.timer is not None:
-            self.timer.cancel()
-            self.origin.at_once -= 1
+        if self.response_timer is not None:
+            self.response_timer.cancel()
+            self.origin.concurrent -= 1
--- a/scale_experiments/experiment.py
+++ b/scale_experiments/experiment.py
@@ -1,4 +1,4 @@
-"""Experiment files: their schema, and the kinds that they may name.
+"""Experiment files: their schema, and the scenarios that they may name.
 
 An experiment is a TOML file: what to measure (`kind`, `[parameters]`), at which `[[sizes]]`, how often, and
 the `[[budgets]]` that the figures have to keep.
@@ -26,29 +26,29 @@
     create_model,
 )
 
-from scale_experiments import scenarios as kinds
-from scale_experiments.context import Lab, Sample
+from scale_experiments import scenarios
+from scale_experiments.context import ExperimentContext, Sample
 
-LONGEST_S = 7200.0  # that a run may take
-MOST_SIZES = 100
+MAX_TIME_LIMIT_S = 7200.0  # that a run may take
+MAX_SIZES = 100
 
 
-def finite(value: object) -> object:
+def check_finite(value: object) -> object:
     """A number as TOML has it: whole numbers stay so; true, NaN and texts are none."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
         raise ValueError("must be a finite number")
     return value
 
 
-def not_negative(value: object) -> object:
+def check_not_negative(value: object) -> object:
     """A number of at least 0."""
     if isinstance(value, int | float) and value < 0:
         raise ValueError("must be at least 0")
     return value
 
 
-Number = Annotated[int | float, PlainValidator(finite)]
-NotNegative = Annotated[int | float, PlainValidator(finite), AfterValidator(not_negative)]
+Number = Annotated[int | float, PlainValidator(check_finite)]
+NonNegativeNumber = Annotated[int | float, PlainValidator(check_finite), AfterValidator(check_not_negative)]
 Name = Annotated[str, StringConstraints(pattern=r"^[a-z][a-z0-9_.-]*$", max_length=60)]
 
 
@@ -56,7 +56,7 @@
     """A file that can't be used; the message is one line that names the file and the field."""
 
 
-class Kind(Protocol):
+class Scenario(Protocol):
     """A module of `scale_experiments/scenarios/`.
 
     It may also say which columns its sizes have: as `SIZES`, names or name -> meaning, or as `Size`,
@@ -70,7 +70,7 @@
     def METRICS(self) -> dict[str, str]: ...
 
     def measure(
-        self, parameters: BaseModel, size: Mapping[str, float], seed: int, lab: Lab
+        self, parameters: BaseModel, size: Mapping[str, float], seed: int, context: ExperimentContext
     ) -> Iterator[Sample]: ...
 
 
@@ -83,7 +83,7 @@
     most: Number
     at: dict[str, Number] = Field(default_factory=dict)
 
-    def holds_at(self, size: Mapping[str, float]) -> bool:
+    def applies_to(self, size: Mapping[str, float]) -> bool:
         """Whether it speaks of this size."""
         return all(column in size and size[column] == value for column, value in self.at.items())
 
@@ -97,34 +97,37 @@
     kind: Annotated[str, StringConstraints(pattern=r"^[a-z][a-z0-9_]*$")]
     seed: StrictInt = Field(ge=0, lt=2**31)
     repeats: StrictInt = Field(default=1, ge=1, le=100)
-    time_limit_s: float = Field(gt=0, le=LONGEST_S, strict=True)
+    time_limit_s: float = Field(gt=0, le=MAX_TIME_LIMIT_S, strict=True)
     parameters: dict[str, Any] = Field(default_factory=dict)
-    sizes: list[dict[str, NotNegative]] = Field(min_length=1, max_length=MOST_SIZES)
+    sizes: list[dict[str, NonNegativeNumber]] = Field(min_length=1, max_length=MAX_SIZES)
     budgets: list[Budget] = Field(default_factory=list)
 
 
-def kind_names() -> list[str]:
-    """The kinds that an experiment can name."""
-    return sorted(module.name for module in pkgutil.iter_modules(kinds.__path__) if module.name[0] != "_")
+def scenario_names() -> list[str]:
+    """The scenarios that an experiment can name."""
+    return sorted(module.name for module in pkgutil.iter_modules(scenarios.__path__) if module.name[0] != "_")
 
 
-def kind_named(name: str) -> Kind:
-    """A kind's module; raises KeyError where there is none."""
-    if name not in kind_names():
+def load_scenario(name: str) -> Scenario:
+    """The module of a scenario; raises KeyError where there is none."""
+    if name not in scenario_names():
         raise KeyError(name)
-    return cast(Kind, importlib.import_module(f"{kinds.__name__}.{name}"))
+    return cast(Scenario, importlib.import_module(f"{scenarios.__name__}.{name}"))
 
 
-def size_schema(kind: Kind) -> type[BaseModel] | None:
-    """The schema of a kind's sizes, where it has one; each column of `SIZES` must be given, others may be."""
-    if (columns := getattr(kind, "SIZES", None)) is not None:
+def size_model(scenario: Scenario) -> type[BaseModel] | None:
+    """The schema of a scenario's sizes, where it has one.
+
+    Each column of `SIZES` must be given; others may be.
+    """
+    if (columns := getattr(scenario, "SIZES", None)) is not None:
         meanings = columns if isinstance(columns, Mapping) else dict.fromkeys(columns, "")
         fields: dict[str, Any] = {name: (float, Field(description=text)) for name, text in meanings.items()}
         return create_model("Size", **fields)
-    return cast(type[BaseModel] | None, getattr(kind, "Size", None))
+    return cast(type[BaseModel] | None, getattr(scenario, "Size", None))
 
 
-def place(path: tuple[int | str, ...]) -> str:
+def field_path(path: tuple[int | str, ...]) -> str:
     """A field as it would be written: `sizes[0].caches`."""
     spelled = ""
     for part in path:
@@ -132,7 +135,7 @@
     return spelled
 
 
-def fault(
+def describe_validation_error(
     file: Path,
     error: ValidationError,
     within: tuple[int | str, ...] = (),
@@ -142,7 +145,7 @@
     # a field that is not known comes first: it is most often the one that another is missing
     first = min(error.errors(include_url=False), key=lambda e: e["type"] != "extra_forbidden")
     path = first["loc"]
-    field = place((*within, *path)) or "file"
+    field = field_path((*within, *path)) or "file"
     given = "" if first["type"] == "missing" else f", not {first['input']!r}"[:60]
     said = first["msg"].removeprefix("Value error, ")
     if first["type"] == "extra_forbidden":
@@ -152,7 +155,7 @@
     return f"{file}: {field}: {said}{given}".replace("\n", " ")
 
 
-def read_table(file: Path) -> dict[str, Any]:
+def read_toml(file: Path) -> dict[str, Any]:
     """A TOML file's content; raises InputError."""
     try:
         return tomllib.loads(file.read_text(encoding="utf-8"))
@@ -162,34 +165,34 @@
         raise InputError(f"{file}: file: is not TOML: {e}".replace("\n", " ")) from e
 
 
-def load_experiment(file: Path) -> tuple[Experiment, Kind, BaseModel]:
-    """An experiment, its kind and that kind's parameters, all checked; raises InputError."""
+def load_experiment(file: Path) -> tuple[Experiment, Scenario, BaseModel]:
+    """An experiment, its scenario and that scenario's parameters, all checked; raises InputError."""
     try:
-        experiment = Experiment.model_validate(read_table(file))
+        experiment = Experiment.model_validate(read_toml(file))
     except ValidationError as e:
-        raise InputError(fault(file, e, known=Experiment)) from e
+        raise InputError(describe_validation_error(file, e, known=Experiment)) from e
     if experiment.name != file.stem:
         raise InputError(f"{file}: name: must be the file's, {file.stem!r}, not {experiment.name!r}")
     try:
-        kind = kind_named(experiment.kind)
+        scenario = load_scenario(experiment.kind)
     except KeyError:
-        known = ", ".join(kind_names())
+        known = ", ".join(scenario_names())
         raise InputError(f"{file}: kind: must be one of {known}, not {experiment.kind!r}") from None
     try:
-        parameters = kind.Parameters.model_validate(experiment.parameters)
+        parameters = scenario.Parameters.model_validate(experiment.parameters)
     except ValidationError as e:
-        raise InputError(fault(file, e, ("parameters",), kind.Parameters)) from e
+        raise InputError(describe_validation_error(file, e, ("parameters",), scenario.Parameters)) from e
     for i, size in enumerate(experiment.sizes):
-        if (schema := size_schema(kind)) is not None:
+        if (schema := size_model(scenario)) is not None:
             try:
                 schema.model_validate(size)
             except ValidationError as e:
-                raise InputError(fault(file, e, ("sizes", i), schema)) from e
+                raise InputError(describe_validation_error(file, e, ("sizes", i), schema)) from e
     for i, budget in enumerate(experiment.budgets):
-        if budget.metric not in kind.METRICS:
+        if budget.metric not in scenario.METRICS:
             raise InputError(
                 f"{file}: budgets[{i}].metric: is not measured by {experiment.kind}: {budget.metric!r}"
             )
-        if not any(budget.holds_at(size) for size in experiment.sizes):
+        if not any(budget.applies_to(size) for size in experiment.sizes):
             raise InputError(f"{file}: budgets[{i}].at: is none of the sizes")
-    return experiment, kind, parameters
+    return experiment, scenario, parameters
--- a/scale_experiments/hollow.py
+++ b/scale_experiments/hollow.py
@@ -34,21 +34,25 @@
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Settings
 from cache_router.settings_reader import read_settings
-from scale_experiments.emulators.control import serve, usage
+from scale_experiments.emulators.control import process_usage, serve_commands
 
-KEPT_INDICES = 512  # whose times are kept for each router
-HEAD = re.compile(rb"HTTP/1.1 (\d+) .*?\r\ncontent-length: *(\d+)\r\n.*?\r\n\r\n", re.IGNORECASE | re.DOTALL)
-ANYONE = [NetworkEndpoint(Endpoint("-"), "127.0.0.1:1")]  # stands for the entries of an answer that has some
+MAX_RECORDED_INDICES = 512  # whose times are kept for each router
+RESPONSE_HEAD = re.compile(
+    rb"HTTP/1.1 (\d+) .*?\r\ncontent-length: *(\d+)\r\n.*?\r\n\r\n", re.IGNORECASE | re.DOTALL
+)
+PLACEHOLDER_ENDPOINTS = [
+    NetworkEndpoint(Endpoint("-"), "127.0.0.1:1")
+]  # stands for the entries of an answer that has some
 
 
-class ListHost(Dispatcher):
+class RinglessDispatcher(Dispatcher):
     """A host that keeps the list and leaves the decision module without a ring."""
 
     def post(self, event: Event) -> None:
         super().post(EndpointUpdate(event.kind) if isinstance(event, EndpointUpdate) else event)
 
 
-class LightCall(asyncio.Protocol):
+class MinimalPoll(asyncio.Protocol):
     """One call and its answer."""
 
     def __init__(self, request: bytes, done: asyncio.Future[bytes]) -> None:
@@ -62,7 +66,7 @@
 
     def data_received(self, data: bytes) -> None:
         self.buffer += data
-        head = HEAD.match(self.buffer)
+        head = RESPONSE_HEAD.match(self.buffer)
         if head is not None and len(self.buffer) >= head.end() + int(head[2]):
             if head[1] == b"200":
                 self._finish(self.buffer[head.end() :])
@@ -83,7 +87,7 @@
             self.done.set_exception(error)
 
 
-class LightDiscovery(Discovery):
+class MinimalDiscovery(Discovery):
     """The real watch with a call of its own: the same request and times, and only the index is kept."""
 
     async def _poll(self) -> EndpointListMessage:
@@ -93,7 +97,7 @@
         async with asyncio.timeout(poll.timeout):
             done: asyncio.Future[bytes] = loop.create_future()
             transport, _ = await loop.create_connection(
-                lambda: LightCall(request, done), *parse_address(self.address)
+                lambda: MinimalPoll(request, done), *parse_address(self.address)
             )
             try:
                 body = await done
@@ -103,24 +107,26 @@
         index = re.match(rb'{"index":(\d+),"snapshot":(true|false),"endpoints":\[(.?)', body)
         if index is None:
             raise EndpointListError("no list")
-        return EndpointListMessage(int(index[1]), index[2] == b"true", ANYONE if index[3] == b"{" else [])
+        return EndpointListMessage(
+            int(index[1]), index[2] == b"true", PLACEHOLDER_ENDPOINTS if index[3] == b"{" else []
+        )
 
 
-class Times:
+class NotificationTimes:
     """When each router had each index: seconds of the monotonic clock, NaN where it has not."""
 
     def __init__(self, routers: int) -> None:
         self.routers = routers
-        self.of_index: OrderedDict[int, array[float]] = OrderedDict()
+        self.by_index: OrderedDict[int, array[float]] = OrderedDict()
 
-    def note(self, router: int, before: int, index: int, at: float) -> None:
+    def record(self, router: int, before: int, index: int, at: float) -> None:
         """A router holds `index` now, and had `before`."""
-        for each in range(max(before + 1, index - KEPT_INDICES + 1), index + 1):
-            if each not in self.of_index:
-                self.of_index[each] = array("d", [math.nan]) * self.routers
-                if len(self.of_index) > KEPT_INDICES:
-                    self.of_index.popitem(last=False)
-            self.of_index[each][router] = at
+        for each in range(max(before + 1, index - MAX_RECORDED_INDICES + 1), index + 1):
+            if each not in self.by_index:
+                self.by_index[each] = array("d", [math.nan]) * self.routers
+                if len(self.by_index) > MAX_RECORDED_INDICES:
+                    self.by_index.popitem(last=False)
+            self.by_index[each][router] = at
 
 
 class HollowRouter:
@@ -131,39 +137,43 @@
         self.fleet = fleet
         self.index = index
         settings = fleet.settings
-        dial, idle = settings.connect_timeout, settings.connection_idle_timeout
-        servers, origin = (
-            ConnectionPool(CacheConnection, 1, dial, idle),
-            ConnectionPool(OriginConnection, 1, dial, idle),
+        connect_timeout, idle_timeout = settings.connect_timeout, settings.connection_idle_timeout
+        cache_pool, origin_pool = (
+            ConnectionPool(CacheConnection, 1, connect_timeout, idle_timeout),
+            ConnectionPool(OriginConnection, 1, connect_timeout, idle_timeout),
         )
-        make = {"router": Dispatcher, "list": ListHost, "index": ListHost}[fleet.held]
-        self.host = make(settings, seed, servers, origin, self._subscribe)
-        self.pushed = not settings.must_subscribe
-        watch = LightDiscovery if fleet.held == "index" else Discovery
-        self.discovery = watch(
-            address, index, self._told, self._failed, self.pushed, budget=settings.watch_budget
+        dispatcher_type = {"router": Dispatcher, "list": RinglessDispatcher, "index": RinglessDispatcher}[
+            fleet.held
+        ]
+        self.dispatcher = dispatcher_type(settings, seed, cache_pool, origin_pool, self._subscribe)
+        self.is_automatic = not settings.must_subscribe
+        discovery_type = MinimalDiscovery if fleet.held == "index" else Discovery
+        self.discovery = discovery_type(
+            address, index, self._on_update, self._on_failure, self.is_automatic, budget=settings.watch_budget
         )
 
-    def begin(self, known: list[NetworkEndpoint]) -> None:
+    def start(self, cached_list: list[NetworkEndpoint]) -> None:
         """Take the list known before and begin to watch, as the program does."""
-        self.host.on_endpoint_update(EndpointUpdateKind.CACHED, [] if self.fleet.held == "index" else known)
-        if self.pushed:
+        self.dispatcher.on_endpoint_update(
+            EndpointUpdateKind.CACHED, [] if self.fleet.held == "index" else cached_list
+        )
+        if self.is_automatic:
             self.discovery.subscribe()
 
     def _subscribe(self) -> None:
         self.discovery.subscribe()
 
-    def _told(self, kind: EndpointUpdateKind, members: list[NetworkEndpoint]) -> None:
-        self.host.on_endpoint_update(kind, members)
+    def _on_update(self, kind: EndpointUpdateKind, members: list[NetworkEndpoint]) -> None:
+        self.dispatcher.on_endpoint_update(kind, members)
         index = self.discovery.index
         if index is not None and index > self.index:
-            self.fleet.times.note(self.number, self.index, index, time.monotonic())
+            self.fleet.times.record(self.number, self.index, index, time.monotonic())
             self.index = index
-        self.fleet.told += 1
+        self.fleet.notified += 1
 
-    def _failed(self) -> None:
+    def _on_failure(self) -> None:
         self.fleet.failed += 1
-        self.host.on_watch_failed()
+        self.dispatcher.on_watch_failed()
 
 
 class HollowFleet:
@@ -173,37 +183,39 @@
         self.settings = Settings(classes={})
         self.held = "list"
         self.routers: list[HollowRouter] = []
-        self.times = Times(0)
-        self.told = 0
+        self.times = NotificationTimes(0)
+        self.notified = 0
         self.failed = 0
-        self.starts: list[asyncio.TimerHandle] = []
+        self.start_timers: list[asyncio.TimerHandle] = []
 
     def start(self, command: dict[str, Any]) -> None:
         """Start `routers` routers within `spread_s`, over the `discovery` addresses in turn."""
         self.settings = read_settings(command["settings"])
         self.held = command["held"]
-        known = read_endpoint_list(command["known"], "known")
-        self.times = Times(command["routers"])
+        cached_list = read_endpoint_list(command["known"], "known")
+        self.times = NotificationTimes(command["routers"])
         addresses: list[str] = command["discovery"]
         loop = asyncio.get_running_loop()
         for number in range(command["routers"]):
             address = addresses[number % len(addresses)]
-            router = HollowRouter(number, self, address, command["seed"] + number, known.index)
+            router = HollowRouter(number, self, address, command["seed"] + number, cached_list.index)
             self.routers.append(router)
-            begin: Callable[[list[NetworkEndpoint]], None] = router.begin
-            self.starts.append(
-                loop.call_later(command["spread_s"] * number / command["routers"], begin, known.endpoints)
+            start: Callable[[list[NetworkEndpoint]], None] = router.start
+            self.start_timers.append(
+                loop.call_later(
+                    command["spread_s"] * number / command["routers"], start, cached_list.endpoints
+                )
             )
 
     def stats(self) -> dict[str, Any]:
         """Counts since the start, and what the process has used."""
         indices = [r.index for r in self.routers]
         return {
-            **usage(),
-            "told": self.told,
+            **process_usage(),
+            "told": self.notified,
             "failed": self.failed,
             "lowest": min(indices, default=0),
-            "entries": min((len(r.host.endpoints) for r in self.routers), default=0),
+            "entries": min((len(r.dispatcher.endpoints) for r in self.routers), default=0),
         }
 
     async def handle(self, command: dict[str, Any]) -> dict[str, Any]:
@@ -216,7 +228,7 @@
                 return self.stats()
             case "had":
                 empty = array("d", [math.nan]) * self.times.routers
-                return {"times": list(self.times.of_index.get(command["index"], empty))}  # NaN is null
+                return {"times": list(self.times.by_index.get(command["index"], empty))}  # NaN is null
             case other:
                 raise ValueError(f"no such command: {other}")
 
@@ -224,4 +236,4 @@
 if __name__ == "__main__":
     # a failed call is counted; some thousand lines a second would cost more than the calls
     logging.basicConfig(level=logging.ERROR)
-    asyncio.run(serve(HollowFleet().handle))
+    asyncio.run(serve_commands(HollowFleet().handle))
--- a/scale_experiments/results.py
+++ b/scale_experiments/results.py
@@ -20,7 +20,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from scale_experiments.context import Sample
-from scale_experiments.experiment import Budget, Experiment, InputError, fault
+from scale_experiments.experiment import Budget, Experiment, InputError, describe_validation_error
 
 ROOT = Path(__file__).parent.parent
 CPU_INFO = Path("/proc/cpuinfo")
@@ -84,7 +84,7 @@
         values = [
             sample.metrics[budget.metric]
             for sample in self.samples
-            if budget.metric in sample.metrics and budget.holds_at(sample.size)
+            if budget.metric in sample.metrics and budget.applies_to(sample.size)
         ]
         sizes = ", ".join(f"{column} {value:g}" for column, value in budget.at.items()) or "all sizes"
         limit = f"at most {budget.most:g} allowed"
@@ -188,4 +188,4 @@
     except orjson.JSONDecodeError as e:
         raise InputError(f"{path}: file: must be JSON: {e}") from e
     except ValidationError as e:
-        raise InputError(fault(path, e)) from e
+        raise InputError(describe_validation_error(path, e)) from e
--- a/scale_experiments/runner.py
+++ b/scale_experiments/runner.py
@@ -13,8 +13,8 @@
 import structlog
 from pydantic import BaseModel
 
-from scale_experiments.context import Lab, Sample, TimeLimit
-from scale_experiments.experiment import Experiment, Kind
+from scale_experiments.context import ExperimentContext, Sample, TimeLimit
+from scale_experiments.experiment import Experiment, Scenario
 from scale_experiments.log import Progress
 from scale_experiments.results import Result, new_result, stored_sample, write_result
 
@@ -30,27 +30,27 @@
     interrupted: bool
 
 
-def run(experiment: Experiment, kind: Kind, parameters: BaseModel, path: Path) -> RunOutcome:
+def run(experiment: Experiment, scenario: Scenario, parameters: BaseModel, path: Path) -> RunOutcome:
     """Measure, and write each sample to `path` as it comes.
 
     Raises what the scenario raises; the samples before it are kept. Raises ValueError for a metric that the
     scenario doesn't declare or that is not finite.
     """
-    return _Run(experiment, kind, parameters, path).execute()
+    return _Run(experiment, scenario, parameters, path).execute()
 
 
 class _Run:
     """One run of an experiment, and the result that it writes."""
 
-    def __init__(self, experiment: Experiment, kind: Kind, parameters: BaseModel, path: Path) -> None:
+    def __init__(self, experiment: Experiment, scenario: Scenario, parameters: BaseModel, path: Path) -> None:
         self.experiment = experiment
-        self.kind = kind
+        self.scenario = scenario
         self.parameters = parameters
         self.path = path
-        self.result = new_result(experiment, parameters, kind.METRICS)
+        self.result = new_result(experiment, parameters, scenario.METRICS)
         self.steps = experiment.repeats * len(experiment.sizes)
         self.progress = Progress(self.steps, experiment.time_limit_s)
-        self.context = Lab(experiment.time_limit_s, self.progress.update)
+        self.context = ExperimentContext(experiment.time_limit_s, self.progress.update)
         self.log = structlog.get_logger().bind(experiment=experiment.name, kind=experiment.kind)
 
     def execute(self) -> RunOutcome:
@@ -92,8 +92,8 @@
 
     def _measure(self, repeat: int, size: Mapping[str, float | int]) -> None:
         seed = self.experiment.seed + repeat
-        for sample in self.kind.measure(self.parameters, size, seed, self.context):
-            check_metrics(sample, self.kind)
+        for sample in self.scenario.measure(self.parameters, size, seed, self.context):
+            check_metrics(sample, self.scenario)
             with self.context.shielded():
                 self.result.samples.append(stored_sample(sample, size, seed, repeat))
                 write_result(self.result, self.path)
@@ -103,7 +103,7 @@
 
 
 @contextlib.contextmanager
-def interruptible(context: Lab, time_limit_s: float) -> Iterator[None]:
+def interruptible(context: ExperimentContext, time_limit_s: float) -> Iterator[None]:
     """Let Ctrl-C, SIGTERM and the time limit end the run, once, and the processes that it has started."""
 
     def interrupt(number: int, frame: FrameType | None) -> None:
@@ -120,12 +120,12 @@
             signal.signal(each, handler)
 
 
-def check_metrics(sample: Sample, kind: Kind) -> None:
+def check_metrics(sample: Sample, scenario: Scenario) -> None:
     """Raise ValueError for a metric that the scenario doesn't declare, or that is not finite."""
     for name, value in sample.metrics.items():
-        if name not in kind.METRICS:
+        if name not in scenario.METRICS:
             raise ValueError(
-                f"metric {name} must be one of the scenario's METRICS: {', '.join(kind.METRICS)}"
+                f"metric {name} must be one of the scenario's METRICS: {', '.join(scenario.METRICS)}"
             )
         if not math.isfinite(value):
             raise ValueError(f"metric {name} must be finite, not {value}")
--- a/scale_experiments/scenarios/cold_start.py
+++ b/scale_experiments/scenarios/cold_start.py
@@ -13,7 +13,7 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from cache_router.endpoint import EndpointState
-from scale_experiments.context import Lab, Sample
+from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.key_placement import place_keys
 from scale_experiments.simulation.model import FleetModel, site_settings
@@ -57,11 +57,11 @@
     spread_s: Annotated[float, Field(ge=0)] = 0.6
 
 
-def fleet_of(parameters: Parameters, size: Mapping[str, float], seed: int) -> Fleet:
+def build_fleet(parameters: Parameters, size: Mapping[str, float], seed: int) -> Fleet:
     """The fleet at rest."""
     routers, caches, cores = int(size["routers"]), int(size["caches"]), int(size["cores"])
-    plain = FleetModel(routers, caches, 1.0)
-    rate = plain.rate_at_utilization(parameters.use_share, cores)
+    unloaded = FleetModel(routers, caches, 1.0)
+    rate = unloaded.rate_at_utilization(parameters.use_share, cores)
     model = FleetModel(
         routers=routers,
         caches=caches,
@@ -73,26 +73,28 @@
         cores=cores,
         client_attempts=parameters.tries,
         zones=3,
-        origin_cores=plain.origin_cores_for(rate, parameters.origin_headroom),
+        origin_cores=unloaded.origin_cores_for(rate, parameters.origin_headroom),
     )
     return Fleet(site_settings(hedging_allowed=parameters.second_copies), model, seed)
 
 
-def measure(parameters: Parameters, size: Mapping[str, float], seed: int, lab: Lab) -> Iterator[Sample]:
+def measure(
+    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+) -> Iterator[Sample]:
     """One sample: `size` has routers, caches and the cores of a cache."""
-    fleet = fleet_of(parameters, size, seed)
+    fleet = build_fleet(parameters, size, seed)
     hottest = parameters.watched == "hottest"
     endpoints = [c.endpoint for c in fleet.caches.values()]
     name = next(place_keys(fleet.settings, endpoints, ["page:0"])) if hottest else endpoints[0].name
     cache = fleet.caches[name]
-    if not fleet.run(parameters.warm_s, lab.expired):
+    if not fleet.run(parameters.warm_s, context.expired):
         return
-    lab.progress("the cache goes")
+    context.progress("the cache goes")
     fleet.fail_servers([name], is_silent=False)
     fleet.notify_all([name], EndpointState.REMOVED, 0.5, parameters.spread_s)
-    if not fleet.run(parameters.absent_s, lab.expired):
+    if not fleet.run(parameters.absent_s, context.expired):
         return
-    lab.progress("the cache starts")
+    context.progress("the cache starts")
     fleet.restore_servers([name])
     cache.arrivals = []
     fleet.reset()
@@ -102,7 +104,7 @@
         # with the list as it is now: a new process is told it before its first request
         restarted = fleet.routers[: round(parameters.restarted_share * len(fleet.routers))]
         fleet.restart_routers(restarted, parameters.notice_s, parameters.spread_s)
-    if not fleet.run(settings.slow_start_duration, lab.expired):
+    if not fleet.run(settings.slow_start_duration, context.expired):
         return
     counts = dict(fleet.statistics.counts)
     shares = fleet.statistics.served_share()
@@ -110,7 +112,7 @@
     retries = cache.received_retries
     for each in fleet.caches.values():
         each.received = 0
-    if not fleet.run(settings.overload_window * 2, lab.expired):
+    if not fleet.run(settings.overload_window * 2, context.expired):
         return
     use = fleet.budget_use(cache)
     first_capacity = capacity_within(settings, fleet.model, 0.0, settings.overload_window)
--- a/scale_experiments/scenarios/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -15,13 +15,13 @@
 from hdrh.histogram import HdrHistogram
 from pydantic import BaseModel, ConfigDict, Field
 
-from scale_experiments.context import Lab, Sample
+from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
 from scale_experiments.simulation.statistics import CountedEvent
 
-MEETING = 10.0  # seconds within which the caches that a router meets are counted
-LEAST_RUN = 10  # routers
+SERVERS_USED_WINDOW_S = 10.0  # seconds within which the caches that a router meets are counted
+MIN_ROUTERS_SAMPLED = 10  # routers
 
 SIZES = ("routers", "caches", "requests_per_s")
 METRICS = {
@@ -64,7 +64,7 @@
     hit_share: Annotated[float, Field(ge=0, le=1)] = 0.9
     use_share: Annotated[float, Field(gt=0, le=1)] = 0.6
     warm_s: Annotated[float, Field(gt=0)] = 12.0  # unless a size says otherwise
-    measured_s: Annotated[float, Field(ge=MEETING)] = 10.0
+    measured_s: Annotated[float, Field(ge=SERVERS_USED_WINDOW_S)] = 10.0
     most_requests: Annotated[int, Field(ge=1000)] = 60_000
 
 
@@ -73,13 +73,15 @@
     return float(np.mean(values)), float(np.percentile(values, 99)), max(values)
 
 
-def measure(parameters: Parameters, size: Mapping[str, float], seed: int, lab: Lab) -> Iterator[Sample]:
+def measure(
+    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+) -> Iterator[Sample]:
     """One sample: `size` has routers, caches, zones, regions and requests_per_s of the whole fleet."""
     routers = int(size["routers"])
     rate = size["requests_per_s"] / routers
     warm_s = size.get("warm_s", parameters.warm_s)
     spans = warm_s + parameters.measured_s
-    affordable = max(LEAST_RUN, int(parameters.most_requests / (rate * spans)))
+    affordable = max(MIN_ROUTERS_SAMPLED, int(parameters.most_requests / (rate * spans)))
     model = FleetModel(
         routers=routers,
         caches=int(size["caches"]),
@@ -99,18 +101,18 @@
     )
     fleet = Fleet(settings, model, seed)
     fleet.decision_timer.reset()
-    lab.progress(f"{model.routers_run} of {model.routers} routers, {model.caches} caches: warming")
-    if not fleet.run(warm_s, lab.expired):
+    context.progress(f"{model.routers_run} of {model.routers} routers, {model.caches} caches: warming")
+    if not fleet.run(warm_s, context.expired):
         return
     fleet.reset()
-    fleet.watch_servers_used(MEETING)
-    lab.progress(f"{model.routers_run} of {model.routers} routers, {model.caches} caches: measuring")
-    if not fleet.run(parameters.measured_s, lab.expired):
+    fleet.watch_servers_used(SERVERS_USED_WINDOW_S)
+    context.progress(f"{model.routers_run} of {model.routers} routers, {model.caches} caches: measuring")
+    if not fleet.run(parameters.measured_s, context.expired):
         return
-    yield Sample(figures(fleet, parameters), {"latency": histogram(fleet)})
+    yield Sample(compute_metrics(fleet, parameters), {"latency": latency_histogram(fleet)})
 
 
-def histogram(fleet: Fleet) -> HdrHistogram:
+def latency_histogram(fleet: Fleet) -> HdrHistogram:
     """Microseconds from a client's first try until it is served."""
     latency = HdrHistogram(1, 10_000_000, 2)
     for seconds in fleet.statistics.latencies:
@@ -118,7 +120,7 @@
     return latency
 
 
-def figures(fleet: Fleet, parameters: Parameters) -> dict[str, float]:
+def compute_metrics(fleet: Fleet, parameters: Parameters) -> dict[str, float]:
     """The metrics of a fleet since its last reset."""
     model, counts, now = fleet.model, fleet.statistics.counts, fleet.events.now
     seconds = now - fleet.statistics.counted_from
--- a/scale_experiments/scenarios/list_change.py
+++ b/scale_experiments/scenarios/list_change.py
@@ -35,9 +35,9 @@
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Settings
 from cache_router.settings_reader import read_settings
-from scale_experiments.context import Lab, Sample
+from scale_experiments.context import ExperimentContext, Sample
 
-LONGEST_US = 60_000_000  # that a histogram holds
+MAX_LATENCY_US = 60_000_000  # that a histogram holds
 CHANGES = ("drain", "gone", "join", "restart", "weight")
 
 
@@ -92,7 +92,7 @@
 }
 
 
-def settings_of(routers: int) -> Settings:
+def build_settings(routers: int) -> Settings:
     """A site's settings, as far as lists matter: an origin in the list, weights that are sizes."""
     return read_settings(
         {
@@ -105,7 +105,7 @@
     )
 
 
-def lines_of(caches: int, parameters: Parameters, rng: np.random.Generator) -> list[dict[str, Any]]:
+def build_entries(caches: int, parameters: Parameters, rng: np.random.Generator) -> list[dict[str, Any]]:
     """A list's entries in discovery's form, the origin last."""
     names = rng.choice(2**32, size=caches + 1, replace=False)
     return [
@@ -123,29 +123,29 @@
     ]
 
 
-def message(index: int, whole: bool, lines: Sequence[dict[str, Any]]) -> bytes:
+def encode_message(index: int, whole: bool, entries: Sequence[dict[str, Any]]) -> bytes:
     """A list or its changes as discovery words them."""
-    return orjson.dumps({"index": index, "snapshot": whole, "endpoints": lines})
+    return orjson.dumps({"index": index, "snapshot": whole, "endpoints": entries})
 
 
-def entries_of(text: bytes) -> tuple[Endpoint, ...]:
+def read_endpoints(text: bytes) -> tuple[Endpoint, ...]:
     """The entries of a message."""
-    return tuple(member.entry for member in read_endpoint_list(orjson.loads(text)).endpoints)
+    return tuple(each.entry for each in read_endpoint_list(orjson.loads(text)).endpoints)
 
 
-def timed(work: Callable[..., object], *args: object) -> float:
+def thread_cpu_s(work: Callable[..., object], *args: object) -> float:
     """CPU seconds of this thread that a call takes."""
-    began = time.thread_time()
+    started_at = time.thread_time()
     work(*args)
-    return time.thread_time() - began
+    return time.thread_time() - started_at
 
 
-class Changes:
+class ChangeSequence:
     """Messages that change one entry each; after every five sorts the list is as it was."""
 
-    def __init__(self, lines: Sequence[dict[str, Any]], rng: np.random.Generator, rounds: int) -> None:
+    def __init__(self, entries: Sequence[dict[str, Any]], rng: np.random.Generator, rounds: int) -> None:
         self.rng = rng
-        self.lines = lines[:-1]  # never the origin
+        self.entries = entries[:-1]  # never the origin
         self.rounds = rounds
         self.index = 1
         self.restarts = 0
@@ -154,64 +154,64 @@
         """The sort of each change, None for those that only undo one, and its text."""
         for _ in range(self.rounds):
             for sort in CHANGES:
-                line = self.lines[int(self.rng.integers(len(self.lines)))]
+                entry = self.entries[int(self.rng.integers(len(self.entries)))]
                 if sort == "drain":
-                    yield sort, self._message(line, status="terminating")
-                    yield None, self._message(line)
+                    yield sort, self._message(entry, status="terminating")
+                    yield None, self._message(entry)
                 elif sort == "weight":
-                    yield sort, self._message(line, weight=line["weight"] / 2)
-                    yield None, self._message(line)
+                    yield sort, self._message(entry, weight=entry["weight"] / 2)
+                    yield None, self._message(entry)
                 elif sort == "restart":
                     self.restarts += 1
-                    yield sort, self._message(line, since_ms=self.restarts)
+                    yield sort, self._message(entry, since_ms=self.restarts)
                 elif sort == "gone":
-                    gone = line
-                    yield sort, self._message(line, status="terminated")
+                    gone = entry
+                    yield sort, self._message(entry, status="terminated")
                 else:
                     yield sort, self._message(gone)
 
-    def _message(self, line: dict[str, Any], **other: Any) -> bytes:
+    def _message(self, entry: dict[str, Any], **other: Any) -> bytes:
         self.index += 1
-        return message(self.index, False, [{**line, **other}])
+        return encode_message(self.index, False, [{**entry, **other}])
 
 
-class Clock:
+class SteppingClock:
     """The time that a router is told: it only advances."""
 
     def __init__(self) -> None:
         self.time = 1e9
 
-    def tick(self) -> float:
+    def advance(self) -> float:
         self.time += 1.0
         return self.time
 
 
-def reference() -> float:
+def measure_reference_cpu_s() -> float:
     """CPU seconds of a table of 100,000 numbers, filled and sorted: a busy machine makes all work slower."""
     numbers = [i * 2_654_435_761 % 2**32 for i in range(100_000)]
-    return timed(lambda: sorted({number: (number, 0.5) for number in numbers}))
+    return thread_cpu_s(lambda: sorted({number: (number, 0.5) for number in numbers}))
 
 
-def new_host(settings: Settings, seed: int) -> Dispatcher:
-    """A router's host, with pools that hold no connection."""
+def build_dispatcher(settings: Settings, seed: int) -> Dispatcher:
+    """A router's dispatcher, with pools that hold no connection."""
     servers = ConnectionPool(CacheConnection, 8, settings.connect_timeout, settings.connection_idle_timeout)
     origin = ConnectionPool(OriginConnection, 8, settings.connect_timeout, settings.connection_idle_timeout)
     return Dispatcher(settings, seed, servers, origin, lambda: None)
 
 
-def tell(host: Dispatcher, text: bytes) -> None:
+def deliver(dispatcher: Dispatcher, text: bytes) -> None:
     """What a watch does with an answer."""
     update = read_endpoint_list(orjson.loads(text))
-    host.on_endpoint_update(update.update_kind, update.endpoints)
+    dispatcher.on_endpoint_update(update.update_kind, update.endpoints)
 
 
-def first_request(router: Router, now: float, number: int) -> float:
+def first_request_cpu_s(router: Router, now: float, number: int) -> float:
     """CPU seconds of a request, which also meets work that a change put off; it is then answered."""
     name = f"r{number}"
     request = Request(name, "page-read", 1.2, f"page:{number}")
-    began = time.thread_time()
+    started_at = time.thread_time()
     actions = router.handle(now, request)
-    spent = time.thread_time() - began
+    spent = time.thread_time() - started_at
     for action in actions:
         if isinstance(action, Send):
             router.handle(now + 0.01, AttemptCompleted(name, 0, AttemptStatus.OK, True, 0.01))
@@ -219,34 +219,41 @@
 
 
 def measure_router(
-    settings: Settings, lines: Sequence[dict[str, Any]], parameters: Parameters, seed: int
+    settings: Settings, entries: Sequence[dict[str, Any]], parameters: Parameters, seed: int
 ) -> tuple[dict[str, float], HdrHistogram]:
     """The decision module alone, told entries that are read already."""
-    whole = entries_of(message(1, True, lines))
-    clock = Clock()
+    whole = read_endpoints(encode_message(1, True, entries))
+    clock = SteppingClock()
     first, same = [], []
-    router = Router(settings, seed, clock.tick())
+    router = Router(settings, seed, clock.advance())
     for _ in range(parameters.whole_lists):
-        router = Router(settings, seed, clock.tick())
+        router = Router(settings, seed, clock.advance())
         event = EndpointUpdate(EndpointUpdateKind.SNAPSHOT, whole)
-        first.append(timed(router.handle, clock.tick(), event))
-        same.append(timed(router.handle, clock.tick(), event))
+        first.append(thread_cpu_s(router.handle, clock.advance(), event))
+        same.append(thread_cpu_s(router.handle, clock.advance(), event))
     spent: dict[str, list[float]] = {sort: [] for sort in CHANGES}
     requests: list[float] = []
-    histogram = HdrHistogram(1, LONGEST_US, 3)
-    for sort, text in Changes(lines, np.random.default_rng(seed), parameters.changes):
-        event = EndpointUpdate(EndpointUpdateKind.DELTA, entries_of(text))
-        cost = timed(router.handle, clock.tick(), event)
-        requests.append(first_request(router, clock.tick(), len(requests)))
+    histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
+    for sort, text in ChangeSequence(entries, np.random.default_rng(seed), parameters.changes):
+        event = EndpointUpdate(EndpointUpdateKind.DELTA, read_endpoints(text))
+        cost = thread_cpu_s(router.handle, clock.advance(), event)
+        requests.append(first_request_cpu_s(router, clock.advance(), len(requests)))
         if sort is not None:
             spent[sort].append(cost)
-            histogram.record_value(min(LONGEST_US, max(1, round(cost * 1e6))))
-    zone = [{**line, "status": "terminating"} for line in lines[:-1] if line["zone"] == lines[0]["zone"]]
-    lost, back = entries_of(message(1, False, zone)), tuple(e for e in whole if e.zone == whole[0].zone)
+            histogram.record_value(min(MAX_LATENCY_US, max(1, round(cost * 1e6))))
+    zone = [
+        {**entry, "status": "terminating"} for entry in entries[:-1] if entry["zone"] == entries[0]["zone"]
+    ]
+    lost, back = (
+        read_endpoints(encode_message(1, False, zone)),
+        tuple(e for e in whole if e.zone == whole[0].zone),
+    )
     zones = []
     for _ in range(parameters.whole_lists):
-        zones.append(timed(router.handle, clock.tick(), EndpointUpdate(EndpointUpdateKind.DELTA, lost)))
-        router.handle(clock.tick(), EndpointUpdate(EndpointUpdateKind.DELTA, back))
+        zones.append(
+            thread_cpu_s(router.handle, clock.advance(), EndpointUpdate(EndpointUpdateKind.DELTA, lost))
+        )
+        router.handle(clock.advance(), EndpointUpdate(EndpointUpdateKind.DELTA, back))
     means = {f"{sort}_cpu_s": statistics.fmean(costs) for sort, costs in spent.items() if costs}
     return {
         **means,
@@ -260,22 +267,22 @@
 
 
 def measure_path(
-    settings: Settings, lines: Sequence[dict[str, Any]], parameters: Parameters, seed: int
+    settings: Settings, entries: Sequence[dict[str, Any]], parameters: Parameters, seed: int
 ) -> tuple[dict[str, float], HdrHistogram]:
     """All that a list costs once its bytes are there: text, entries, table, decision module."""
-    whole = message(1, True, lines)
+    whole = encode_message(1, True, entries)
     first, same, spent, sizes = [], [], [], []
     for _ in range(parameters.whole_lists):
-        host = new_host(settings, seed)
-        first.append(timed(tell, host, whole))
-        same.append(timed(tell, host, whole))
-    histogram = HdrHistogram(1, LONGEST_US, 3)
-    for sort, text in Changes(lines, np.random.default_rng(seed), parameters.changes):
-        cost = timed(tell, host, text)
+        dispatcher = build_dispatcher(settings, seed)
+        first.append(thread_cpu_s(deliver, dispatcher, whole))
+        same.append(thread_cpu_s(deliver, dispatcher, whole))
+    histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
+    for sort, text in ChangeSequence(entries, np.random.default_rng(seed), parameters.changes):
+        cost = thread_cpu_s(deliver, dispatcher, text)
         if sort is not None:
             spent.append(cost)
             sizes.append(len(text))
-            histogram.record_value(min(LONGEST_US, max(1, round(cost * 1e6))))
+            histogram.record_value(min(MAX_LATENCY_US, max(1, round(cost * 1e6))))
     return {
         "path_change_cpu_s": statistics.fmean(spent),
         "path_first_list_cpu_s": statistics.fmean(first),
@@ -286,26 +293,26 @@
 
 
 def measure_memory(
-    settings: Settings, lines: Sequence[dict[str, Any]], parameters: Parameters, seed: int
+    settings: Settings, entries: Sequence[dict[str, Any]], parameters: Parameters, seed: int
 ) -> dict[str, float]:
     """What the interpreter allocates, with every allocation traced; nothing is timed meanwhile."""
-    whole = message(1, True, lines)
-    entries = entries_of(whole)
-    change = next(text for _, text in Changes(lines, np.random.default_rng(seed), 1))
+    whole = encode_message(1, True, entries)
+    endpoints = read_endpoints(whole)
+    change = next(text for _, text in ChangeSequence(entries, np.random.default_rng(seed), 1))
     tracemalloc.start()
     try:
-        before = held()
+        before = traced_bytes()
         router = Router(settings, seed, 1e9)
-        router.handle(1e9, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, entries))
-        router_bytes = held() - before
+        router.handle(1e9, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints))
+        router_bytes = traced_bytes() - before
         del router
-        before = held()
-        host = new_host(settings, seed)
-        tell(host, whole)
-        host_bytes = held() - before
-        before = held()
+        before = traced_bytes()
+        dispatcher = build_dispatcher(settings, seed)
+        deliver(dispatcher, whole)
+        host_bytes = traced_bytes() - before
+        before = traced_bytes()
         tracemalloc.reset_peak()
-        tell(host, change)
+        deliver(dispatcher, change)
         peak = tracemalloc.get_traced_memory()[1] - before
     finally:
         tracemalloc.stop()
@@ -316,28 +323,30 @@
     }
 
 
-def held() -> int:
+def traced_bytes() -> int:
     """Bytes allocated and not garbage."""
     gc.collect()
     return tracemalloc.get_traced_memory()[0]
 
 
-def measure(parameters: Parameters, size: Mapping[str, float], seed: int, lab: Lab) -> Iterator[Sample]:
+def measure(
+    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+) -> Iterator[Sample]:
     """One sample; CPU seconds are of this thread alone, so that a busy machine adds little to them."""
     caches, changes_per_s = int(size["caches"]), float(size["changes_per_s"])
-    settings = settings_of(int(size.get("routers", 1)))
-    lines = lines_of(caches, parameters, np.random.default_rng(seed))
+    settings = build_settings(int(size.get("routers", 1)))
+    entries = build_entries(caches, parameters, np.random.default_rng(seed))
     gc.collect()
     gc.freeze()  # what the rig itself holds is not a router's to collect
     try:
-        references = [reference()]
-        lab.progress("decision module")
-        metrics, change = measure_router(settings, lines, parameters, seed)
-        lab.progress("whole path")
-        more, path = measure_path(settings, lines, parameters, seed)
-        references.append(reference())
-        lab.progress("memory")
-        metrics |= more | measure_memory(settings, lines, parameters, seed)
+        references = [measure_reference_cpu_s()]
+        context.progress("decision module")
+        metrics, change = measure_router(settings, entries, parameters, seed)
+        context.progress("whole path")
+        more, path = measure_path(settings, entries, parameters, seed)
+        references.append(measure_reference_cpu_s())
+        context.progress("memory")
+        metrics |= more | measure_memory(settings, entries, parameters, seed)
     finally:
         gc.unfreeze()
     metrics["reference_cpu_s"] = statistics.fmean(references)
--- a/scale_experiments/scenarios/list_change_process.py
+++ b/scale_experiments/scenarios/list_change_process.py
@@ -20,15 +20,15 @@
 import psutil
 from pydantic import BaseModel, ConfigDict, Field
 
-from scale_experiments.context import Lab, Sample
+from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.cpu import process_cpu_s
-from scale_experiments.emulators.control import Control
+from scale_experiments.emulators.control import ControlClient
 from scale_experiments.scenarios import list_change
-from scale_experiments.scenarios.sockets import built
+from scale_experiments.scenarios.sockets import build_router
 
-READY_MOST_S = 60.0
-TAKEN_MOST_S = 30.0  # for a router to take a change and ask for the next
-POLL_S = 0.005
+READY_TIMEOUT_S = 60.0
+POLL_TIMEOUT_S = 30.0  # for a router to take a change and ask for the next
+POLL_INTERVAL_S = 0.005
 
 
 class Parameters(BaseModel):
@@ -81,12 +81,14 @@
 }
 
 
-def start_router(lab: Lab, parameters: Parameters, told: dict[str, Any]) -> subprocess.Popen[bytes]:
-    """A router that has answered `+PONG`; `told` is the rest of its configuration.
+def start_router(
+    context: ExperimentContext, parameters: Parameters, configuration: dict[str, Any]
+) -> subprocess.Popen[bytes]:
+    """A router that has answered `+PONG`; `configuration` is the rest of its configuration.
 
     Raises RuntimeError where it is not ready in time.
     """
-    folder, command = built(lab)
+    folder, command = build_router(context)
     with socket.socket() as probe:  # a port that is free now
         probe.bind(("127.0.0.1", 0))
         listen = probe.getsockname()
@@ -94,21 +96,21 @@
         "name": "n0",
         "listen": "{}:{}".format(*listen),
         "limits": {"cores": 1.0, "memory_mb": parameters.memory_mb, "sockets": parameters.sockets},
-        **told,
+        **configuration,
     }
-    path = lab.folder / "router.json"
+    path = context.folder / "router.json"
     path.write_bytes(orjson.dumps(config))
-    log = lab.folder / "router.log"
+    log = context.folder / "router.log"
     with log.open("wb") as output:
-        process = lab.spawn(
+        process = context.spawn(
             ["/bin/sh", "-c", f"ulimit -n {parameters.sockets}; {command}"],
             cwd=folder,
             env={**os.environ, "RELAY_CONFIG": str(path)},
             stdout=output,
             stderr=output,
         )
-    until = time.monotonic() + READY_MOST_S
-    while time.monotonic() < until and process.poll() is None:
+    deadline = time.monotonic() + READY_TIMEOUT_S
+    while time.monotonic() < deadline and process.poll() is None:
         try:
             with socket.create_connection(listen, 1.0) as client:
                 client.sendall(b"*1\r\n$4\r\nPING\r\n")
@@ -120,59 +122,61 @@
     raise RuntimeError(f"the router is not ready: {log.read_text(errors='replace')[-300:]}")
 
 
-def taken(discovery: Control) -> dict[str, Any]:
+def wait_until_polled(discovery: ControlClient) -> dict[str, Any]:
     """Wait until the router has the latest change, and waits for the next; discovery's counts then."""
-    until = time.monotonic() + TAKEN_MOST_S
-    while time.monotonic() < until:
-        stats = discovery.ask("stats")
+    deadline = time.monotonic() + POLL_TIMEOUT_S
+    while time.monotonic() < deadline:
+        stats = discovery.request("stats")
         if stats["waiting"] == 1 and stats["open"] == 1:
             return stats
-        time.sleep(POLL_S)
-    raise RuntimeError(f"the router has not asked again within {TAKEN_MOST_S:g} s: {stats}")
+        time.sleep(POLL_INTERVAL_S)
+    raise RuntimeError(f"the router has not asked again within {POLL_TIMEOUT_S:g} s: {stats}")
 
 
-def measure(parameters: Parameters, size: Mapping[str, float], seed: int, lab: Lab) -> Iterator[Sample]:
+def measure(
+    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+) -> Iterator[Sample]:
     """One sample; CPU seconds are the router's alone. Raises RuntimeError where it does not start or hear."""
     changes_per_s = float(size["changes_per_s"])
     rng = np.random.default_rng(seed)
-    lines = list_change.lines_of(int(size["caches"]), list_change.Parameters(), rng)
-    references = [list_change.reference()]
-    lab.progress("start")
+    entries = list_change.build_entries(int(size["caches"]), list_change.Parameters(), rng)
+    references = [list_change.measure_reference_cpu_s()]
+    context.progress("start")
     pipes = {"stdin": subprocess.PIPE, "stdout": subprocess.PIPE}
-    standin = lab.spawn(
+    emulator = context.spawn(
         [sys.executable, "-m", "scale_experiments.emulators.discovery", "127.0.0.1:0"], **pipes
     )
-    discovery = Control(standin, "discovery")
-    address = discovery.reply()["address"]
-    discovery.ask("list", index=2, endpoints=lines)
-    known = {"index": 1, "snapshot": True, "endpoints": lines}
-    told = {
+    discovery = ControlClient(emulator, "discovery")
+    address = discovery.receive()["address"]
+    discovery.request("list", index=2, endpoints=entries)
+    cached_list = {"index": 1, "snapshot": True, "endpoints": entries}
+    configuration = {
         "discovery": address,
         "seed": f"{seed:016x}",
-        "known": known,
+        "known": cached_list,
         "settings": {**SETTINGS, "siblings": int(size.get("routers", 1))},
     }
-    router = start_router(lab, parameters, told)
-    started = taken(discovery)
+    router = start_router(context, parameters, configuration)
+    started = wait_until_polled(discovery)
     start_cpu_s = process_cpu_s(router.pid)
     resident = psutil.Process(router.pid).memory_info().rss
 
-    lab.progress("quiet")
+    context.progress("quiet")
     before, cpu_before = started, start_cpu_s
     time.sleep(parameters.quiet_s)
-    after, cpu_after = taken(discovery), process_cpu_s(router.pid)
+    after, cpu_after = wait_until_polled(discovery), process_cpu_s(router.pid)
     seconds = after["at"] - before["at"]
     quiet_cpu = (cpu_after - cpu_before) / seconds
     quiet_bytes = sum(after[name] - before[name] for name in ("bytes_in", "bytes_out")) / seconds
 
-    lab.progress("changes")
+    context.progress("changes")
     # each comes before the call is over that waits for it, so that nothing of quiet is among what they cost;
     # those that only undo one are counted as well
     count = 0
     before, cpu_before = after, cpu_after
-    for index, (_, text) in enumerate(list_change.Changes(lines, rng, parameters.changes), 3):
-        discovery.ask("change", index=index, endpoints=orjson.loads(text)["endpoints"])
-        after = taken(discovery)
+    for index, (_, text) in enumerate(list_change.ChangeSequence(entries, rng, parameters.changes), 3):
+        discovery.request("change", index=index, endpoints=orjson.loads(text)["endpoints"])
+        after = wait_until_polled(discovery)
         count += 1
     cpu_after = process_cpu_s(router.pid)
     change_cpu = (cpu_after - cpu_before) / count
@@ -180,9 +184,9 @@
     change_out = (after["bytes_in"] - before["bytes_in"]) / count
     change_in = (after["bytes_out"] - before["bytes_out"]) / count
     most_resident = psutil.Process(router.pid).memory_info().rss
-    references.append(list_change.reference())
-    lab.stop(router)
-    lab.stop(standin)
+    references.append(list_change.measure_reference_cpu_s())
+    context.stop(router)
+    context.stop(emulator)
     yield Sample(
         {
             "start_cpu_s": start_cpu_s,
--- a/scale_experiments/scenarios/placement.py
+++ b/scale_experiments/scenarios/placement.py
@@ -16,7 +16,7 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from cache_router.endpoint import Endpoint
-from scale_experiments.context import Lab, Sample
+from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.simulation.key_placement import place_keys
 from scale_experiments.simulation.model import site_settings
 
@@ -51,7 +51,7 @@
     descriptors: Annotated[int, Field(ge=1)] = 372
 
 
-def popularity(objects: int, skew: float, flat: float) -> np.ndarray[Any, np.dtype[np.float64]]:
+def key_popularity(objects: int, skew: float, flat: float) -> np.ndarray[Any, np.dtype[np.float64]]:
     weights: np.ndarray[Any, np.dtype[np.float64]] = (
         np.arange(1, objects + 1, dtype=np.float64) + flat
     ) ** -skew
@@ -59,7 +59,7 @@
     return shares
 
 
-def expected_hits(shares: np.ndarray[Any, np.dtype[np.float64]], kept: int) -> float:
+def expected_hit_share(shares: np.ndarray[Any, np.dtype[np.float64]], kept: int) -> float:
     """Share of hits of one cache that drops what was used longest ago (Che's approximation, 2002)."""
     if kept >= len(shares):
         return 1.0
@@ -78,11 +78,11 @@
 def objects_for(hit_share: float, kept: int, skew: float, flat: float) -> int:
     """How many objects make a cache of `kept` hit so often, by bisection."""
     low, high = kept, 2 * kept
-    while expected_hits(popularity(high, skew, flat), kept) > hit_share and high < 100 * kept:
+    while expected_hit_share(key_popularity(high, skew, flat), kept) > hit_share and high < 100 * kept:
         low, high = high, 2 * high
     while high - low > 0.01 * low:
         middle = (low + high) // 2
-        if expected_hits(popularity(middle, skew, flat), kept) > hit_share:
+        if expected_hit_share(key_popularity(middle, skew, flat), kept) > hit_share:
             low = middle
         else:
             high = middle
@@ -96,7 +96,7 @@
     shares: np.ndarray[Any, np.dtype[np.float64]],
     *,
     reads: int,
-    draw: np.random.Generator,
+    rng: np.random.Generator,
 ) -> tuple[float, float]:
     """Share of hits, and reads at the busiest cache over the mean, in the second half of `reads`."""
     contents: list[OrderedDict[int, None]] = [OrderedDict() for _ in range(caches)]
@@ -106,19 +106,19 @@
             contents[owner].move_to_end(key, last=False)
     received = [0] * caches
     hits = counted = 0
-    ranks = np.searchsorted(np.cumsum(shares), draw.random(reads)).tolist()
+    ranks = np.searchsorted(np.cumsum(shares), rng.random(reads)).tolist()
     half = reads // 2
     for i, rank in enumerate(ranks):
         key = min(rank, len(owners) - 1)
         owner = owners[key]
-        held = contents[owner]
-        hit = key in held
+        cached = contents[owner]
+        hit = key in cached
         if hit:
-            held.move_to_end(key)
+            cached.move_to_end(key)
         else:
-            held[key] = None
-            if len(held) > kept:
-                held.popitem(last=False)
+            cached[key] = None
+            if len(cached) > kept:
+                cached.popitem(last=False)
         if i >= half:
             received[owner] += 1
             hits += hit
@@ -126,12 +126,12 @@
     return hits / counted, max(received) * caches / counted
 
 
-def group_hits(parameters: Parameters, groups: int, skew: float, objects: int, seed: int) -> list[float]:
+def measure_groups(parameters: Parameters, groups: int, skew: float, objects: int, seed: int) -> list[float]:
     """Share of hits and worst ratio, means over the groups that are run."""
     caches = parameters.caches // groups
-    shares = popularity(objects, skew, parameters.flat)
+    shares = key_popularity(objects, skew, parameters.flat)
     settings = site_settings()
-    draw = np.random.default_rng(seed)
+    rng = np.random.default_rng(seed)
     found = []
     for group in range(min(groups, parameters.groups_run)):
         names = [f"s-{group:02x}{i:06x}" for i in range(caches)]
@@ -140,23 +140,25 @@
         keys = (f"page:{k}" for k in itertools.islice(itertools.count(), objects))
         owners = [number[name] for name in place_keys(settings, entries, keys)]
         reads = int(parameters.rounds * caches * parameters.kept)
-        found.append(simulate(owners, caches, parameters.kept, shares, reads=reads, draw=draw))
+        found.append(simulate(owners, caches, parameters.kept, shares, reads=reads, rng=rng))
     return [float(np.mean([f[i] for f in found])) for i in range(2)]
 
 
-def measure(parameters: Parameters, size: Mapping[str, float], seed: int, lab: Lab) -> Iterator[Sample]:
+def measure(
+    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+) -> Iterator[Sample]:
     """One sample: `size` has the groups and the skew of the keys (Zipf's exponent)."""
     groups, skew = int(size["groups"]), float(size["skew"])
     objects = objects_for(
         parameters.pooled_hit_share, parameters.caches * parameters.kept, skew, parameters.flat
     )
-    lab.progress(f"{objects} objects, one ring")
-    pooled, worst = group_hits(parameters, 1, skew, objects, seed)
+    context.progress(f"{objects} objects, one ring")
+    pooled, worst = measure_groups(parameters, 1, skew, objects, seed)
     hits = pooled
-    if groups > 1 and not lab.expired():
-        lab.progress(f"{objects} objects, {groups} rings")
-        hits, worst = group_hits(parameters, groups, skew, objects, seed)
-    if lab.expired():
+    if groups > 1 and not context.expired():
+        context.progress(f"{objects} objects, {groups} rings")
+        hits, worst = measure_groups(parameters, groups, skew, objects, seed)
+    if context.expired():
         return
     writes = parameters.write_share / (1 - parameters.write_share)
     met = parameters.target_routers / groups
--- a/scale_experiments/scenarios/sockets.py
+++ b/scale_experiments/scenarios/sockets.py
@@ -23,16 +23,16 @@
 from hdrh.histogram import HdrHistogram
 from pydantic import BaseModel, ConfigDict, Field
 
-from scale_experiments.context import Lab, Sample
-from scale_experiments.emulators.control import Control
-from scale_experiments.scenarios.list_change import reference
+from scale_experiments.context import ExperimentContext, Sample
+from scale_experiments.emulators.control import ControlClient
+from scale_experiments.scenarios.list_change import measure_reference_cpu_s
 
 ROOT = Path(__file__).parent.parent.parent
-BUILT_FROM = ("cache_router", "deploy", "requirements.txt")
-BUILD_MOST_S = 300.0
-READY_MOST_S = 30.0
-PATIENCE_S = 60.0
-PORT = 6379
+ROUTER_SOURCES = ("cache_router", "deploy", "requirements.txt")
+BUILD_TIMEOUT_S = 300.0
+READY_TIMEOUT_S = 30.0
+REPLY_TIMEOUT_S = 60.0
+CACHE_PORT = 6379
 
 
 class Parameters(BaseModel):
@@ -105,7 +105,7 @@
     return [
         {
             "name": f"s-{i:08x}",
-            "address": f"127.2.{i // 250}.{i % 250 + 1}:{PORT}",
+            "address": f"127.2.{i // 250}.{i % 250 + 1}:{CACHE_PORT}",
             "zone": "a",
             "type": "std",
             "group": i // 8,
@@ -152,54 +152,56 @@
     }
 
 
-def built(lab: Lab) -> tuple[Path, str]:
+def build_router(context: ExperimentContext) -> tuple[Path, str]:
     """A copy of the program in the run's folder, built as deployed, and the command that runs it."""
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    folder = lab.folder / "router"
+    folder = context.folder / "router"
     if not folder.exists():
-        lab.progress("build")
+        context.progress("build")
         folder.mkdir()
-        for name in BUILT_FROM:
+        for name in ROUTER_SOURCES:
             if (ROOT / name).is_dir():
                 shutil.copytree(ROOT / name, folder / name, ignore=shutil.ignore_patterns("__pycache__"))
             else:
                 shutil.copy(ROOT / name, folder / name)
         log = (folder / "build.log").open("wb")
         with log:
-            process = lab.spawn(["/bin/sh", "-c", deploy["build"]], cwd=folder, stdout=log, stderr=log)
-            status = process.wait(min(BUILD_MOST_S, lab.left_s()))
+            process = context.spawn(["/bin/sh", "-c", deploy["build"]], cwd=folder, stdout=log, stderr=log)
+            status = process.wait(min(BUILD_TIMEOUT_S, context.remaining_s()))
         if status:
             raise RuntimeError(f"build ended with {status}: {(folder / 'build.log').read_text()[-300:]}")
     return folder, deploy["run"]
 
 
-class Site:
+class Deployment:
     """The processes of one sample."""
 
-    def __init__(self, parameters: Parameters, size: Mapping[str, float], seed: int, lab: Lab) -> None:
+    def __init__(
+        self, parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+    ) -> None:
         self.parameters = parameters
         self.size = size
         self.seed = seed
-        self.lab = lab
+        self.context = context
         self.processes: list[subprocess.Popen[bytes]] = []
         self.routers: list[psutil.Process] = []
         self.addresses: list[str] = []
 
-    def _standin(self, name: str, *args: str) -> Control:
+    def _start_emulator(self, name: str, *args: str) -> ControlClient:
         pipes = {"stdin": subprocess.PIPE, "stdout": subprocess.PIPE}
-        process = self.lab.spawn(
+        process = self.context.spawn(
             [sys.executable, "-m", f"scale_experiments.emulators.{name}", *args], **pipes
         )
         self.processes.append(process)
-        return Control(process, name, PATIENCE_S)
+        return ControlClient(process, name, REPLY_TIMEOUT_S)
 
     def start(self) -> None:
         """Start caches, discovery, routers and, once these are ready, the load."""
         p = self.parameters
-        folder, command = built(self.lab)
+        folder, command = build_router(self.context)
         entries = cache_entries(int(self.size["caches"]))
-        self.caches = self._standin("cache")
-        origin = self.caches.ask(
+        self.caches = self._start_emulator("cache")
+        origin = self.caches.request(
             "start",
             addresses={e["name"]: e["address"] for e in entries},
             origin="127.3.0.1:0",
@@ -218,16 +220,16 @@
             ),
         )["origin"]
         entries.append({**entries[0], "name": "origin", "address": origin, "type": "origin"})
-        known = {"index": 1, "snapshot": True, "endpoints": entries}
-        discovery = self._standin("discovery", "127.3.0.2:0")
-        address = discovery.reply()["address"]
-        discovery.ask("list", index=1, endpoints=entries)
+        cached_list = {"index": 1, "snapshot": True, "endpoints": entries}
+        discovery = self._start_emulator("discovery", "127.3.0.2:0")
+        address = discovery.receive()["address"]
+        discovery.request("list", index=1, endpoints=entries)
         for i in range(int(self.size["routers"])):
-            self._start_router(i, folder, command, address, known)
+            self._start_router(i, folder, command, address, cached_list)
         for listen in self.addresses:
-            self._ready(listen)
-        self.clients = self._standin("clients")
-        self.clients.ask(
+            self._wait_until_ready(listen)
+        self.clients = self._start_emulator("clients")
+        self.clients.request(
             "start",
             routers=self.addresses,
             rate_per_s=self.size["requests_per_s"],
@@ -239,29 +241,29 @@
         )
 
     def _start_router(
-        self, number: int, folder: Path, command: str, discovery: str, known: dict[str, Any]
+        self, number: int, folder: Path, command: str, discovery: str, cached_list: dict[str, Any]
     ) -> None:
         p = self.parameters
-        with socket.socket() as taken:  # a port that is free now
-            taken.bind((f"127.4.0.{number + 1}", 0))
-            listen = "{}:{}".format(*taken.getsockname())
+        with socket.socket() as probe:  # a port that is free now
+            probe.bind((f"127.4.0.{number + 1}", 0))
+            listen = "{}:{}".format(*probe.getsockname())
         config = {
             "name": f"n{number}",
             "listen": listen,
             "discovery": discovery,
             "seed": f"{self.seed * 1000 + number:016x}",
             "limits": {"cores": 1.0, "memory_mb": p.memory_mb, "sockets": p.sockets},
-            "known": known,
+            "known": cached_list,
             "settings": settings(p, int(self.size["siblings"])),
         }
-        path = self.lab.folder / f"router-{number}.json"
+        path = self.context.folder / f"router-{number}.json"
         path.write_bytes(orjson.dumps(config))
-        told = {"RELAY_NAME": config["name"], "RELAY_LISTEN": listen, "RELAY_DISCOVERY": discovery}
-        with (self.lab.folder / f"router-{number}.log").open("wb") as log:
-            process = self.lab.spawn(
+        environment = {"RELAY_NAME": config["name"], "RELAY_LISTEN": listen, "RELAY_DISCOVERY": discovery}
+        with (self.context.folder / f"router-{number}.log").open("wb") as log:
+            process = self.context.spawn(
                 ["/bin/sh", "-c", f"ulimit -n {p.sockets}; {command}"],
                 cwd=folder,
-                env={**os.environ, **told, "RELAY_CONFIG": str(path)},
+                env={**os.environ, **environment, "RELAY_CONFIG": str(path)},
                 stdout=log,
                 stderr=log,
             )
@@ -269,11 +271,11 @@
         self.routers.append(psutil.Process(process.pid))
         self.addresses.append(listen)
 
-    def _ready(self, listen: str) -> None:
+    def _wait_until_ready(self, listen: str) -> None:
         """Wait until a router answers `+PONG`; raises RuntimeError where it does not."""
         host, _, port = listen.rpartition(":")
-        until = time.monotonic() + READY_MOST_S
-        while time.monotonic() < until:
+        deadline = time.monotonic() + READY_TIMEOUT_S
+        while time.monotonic() < deadline:
             try:
                 with socket.create_connection((host, int(port)), 1.0) as client:
                     client.sendall(b"*1\r\n$4\r\nPING\r\n")
@@ -282,33 +284,35 @@
             except OSError:
                 pass
             time.sleep(0.1)
-        raise RuntimeError(f"router at {listen} is not ready after {READY_MOST_S:g} s")
+        raise RuntimeError(f"router at {listen} is not ready after {READY_TIMEOUT_S:g} s")
 
     def usage(self) -> dict[str, Any]:
         """Counts since the start, and latencies since the last call."""
         cpu_s = sum(sum(r.cpu_times()[:2]) for r in self.routers)
-        clients = self.clients.ask("stats", restart=True)
-        return {"caches": self.caches.ask("stats"), "clients": clients, "cpu_s": cpu_s}
+        clients = self.clients.request("stats", restart=True)
+        return {"caches": self.caches.request("stats"), "clients": clients, "cpu_s": cpu_s}
 
-    def play(self) -> None:
+    def run_load(self) -> None:
         """Let the time pass that is measured, with the fault of some caches at its beginning."""
         p, faulty = self.parameters, int(self.size.get("faulty", 0))
-        left = p.measure_s
+        remaining_s = p.measure_s
         if faulty:
             names = [e["name"] for e in cache_entries(int(self.size["caches"]))[:faulty]]
-            self.caches.ask("mode", names=names, mode=p.fault)
-            time.sleep(min(p.fault_s, left))
-            left -= min(p.fault_s, left)
-            self.caches.ask("mode", names=names, mode="serve")
-        time.sleep(left)
+            self.caches.request("mode", names=names, mode=p.fault)
+            time.sleep(min(p.fault_s, remaining_s))
+            remaining_s -= min(p.fault_s, remaining_s)
+            self.caches.request("mode", names=names, mode="serve")
+        time.sleep(remaining_s)
 
     def stop(self) -> None:
         """End all of this sample."""
         for process in reversed(self.processes):
-            self.lab.stop(process)
+            self.context.stop(process)
 
 
-def figures(before: dict[str, Any], after: dict[str, Any], routers: list[psutil.Process]) -> dict[str, float]:
+def compute_metrics(
+    before: dict[str, Any], after: dict[str, Any], routers: list[psutil.Process]
+) -> dict[str, float]:
     """Metrics of what happened between two moments."""
     seconds = after["caches"]["at"] - before["caches"]["at"]
     each = [
@@ -318,7 +322,7 @@
     samples = max(1, after["caches"]["samples"] - before["caches"]["samples"])
     names = after["clients"]["counts"].keys()
     counts = {n: after["clients"]["counts"][n] - before["clients"]["counts"].get(n, 0) for n in names}
-    asked, cpu_s = max(1, counts["asked"]), after["cpu_s"] - before["cpu_s"]
+    requests, cpu_s = max(1, counts["asked"]), after["cpu_s"] - before["cpu_s"]
     caches = len(each)
 
     def total(field: str) -> float:
@@ -330,40 +334,40 @@
     def share(*kinds: str) -> float:
         return float(sum(counts.get(k, 0) for k in kinds) / ended)
 
-    held = total("open_sum") / samples
+    open_connections = total("open_sum") / samples
     origin = after["caches"]["origin"]["requests"] - before["caches"]["origin"]["requests"]
     latency = HdrHistogram.decode(after["clients"]["latency"])
     found = [r.memory_info().rss for r in routers]
     return {
-        "requests_per_s": asked / seconds,
+        "requests_per_s": requests / seconds,
         "served_share": share("served"),
         "refused_share": share("refused"),
         "lost_share": share(*ends[2:]),
         "latency_p50_s": latency.get_value_at_percentile(50) / 1e6,
         "latency_p99_s": latency.get_value_at_percentile(99) / 1e6,
-        "attempts_per_request": total("requests") / asked,
-        "handshakes_per_request": total("accepted") / asked,
+        "attempts_per_request": total("requests") / requests,
+        "handshakes_per_request": total("accepted") / requests,
         "handshakes_per_cache_per_s": total("accepted") / caches / seconds,
-        "open_per_cache": held / caches,
-        "open_per_cache_per_router": held / caches / len(routers),
+        "open_per_cache": open_connections / caches,
+        "open_per_cache_per_router": open_connections / caches / len(routers),
         "most_open_at_a_cache": max(c["most_open"] for c in after["caches"]["caches"].values()),
-        "open_to_caches_per_router": held / len(routers),
+        "open_to_caches_per_router": open_connections / len(routers),
         "caches_met_share": sum(e["requests"] > 0 for e in each) / caches,
         "fullest_cache_share": max(e["requests"] for e in each) * caches / max(1.0, total("requests")),
         "hit_share": total("hits") / max(1.0, total("requests")),
-        "busy_per_request": total("busy") / asked,
-        "origin_per_request": origin / asked,
-        "router_cpu_per_request_s": cpu_s / asked,
+        "busy_per_request": total("busy") / requests,
+        "origin_per_request": origin / requests,
+        "router_cpu_per_request_s": cpu_s / requests,
         "router_cpu_share": cpu_s / seconds / len(routers),
         "router_resident_bytes": sum(found) / len(routers),
-        "router_most_resident_bytes": most_resident(routers),
+        "router_most_resident_bytes": peak_resident_bytes(routers),
         "router_descriptors": sum(r.num_fds() for r in routers) / len(routers),
         "client_connections_per_router": after["clients"]["counts"]["open"] / len(routers),
-        "client_connections_per_request": counts["connections"] / asked,
+        "client_connections_per_request": counts["connections"] / requests,
     }
 
 
-def most_resident(routers: list[psutil.Process]) -> float:
+def peak_resident_bytes(routers: list[psutil.Process]) -> float:
     """The kernel's high-water mark of resident bytes, of the router that had the most."""
     marks = []
     for router in routers:
@@ -372,23 +376,25 @@
     return float(max(marks, default=0))
 
 
-def measure(parameters: Parameters, size: Mapping[str, float], seed: int, lab: Lab) -> Iterator[Sample]:
+def measure(
+    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+) -> Iterator[Sample]:
     """One sample; raises ControlError or RuntimeError where a process ends or is not ready in time."""
-    site = Site(parameters, size, seed, lab)
+    deployment = Deployment(parameters, size, seed, context)
     try:
-        lab.progress("start")
-        site.start()
+        context.progress("start")
+        deployment.start()
         time.sleep(parameters.warm_s)
-        lab.progress("measure")
-        references = [reference()]
-        before = site.usage()
-        site.play()
-        after = site.usage()
-        references.append(reference())
-        if any(not r.is_running() or r.status() == psutil.STATUS_ZOMBIE for r in site.routers):
+        context.progress("measure")
+        references = [measure_reference_cpu_s()]
+        before = deployment.usage()
+        deployment.run_load()
+        after = deployment.usage()
+        references.append(measure_reference_cpu_s())
+        if any(not r.is_running() or r.status() == psutil.STATUS_ZOMBIE for r in deployment.routers):
             raise RuntimeError("a router has ended")
-        metrics = figures(before, after, site.routers)
+        metrics = compute_metrics(before, after, deployment.routers)
         metrics |= {"load": os.getloadavg()[0], "reference_cpu_s": sum(references) / 2}
         yield Sample(metrics, {"latency": HdrHistogram.decode(after["clients"]["latency"])})
     finally:
-        site.stop()
+        deployment.stop()
--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -12,8 +12,8 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-from scale_experiments.context import Lab, Sample
-from scale_experiments.scenarios.zone_loss import recovery
+from scale_experiments.context import ExperimentContext, Sample
+from scale_experiments.scenarios.zone_loss import recovery_seconds
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
 from scale_experiments.simulation.statistics import SETTLING_SECONDS, CountedEvent
@@ -45,11 +45,13 @@
     skew: Annotated[float, Field(ge=0)] = 0.95
 
 
-def measure(parameters: Parameters, size: Mapping[str, float], seed: int, lab: Lab) -> Iterator[Sample]:
+def measure(
+    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+) -> Iterator[Sample]:
     """One sample: `size` has routers, how many of them are run, caches and the cores of a cache."""
     caches, cores, run = int(size["caches"]), int(size["cores"]), int(size["routers_run"])
-    plain = FleetModel(run, caches, 1.0)
-    rate = plain.rate_at_utilization(parameters.use_share, cores)
+    unloaded = FleetModel(run, caches, 1.0)
+    rate = unloaded.rate_at_utilization(parameters.use_share, cores)
     model = FleetModel(
         routers=int(size["routers"]),
         routers_sampled=run,
@@ -60,23 +62,23 @@
         zones=3,
     )
     fleet = Fleet(site_settings(), model, seed)
-    if not fleet.run(parameters.warm_s, lab.expired):
+    if not fleet.run(parameters.warm_s, context.expired):
         return
     fleet.reset()
-    if not fleet.run(parameters.before_s, lab.expired):
+    if not fleet.run(parameters.before_s, context.expired):
         return
     metrics = {"requests_per_s": rate, "before_served_share": fleet.statistics.served_share()}
-    lab.progress("surge")
+    context.progress("surge")
     fleet.reset()
     fleet.clients.demand = parameters.demand
-    if not fleet.run(parameters.surge_s, lab.expired):
+    if not fleet.run(parameters.surge_s, context.expired):
         return
     counts = fleet.statistics.counts
     metrics["surge_served_share"] = counts[CountedEvent.SERVED] / max(1, counts[CountedEvent.CLIENT_REQUEST])
-    lab.progress("after the surge")
+    context.progress("after the surge")
     fleet.reset()
     fleet.clients.demand = 1.0
-    if not fleet.run(parameters.after_s, lab.expired):
+    if not fleet.run(parameters.after_s, context.expired):
         return
     counts = fleet.statistics.counts
     requests = max(1, counts[CountedEvent.REQUEST])
@@ -85,9 +87,9 @@
         {
             **metrics,
             "after_served_share": fleet.statistics.served_share(),
-            "recovery_s": recovery(fleet.statistics.served_by_second()),
+            "recovery_s": recovery_seconds(fleet.statistics.served_by_second()),
             "refused_per_request": counts[CountedEvent.REJECTED] / requests,
             "attempts_per_request": counts[CountedEvent.ATTEMPT] / requests,
-            "cache_use_share": received * plain.mean_service_time / (caches * cores * parameters.after_s),
+            "cache_use_share": received * unloaded.mean_service_time / (caches * cores * parameters.after_s),
         }
     )
--- a/scale_experiments/scenarios/watch.py
+++ b/scale_experiments/scenarios/watch.py
@@ -18,13 +18,13 @@
 from hdrh.histogram import HdrHistogram
 from pydantic import BaseModel, ConfigDict, Field
 
-from scale_experiments.context import Lab, Sample
-from scale_experiments.emulators.control import Control, ask_all
-from scale_experiments.scenarios.list_change import reference
+from scale_experiments.context import ExperimentContext, Sample
+from scale_experiments.emulators.control import ControlClient, request_all
+from scale_experiments.scenarios.list_change import measure_reference_cpu_s
 
-LONGEST_US = 600_000_000  # that a histogram holds
-POLL_S = 0.25
-PATIENCE_S = 90.0  # for an answer of a process that is busy with some thousand routers
+MAX_LATENCY_US = 600_000_000  # that a histogram holds
+POLL_INTERVAL_S = 0.25
+REPLY_TIMEOUT_S = 90.0  # for an answer of a process that is busy with some thousand routers
 Mode = Literal["asked", "pushed"]
 Outage = Literal["silent", "reset", "refuse", "busy"]
 MODES: tuple[Mode, ...] = ("asked", "pushed")
@@ -103,7 +103,7 @@
 }
 
 
-def entries(caches: int, zones: int) -> list[dict[str, Any]]:
+def build_entries(caches: int, zones: int) -> list[dict[str, Any]]:
     """A list of caches in discovery's form."""
     return [
         {
@@ -120,7 +120,7 @@
     ]
 
 
-def settings(mode: Mode, routers: int) -> dict[str, Any]:
+def build_settings(mode: Mode, routers: int) -> dict[str, Any]:
     """Settings with the times of the customers' sites."""
     return {
         "classes": [{"name": "read", "aim": 0.5, "giveUp": 2.0, "effect": "free"}],
@@ -130,27 +130,29 @@
     }
 
 
-class Fleet:
+class WatchFleet:
     """Discovery and the routers of one sample."""
 
-    def __init__(self, parameters: Parameters, size: Mapping[str, float], seed: int, lab: Lab) -> None:
+    def __init__(
+        self, parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+    ) -> None:
         self.parameters = parameters
         self.routers = int(size["routers"])
         self.seed = seed
-        self.lab = lab
-        self.list = entries(int(size["caches"]), parameters.zones)
+        self.context = context
+        self.entries = build_entries(int(size["caches"]), parameters.zones)
         self.index = 1
-        self.made_at: dict[int, float] = {}  # of each change, at the first process of discovery
+        self.changed_at: dict[int, float] = {}  # of each change, at the first process of discovery
         self.processes: list[subprocess.Popen[bytes]] = []
-        self.discoveries: list[Control] = []
-        self.real: list[Control] = []
-        self.light: list[Control] = []
+        self.discoveries: list[ControlClient] = []
+        self.real: list[ControlClient] = []
+        self.light: list[ControlClient] = []
 
-    def _spawn(self, name: str, *args: str) -> Control:
+    def _start_emulator(self, name: str, *args: str) -> ControlClient:
         pipes = {"stdin": subprocess.PIPE, "stdout": subprocess.PIPE}
-        process = self.lab.spawn([sys.executable, "-m", *args], **pipes)
+        process = self.context.spawn([sys.executable, "-m", *args], **pipes)
         self.processes.append(process)
-        return Control(process, name, PATIENCE_S)
+        return ControlClient(process, name, REPLY_TIMEOUT_S)
 
     def start(self, mode: Mode) -> None:
         """Start all, spread over the time in which a call waits, so that their calls don't come in step."""
@@ -159,105 +161,105 @@
         hollows = self.parameters.hollows if others else 0
         counts += [others // hollows + (i < others % hollows) for i in range(hollows)]
         self.discoveries = [
-            self._spawn("discovery", "scale_experiments.emulators.discovery", f"127.0.1.{i + 1}:0")
+            self._start_emulator("discovery", "scale_experiments.emulators.discovery", f"127.0.1.{i + 1}:0")
             for i in range(self.parameters.discoveries)
         ]
-        addresses = [d.reply()["address"] for d in self.discoveries]
-        ask_all(self.discoveries, "list", index=self.index, endpoints=self.list)
-        every = [self._spawn("routers", "scale_experiments.hollow") for _ in counts]
+        addresses = [d.receive()["address"] for d in self.discoveries]
+        request_all(self.discoveries, "list", index=self.index, endpoints=self.entries)
+        every = [self._start_emulator("routers", "scale_experiments.hollow") for _ in counts]
         self.real, self.light = every[:1], every[1:]
-        known = {"index": self.index, "snapshot": True, "endpoints": self.list}
+        cached_list = {"index": self.index, "snapshot": True, "endpoints": self.entries}
         for i, (control, routers) in enumerate(zip(every, counts, strict=True)):
-            control.tell(
+            control.send(
                 "start",
                 routers=routers,
                 seed=self.seed * 1_000_000 + i * 100_000,
                 held=self.parameters.held if i == 0 else "index",
                 discovery=addresses[i % len(addresses) :] + addresses[: i % len(addresses)],
-                settings=settings(mode, self.routers),
-                known=known,
+                settings=build_settings(mode, self.routers),
+                known=cached_list,
                 spread_s=self.parameters.spread_s,
             )
         for control in every:
-            control.reply()
+            control.receive()
         time.sleep(self.parameters.spread_s + 1.0)
 
     def stop(self) -> None:
         """End all, so that the next mode starts anew."""
         for process in self.processes:
-            self.lab.stop(process)
+            self.context.stop(process)
         self.processes.clear()
 
     def change(self) -> None:
         """Change one entry: it begins to leave, or is back."""
         self.index += 1
-        entry = self.list[self.index // 2 % len(self.list)]
+        entry = self.entries[self.index // 2 % len(self.entries)]
         entry["status"] = "terminating" if self.index % 2 else "in_service"
-        at = [r["at"] for r in ask_all(self.discoveries, "change", index=self.index, endpoints=[entry])]
-        self.made_at[self.index] = min(at)
+        at = [r["at"] for r in request_all(self.discoveries, "change", index=self.index, endpoints=[entry])]
+        self.changed_at[self.index] = min(at)
 
-    def followed(self, most_s: float) -> None:
+    def wait_until_notified(self, timeout_s: float) -> None:
         """Wait until all routers have the latest change, and no longer than that."""
-        until = time.monotonic() + most_s
-        while time.monotonic() < until and not self.lab.expired():
-            if min(r["lowest"] for r in ask_all([*self.real, *self.light], "stats")) >= self.index:
+        deadline = time.monotonic() + timeout_s
+        while time.monotonic() < deadline and not self.context.expired():
+            if min(r["lowest"] for r in request_all([*self.real, *self.light], "stats")) >= self.index:
                 return
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
 
-    def had(self, index: int, since: float) -> tuple[list[float], int]:
+    def notification_delays(self, index: int, since: float) -> tuple[list[float], int]:
         """Seconds after `since` at which routers had an index, sorted; and how many did not."""
-        replies = ask_all([*self.real, *self.light], "had", index=index)
+        replies = request_all([*self.real, *self.light], "had", index=index)
         times = [t for reply in replies for t in reply["times"]]
-        heard = sorted(max(0.0, t - since) for t in times if t is not None)
-        return heard, len(times) - len(heard)
+        delays = sorted(max(0.0, t - since) for t in times if t is not None)
+        return delays, len(times) - len(delays)
 
-    def calls_since(self, began: float) -> dict[float, float]:
+    def calls_since(self, started_at: float) -> dict[float, float]:
         """Calls at discovery in each tenth of a second, by its number."""
         counts: dict[float, float] = {}
-        for stats in ask_all(self.discoveries, "stats"):
+        for stats in request_all(self.discoveries, "stats"):
             for bucket, calls in stats["over_time"]:
-                if (bucket + 1) * stats["bucket_s"] > began:
+                if (bucket + 1) * stats["bucket_s"] > started_at:
                     counts[bucket] = counts.get(bucket, 0.0) + calls
         return counts
 
     def usage(self) -> dict[str, float]:
         """Counts and usage now, in sum for each role."""
-        told = ask_all(self.discoveries, "stats")
+        all_stats = request_all(self.discoveries, "stats")
         names = ("calls", "connections", "bytes_in", "bytes_out", "cpu_s", "resident_bytes", "descriptors")
-        sums: dict[str, float] = {name: sum(t[name] for t in told) for name in names}
-        sums["at"] = told[0]["at"]
-        sums["written_s"] = max(t["told_s"] for t in told)
+        sums: dict[str, float] = {name: sum(t[name] for t in all_stats) for name in names}
+        sums["at"] = all_stats[0]["at"]
+        sums["written_s"] = max(t["told_s"] for t in all_stats)
         for role, controls in (("real", self.real), ("light", self.light)):
-            stats = ask_all(controls, "stats")
+            stats = request_all(controls, "stats")
             sums[f"{role}_cpu_s"] = sum(s["cpu_s"] for s in stats)
             sums[f"{role}_resident_bytes"] = sum(s["resident_bytes"] for s in stats)
         return sums
 
 
-def between(before: Mapping[str, float], after: Mapping[str, float]) -> dict[str, float]:
+def usage_difference(before: Mapping[str, float], after: Mapping[str, float]) -> dict[str, float]:
     """What was used from one moment to another."""
     return {name: after[name] - before[name] for name in after}
 
 
-def share_at(values: list[float], share: float) -> float:
+def quantile(values: list[float], share: float) -> float:
     """The value that a share of a sorted list does not pass."""
     return values[min(len(values) - 1, int(share * len(values)))]
 
 
-def histogram(values: list[float]) -> HdrHistogram:
+def latency_histogram(values: list[float]) -> HdrHistogram:
     """Seconds as microseconds."""
-    made = HdrHistogram(1, LONGEST_US, 2)
+    made = HdrHistogram(1, MAX_LATENCY_US, 2)
     for value in values:
         made.record_value(max(1, round(value * 1e6)))
     return made
 
 
-def quiet(fleet: Fleet) -> dict[str, float]:
+def measure_quiet(fleet: WatchFleet) -> dict[str, float]:
     """The standing price."""
     before = fleet.usage()
     time.sleep(fleet.parameters.quiet_s)
     after = fleet.usage()
-    used = between(before, after)
+    used = usage_difference(before, after)
     routers, real = fleet.routers, min(fleet.parameters.real, fleet.routers)
 
     def rate(name: str) -> float:
@@ -266,7 +268,7 @@
     metrics = {
         "calls_per_s": rate("calls"),
         "connections_per_s": rate("connections"),
-        "peak_calls_per_100ms": peak(fleet.calls_since(before["at"]), 1),
+        "peak_calls_per_100ms": peak_calls(fleet.calls_since(before["at"]), 1),
         "calls_per_router_per_s": rate("calls") / routers,
         "discovery_cpu_share": rate("cpu_s"),
         "discovery_cpu_per_router_share": rate("cpu_s") / routers,
@@ -283,25 +285,25 @@
     return metrics
 
 
-def changes(fleet: Fleet) -> tuple[dict[str, float], HdrHistogram]:
+def measure_changes(fleet: WatchFleet) -> tuple[dict[str, float], HdrHistogram]:
     """The price of changes that come before a call has waited its time, and how they spread."""
     fleet.change()  # from here on all wait in step, as wherever changes are frequent
-    fleet.followed(fleet.parameters.return_most_s)
+    fleet.wait_until_notified(fleet.parameters.return_most_s)
     before = fleet.usage()
     written, first = [], fleet.index + 1
     for _ in range(fleet.parameters.changes):
-        began = time.monotonic()
+        started_at = time.monotonic()
         fleet.change()
-        written.append(max(s["told_s"] for s in ask_all(fleet.discoveries, "stats")))
-        time.sleep(max(0.0, fleet.parameters.change_every_s - (time.monotonic() - began)))
-    fleet.followed(fleet.parameters.return_most_s)
-    used = between(before, fleet.usage())
+        written.append(max(s["told_s"] for s in request_all(fleet.discoveries, "stats")))
+        time.sleep(max(0.0, fleet.parameters.change_every_s - (time.monotonic() - started_at)))
+    fleet.wait_until_notified(fleet.parameters.return_most_s)
+    used = usage_difference(before, fleet.usage())
     each = {name: used[name] / fleet.parameters.changes for name in used}
     spread, slowest, unheard = [], 0.0, 0
     for index in range(first, fleet.index + 1):
-        heard, missing = fleet.had(index, fleet.made_at[index])
-        spread += heard
-        slowest = max(slowest, heard[-1] if heard else 0.0)
+        delays, missing = fleet.notification_delays(index, fleet.changed_at[index])
+        spread += delays
+        slowest = max(slowest, delays[-1] if delays else 0.0)
         unheard += missing
     spread.sort()
     real = min(fleet.parameters.real, fleet.routers)
@@ -310,73 +312,75 @@
         "change_discovery_cpu_per_router_s": each["cpu_s"] / fleet.routers,
         "change_out_per_router_bytes": each["bytes_out"] / fleet.routers,
         "change_calls_per_router": each["calls"] / fleet.routers,
-        "change_peak_calls_per_100ms": peak(fleet.calls_since(before["at"]), 1),
+        "change_peak_calls_per_100ms": peak_calls(fleet.calls_since(before["at"]), 1),
         "change_real_cpu_s": each["real_cpu_s"] / real,
         "written_s": sorted(written)[len(written) // 2],
-        "spread_p50_s": share_at(spread, 0.5),
-        "spread_p99_s": share_at(spread, 0.99),
+        "spread_p50_s": quantile(spread, 0.5),
+        "spread_p99_s": quantile(spread, 0.99),
         "spread_all_s": slowest,
         "spread_unheard": unheard,
     }
-    return metrics, histogram(spread)
+    return metrics, latency_histogram(spread)
 
 
-def peak(counts: Mapping[float, float], buckets: int) -> float:
+def peak_calls(counts: Mapping[float, float], buckets: int) -> float:
     """The most calls in so many buckets in a row."""
     return max((sum(counts.get(b + i, 0) for i in range(buckets)) for b in counts), default=0.0)
 
 
-def outage(fleet: Fleet, how: Outage) -> tuple[dict[str, float], HdrHistogram]:
+def measure_outage(fleet: WatchFleet, how: Outage) -> tuple[dict[str, float], HdrHistogram]:
     """Discovery goes, the list changes, discovery comes back: what it meets, and when all have the list."""
-    ask_all(fleet.discoveries, "silent" if how == "reset" else how)
+    request_all(fleet.discoveries, "silent" if how == "reset" else how)
     time.sleep(fleet.parameters.outage_s / 2)
     fleet.change()
     time.sleep(fleet.parameters.outage_s / 2)
     before = fleet.usage()
-    back = min(r["at"] for r in ask_all(fleet.discoveries, "serve"))
+    back = min(r["at"] for r in request_all(fleet.discoveries, "serve"))
     if how == "reset":
-        ask_all(fleet.discoveries, "reset_held")
-    fleet.followed(fleet.parameters.return_most_s)
-    used = between(before, fleet.usage())
+        request_all(fleet.discoveries, "reset_held")
+    fleet.wait_until_notified(fleet.parameters.return_most_s)
+    used = usage_difference(before, fleet.usage())
     counts = fleet.calls_since(back)
-    heard, missing = fleet.had(fleet.index, back)
+    delays, missing = fleet.notification_delays(fleet.index, back)
     metrics = {
-        "peak_calls_per_s": peak(counts, 10),
-        "peak_calls_per_100ms": peak(counts, 1),
+        "peak_calls_per_s": peak_calls(counts, 10),
+        "peak_calls_per_100ms": peak_calls(counts, 1),
         "calls_per_router": used["calls"] / fleet.routers,
         "unheard": float(missing),
         "cpu_s": used["cpu_s"],
     }
-    if heard:
-        metrics |= {"p50_s": share_at(heard, 0.5), "p99_s": share_at(heard, 0.99), "all_s": heard[-1]}
-    return metrics, histogram(heard)
+    if delays:
+        metrics |= {"p50_s": quantile(delays, 0.5), "p99_s": quantile(delays, 0.99), "all_s": delays[-1]}
+    return metrics, latency_histogram(delays)
 
 
-def measure(parameters: Parameters, size: Mapping[str, float], seed: int, lab: Lab) -> Iterator[Sample]:
+def measure(
+    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+) -> Iterator[Sample]:
     """One sample: quiet and changes in the first mode, the outages in each; raises ControlError."""
     sample = Sample({})
-    references = [reference()]
+    references = [measure_reference_cpu_s()]
     for mode in parameters.modes:
-        fleet = Fleet(parameters, size, seed, lab)
+        fleet = WatchFleet(parameters, size, seed, context)
         try:
-            lab.progress(f"list {mode}: start")
+            context.progress(f"list {mode}: start")
             fleet.start(mode)
             if mode == parameters.modes[0]:
-                lab.progress("quiet")
-                sample.metrics |= quiet(fleet)
-                lab.progress("changes")
-                metrics, sample.histograms["spread"] = changes(fleet)
+                context.progress("quiet")
+                sample.metrics |= measure_quiet(fleet)
+                context.progress("changes")
+                metrics, sample.histograms["spread"] = measure_changes(fleet)
                 sample.metrics |= metrics
             else:
                 fleet.change()
-                fleet.followed(parameters.return_most_s)
+                fleet.wait_until_notified(parameters.return_most_s)
             for how in parameters.outages:
-                lab.progress(f"list {mode}: outage {how}")
+                context.progress(f"list {mode}: outage {how}")
                 name = f"return_{mode}_{how}"
-                metrics, sample.histograms[name] = outage(fleet, how)
+                metrics, sample.histograms[name] = measure_outage(fleet, how)
                 sample.metrics |= {f"{name}_{metric}": value for metric, value in metrics.items()}
         finally:
             fleet.stop()
-    references.append(reference())
+    references.append(measure_reference_cpu_s())
     sample.metrics |= {"load": os.getloadavg()[0], "reference_cpu_s": sum(references) / 2}
     yield sample
--- a/scale_experiments/scenarios/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -14,13 +14,13 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from cache_router.endpoint import EndpointState
-from scale_experiments.context import Lab, Sample
+from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
 from scale_experiments.simulation.statistics import SETTLING_SECONDS, CountedEvent
 
 SIZES = ("routers", "caches", "cores")
-GOOD = 0.95  # of the requests of a second, served: then it counts as served again
+RECOVERED_SHARE = 0.95  # of the requests of a second, served: then it counts as served again
 METRICS = {
     "requests_per_s": "first tries of clients in the whole fleet",
     "caches_lost": "page caches that are lost, or are out of reach of the routers that are cut off",
@@ -70,11 +70,11 @@
     back_notice_s: Annotated[tuple[float, float], Field()] = (1.5, 0.6)
 
 
-def fleet_of(parameters: Parameters, size: Mapping[str, float], seed: int) -> Fleet:
+def build_fleet(parameters: Parameters, size: Mapping[str, float], seed: int) -> Fleet:
     """The fleet at rest."""
     routers, caches, cores = int(size["routers"]), int(size["caches"]), int(size["cores"])
-    plain = FleetModel(routers, caches, 1.0)
-    rate = plain.rate_at_utilization(parameters.use_share, cores)
+    unloaded = FleetModel(routers, caches, 1.0)
+    rate = unloaded.rate_at_utilization(parameters.use_share, cores)
     model = FleetModel(
         routers=int(size.get("told", routers)),
         routers_sampled=routers,
@@ -88,12 +88,12 @@
         cores=cores,
         client_attempts=parameters.tries,
         origin_always_reachable=parameters.origin_everywhere,
-        origin_cores=plain.origin_cores_for(rate, parameters.origin_headroom),
+        origin_cores=unloaded.origin_cores_for(rate, parameters.origin_headroom),
     )
     return Fleet(site_settings(), model, seed)
 
 
-def members(fleet: Fleet, parameters: Parameters) -> list[str]:
+def lost_caches(fleet: Fleet, parameters: Parameters) -> list[str]:
     """The caches that are lost: all of one place that is not the origin's."""
     zone = 1 % parameters.zones
     region = zone % parameters.regions
@@ -103,48 +103,50 @@
     return names[: parameters.rack] if parameters.lost == "rack" else names
 
 
-def recovery(seconds: Sequence[float]) -> float:
+def recovery_seconds(seconds: Sequence[float]) -> float:
     """Seconds until each later one has been good; the whole span where the last one was not."""
-    return float(max((i + 1 for i, share in enumerate(seconds) if share < GOOD), default=0))
+    return float(max((i + 1 for i, share in enumerate(seconds) if share < RECOVERED_SHARE), default=0))
 
 
-def per_request(fleet: Fleet, event: CountedEvent) -> float:
+def per_accepted_request(fleet: Fleet, event: CountedEvent) -> float:
     """How often an event was counted for each request accepted, since the last reset."""
     return fleet.statistics.counts[event] / max(1, fleet.statistics.counts[CountedEvent.REQUEST])
 
 
-def measure(parameters: Parameters, size: Mapping[str, float], seed: int, lab: Lab) -> Iterator[Sample]:
+def measure(
+    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+) -> Iterator[Sample]:
     """One sample: `size` has routers, caches and the cores of a cache."""
-    fleet = fleet_of(parameters, size, seed)
-    names = members(fleet, parameters)
-    cut = parameters.lost == "cut"
+    fleet = build_fleet(parameters, size, seed)
+    names = lost_caches(fleet, parameters)
+    isolated = parameters.lost == "cut"
     region = fleet.caches[names[0]].location.region
     fleet.statistics.watched_regions = {region}
-    if not fleet.run(parameters.warm_s, lab.expired):
+    if not fleet.run(parameters.warm_s, context.expired):
         return
     fleet.reset()
-    if not fleet.run(parameters.before_s, lab.expired):
+    if not fleet.run(parameters.before_s, context.expired):
         return
     origin_before = fleet.statistics.counts[CountedEvent.ORIGIN_ATTEMPT] / parameters.before_s
     metrics = {
         "requests_per_s": fleet.model.requests_per_s * fleet.model.routers_run,
-        "caches_lost": float(len(fleet.caches) - len(names) if cut else len(names)),
+        "caches_lost": float(len(fleet.caches) - len(names) if isolated else len(names)),
         "before_served_share": fleet.statistics.served_share(),
-        "before_dials_per_request": per_request(fleet, CountedEvent.CONNECT),
-        "before_attempts_per_request": per_request(fleet, CountedEvent.ATTEMPT),
+        "before_dials_per_request": per_accepted_request(fleet, CountedEvent.CONNECT),
+        "before_attempts_per_request": per_accepted_request(fleet, CountedEvent.ATTEMPT),
     }
 
-    lab.progress("lost")
+    context.progress("lost")
     fleet.reset()
-    if cut:
+    if isolated:
         fleet.network.isolated_regions = {region}
     else:
         fleet.fail_servers(names)
         fleet.notify_all(names, EndpointState.REMOVED, *parameters.notice_s)
-    if not fleet.run(parameters.lost_s, lab.expired):
+    if not fleet.run(parameters.lost_s, context.expired):
         return
     metrics |= {f"lost_{name}": value for name, value in aftermath(fleet, origin_before).items()}
-    metrics["lost_dials_failed_per_request"] = per_request(fleet, CountedEvent.CONNECT_FAILED)
+    metrics["lost_dials_failed_per_request"] = per_accepted_request(fleet, CountedEvent.CONNECT_FAILED)
     counts = fleet.statistics.counts
     client_requests = max(1, counts[CountedEvent.CLIENT_REQUEST])
     metrics["lost_tries_per_wish"] = counts[CountedEvent.REQUEST] / client_requests
@@ -153,9 +155,9 @@
     apart_requests = max(1, apart[CountedEvent.REQUEST])
     metrics["apart_refused_per_request"] = apart[CountedEvent.REJECTED] / apart_requests
 
-    lab.progress("back")
+    context.progress("back")
     fleet.reset()
-    if cut:
+    if isolated:
         fleet.network.isolated_regions = set()
     else:
         fleet.restore_servers(names)
@@ -163,7 +165,7 @@
             fleet.caches[name].arrivals = []
         fleet.notify_all(names, EndpointState.READY, *parameters.back_notice_s)
     ramp = fleet.settings.slow_start_duration + sum(parameters.back_notice_s) + SETTLING_SECONDS
-    if not fleet.run(ramp, lab.expired):
+    if not fleet.run(ramp, context.expired):
         return
     metrics |= {f"back_{name}": value for name, value in aftermath(fleet, origin_before).items()}
     uses = [fleet.budget_use(fleet.caches[name]) for name in names]
@@ -180,8 +182,8 @@
     return {
         "served_share": statistics.served_share(),
         "worst_served_share": min(shares, default=1.0),
-        "recovery_s": recovery(shares),
-        "dials_per_request": per_request(fleet, CountedEvent.CONNECT),
-        "attempts_per_request": per_request(fleet, CountedEvent.ATTEMPT),
+        "recovery_s": recovery_seconds(shares),
+        "dials_per_request": per_accepted_request(fleet, CountedEvent.CONNECT),
+        "attempts_per_request": per_accepted_request(fleet, CountedEvent.ATTEMPT),
         "origin_ratio": origin_rate / max(1e-9, origin_before),
     }
--- a/scale_experiments/target.py
+++ b/scale_experiments/target.py
@@ -10,7 +10,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, StrictInt, ValidationError
 
-from scale_experiments.experiment import InputError, fault, read_table
+from scale_experiments.experiment import InputError, describe_validation_error, read_toml
 
 TARGET = Path(__file__).parent / "experiments" / "target.toml"
 LIST_CHANGES_PER_REPLACEMENT = 4  # assumed: the cache drains, leaves and joins, and its weight changes once
@@ -97,6 +97,6 @@
 def load_target(file: Path = TARGET) -> Target:
     """Read and check the file; raises InputError with file and field."""
     try:
-        return Target.model_validate(read_table(file))
+        return Target.model_validate(read_toml(file))
     except ValidationError as e:
-        raise InputError(fault(file, e)) from e
+        raise InputError(describe_validation_error(file, e)) from e
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -1,4 +1,4 @@
-"""The scale experiments' stand-ins speak the protocol that the routers rely on."""
+"""The scale experiments' emulators speak the protocol that the routers rely on."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.net.discovery import Discovery
-from scale_experiments.emulators import discovery as standin
-from scale_experiments.emulators.cache import Cache, Plan
+from scale_experiments.emulators.cache import Cache, CacheCluster
+from scale_experiments.emulators.discovery import DiscoveryEmulator, Registry
 from tests.loopback import Link, read, run, spelled
 from tests.test_net_discovery import LINE
 
@@ -21,29 +21,29 @@
     return {**LINE, "name": name, "status": status}
 
 
-def told(registry: standin.Registry, after: int | None) -> tuple[int, bool, dict[str, str]]:
-    answer = orjson.loads(registry.answer(after))
+def read_response(registry: Registry, after: int | None) -> tuple[int, bool, dict[str, str]]:
+    answer = orjson.loads(registry.response_body(after))
     return answer["index"], answer["snapshot"], {e["name"]: e["status"] for e in answer["endpoints"]}
 
 
 def test_a_registry_tells_the_whole_list_changes_and_the_whole_list_after_an_index_too_old() -> None:
-    registry = standin.Registry(kept=2)
+    registry = Registry(log_length=2)
     registry.replace(5, [line("a"), line("b")])
-    assert told(registry, None) == (5, True, {"a": "in_service", "b": "in_service"})
-    assert told(registry, 5) == (5, False, {})
-    assert told(registry, 4)[1]  # from before the list
-    assert told(registry, 6)[1]  # an index of another discovery
+    assert read_response(registry, None) == (5, True, {"a": "in_service", "b": "in_service"})
+    assert read_response(registry, 5) == (5, False, {})
+    assert read_response(registry, 4)[1]  # from before the list
+    assert read_response(registry, 6)[1]  # an index of another discovery
     registry.change(6, [line("a", "terminating")])
     registry.change(7, [line("a", "terminated"), line("c")])
-    assert told(registry, 5) == (7, False, {"a": "terminated", "c": "in_service"})
-    assert told(registry, 6) == (7, False, {"a": "terminated", "c": "in_service"})
+    assert read_response(registry, 5) == (7, False, {"a": "terminated", "c": "in_service"})
+    assert read_response(registry, 6) == (7, False, {"a": "terminated", "c": "in_service"})
     registry.change(8, [])
-    assert told(registry, 5) == (8, True, {"b": "in_service", "c": "in_service"})
+    assert read_response(registry, 5) == (8, True, {"b": "in_service", "c": "in_service"})
 
 
 def test_a_watch_waits_for_news_and_goes_silent_with_discovery() -> None:
     async def scenario() -> None:
-        server = standin.Discovery()
+        server = DiscoveryEmulator()
         await server.listen()
         server.registry.replace(41, [line("a")])
         news: asyncio.Queue[tuple[EndpointUpdateKind, list[str]]] = asyncio.Queue()
@@ -67,7 +67,7 @@
         await server.set_mode("silent")
         server.change(43, [line("c")])
         assert not server.waiting and news.empty()
-        assert server.reset_held() == 1
+        assert server.reset_unanswered() == 1
         assert await news.get() == (EndpointUpdateKind.FAILED, [])
         await server.set_mode("serve")
         watch.subscribe()
@@ -83,7 +83,7 @@
     run(scenario)
 
 
-PLAN: dict[str, Any] = {
+CACHE_SETTINGS: dict[str, Any] = {
     "value_bytes": 3,
     "service_s": 0.0,
     "handshake_s": 0.0,
@@ -95,23 +95,23 @@
 
 
 def test_a_cache_holds_what_missed_there_once_the_origin_has_answered_until_it_is_written() -> None:
-    plan = Plan(PLAN)
-    first, other = (Cache(plan, name, ("127.0.0.1", 0)) for name in "ab")
-    plan.missed(b"r1", first)
-    plan.fetched(b"k1", b"r1", False, [first, other])
-    assert first.has(b"k1") and not other.has(b"k1") and not plan.misses
-    plan.fetched(b"k1", b"w1", True, [first, other])
-    assert not first.has(b"k1")
+    cluster = CacheCluster(CACHE_SETTINGS)
+    first, other = (Cache(cluster, name, ("127.0.0.1", 0)) for name in "ab")
+    cluster.on_miss(b"r1", first)
+    cluster.on_fetched(b"k1", b"r1", False, [first, other])
+    assert first.contains(b"k1") and not other.contains(b"k1") and not cluster.pending_misses
+    cluster.on_fetched(b"k1", b"w1", True, [first, other])
+    assert not first.contains(b"k1")
     for key in (b"k1", b"k2", b"k3"):
-        first.hold(key)
-    assert not first.has(b"k1") and first.has(b"k3")  # no more than it has room for
+        first.store(key)
+    assert not first.contains(b"k1") and first.contains(b"k3")  # no more than it has room for
 
 
 def test_a_cache_drains_hangs_dies_and_comes_back_empty() -> None:
     async def scenario() -> None:
         with socket.create_server(("127.0.0.1", 0)) as taken:
             address = taken.getsockname()
-        cache = Cache(Plan({**PLAN, "warm": True}), "a", address)
+        cache = Cache(CacheCluster({**CACHE_SETTINGS, "warm": True}), "a", address)
         await cache.listen()
         links = [Link(*await asyncio.open_connection(*address)) for _ in range(3)]
         for link, value in zip(links, (b"vvv", b"vvv", None), strict=True):
--- a/tests/test_scale_experiments.py
+++ b/tests/test_scale_experiments.py
@@ -15,7 +15,7 @@
 from hdrh.histogram import HdrHistogram
 from pydantic import BaseModel
 
-from scale_experiments.context import Lab, Sample
+from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.experiment import Experiment, InputError, load_experiment
 from scale_experiments.results import decode_histogram, load_result
 from scale_experiments.runner import RunOutcome, run
@@ -166,7 +166,7 @@
 
 
 class Stub:
-    """A kind that yields one sample, starts a process, and waits in an event loop."""
+    """A scenario that yields one sample, starts a process, and waits in an event loop."""
 
     Parameters = NoParameters
 
@@ -176,12 +176,12 @@
         self.process: subprocess.Popen[bytes] | None = None
 
     def measure(
-        self, parameters: BaseModel, size: Mapping[str, float], seed: int, lab: Lab
+        self, parameters: BaseModel, size: Mapping[str, float], seed: int, context: ExperimentContext
     ) -> Iterator[Sample]:
         histogram = HdrHistogram(1, 1000, 2)
         histogram.record_value(7)
         yield Sample({"waits_count": 1.0}, {"wait_us": histogram})
-        self.process = lab.spawn(["sleep", "600"])
+        self.process = context.spawn(["sleep", "600"])
         asyncio.run(self._wait())
 
     async def _wait(self) -> None:
@@ -217,7 +217,7 @@
     assert signal.getsignal(signal.SIGINT) is before
 
 
-def test_a_metric_that_the_kind_does_not_know_is_a_fault(tmp_path: Path) -> None:
+def test_a_metric_that_the_scenario_does_not_know_is_a_fault(tmp_path: Path) -> None:
     stub = Stub(None)
     stub.METRICS = {"other_count": "something else"}
     with pytest.raises(ValueError, match="waits_count"):
