--- a/scale_experiments/scenarios/list_change.py
+++ b/scale_experiments/scenarios/list_change.py
@@ -10,7 +10,7 @@
 import statistics
 import time
 import tracemalloc
-from collections.abc import Callable, Iterator, Mapping, Sequence
+from collections.abc import Iterator, Mapping, Sequence
 from typing import Any
 
 import numpy as np
@@ -36,9 +36,17 @@
 from cache_router.settings import Settings
 from cache_router.settings_reader import read_settings
 from scale_experiments.context import ExperimentContext, Sample
+from scale_experiments.endpoint_changes import (
+    CHANGES,
+    DEFAULT_WEIGHT,
+    DEFAULT_ZONES,
+    ChangeSequence,
+    build_entries,
+    encode_message,
+)
+from scale_experiments.reference_work import measure_reference_cpu_s, thread_cpu_s
 
 MAX_LATENCY_US = 60_000_000  # that a histogram holds
-CHANGES = ("drain", "gone", "join", "restart", "weight")
 
 
 class Parameters(BaseModel):
@@ -50,9 +58,11 @@
     whole_lists: int = Field(
         default=3, ge=1, le=100, description="whole lists of each sort that a sample times"
     )
-    zones: int = Field(default=51, ge=1, le=10_000, description="zones over which the caches are spread")
+    zones: int = Field(
+        default=DEFAULT_ZONES, ge=1, le=10_000, description="zones over which the caches are spread"
+    )
     weight: float = Field(
-        default=1.0, gt=0, le=1000, description="of each cache; a change of weight halves it"
+        default=DEFAULT_WEIGHT, gt=0, le=1000, description="of each cache; a change of weight halves it"
     )
 
 
@@ -105,76 +115,11 @@
     )
 
 
-def build_entries(caches: int, parameters: Parameters, rng: np.random.Generator) -> list[dict[str, Any]]:
-    """A list's entries in discovery's form, the origin last."""
-    names = rng.choice(2**32, size=caches + 1, replace=False)
-    return [
-        {
-            "name": f"s-{name:08x}",
-            "address": f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}:6379",
-            "zone": f"z{i % parameters.zones}",
-            "type": "std-1c" if i < caches else "origin",
-            "group": i % 4,
-            "status": "in_service",
-            "weight": parameters.weight,
-            "since_ms": 0,
-        }
-        for i, name in enumerate(names.tolist())
-    ]
-
-
-def encode_message(index: int, whole: bool, entries: Sequence[dict[str, Any]]) -> bytes:
-    """A list or its changes as discovery words them."""
-    return orjson.dumps({"index": index, "snapshot": whole, "endpoints": entries})
-
-
 def read_endpoints(text: bytes) -> tuple[Endpoint, ...]:
     """The entries of a message."""
     return tuple(each.entry for each in read_endpoint_list(orjson.loads(text)).endpoints)
 
 
-def thread_cpu_s(work: Callable[..., object], *args: object) -> float:
-    """CPU seconds of this thread that a call takes."""
-    started_at = time.thread_time()
-    work(*args)
-    return time.thread_time() - started_at
-
-
-class ChangeSequence:
-    """Messages that change one entry each; after every five sorts the list is as it was."""
-
-    def __init__(self, entries: Sequence[dict[str, Any]], rng: np.random.Generator, rounds: int) -> None:
-        self.rng = rng
-        self.entries = entries[:-1]  # never the origin
-        self.rounds = rounds
-        self.index = 1
-        self.restarts = 0
-
-    def __iter__(self) -> Iterator[tuple[str | None, bytes]]:
-        """The sort of each change, None for those that only undo one, and its text."""
-        for _ in range(self.rounds):
-            for sort in CHANGES:
-                entry = self.entries[int(self.rng.integers(len(self.entries)))]
-                if sort == "drain":
-                    yield sort, self._message(entry, status="terminating")
-                    yield None, self._message(entry)
-                elif sort == "weight":
-                    yield sort, self._message(entry, weight=entry["weight"] / 2)
-                    yield None, self._message(entry)
-                elif sort == "restart":
-                    self.restarts += 1
-                    yield sort, self._message(entry, since_ms=self.restarts)
-                elif sort == "gone":
-                    gone = entry
-                    yield sort, self._message(entry, status="terminated")
-                else:
-                    yield sort, self._message(gone)
-
-    def _message(self, entry: dict[str, Any], **other: Any) -> bytes:
-        self.index += 1
-        return encode_message(self.index, False, [{**entry, **other}])
-
-
 class SteppingClock:
     """The time that a router is told: it only advances."""
 
@@ -186,12 +131,6 @@
         return self.time
 
 
-def measure_reference_cpu_s() -> float:
-    """CPU seconds of a table of 100,000 numbers, filled and sorted: a busy machine makes all work slower."""
-    numbers = [i * 2_654_435_761 % 2**32 for i in range(100_000)]
-    return thread_cpu_s(lambda: sorted({number: (number, 0.5) for number in numbers}))
-
-
 def build_dispatcher(settings: Settings, seed: int) -> Dispatcher:
     """A router's dispatcher, with pools that hold no connection."""
     servers = ConnectionPool(CacheConnection, 8, settings.connect_timeout, settings.connection_idle_timeout)
@@ -335,7 +274,7 @@
     """One sample; CPU seconds are of this thread alone, so that a busy machine adds little to them."""
     caches, changes_per_s = int(size["caches"]), float(size["changes_per_s"])
     settings = build_settings(int(size.get("routers", 1)))
-    entries = build_entries(caches, parameters, np.random.default_rng(seed))
+    entries = build_entries(caches, parameters.zones, parameters.weight, np.random.default_rng(seed))
     gc.collect()
     gc.freeze()  # what the rig itself holds is not a router's to collect
     try:
--- a/scale_experiments/scenarios/list_change_process.py
+++ b/scale_experiments/scenarios/list_change_process.py
@@ -23,8 +23,10 @@
 from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.cpu import process_cpu_s
 from scale_experiments.emulators.control import ControlClient
+from scale_experiments.endpoint_changes import DEFAULT_WEIGHT, DEFAULT_ZONES, ChangeSequence, build_entries
+from scale_experiments.reference_work import measure_reference_cpu_s
+from scale_experiments.router_process import build_router
 from scale_experiments.scenarios import list_change
-from scale_experiments.scenarios.sockets import build_router
 
 READY_TIMEOUT_S = 60.0
 POLL_TIMEOUT_S = 30.0  # for a router to take a change and ask for the next
@@ -139,8 +141,8 @@
     """One sample; CPU seconds are the router's alone. Raises RuntimeError where it does not start or hear."""
     changes_per_s = float(size["changes_per_s"])
     rng = np.random.default_rng(seed)
-    entries = list_change.build_entries(int(size["caches"]), list_change.Parameters(), rng)
-    references = [list_change.measure_reference_cpu_s()]
+    entries = build_entries(int(size["caches"]), DEFAULT_ZONES, DEFAULT_WEIGHT, rng)
+    references = [measure_reference_cpu_s()]
     context.progress("start")
     pipes = {"stdin": subprocess.PIPE, "stdout": subprocess.PIPE}
     emulator = context.spawn(
@@ -174,7 +176,7 @@
     # those that only undo one are counted as well
     count = 0
     before, cpu_before = after, cpu_after
-    for index, (_, text) in enumerate(list_change.ChangeSequence(entries, rng, parameters.changes), 3):
+    for index, (_, text) in enumerate(ChangeSequence(entries, rng, parameters.changes), 3):
         discovery.request("change", index=index, endpoints=orjson.loads(text)["endpoints"])
         after = wait_until_polled(discovery)
         count += 1
@@ -184,7 +186,7 @@
     change_out = (after["bytes_in"] - before["bytes_in"]) / count
     change_in = (after["bytes_out"] - before["bytes_out"]) / count
     most_resident = psutil.Process(router.pid).memory_info().rss
-    references.append(list_change.measure_reference_cpu_s())
+    references.append(measure_reference_cpu_s())
     context.stop(router)
     context.stop(emulator)
     yield Sample(
--- a/scale_experiments/scenarios/sockets.py
+++ b/scale_experiments/scenarios/sockets.py
@@ -8,12 +8,10 @@
 from __future__ import annotations
 
 import os
-import shutil
 import socket
 import subprocess
 import sys
 import time
-import tomllib
 from collections.abc import Iterator, Mapping
 from pathlib import Path
 from typing import Any, Literal
@@ -25,11 +23,9 @@
 
 from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.emulators.control import ControlClient
-from scale_experiments.scenarios.list_change import measure_reference_cpu_s
+from scale_experiments.reference_work import measure_reference_cpu_s
+from scale_experiments.router_process import build_router
 
-ROOT = Path(__file__).parent.parent.parent
-ROUTER_SOURCES = ("cache_router", "deploy", "requirements.txt")
-BUILD_TIMEOUT_S = 300.0
 READY_TIMEOUT_S = 30.0
 REPLY_TIMEOUT_S = 60.0
 CACHE_PORT = 6379
@@ -152,27 +148,6 @@
     }
 
 
-def build_router(context: ExperimentContext) -> tuple[Path, str]:
-    """A copy of the program in the run's folder, built as deployed, and the command that runs it."""
-    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    folder = context.folder / "router"
-    if not folder.exists():
-        context.progress("build")
-        folder.mkdir()
-        for name in ROUTER_SOURCES:
-            if (ROOT / name).is_dir():
-                shutil.copytree(ROOT / name, folder / name, ignore=shutil.ignore_patterns("__pycache__"))
-            else:
-                shutil.copy(ROOT / name, folder / name)
-        log = (folder / "build.log").open("wb")
-        with log:
-            process = context.spawn(["/bin/sh", "-c", deploy["build"]], cwd=folder, stdout=log, stderr=log)
-            status = process.wait(min(BUILD_TIMEOUT_S, context.remaining_s()))
-        if status:
-            raise RuntimeError(f"build ended with {status}: {(folder / 'build.log').read_text()[-300:]}")
-    return folder, deploy["run"]
-
-
 class Deployment:
     """The processes of one sample."""
 
--- a/scale_experiments/scenarios/watch.py
+++ b/scale_experiments/scenarios/watch.py
@@ -20,7 +20,7 @@
 
 from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.emulators.control import ControlClient, request_all
-from scale_experiments.scenarios.list_change import measure_reference_cpu_s
+from scale_experiments.reference_work import measure_reference_cpu_s
 
 MAX_LATENCY_US = 600_000_000  # that a histogram holds
 POLL_INTERVAL_S = 0.25
