--- a/scale_experiments/emulators/cache.py
+++ b/scale_experiments/emulators/cache.py
@@ -2,10 +2,16 @@
 
     python -m scale_experiments.emulators.cache
 
-A cache only stores: a miss is told, and once the origin has answered that request the key is held. The first
-request on a connection takes `handshake_s` longer, as TLS would. A connection over the limit is turned away
-at its first request. Commands (`do`): `start`, `stats`, `mode` (`names` and `mode`: `serve`; `drain`; `hang`,
-requests are read and never answered; `dead`, connections are reset, new ones refused and all is forgotten).
+A cache only stores: it reports a miss, and has the key once the origin has answered that request. The first
+request on a connection takes `handshake_s` longer, as TLS would. A connection over the limit is rejected
+at its first request. Modes of a cache:
+
+- "serve": requests are served.
+- "drain": requests are rejected.
+- "hang": requests are read and never answered.
+- "dead": connections are reset, new ones refused, and all keys are lost.
+
+Commands: `StartCaches`, `GetCachesStats` and `SetCacheMode` of `scale_experiments.emulators.messages`.
 """
 
 from __future__ import annotations
@@ -13,45 +19,56 @@
 import asyncio
 import time
 from collections import OrderedDict, deque
-from typing import Any, Literal
+from dataclasses import asdict
+from typing import cast, get_args
 
 from cache_router.net.resp import INCOMPLETE, RespError, RespReader
 from scale_experiments.emulators.control import process_usage, serve_commands
+from scale_experiments.emulators.messages import (
+    CacheCounters,
+    CacheMode,
+    CacheSettings,
+    CachesStarted,
+    CachesStats,
+    Done,
+    GetCachesStats,
+    OriginCounters,
+    SetCacheMode,
+    StartCaches,
+)
 from scale_experiments.emulators.origin import Origin
 
 MAX_VALUE_BYTES = 64 * 1024
 MAX_PENDING_MISSES = 50_000  # requests that missed and wait for the origin
 SAMPLE_INTERVAL_S = 0.1  # between counts of open connections
 BACKLOG = 512
-Mode = Literal["serve", "drain", "hang", "dead"]
-MODES = ("serve", "drain", "hang", "dead")
+CachesCommand = StartCaches | SetCacheMode | GetCachesStats
+COMMAND_TYPES: dict[str, type[CachesCommand]] = {
+    each.do: each for each in (StartCaches, SetCacheMode, GetCachesStats)
+}
 
 
 class CacheCluster:
     """What all caches of the process share."""
 
-    def __init__(self, command: dict[str, Any]) -> None:
-        self.value = b"v" * int(command["value_bytes"])
-        self.service_s: float = command["service_s"]
-        self.handshake_s: float = command["handshake_s"]
-        self.idle_s: float = command["idle_s"]
-        self.max_connections: int = command["most_connections"]
-        self.max_keys: int = command["most_keys"]
-        self.warm: bool = command["warm"]  # each cache holds every key that was not dropped
+    def __init__(self, settings: CacheSettings) -> None:
+        self.settings = settings
+        self.value = b"v" * settings.value_bytes
+        # by the request's id: the caches at which it missed
         self.pending_misses: OrderedDict[bytes, list[Cache]] = OrderedDict()
 
-    def on_fetched(self, key: bytes, name: bytes, write: bool, caches: list[Cache]) -> None:
+    def on_fetched(self, key: bytes, request_id: bytes, is_write: bool, caches: list[Cache]) -> None:
         """The origin has answered: the caches that missed hold the key; a write drops it everywhere."""
-        if write:
+        if is_write:
             for cache in caches:
                 cache.remove(key)
-        for cache in self.pending_misses.pop(name, ()):
-            if not write:
+        for cache in self.pending_misses.pop(request_id, ()):
+            if not is_write:
                 cache.store(key)
 
-    def on_miss(self, name: bytes, cache: Cache) -> None:
+    def on_miss(self, request_id: bytes, cache: Cache) -> None:
         """A request missed at a cache."""
-        self.pending_misses.setdefault(name, []).append(cache)
+        self.pending_misses.setdefault(request_id, []).append(cache)
         if len(self.pending_misses) > MAX_PENDING_MISSES:
             self.pending_misses.popitem(last=False)
 
@@ -63,13 +80,13 @@
         self.cluster = cluster
         self.name = name
         self.address = address
-        self.mode: Mode = "serve"
-        self.warm = cluster.warm
-        self.keys: OrderedDict[bytes, None] = OrderedDict()  # held; where warm: not held
+        self.mode: CacheMode = "serve"
+        self.warm = cluster.settings.warm
+        self.keys: OrderedDict[bytes, None] = OrderedDict()  # that the cache has; if warm, that it lacks
         self.connections: dict[CacheConnection, None] = {}
         self.server: asyncio.Server | None = None
-        self.accepted = self.handshakes = self.requests = self.hits = self.missed = self.busy = 0
-        self.waiting = self.most_open = 0
+        self.accepted = self.handshakes = self.requests = self.hits = self.misses = self.rejected = 0
+        self.waiting = self.max_open = 0
         self.open_sum = 0.0
 
     async def listen(self) -> None:
@@ -80,7 +97,7 @@
         )
 
     def contains(self, key: bytes) -> bool:
-        """Whether a key is held."""
+        """Whether the cache has a key; makes it the one used last."""
         if self.warm:
             return key not in self.keys
         if key in self.keys:
@@ -94,7 +111,7 @@
             self.keys.pop(key, None)
         else:
             self.keys[key] = None
-            if len(self.keys) > self.cluster.max_keys:
+            if len(self.keys) > self.cluster.settings.max_keys:
                 self.keys.popitem(last=False)
 
     def remove(self, key: bytes) -> None:
@@ -106,9 +123,23 @@
 
     def report(self) -> bytes:
         """The load report of a reply."""
-        return b"svc_ms=%.1f,pending=%d" % (self.cluster.service_s * 1000, self.waiting)
+        return b"svc_ms=%.1f,pending=%d" % (self.cluster.settings.service_s * 1000, self.waiting)
+
+    def counters(self) -> CacheCounters:
+        """Counts since the start."""
+        return CacheCounters(
+            accepted=self.accepted,
+            handshakes=self.handshakes,
+            requests=self.requests,
+            hits=self.hits,
+            misses=self.misses,
+            rejected=self.rejected,
+            open_sum=self.open_sum,
+            max_open=self.max_open,
+            open=len(self.connections),
+        )
 
-    async def set_mode(self, mode: Mode) -> None:
+    async def set_mode(self, mode: CacheMode) -> None:
         """Serve, drain, hang or die."""
         if mode == "dead":
             if self.server is not None:
@@ -136,13 +167,13 @@
         self.pending_replies: deque[bytes] = deque()  # answers, a timer each
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, asyncio.Transport)
-        self.transport = transport
+        """Count the connection, and find out whether it is over the limit."""
+        self.transport = cast(asyncio.Transport, transport)
         cache = self.cache
         cache.accepted += 1
         cache.connections[self] = None
-        cache.most_open = max(cache.most_open, len(cache.connections))
-        self.over_limit = len(cache.connections) > cache.cluster.max_connections
+        cache.max_open = max(cache.max_open, len(cache.connections))
+        self.over_limit = len(cache.connections) > cache.cluster.settings.max_connections
         cache.handshakes += not self.over_limit
         self._restart_idle_timer()
 
@@ -150,13 +181,15 @@
         """The machine closes a connection that is idle for so long."""
         if self.idle_timer is not None:
             self.idle_timer.cancel()
-        self.idle_timer = asyncio.get_running_loop().call_later(self.cache.cluster.idle_s, self._on_idle)
+        idle_s = self.cache.cluster.settings.idle_s
+        self.idle_timer = asyncio.get_running_loop().call_later(idle_s, self._on_idle)
 
     def _on_idle(self) -> None:
         if not self.pending_replies and self.cache.mode != "hang":
             self.transport.close()
 
     def data_received(self, data: bytes) -> None:
+        """Handle the requests that are complete, unless the cache hangs."""
         if self.cache.mode == "hang":
             return
         self.reader.feed(data)
@@ -168,38 +201,45 @@
             self.transport.close()
 
     def _handle_request(self, parts: object) -> None:
-        cache, cluster = self.cache, self.cache.cluster
+        """Carry out a command; raises RespError for one that is not of the protocol."""
         if not isinstance(parts, list) or not all(isinstance(p, bytes) for p in parts):
             raise RespError("not a command")
         match [bytes(p) for p in parts]:
             case [b"PING"]:
                 self.transport.write(b"+PONG\r\n")
-                return
-            case [b"C.GET", key, name, _]:
-                value = cluster.value if cache.contains(key) else None
-            case [b"C.SET", key, name, _, _]:
-                value = None  # writes go to the origin; one that comes here is told as not held
+            case [b"C.GET", key, request_id, _]:
+                self._answer_request(request_id, self.cache.contains(key))
+            case [b"C.SET", _, request_id, _, _]:
+                # writes go to the origin; one that comes here is a miss
+                self._answer_request(request_id, False)
             case _:
                 raise RespError("unknown command")
+
+    def _answer_request(self, request_id: bytes, is_hit: bool) -> None:
+        cache, cluster = self.cache, self.cache.cluster
         cache.requests += 1
         if self.over_limit or cache.mode == "drain":
-            cache.busy += 1
+            cache.rejected += 1
             self.transport.write(b"-BUSY\r\n")
             if self.over_limit:
                 self.transport.close()
             return
         self.requests += 1
-        if value is None:
-            cache.missed += 1
-            cluster.on_miss(name, cache)
-            reply = b"*3\r\n$-1\r\n$4\r\nmiss\r\n"
-        else:
+        if is_hit:
             cache.hits += 1
-            reply = b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n" % (len(value), value)
+            self._queue_reply(b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n" % (len(cluster.value), cluster.value))
+        else:
+            cache.misses += 1
+            cluster.on_miss(request_id, cache)
+            self._queue_reply(b"*3\r\n$-1\r\n$4\r\nmiss\r\n")
+
+    def _queue_reply(self, reply: bytes) -> None:
+        """Send a reply, without its load report, once its time of service is over."""
         loop = asyncio.get_running_loop()
-        duration_s = cluster.service_s + (cluster.handshake_s if self.requests == 1 else 0.0)
+        settings = self.cache.cluster.settings
+        duration_s = settings.service_s + (settings.handshake_s if self.requests == 1 else 0.0)
         self.reply_at = max(self.reply_at, loop.time() + duration_s)
-        cache.waiting += 1
+        self.cache.waiting += 1
         self.pending_replies.append(reply)
         loop.call_at(self.reply_at, self._send_reply)
 
@@ -215,6 +255,7 @@
         self._restart_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Forget the connection and the replies that it waited for."""
         if self.idle_timer is not None:
             self.idle_timer.cancel()
         self.cache.waiting -= len(self.pending_replies)
@@ -231,24 +272,22 @@
         self.samples = 0
         self.sampling: asyncio.Task[None] | None = None
 
-    async def start(self, command: dict[str, Any]) -> dict[str, Any]:
-        """Start caches at `addresses` (name to host:port) and the origin at `origin`; where that listens."""
+    async def start(self, command: StartCaches) -> CachesStarted:
+        """Start the caches and the origin; raises OSError if an address can't be used."""
         cluster = CacheCluster(command)
-        for name, address in command["addresses"].items():
-            host, _, port = address.rpartition(":")
-            self.caches[name] = Cache(cluster, name, (host, int(port)))
+        for name, address in command.addresses.items():
+            self.caches[name] = Cache(cluster, name, _parse_address(address))
         caches = list(self.caches.values())
         for cache in caches:
             await cache.listen()
         self.origin = Origin(
-            lambda key, name, write: cluster.on_fetched(key, name, write, caches),
+            lambda key, request_id, is_write: cluster.on_fetched(key, request_id, is_write, caches),
             cluster.value,
-            command["origin_service_s"],
-            command["origin_most_at_once"],
+            command.origin_service_s,
+            command.origin_max_concurrent,
         )
-        host, _, port = command["origin"].rpartition(":")
         self.sampling = asyncio.create_task(self._sample())
-        return {"origin": "{}:{}".format(*await self.origin.listen(host, int(port)))}
+        return CachesStarted("{}:{}".format(*await self.origin.listen(*_parse_address(command.origin))))
 
     async def _sample(self) -> None:
         while True:
@@ -257,38 +296,35 @@
                 cache.open_sum += len(cache.connections)
             await asyncio.sleep(SAMPLE_INTERVAL_S)
 
-    def stats(self) -> dict[str, Any]:
+    def stats(self) -> CachesStats:
         """Counts of each cache and the origin since the start, and what the process has used."""
-        names = ("accepted", "handshakes", "requests", "hits", "missed", "busy", "open_sum", "most_open")
-        each = {
-            c.name: {**{n: getattr(c, n) for n in names}, "open": len(c.connections)}
-            for c in self.caches.values()
-        }
-        origin = self.origin.stats() if self.origin is not None else {}
-        return {
-            **process_usage(),
-            "time": time.time(),
-            "samples": self.samples,
-            "caches": each,
-            "origin": origin,
-        }
-
-    async def handle(self, command: dict[str, Any]) -> dict[str, Any]:
-        """Carry out a command of the control channel."""
-        match command["do"]:
-            case "start":
+        return CachesStats(
+            time=time.time(),
+            samples=self.samples,
+            caches={cache.name: cache.counters() for cache in self.caches.values()},
+            origin=self.origin.counters() if self.origin is not None else OriginCounters(),
+            **asdict(process_usage()),
+        )
+
+    async def handle(self, command: CachesCommand) -> object:
+        """Carry out a command of the control channel; returns the reply."""
+        match command:
+            case StartCaches():
                 return await self.start(command)
-            case "stats":
+            case GetCachesStats():
                 return self.stats()
-            case "mode":
-                if command["mode"] not in MODES:
-                    raise ValueError(f"no such mode: {command['mode']}")
-                for name in command["names"]:
-                    await self.caches[name].set_mode(command["mode"])
-                return {}
-            case other:
-                raise ValueError(f"no such command: {other}")
+            case SetCacheMode():
+                if command.mode not in get_args(CacheMode):
+                    raise ValueError(f"no such mode: {command.mode}")
+                for name in command.names:
+                    await self.caches[name].set_mode(command.mode)
+        return Done()
+
+
+def _parse_address(address: str) -> tuple[str, int]:
+    host, _, port = address.rpartition(":")
+    return host, int(port)
 
 
 if __name__ == "__main__":
-    asyncio.run(serve_commands(CachesEmulator().handle))
+    asyncio.run(serve_commands(CachesEmulator().handle, COMMAND_TYPES))
--- a/scale_experiments/emulators/clients.py
+++ b/scale_experiments/emulators/clients.py
@@ -2,10 +2,9 @@
 
     python -m scale_experiments.emulators.clients
 
-A client holds on to its connections and opens a further one when all are busy; a request that crossed the
-router's close is sent once more. A request is not repeated otherwise. Commands (`do`): `start`, `rest` (no
-new requests), `stats` (counts, and latencies of served requests as an HDR histogram in microseconds, base64;
-with `restart` the histogram begins anew).
+A client reuses its connections and opens a further one when all are busy. A request that crossed the router's
+close is retried once; there are no other retries. Commands: `StartClients`, `PauseClients` and
+`GetClientsStats` of `scale_experiments.emulators.messages`.
 """
 
 from __future__ import annotations
@@ -15,13 +14,21 @@
 import time
 from collections import Counter, deque
 from collections.abc import Iterator
-from typing import Any
+from dataclasses import asdict
+from typing import cast
 
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
 from cache_router.net.resp import INCOMPLETE, ErrorReply, Message, RespError, RespReader, encode_command
 from scale_experiments.emulators.control import process_usage, serve_commands
+from scale_experiments.emulators.messages import (
+    ClientsStats,
+    Done,
+    GetClientsStats,
+    PauseClients,
+    StartClients,
+)
 
 MAX_VALUE = 64 * 1024
 MAX_LATENCY_US = 60_000_000
@@ -30,10 +37,16 @@
 DEADLINE_GRACE_S = 0.2  # after a deadline, until its connection is given up
 
 
+ClientsCommand = StartClients | PauseClients | GetClientsStats
+COMMAND_TYPES: dict[str, type[ClientsCommand]] = {
+    each.do: each for each in (StartClients, PauseClients, GetClientsStats)
+}
+
+
 class ClientRequest:
     """One request."""
 
-    __slots__ = ("is_retry", "data", "due_at", "completed", "sent_at")
+    __slots__ = ("completed", "data", "due_at", "is_retry", "sent_at")
 
     def __init__(self, data: bytes, due_at: float) -> None:
         self.data = data
@@ -54,8 +67,8 @@
         self.expiry: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, asyncio.Transport)
-        self.transport = transport
+        """Count the connection."""
+        self.transport = cast(asyncio.Transport, transport)
         self.load.open_connections += 1
         self.load.connections_opened += 1
 
@@ -81,6 +94,7 @@
         self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
+        """Complete the request in flight, if its reply is whole."""
         self.reader.feed(data)
         try:
             answer = self.reader.next()
@@ -95,6 +109,7 @@
         self.load.idle.append(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Retry the request in flight if it crossed a close, or count it as lost."""
         load, request = self.load, self.request
         load.open_connections -= 1
         if self in load.idle:
@@ -124,17 +139,18 @@
 class RouterLoad:
     """The load on one router."""
 
-    def __init__(self, address: str, command: dict[str, Any], seed: int) -> None:
+    def __init__(self, address: str, command: StartClients, seed: int) -> None:
         host, _, port = address.rpartition(":")
         self.address = (host, int(port))
-        self.deadline_s: float = command["deadline_s"]
-        self.rate: float = command["rate_per_s"]
-        self.write_share: float = command["write_share"]
-        self.value = b"w" * int(command["value_bytes"])
-        self.read_info = f"c={command['read']},t=t,d={int(self.deadline_s * 1000)}".encode()
-        self.write_info = f"c={command['write']},t=t,d={int(self.deadline_s * 1000)}".encode()
+        self.deadline_s = command.deadline_s
+        self.rate = command.rate_per_s
+        self.write_share = command.write_share
+        self.value = b"w" * command.value_bytes
+        deadline_ms = int(self.deadline_s * 1000)
+        self.read_info = f"c={command.read_class},t=t,d={deadline_ms}".encode()
+        self.write_info = f"c={command.write_class},t=t,d={deadline_ms}".encode()
         self.random = np.random.default_rng(seed)
-        weights = 1.0 / np.arange(1, int(command["keys"]) + 1) ** float(command["zipf"])
+        weights = 1.0 / np.arange(1, command.keys + 1) ** float(command.zipf_exponent)
         self.cumulative_popularity = np.cumsum(weights) / weights.sum()
         self.seed = seed
         self.request_count = 0
@@ -160,7 +176,7 @@
                     yield encode_command([b"C.GET", b"%016x" % key, name, self.read_info])
 
     async def run(self) -> None:
-        """Send at the rate until told to rest; what is late is sent at once and counts from its due time."""
+        """Send at the rate until paused; what is late is sent at once and counts from its due time."""
         loop = asyncio.get_running_loop()
         due_at = loop.time()
         for data in self.requests():
@@ -212,29 +228,14 @@
         self.loads: list[RouterLoad] = []
         self.tasks: list[asyncio.Task[None]] = []
 
-    async def handle(self, command: dict[str, Any]) -> dict[str, Any]:
-        """Carry out a command of the control channel."""
-        match command["do"]:
-            case "start":
-                for i, address in enumerate(command["routers"]):
-                    load = RouterLoad(address, command, command["seed"] + i)
-                    self.loads.append(load)
-                    self.tasks.append(asyncio.create_task(load.run()))
-                return {}
-            case "rest":
-                for load in self.loads:
-                    load.paused = True
-                return {}
-            case "stats":
-                stats = self.stats()
-                if command.get("restart"):
-                    for load in self.loads:
-                        load.latency.reset()
-                return stats
-            case other:
-                raise ValueError(f"no such command: {other}")
+    def start(self, command: StartClients) -> None:
+        """Start the load on each router, with a seed of its own."""
+        for number, address in enumerate(command.routers):
+            load = RouterLoad(address, command, command.seed + number)
+            self.loads.append(load)
+            self.tasks.append(asyncio.create_task(load.run()))
 
-    def stats(self) -> dict[str, Any]:
+    def stats(self) -> ClientsStats:
         """Counts since the start, in sum over the routers, and what the process has used."""
         counts: Counter[str] = Counter()
         latency = HdrHistogram(1, MAX_LATENCY_US, 2)
@@ -242,9 +243,29 @@
             counts.update(load.counts)
             counts.update({"open": load.open_connections, "connections": load.connections_opened})
             latency.add(load.latency)
-        text = bytes(latency.encode()).decode("ascii")
-        return {**process_usage(), "time": time.time(), "counts": dict(counts), "latency": text}
+        return ClientsStats(
+            time=time.time(),
+            counts=dict(counts),
+            latency=bytes(latency.encode()).decode("ascii"),
+            **asdict(process_usage()),
+        )
+
+    async def handle(self, command: ClientsCommand) -> object:
+        """Carry out a command of the control channel; returns the reply."""
+        match command:
+            case StartClients():
+                self.start(command)
+            case PauseClients():
+                for load in self.loads:
+                    load.paused = True
+            case GetClientsStats():
+                stats = self.stats()
+                if command.restart:
+                    for load in self.loads:
+                        load.latency.reset()
+                return stats
+        return Done()
 
 
 if __name__ == "__main__":
-    asyncio.run(serve_commands(ClientsEmulator().handle))
+    asyncio.run(serve_commands(ClientsEmulator().handle, COMMAND_TYPES))
--- a/scale_experiments/emulators/discovery.py
+++ b/scale_experiments/emulators/discovery.py
@@ -1,11 +1,17 @@
-"""Discovery: whole lists and watches over HTTP/1.1, for many thousands of waiting calls.
+"""Discovery: whole lists and watches over HTTP/1.1, for many thousands of waiting polls.
 
     python -m scale_experiments.emulators.discovery 127.0.1.1:0
 
-Commands (`do`): `list` and `change` (`index`, `endpoints` in discovery's form), `serve`, `silent` (calls
-are accepted, read and never answered), `refuse` (all connections are reset and new ones refused), `busy`
-(503 after `after_s`), `reset_held` (connections held since a silence are reset), `stats`. Several processes
-that are told the same changes under the same indices act as one discovery, at one address each.
+Several processes that get the same changes under the same indices act as one discovery, at one address each.
+Modes:
+
+- "serve": polls are answered.
+- "silent": polls are accepted, read and never answered.
+- "refuse": all connections are reset and new ones refused.
+- "busy": polls are answered by 503 after a delay.
+
+Commands: `ReplaceList`, `ChangeList`, `SetDiscoveryMode`, `ResetUnanswered` and `GetDiscoveryStats` of
+`scale_experiments.emulators.messages`.
 """
 
 from __future__ import annotations
@@ -14,79 +20,49 @@
 import sys
 import time
 from collections import deque
-from collections.abc import Iterable
-from typing import Any
+from collections.abc import Sequence
+from dataclasses import asdict
+from typing import cast, get_args
 from urllib.parse import parse_qs, urlsplit
 
 import orjson
 
+from scale_experiments.emulators.codec import encode
 from scale_experiments.emulators.control import process_usage, serve_commands
-
-MAX_HEAD_BYTES = 8192  # of a call
+from scale_experiments.emulators.endpoint_registry import Entry, Registry
+from scale_experiments.emulators.messages import (
+    ChangeList,
+    ConnectionsReset,
+    DiscoveryMode,
+    DiscoveryStats,
+    GetDiscoveryStats,
+    Listening,
+    ReplaceList,
+    ResetUnanswered,
+    SetDiscoveryMode,
+    Timestamp,
+)
+
+MAX_HEAD_BYTES = 8192  # of a poll
 MAX_WAIT_MS = 60_000
-CHANGE_LOG_LENGTH = 1024  # indices; an older `after` is answered with the whole list
-MAX_CACHED_BODIES = 256  # encoded bodies, by `after`
-BUCKET_SECONDS = 0.1  # of the counts of calls over time
+BUCKET_SECONDS = 0.1  # of the counts of polls over time
 MAX_BUCKETS = 6000
 BACKLOG = 4096
-Entry = dict[str, Any]
+
+
+DiscoveryCommand = ReplaceList | ChangeList | SetDiscoveryMode | ResetUnanswered | GetDiscoveryStats
+COMMAND_TYPES: dict[str, type[DiscoveryCommand]] = {
+    **{each.do: each for each in (ReplaceList, ChangeList, ResetUnanswered, GetDiscoveryStats)},
+    **dict.fromkeys(get_args(DiscoveryMode), SetDiscoveryMode),
+}
 
 
 class PollError(ValueError):
-    """A call that is not of the protocol."""
-
-
-class Registry:
-    """The list and a bounded log of its changes; no I/O."""
-
-    def __init__(self, log_length: int = CHANGE_LOG_LENGTH) -> None:
-        self.index = 0
-        self.entries: dict[str, Entry] = {}
-        self.changes: deque[tuple[int, list[Entry]]] = deque(maxlen=log_length)
-        self.bodies: dict[int | None, bytes] = {}  # of the present index, by `after`
-
-    def replace(self, index: int, entries: Iterable[Entry]) -> None:
-        """Take a whole list; what came before it is told by the whole list only."""
-        self.index = index
-        self.entries = {e["name"]: e for e in entries}
-        self.changes.clear()
-        self.bodies.clear()
-
-    def change(self, index: int, entries: list[Entry]) -> None:
-        """Take changed entries under the next index."""
-        if index != self.index + 1:
-            raise ValueError(f"change {index} does not follow {self.index}")
-        self.index = index
-        for entry in entries:
-            if entry["status"] == "terminated":
-                self.entries.pop(entry["name"], None)
-            else:
-                self.entries[entry["name"]] = entry
-        self.changes.append((index, entries))
-        self.bodies.clear()
-
-    def has_update(self, after: int | None) -> bool:
-        """Whether something other than `after` is held."""
-        return after != self.index
-
-    def response_body(self, after: int | None) -> bytes:
-        """The answer's body: changed entries, each as it is now told last, or the whole list."""
-        body = self.bodies.get(after)
-        if body is None:
-            oldest = self.index - len(self.changes)
-            whole = after is None or not oldest <= after <= self.index
-            changed = (
-                {} if whole else {e["name"]: e for i, es in self.changes if i > (after or 0) for e in es}
-            )
-            told = self.entries if whole else changed
-            body = orjson.dumps({"index": self.index, "snapshot": whole, "endpoints": list(told.values())})
-            if len(self.bodies) < MAX_CACHED_BODIES:
-                self.bodies[after] = body
-        return body
+    """A poll that is not of the protocol."""
 
 
 def parse_poll(target: str) -> tuple[int | None, int]:
-    """The index and the milliseconds of a call's target."""
+    """The index and the wait in milliseconds of a poll's target; raises PollError."""
     parts = urlsplit(target)
     if parts.path != "/registry/instances":
         raise PollError("no such path")
@@ -107,7 +83,7 @@
 
 
 class PollConnection(asyncio.Protocol):
-    """One connection: a call at a time, in the order in which they come."""
+    """One connection: a poll at a time, in the order in which they come."""
 
     __slots__ = ("after", "buffer", "close_after", "discovery", "is_unanswered", "timer", "transport")
 
@@ -116,15 +92,16 @@
         self.buffer = b""
         self.after: int | None = None
         self.close_after = False
-        self.is_unanswered = False  # a call has no answer yet
+        self.is_unanswered = False  # a poll has no response yet
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, asyncio.Transport)
-        self.transport = transport
+        """Count the connection."""
+        self.transport = cast(asyncio.Transport, transport)
         self.discovery.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
+        """Read a poll, unless one has no response yet."""
         self.discovery.bytes_in += len(data)
         self.buffer += data
         if len(self.buffer) > MAX_HEAD_BYTES:
@@ -152,7 +129,7 @@
         self.discovery.on_poll(self, wait_ms)
 
     def write(self, status: str, body: bytes) -> None:
-        """Answer the call; the next one may have come meanwhile."""
+        """Respond to the poll; the next one may have come meanwhile."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -166,6 +143,7 @@
             self._read_poll()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Forget the connection and its poll."""
         if self.timer is not None:
             self.timer.cancel()
         self.discovery.on_disconnected(self)
@@ -176,16 +154,16 @@
 
     def __init__(self) -> None:
         self.registry = Registry()
-        self.mode = "serve"
+        self.mode: DiscoveryMode = "serve"
         self.busy_after_s = 2.0
         self.open: dict[PollConnection, None] = {}
         self.waiting: dict[PollConnection, None] = {}
         self.server: asyncio.Server | None = None
         self.address = ("127.0.0.1", 0)
-        self.calls = self.connections = self.answered = self.refused = self.bytes_in = self.bytes_out = 0
-        self.over_time: deque[list[float]] = deque(maxlen=MAX_BUCKETS)  # [bucket's number, calls]
-        self.told_s = 0.0  # from the latest change until it was written to all that waited
-        self.told_calls = 0
+        self.polls = self.connections = self.answered = self.rejected = self.bytes_in = self.bytes_out = 0
+        self.polls_over_time: deque[list[float]] = deque(maxlen=MAX_BUCKETS)  # [bucket's number, polls]
+        self.notification_s = 0.0  # from the latest change until it was written to all that waited
+        self.notified_polls = 0
 
     async def listen(self) -> None:
         """Begin to accept; the port stays the same once chosen."""
@@ -196,21 +174,23 @@
         self.address = self.server.sockets[0].getsockname()
 
     def on_connected(self, connection: PollConnection) -> None:
+        """Count a connection as open."""
         self.connections += 1
         self.open[connection] = None
 
     def on_disconnected(self, connection: PollConnection) -> None:
+        """Forget a connection."""
         self.open.pop(connection, None)
         self.waiting.pop(connection, None)
 
     def on_poll(self, connection: PollConnection, wait_ms: int) -> None:
-        """Take a call: answer it, or let it wait for news."""
-        self.calls += 1
+        """Respond to a poll, or let it wait for a change."""
+        self.polls += 1
         bucket = time.monotonic() // BUCKET_SECONDS
-        if self.over_time and self.over_time[-1][0] == bucket:
-            self.over_time[-1][1] += 1
+        if self.polls_over_time and self.polls_over_time[-1][0] == bucket:
+            self.polls_over_time[-1][1] += 1
         else:
-            self.over_time.append([bucket, 1])
+            self.polls_over_time.append([bucket, 1])
         if self.mode == "silent":
             return
         loop = asyncio.get_running_loop()
@@ -228,22 +208,22 @@
         connection.write("200 OK", self.registry.response_body(connection.after))
 
     def _reject(self, connection: PollConnection) -> None:
-        self.refused += 1
+        self.rejected += 1
         connection.write("503 Service Unavailable", b"")
 
-    def change(self, index: int, endpoints: list[Entry]) -> None:
-        """Apply a change and answer all that wait, unless calls go unanswered now."""
+    def change(self, index: int, endpoints: Sequence[Entry]) -> None:
+        """Apply a change and respond to all that wait, unless polls fail now; raises ValueError."""
         started_at = time.monotonic()
         self.registry.change(index, endpoints)
         if self.mode != "serve":
             return
-        self.told_calls = len(self.waiting)
+        self.notified_polls = len(self.waiting)
         for connection in list(self.waiting):
             self._respond(connection)
-        self.told_s = time.monotonic() - started_at
+        self.notification_s = time.monotonic() - started_at
 
-    async def set_mode(self, mode: str) -> None:
-        """Serve, or leave calls without an answer in one of the ways."""
+    async def set_mode(self, mode: DiscoveryMode) -> None:
+        """Respond to polls, or fail them in one of the ways; raises OSError."""
         if mode == "serve" and self.mode == "refuse":
             await self.listen()
         self.mode = mode
@@ -252,57 +232,53 @@
             for connection in list(self.open):
                 connection.transport.abort()
         if mode != "serve":
-            for connection in self.waiting:  # forgotten: never answered
+            for connection in self.waiting:  # they never get a response
                 if connection.timer is not None:
                     connection.timer.cancel()
             self.waiting.clear()
 
     def reset_unanswered(self) -> int:
-        """Reset the connections whose calls went without an answer, as a machine that comes back does."""
+        """Reset the connections whose polls had no response, as a machine that comes back does."""
         unanswered = [c for c in self.open if c.is_unanswered and c not in self.waiting]
         for connection in unanswered:
             connection.transport.abort()
         return len(unanswered)
 
-    def stats(self) -> dict[str, Any]:
+    def stats(self) -> DiscoveryStats:
         """Counts since the start, and what the process has used."""
-        names = (
-            "calls",
-            "connections",
-            "answered",
-            "refused",
-            "bytes_in",
-            "bytes_out",
-            "told_s",
-            "told_calls",
+        return DiscoveryStats(
+            polls=self.polls,
+            connections=self.connections,
+            answered=self.answered,
+            rejected=self.rejected,
+            bytes_in=self.bytes_in,
+            bytes_out=self.bytes_out,
+            notification_s=self.notification_s,
+            notified_polls=self.notified_polls,
+            index=self.registry.index,
+            open=len(self.open),
+            waiting=len(self.waiting),
+            bucket_s=BUCKET_SECONDS,
+            polls_over_time=list(self.polls_over_time),
+            **asdict(process_usage()),
         )
-        counts = {name: getattr(self, name) for name in names}
-        now = {"index": self.registry.index, "open": len(self.open), "waiting": len(self.waiting)}
-        return {
-            **counts,
-            **now,
-            **process_usage(),
-            "bucket_s": BUCKET_SECONDS,
-            "over_time": list(self.over_time),
-        }
-
-    async def handle(self, command: dict[str, Any]) -> dict[str, Any]:
-        """Carry out a command of the control channel."""
-        match command["do"]:
-            case "list":
-                self.registry.replace(command["index"], command["endpoints"])
-            case "change":
-                self.change(command["index"], command["endpoints"])
-            case "serve" | "silent" | "refuse" | "busy" as mode:
-                self.busy_after_s = command.get("after_s", self.busy_after_s)
-                await self.set_mode(mode)
-            case "reset_held":
-                return {"at": time.monotonic(), "reset": self.reset_unanswered()}
-            case "stats":
+
+    async def handle(self, command: DiscoveryCommand) -> object:
+        """Carry out a command of the control channel; returns the reply."""
+        match command:
+            case GetDiscoveryStats():
                 return self.stats()
-            case other:
-                raise ValueError(f"no such command: {other}")
-        return {"at": time.monotonic()}
+            case ResetUnanswered():
+                return ConnectionsReset(time.monotonic(), self.reset_unanswered())
+            case ReplaceList():
+                self.registry.replace(command.index, command.endpoints)
+            case ChangeList():
+                self.change(command.index, command.endpoints)
+            case SetDiscoveryMode():
+                if command.after_s is not None:
+                    self.busy_after_s = command.after_s
+                await self.set_mode(command.do)
+        return Timestamp(time.monotonic())
 
 
 async def main(listen: str) -> None:
@@ -311,8 +287,9 @@
     host, _, port = listen.rpartition(":")
     discovery.address = (host, int(port))
     await discovery.listen()
-    print(orjson.dumps({"address": "{}:{}".format(*discovery.address)}).decode(), flush=True)
-    await serve_commands(discovery.handle)
+    listening = Listening("{}:{}".format(*discovery.address))
+    print(orjson.dumps(encode(listening)).decode(), flush=True)
+    await serve_commands(discovery.handle, COMMAND_TYPES)
 
 
 if __name__ == "__main__":
--- a/scale_experiments/experiment.py
+++ b/scale_experiments/experiment.py
@@ -64,14 +64,20 @@
     """
 
     @property
-    def Parameters(self) -> type[BaseModel]: ...
+    def Parameters(self) -> type[BaseModel]:  # noqa: N802 - a class of the module
+        """The schema of `[parameters]`."""
+        ...
 
     @property
-    def METRICS(self) -> dict[str, str]: ...
+    def METRICS(self) -> dict[str, str]:  # noqa: N802 - a constant of the module
+        """What is measured: names, whose suffix is the unit, and descriptions."""
+        ...
 
     def measure(
         self, parameters: BaseModel, size: Mapping[str, float], seed: int, context: ExperimentContext
-    ) -> Iterator[Sample]: ...
+    ) -> Iterator[Sample]:
+        """Measure one size; stops early, without a sample, once `context` has expired."""
+        ...
 
 
 class Budget(BaseModel):
--- a/scale_experiments/scenarios/list_change_process.py
+++ b/scale_experiments/scenarios/list_change_process.py
@@ -23,6 +23,13 @@
 from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.cpu import process_cpu_s
 from scale_experiments.emulators.control import ControlClient
+from scale_experiments.emulators.messages import (
+    ChangeList,
+    DiscoveryStats,
+    GetDiscoveryStats,
+    Listening,
+    ReplaceList,
+)
 from scale_experiments.endpoint_changes import DEFAULT_WEIGHT, DEFAULT_ZONES, ChangeSequence, build_entries
 from scale_experiments.reference_work import measure_reference_cpu_s
 from scale_experiments.router_process import build_router
@@ -31,6 +38,7 @@
 READY_TIMEOUT_S = 60.0
 POLL_TIMEOUT_S = 30.0  # for a router to take a change and ask for the next
 POLL_INTERVAL_S = 0.005
+REPLY_TIMEOUT_S = 30.0
 
 
 class Parameters(BaseModel):
@@ -124,12 +132,12 @@
     raise RuntimeError(f"the router is not ready: {log.read_text(errors='replace')[-300:]}")
 
 
-def wait_until_polled(discovery: ControlClient) -> dict[str, Any]:
+def wait_until_polled(discovery: ControlClient) -> DiscoveryStats:
     """Wait until the router has the latest change, and waits for the next; discovery's counts then."""
     deadline = time.monotonic() + POLL_TIMEOUT_S
     while time.monotonic() < deadline:
-        stats = discovery.request("stats")
-        if stats["waiting"] == 1 and stats["open"] == 1:
+        stats = discovery.request(GetDiscoveryStats())
+        if stats.waiting == 1 and stats.open == 1:
             return stats
         time.sleep(POLL_INTERVAL_S)
     raise RuntimeError(f"the router has not asked again within {POLL_TIMEOUT_S:g} s: {stats}")
@@ -148,9 +156,9 @@
     emulator = context.spawn(
         [sys.executable, "-m", "scale_experiments.emulators.discovery", "127.0.0.1:0"], **pipes
     )
-    discovery = ControlClient(emulator, "discovery")
-    address = discovery.receive()["address"]
-    discovery.request("list", index=2, endpoints=entries)
+    discovery = ControlClient(emulator, "discovery", REPLY_TIMEOUT_S)
+    address = discovery.receive(Listening).address
+    discovery.request(ReplaceList(2, entries))
     cached_list = {"index": 1, "snapshot": True, "endpoints": entries}
     configuration = {
         "discovery": address,
@@ -167,9 +175,9 @@
     before, cpu_before = started, start_cpu_s
     time.sleep(parameters.quiet_s)
     after, cpu_after = wait_until_polled(discovery), process_cpu_s(router.pid)
-    seconds = after["at"] - before["at"]
+    seconds = after.at - before.at
     quiet_cpu = (cpu_after - cpu_before) / seconds
-    quiet_bytes = sum(after[name] - before[name] for name in ("bytes_in", "bytes_out")) / seconds
+    quiet_bytes = (after.bytes_in - before.bytes_in + after.bytes_out - before.bytes_out) / seconds
 
     context.progress("changes")
     # each comes before the call is over that waits for it, so that nothing of quiet is among what they cost;
@@ -177,14 +185,14 @@
     count = 0
     before, cpu_before = after, cpu_after
     for index, (_, text) in enumerate(ChangeSequence(entries, rng, parameters.changes), 3):
-        discovery.request("change", index=index, endpoints=orjson.loads(text)["endpoints"])
+        discovery.request(ChangeList(index, orjson.loads(text)["endpoints"]))
         after = wait_until_polled(discovery)
         count += 1
     cpu_after = process_cpu_s(router.pid)
     change_cpu = (cpu_after - cpu_before) / count
     # discovery's bytes in are the router's out
-    change_out = (after["bytes_in"] - before["bytes_in"]) / count
-    change_in = (after["bytes_out"] - before["bytes_out"]) / count
+    change_out = (after.bytes_in - before.bytes_in) / count
+    change_in = (after.bytes_out - before.bytes_out) / count
     most_resident = psutil.Process(router.pid).memory_info().rss
     references.append(measure_reference_cpu_s())
     context.stop(router)
@@ -201,7 +209,7 @@
             "change_out_bytes": change_out,
             "quiet_bytes_per_s": quiet_bytes,
             "bytes_per_s": quiet_bytes + changes_per_s * (change_in + change_out),
-            "first_list_bytes": float(started["bytes_out"]),
+            "first_list_bytes": float(started.bytes_out),
             "reference_cpu_s": statistics.fmean(references),
         }
     )
--- a/scale_experiments/scenarios/sockets.py
+++ b/scale_experiments/scenarios/sockets.py
@@ -13,6 +13,7 @@
 import sys
 import time
 from collections.abc import Iterator, Mapping
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any, Literal
 
@@ -23,12 +24,24 @@
 
 from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.emulators.control import ControlClient
+from scale_experiments.emulators.messages import (
+    CachesStats,
+    ClientsStats,
+    GetCachesStats,
+    GetClientsStats,
+    Listening,
+    ReplaceList,
+    SetCacheMode,
+    StartCaches,
+    StartClients,
+)
 from scale_experiments.reference_work import measure_reference_cpu_s
 from scale_experiments.router_process import build_router
 
 READY_TIMEOUT_S = 30.0
 REPLY_TIMEOUT_S = 60.0
 CACHE_PORT = 6379
+CACHE_COUNTERS = ("accepted", "requests", "hits", "rejected", "open_sum")
 
 
 class Parameters(BaseModel):
@@ -148,6 +161,15 @@
     }
 
 
+@dataclass(slots=True, frozen=True)
+class Usage:
+    """Counts of caches and clients since the start, and CPU seconds of all routers."""
+
+    caches: CachesStats
+    clients: ClientsStats
+    router_cpu_s: float
+
+
 class Deployment:
     """The processes of one sample."""
 
@@ -177,42 +199,43 @@
         entries = cache_entries(int(self.size["caches"]))
         self.caches = self._start_emulator("cache")
         origin = self.caches.request(
-            "start",
-            addresses={e["name"]: e["address"] for e in entries},
-            origin="127.3.0.1:0",
-            most_keys=p.keys,
-            **p.model_dump(
-                include={
-                    "value_bytes",
-                    "service_s",
-                    "handshake_s",
-                    "idle_s",
-                    "most_connections",
-                    "warm",
-                    "origin_service_s",
-                    "origin_most_at_once",
-                }
-            ),
-        )["origin"]
+            StartCaches(
+                addresses={e["name"]: e["address"] for e in entries},
+                origin="127.3.0.1:0",
+                max_keys=p.keys,
+                value_bytes=p.value_bytes,
+                service_s=p.service_s,
+                handshake_s=p.handshake_s,
+                idle_s=p.idle_s,
+                max_connections=p.most_connections,
+                warm=p.warm,
+                origin_service_s=p.origin_service_s,
+                origin_max_concurrent=p.origin_most_at_once,
+            )
+        ).origin
         entries.append({**entries[0], "name": "origin", "address": origin, "type": "origin"})
         cached_list = {"index": 1, "snapshot": True, "endpoints": entries}
         discovery = self._start_emulator("discovery", "127.3.0.2:0")
-        address = discovery.receive()["address"]
-        discovery.request("list", index=1, endpoints=entries)
+        address = discovery.receive(Listening).address
+        discovery.request(ReplaceList(1, entries))
         for i in range(int(self.size["routers"])):
             self._start_router(i, folder, command, address, cached_list)
         for listen in self.addresses:
             self._wait_until_ready(listen)
         self.clients = self._start_emulator("clients")
         self.clients.request(
-            "start",
-            routers=self.addresses,
-            rate_per_s=self.size["requests_per_s"],
-            seed=self.seed * 1000,
-            deadline_s=2.0,
-            read="read",
-            write="put",
-            **p.model_dump(include={"keys", "zipf", "write_share", "value_bytes"}),
+            StartClients(
+                routers=self.addresses,
+                rate_per_s=self.size["requests_per_s"],
+                seed=self.seed * 1000,
+                deadline_s=2.0,
+                read_class="read",
+                write_class="put",
+                keys=p.keys,
+                zipf_exponent=p.zipf,
+                write_share=p.write_share,
+                value_bytes=p.value_bytes,
+            )
         )
 
     def _start_router(
@@ -261,11 +284,11 @@
             time.sleep(0.1)
         raise RuntimeError(f"router at {listen} is not ready after {READY_TIMEOUT_S:g} s")
 
-    def usage(self) -> dict[str, Any]:
+    def usage(self) -> Usage:
         """Counts since the start, and latencies since the last call."""
         cpu_s = sum(sum(r.cpu_times()[:2]) for r in self.routers)
-        clients = self.clients.request("stats", restart=True)
-        return {"caches": self.caches.request("stats"), "clients": clients, "cpu_s": cpu_s}
+        clients = self.clients.request(GetClientsStats(restart=True))
+        return Usage(self.caches.request(GetCachesStats()), clients, cpu_s)
 
     def run_load(self) -> None:
         """Let the time pass that is measured, with the fault of some caches at its beginning."""
@@ -273,10 +296,10 @@
         remaining_s = p.measure_s
         if faulty:
             names = [e["name"] for e in cache_entries(int(self.size["caches"]))[:faulty]]
-            self.caches.request("mode", names=names, mode=p.fault)
+            self.caches.request(SetCacheMode(names, p.fault))
             time.sleep(min(p.fault_s, remaining_s))
             remaining_s -= min(p.fault_s, remaining_s)
-            self.caches.request("mode", names=names, mode="serve")
+            self.caches.request(SetCacheMode(names, "serve"))
         time.sleep(remaining_s)
 
     def stop(self) -> None:
@@ -285,19 +308,16 @@
             self.context.stop(process)
 
 
-def compute_metrics(
-    before: dict[str, Any], after: dict[str, Any], routers: list[psutil.Process]
-) -> dict[str, float]:
+def compute_metrics(before: Usage, after: Usage, routers: list[psutil.Process]) -> dict[str, float]:
     """Metrics of what happened between two moments."""
-    seconds = after["caches"]["at"] - before["caches"]["at"]
+    seconds = after.caches.at - before.caches.at
     each = [
-        {field: now[field] - before["caches"]["caches"][name][field] for field in now}
-        for name, now in after["caches"]["caches"].items()
+        {name: getattr(now, name) - getattr(before.caches.caches[cache], name) for name in CACHE_COUNTERS}
+        for cache, now in after.caches.caches.items()
     ]
-    samples = max(1, after["caches"]["samples"] - before["caches"]["samples"])
-    names = after["clients"]["counts"].keys()
-    counts = {n: after["clients"]["counts"][n] - before["clients"]["counts"].get(n, 0) for n in names}
-    requests, cpu_s = max(1, counts["asked"]), after["cpu_s"] - before["cpu_s"]
+    samples = max(1, after.caches.samples - before.caches.samples)
+    counts = {n: count - before.clients.counts.get(n, 0) for n, count in after.clients.counts.items()}
+    requests, cpu_s = max(1, counts["asked"]), after.router_cpu_s - before.router_cpu_s
     caches = len(each)
 
     def total(field: str) -> float:
@@ -310,8 +330,8 @@
         return float(sum(counts.get(k, 0) for k in kinds) / ended)
 
     open_connections = total("open_sum") / samples
-    origin = after["caches"]["origin"]["requests"] - before["caches"]["origin"]["requests"]
-    latency = HdrHistogram.decode(after["clients"]["latency"])
+    origin = after.caches.origin.requests - before.caches.origin.requests
+    latency = HdrHistogram.decode(after.clients.latency)
     found = [r.memory_info().rss for r in routers]
     return {
         "requests_per_s": requests / seconds,
@@ -325,19 +345,19 @@
         "handshakes_per_cache_per_s": total("accepted") / caches / seconds,
         "open_per_cache": open_connections / caches,
         "open_per_cache_per_router": open_connections / caches / len(routers),
-        "most_open_at_a_cache": max(c["most_open"] for c in after["caches"]["caches"].values()),
+        "most_open_at_a_cache": max(c.max_open for c in after.caches.caches.values()),
         "open_to_caches_per_router": open_connections / len(routers),
         "caches_met_share": sum(e["requests"] > 0 for e in each) / caches,
         "fullest_cache_share": max(e["requests"] for e in each) * caches / max(1.0, total("requests")),
         "hit_share": total("hits") / max(1.0, total("requests")),
-        "busy_per_request": total("busy") / requests,
+        "busy_per_request": total("rejected") / requests,
         "origin_per_request": origin / requests,
         "router_cpu_per_request_s": cpu_s / requests,
         "router_cpu_share": cpu_s / seconds / len(routers),
         "router_resident_bytes": sum(found) / len(routers),
         "router_most_resident_bytes": peak_resident_bytes(routers),
         "router_descriptors": sum(r.num_fds() for r in routers) / len(routers),
-        "client_connections_per_router": after["clients"]["counts"]["open"] / len(routers),
+        "client_connections_per_router": after.clients.counts["open"] / len(routers),
         "client_connections_per_request": counts["connections"] / requests,
     }
 
@@ -370,6 +390,6 @@
             raise RuntimeError("a router has ended")
         metrics = compute_metrics(before, after, deployment.routers)
         metrics |= {"load": os.getloadavg()[0], "reference_cpu_s": sum(references) / 2}
-        yield Sample(metrics, {"latency": HdrHistogram.decode(after["clients"]["latency"])})
+        yield Sample(metrics, {"latency": HdrHistogram.decode(after.clients.latency)})
     finally:
         deployment.stop()
--- a/scale_experiments/scenarios/watch.py
+++ b/scale_experiments/scenarios/watch.py
@@ -20,6 +20,18 @@
 
 from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.emulators.control import ControlClient, request_all
+from scale_experiments.emulators.messages import (
+    ChangeList,
+    Done,
+    GetDiscoveryStats,
+    GetRoutersStats,
+    GetUpdateTimes,
+    Listening,
+    ReplaceList,
+    ResetUnanswered,
+    SetDiscoveryMode,
+    StartRouters,
+)
 from scale_experiments.reference_work import measure_reference_cpu_s
 
 MAX_LATENCY_US = 600_000_000  # that a histogram holds
@@ -164,24 +176,25 @@
             self._start_emulator("discovery", "scale_experiments.emulators.discovery", f"127.0.1.{i + 1}:0")
             for i in range(self.parameters.discoveries)
         ]
-        addresses = [d.receive()["address"] for d in self.discoveries]
-        request_all(self.discoveries, "list", index=self.index, endpoints=self.entries)
+        addresses = [d.receive(Listening).address for d in self.discoveries]
+        request_all(self.discoveries, ReplaceList(self.index, self.entries))
         every = [self._start_emulator("routers", "scale_experiments.hollow") for _ in counts]
         self.real, self.light = every[:1], every[1:]
         cached_list = {"index": self.index, "snapshot": True, "endpoints": self.entries}
         for i, (control, routers) in enumerate(zip(every, counts, strict=True)):
             control.send(
-                "start",
-                routers=routers,
-                seed=self.seed * 1_000_000 + i * 100_000,
-                held=self.parameters.held if i == 0 else "index",
-                discovery=addresses[i % len(addresses) :] + addresses[: i % len(addresses)],
-                settings=build_settings(mode, self.routers),
-                known=cached_list,
-                spread_s=self.parameters.spread_s,
+                StartRouters(
+                    routers=routers,
+                    seed=self.seed * 1_000_000 + i * 100_000,
+                    mode=self.parameters.held if i == 0 else "index",
+                    discovery=addresses[i % len(addresses) :] + addresses[: i % len(addresses)],
+                    settings=build_settings(mode, self.routers),
+                    cached_list=cached_list,
+                    spread_s=self.parameters.spread_s,
+                )
             )
         for control in every:
-            control.receive()
+            control.receive(Done)
         time.sleep(self.parameters.spread_s + 1.0)
 
     def stop(self) -> None:
@@ -195,44 +208,47 @@
         self.index += 1
         entry = self.entries[self.index // 2 % len(self.entries)]
         entry["status"] = "terminating" if self.index % 2 else "in_service"
-        at = [r["at"] for r in request_all(self.discoveries, "change", index=self.index, endpoints=[entry])]
+        at = [r.at for r in request_all(self.discoveries, ChangeList(self.index, [entry]))]
         self.changed_at[self.index] = min(at)
 
     def wait_until_notified(self, timeout_s: float) -> None:
         """Wait until all routers have the latest change, and no longer than that."""
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline and not self.context.expired():
-            if min(r["lowest"] for r in request_all([*self.real, *self.light], "stats")) >= self.index:
+            if (
+                min(r.lowest_index for r in request_all([*self.real, *self.light], GetRoutersStats()))
+                >= self.index
+            ):
                 return
             time.sleep(POLL_INTERVAL_S)
 
     def notification_delays(self, index: int, since: float) -> tuple[list[float], int]:
         """Seconds after `since` at which routers had an index, sorted; and how many did not."""
-        replies = request_all([*self.real, *self.light], "had", index=index)
-        times = [t for reply in replies for t in reply["times"]]
+        replies = request_all([*self.real, *self.light], GetUpdateTimes(index))
+        times = [t for reply in replies for t in reply.times]
         delays = sorted(max(0.0, t - since) for t in times if t is not None)
         return delays, len(times) - len(delays)
 
     def calls_since(self, started_at: float) -> dict[float, float]:
         """Calls at discovery in each tenth of a second, by its number."""
         counts: dict[float, float] = {}
-        for stats in request_all(self.discoveries, "stats"):
-            for bucket, calls in stats["over_time"]:
-                if (bucket + 1) * stats["bucket_s"] > started_at:
+        for stats in request_all(self.discoveries, GetDiscoveryStats()):
+            for bucket, calls in stats.polls_over_time:
+                if (bucket + 1) * stats.bucket_s > started_at:
                     counts[bucket] = counts.get(bucket, 0.0) + calls
         return counts
 
     def usage(self) -> dict[str, float]:
         """Counts and usage now, in sum for each role."""
-        all_stats = request_all(self.discoveries, "stats")
-        names = ("calls", "connections", "bytes_in", "bytes_out", "cpu_s", "resident_bytes", "descriptors")
-        sums: dict[str, float] = {name: sum(t[name] for t in all_stats) for name in names}
-        sums["at"] = all_stats[0]["at"]
-        sums["written_s"] = max(t["told_s"] for t in all_stats)
+        all_stats = request_all(self.discoveries, GetDiscoveryStats())
+        names = ("polls", "connections", "bytes_in", "bytes_out", "cpu_s", "resident_bytes", "descriptors")
+        sums: dict[str, float] = {name: sum(getattr(t, name) for t in all_stats) for name in names}
+        sums["at"] = all_stats[0].at
+        sums["written_s"] = max(t.notification_s for t in all_stats)
         for role, controls in (("real", self.real), ("light", self.light)):
-            stats = request_all(controls, "stats")
-            sums[f"{role}_cpu_s"] = sum(s["cpu_s"] for s in stats)
-            sums[f"{role}_resident_bytes"] = sum(s["resident_bytes"] for s in stats)
+            stats = request_all(controls, GetRoutersStats())
+            sums[f"{role}_cpu_s"] = sum(s.cpu_s for s in stats)
+            sums[f"{role}_resident_bytes"] = sum(s.resident_bytes for s in stats)
         return sums
 
 
@@ -266,13 +282,13 @@
         return used[name] / used["at"]
 
     metrics = {
-        "calls_per_s": rate("calls"),
+        "calls_per_s": rate("polls"),
         "connections_per_s": rate("connections"),
         "peak_calls_per_100ms": peak_calls(fleet.calls_since(before["at"]), 1),
-        "calls_per_router_per_s": rate("calls") / routers,
+        "calls_per_router_per_s": rate("polls") / routers,
         "discovery_cpu_share": rate("cpu_s"),
         "discovery_cpu_per_router_share": rate("cpu_s") / routers,
-        "discovery_cpu_per_call_s": used["cpu_s"] / max(1.0, used["calls"]),
+        "discovery_cpu_per_call_s": used["cpu_s"] / max(1.0, used["polls"]),
         "discovery_in_per_router_bytes_per_s": rate("bytes_in") / routers,
         "discovery_out_per_router_bytes_per_s": rate("bytes_out") / routers,
         "discovery_resident_bytes": after["resident_bytes"],
@@ -294,7 +310,7 @@
     for _ in range(fleet.parameters.changes):
         started_at = time.monotonic()
         fleet.change()
-        written.append(max(s["told_s"] for s in request_all(fleet.discoveries, "stats")))
+        written.append(max(s.notification_s for s in request_all(fleet.discoveries, GetDiscoveryStats())))
         time.sleep(max(0.0, fleet.parameters.change_every_s - (time.monotonic() - started_at)))
     fleet.wait_until_notified(fleet.parameters.return_most_s)
     used = usage_difference(before, fleet.usage())
@@ -311,7 +327,7 @@
         "change_discovery_cpu_s": each["cpu_s"],
         "change_discovery_cpu_per_router_s": each["cpu_s"] / fleet.routers,
         "change_out_per_router_bytes": each["bytes_out"] / fleet.routers,
-        "change_calls_per_router": each["calls"] / fleet.routers,
+        "change_calls_per_router": each["polls"] / fleet.routers,
         "change_peak_calls_per_100ms": peak_calls(fleet.calls_since(before["at"]), 1),
         "change_real_cpu_s": each["real_cpu_s"] / real,
         "written_s": sorted(written)[len(written) // 2],
@@ -330,14 +346,14 @@
 
 def measure_outage(fleet: WatchFleet, how: Outage) -> tuple[dict[str, float], HdrHistogram]:
     """Discovery goes, the list changes, discovery comes back: what it meets, and when all have the list."""
-    request_all(fleet.discoveries, "silent" if how == "reset" else how)
+    request_all(fleet.discoveries, SetDiscoveryMode("silent" if how == "reset" else how))
     time.sleep(fleet.parameters.outage_s / 2)
     fleet.change()
     time.sleep(fleet.parameters.outage_s / 2)
     before = fleet.usage()
-    back = min(r["at"] for r in request_all(fleet.discoveries, "serve"))
+    back = min(r.at for r in request_all(fleet.discoveries, SetDiscoveryMode("serve")))
     if how == "reset":
-        request_all(fleet.discoveries, "reset_held")
+        request_all(fleet.discoveries, ResetUnanswered())
     fleet.wait_until_notified(fleet.parameters.return_most_s)
     used = usage_difference(before, fleet.usage())
     counts = fleet.calls_since(back)
@@ -345,7 +361,7 @@
     metrics = {
         "peak_calls_per_s": peak_calls(counts, 10),
         "peak_calls_per_100ms": peak_calls(counts, 1),
-        "calls_per_router": used["calls"] / fleet.routers,
+        "calls_per_router": used["polls"] / fleet.routers,
         "unheard": float(missing),
         "cpu_s": used["cpu_s"],
     }
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import socket
+from dataclasses import replace
 from typing import Any
 
 import orjson
@@ -12,7 +13,29 @@
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.net.discovery import Discovery
 from scale_experiments.emulators.cache import Cache, CacheCluster
-from scale_experiments.emulators.discovery import DiscoveryEmulator, Registry
+from scale_experiments.emulators.codec import (
+    Command,
+    CommandError,
+    decode,
+    decode_command,
+    encode,
+    encode_command,
+)
+from scale_experiments.emulators.discovery import DiscoveryEmulator
+from scale_experiments.emulators.endpoint_registry import Registry
+from scale_experiments.emulators.messages import (
+    CacheSettings,
+    CachesStats,
+    ChangeList,
+    DiscoveryStats,
+    GetClientsStats,
+    GetUpdateTimes,
+    PauseClients,
+    ResetUnanswered,
+    SetCacheMode,
+    SetDiscoveryMode,
+    StartCaches,
+)
 from tests.loopback import Link, read, run, spelled
 from tests.test_net_discovery import LINE
 
@@ -56,7 +79,7 @@
         watch.subscribe()
 
         async def waits(calls: int) -> None:
-            while server.calls < calls:
+            while server.polls < calls:
                 await asyncio.sleep(0.001)
 
         await waits(1)
@@ -83,15 +106,9 @@
     run(scenario)
 
 
-CACHE_SETTINGS: dict[str, Any] = {
-    "value_bytes": 3,
-    "service_s": 0.0,
-    "handshake_s": 0.0,
-    "idle_s": 9.0,
-    "most_connections": 2,
-    "most_keys": 2,
-    "warm": False,
-}
+CACHE_SETTINGS = CacheSettings(
+    value_bytes=3, service_s=0.0, handshake_s=0.0, idle_s=9.0, max_connections=2, max_keys=2, warm=False
+)
 
 
 def test_a_cache_holds_what_missed_there_once_the_origin_has_answered_until_it_is_written() -> None:
@@ -111,7 +128,7 @@
     async def scenario() -> None:
         with socket.create_server(("127.0.0.1", 0)) as taken:
             address = taken.getsockname()
-        cache = Cache(CacheCluster({**CACHE_SETTINGS, "warm": True}), "a", address)
+        cache = Cache(CacheCluster(replace(CACHE_SETTINGS, warm=True)), "a", address)
         await cache.listen()
         links = [Link(*await asyncio.open_connection(*address)) for _ in range(3)]
         for link, value in zip(links, (b"vvv", b"vvv", None), strict=True):
@@ -134,8 +151,91 @@
         link = Link(*await asyncio.open_connection(*address))
         link.write(read("r4"))
         assert (await link.resp())[:2] == [None, b"miss"]
-        assert (cache.accepted, cache.handshakes, cache.hits, cache.missed, cache.busy) == (4, 3, 2, 1, 2)
+        assert (cache.accepted, cache.handshakes, cache.hits, cache.misses, cache.rejected) == (4, 3, 2, 1, 2)
         link.close()
         await cache.set_mode("dead")
 
     run(scenario)
+
+
+@pytest.mark.parametrize(
+    ("command", "message"),
+    [
+        (
+            StartCaches(
+                value_bytes=3,
+                service_s=0.1,
+                handshake_s=0.2,
+                idle_s=9.0,
+                max_connections=2,
+                max_keys=4,
+                warm=True,
+                addresses={"a": "127.2.0.1:6379"},
+                origin="127.3.0.1:0",
+                origin_service_s=0.3,
+                origin_max_concurrent=5,
+            ),
+            {
+                "do": "start",
+                "value_bytes": 3,
+                "service_s": 0.1,
+                "handshake_s": 0.2,
+                "idle_s": 9.0,
+                "most_connections": 2,
+                "most_keys": 4,
+                "warm": True,
+                "addresses": {"a": "127.2.0.1:6379"},
+                "origin": "127.3.0.1:0",
+                "origin_service_s": 0.3,
+                "origin_most_at_once": 5,
+            },
+        ),
+        (SetCacheMode(["a"], "hang"), {"do": "mode", "names": ["a"], "mode": "hang"}),
+        (GetClientsStats(restart=True), {"do": "stats", "restart": True}),
+        (PauseClients(), {"do": "rest"}),
+        (ChangeList(7, [LINE]), {"do": "change", "index": 7, "endpoints": [LINE]}),
+        (SetDiscoveryMode("silent"), {"do": "silent"}),
+        (SetDiscoveryMode("busy", 1.5), {"do": "busy", "after_s": 1.5}),
+        (ResetUnanswered(), {"do": "reset_held"}),
+        (GetUpdateTimes(7), {"do": "had", "index": 7}),
+    ],
+)
+def test_a_command_keeps_its_form_as_json(command: Command[Any], message: dict[str, Any]) -> None:
+    assert encode_command(command) == message
+    assert decode_command({message["do"]: type(command)}, message) == command
+
+
+def test_stats_keep_their_form_as_json_and_are_read_again() -> None:
+    usage = {"at": 1.0, "cpu_s": 0.5, "resident_bytes": 10, "descriptors": 3}
+    discovery = DiscoveryEmulator().stats()
+    assert set(encode(discovery)) == {
+        *usage,
+        "calls",
+        "connections",
+        "answered",
+        "refused",
+        "bytes_in",
+        "bytes_out",
+        "told_s",
+        "told_calls",
+        "index",
+        "open",
+        "waiting",
+        "bucket_s",
+        "over_time",
+    }
+    assert decode(DiscoveryStats, encode(discovery)) == discovery
+    counters = {"accepted": 1, "handshakes": 2, "requests": 3, "hits": 4, "missed": 5, "busy": 6}
+    cache = {**counters, "open_sum": 7.0, "most_open": 8, "open": 9}
+    origin = {"requests": 1, "turned_away": 2, "connections": 3, "open": 4, "most_open": 5}
+    message = {**usage, "time": 2.0, "samples": 4, "caches": {"a": cache}, "origin": origin}
+    stats = decode(CachesStats, message)
+    assert (stats.caches["a"].misses, stats.caches["a"].rejected, stats.origin.rejected) == (5, 6, 2)
+    assert encode(stats) == message
+
+
+def test_a_command_that_is_unknown_or_lacks_a_field_is_rejected() -> None:
+    with pytest.raises(CommandError, match="no such command: stop"):
+        decode_command({"had": GetUpdateTimes}, {"do": "stop"})
+    with pytest.raises(KeyError, match="index"):
+        decode_command({"had": GetUpdateTimes}, {"do": "had"})
