--- a/scale_experiments/emulators/cache.py
+++ b/scale_experiments/emulators/cache.py
@@ -24,18 +24,18 @@
 
 from cache_router.net.resp import INCOMPLETE, RespError, RespReader
 from scale_experiments.emulators.control import process_usage, serve_commands
-from scale_experiments.emulators.messages import (
+from scale_experiments.emulators.messages.caches import (
     CacheCounters,
     CacheMode,
     CacheSettings,
     CachesStarted,
     CachesStats,
-    Done,
     GetCachesStats,
     OriginCounters,
     SetCacheMode,
     StartCaches,
 )
+from scale_experiments.emulators.messages.common import Done
 from scale_experiments.emulators.origin import Origin
 
 MAX_VALUE_BYTES = 64 * 1024
--- a/scale_experiments/emulators/clients.py
+++ b/scale_experiments/emulators/clients.py
@@ -22,13 +22,13 @@
 
 from cache_router.net.resp import INCOMPLETE, ErrorReply, Message, RespError, RespReader, encode_command
 from scale_experiments.emulators.control import process_usage, serve_commands
-from scale_experiments.emulators.messages import (
+from scale_experiments.emulators.messages.clients import (
     ClientsStats,
-    Done,
     GetClientsStats,
     PauseClients,
     StartClients,
 )
+from scale_experiments.emulators.messages.common import Done
 
 MAX_VALUE = 64 * 1024
 MAX_LATENCY_US = 60_000_000
--- a/scale_experiments/emulators/control.py
+++ b/scale_experiments/emulators/control.py
@@ -18,7 +18,7 @@
 import psutil
 
 from scale_experiments.emulators.codec import Command, decode, decode_command, encode, encode_command
-from scale_experiments.emulators.messages import ProcessUsage
+from scale_experiments.emulators.messages.common import ProcessUsage
 
 # a list of some thousand entries, or the times of some thousand routers
 MAX_LINE_BYTES = 64 * 1024 * 1024
--- a/scale_experiments/emulators/discovery.py
+++ b/scale_experiments/emulators/discovery.py
@@ -30,7 +30,7 @@
 from scale_experiments.emulators.codec import encode
 from scale_experiments.emulators.control import process_usage, serve_commands
 from scale_experiments.emulators.endpoint_registry import Entry, Registry
-from scale_experiments.emulators.messages import (
+from scale_experiments.emulators.messages.discovery import (
     ChangeList,
     ConnectionsReset,
     DiscoveryMode,
--- a/scale_experiments/emulators/origin.py
+++ b/scale_experiments/emulators/origin.py
@@ -11,7 +11,7 @@
 from typing import cast
 from urllib.parse import unquote_to_bytes
 
-from scale_experiments.emulators.messages import OriginCounters
+from scale_experiments.emulators.messages.caches import OriginCounters
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024
--- a/scale_experiments/hollow.py
+++ b/scale_experiments/hollow.py
@@ -40,8 +40,8 @@
 from cache_router.settings import Settings
 from cache_router.settings_reader import read_settings
 from scale_experiments.emulators.control import process_usage, serve_commands
-from scale_experiments.emulators.messages import (
-    Done,
+from scale_experiments.emulators.messages.common import Done
+from scale_experiments.emulators.messages.routers import (
     GetRoutersStats,
     GetUpdateTimes,
     HollowMode,
--- a/scale_experiments/scenarios/list_change_process.py
+++ b/scale_experiments/scenarios/list_change_process.py
@@ -23,7 +23,7 @@
 from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.cpu import process_cpu_s
 from scale_experiments.emulators.control import ControlClient
-from scale_experiments.emulators.messages import (
+from scale_experiments.emulators.messages.discovery import (
     ChangeList,
     DiscoveryStats,
     GetDiscoveryStats,
--- a/scale_experiments/scenarios/sockets.py
+++ b/scale_experiments/scenarios/sockets.py
@@ -24,17 +24,9 @@
 
 from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.emulators.control import ControlClient
-from scale_experiments.emulators.messages import (
-    CachesStats,
-    ClientsStats,
-    GetCachesStats,
-    GetClientsStats,
-    Listening,
-    ReplaceList,
-    SetCacheMode,
-    StartCaches,
-    StartClients,
-)
+from scale_experiments.emulators.messages.caches import CachesStats, GetCachesStats, SetCacheMode, StartCaches
+from scale_experiments.emulators.messages.clients import ClientsStats, GetClientsStats, StartClients
+from scale_experiments.emulators.messages.discovery import Listening, ReplaceList
 from scale_experiments.reference_work import measure_reference_cpu_s
 from scale_experiments.router_process import build_router
 
--- a/scale_experiments/scenarios/watch.py
+++ b/scale_experiments/scenarios/watch.py
@@ -20,18 +20,16 @@
 
 from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.emulators.control import ControlClient, request_all
-from scale_experiments.emulators.messages import (
+from scale_experiments.emulators.messages.common import Done
+from scale_experiments.emulators.messages.discovery import (
     ChangeList,
-    Done,
     GetDiscoveryStats,
-    GetRoutersStats,
-    GetUpdateTimes,
     Listening,
     ReplaceList,
     ResetUnanswered,
     SetDiscoveryMode,
-    StartRouters,
 )
+from scale_experiments.emulators.messages.routers import GetRoutersStats, GetUpdateTimes, StartRouters
 from scale_experiments.reference_work import measure_reference_cpu_s
 
 MAX_LATENCY_US = 600_000_000  # that a histogram holds
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -23,19 +23,15 @@
 )
 from scale_experiments.emulators.discovery import DiscoveryEmulator
 from scale_experiments.emulators.endpoint_registry import Registry
-from scale_experiments.emulators.messages import (
-    CacheSettings,
-    CachesStats,
+from scale_experiments.emulators.messages.caches import CacheSettings, CachesStats, SetCacheMode, StartCaches
+from scale_experiments.emulators.messages.clients import GetClientsStats, PauseClients
+from scale_experiments.emulators.messages.discovery import (
     ChangeList,
     DiscoveryStats,
-    GetClientsStats,
-    GetUpdateTimes,
-    PauseClients,
     ResetUnanswered,
-    SetCacheMode,
     SetDiscoveryMode,
-    StartCaches,
 )
+from scale_experiments.emulators.messages.routers import GetUpdateTimes
 from tests.loopback import Link, read, run, spelled
 from tests.test_net_discovery import LINE
 
