--- /dev/null
+++ b/scale_experiments/emulators/launch.py
@@ -0,0 +1,32 @@
+"""Starting emulators as processes of a run."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+
+from scale_experiments.context import ExperimentContext
+from scale_experiments.emulators.control import ControlClient
+
+CACHES_MODULE = "scale_experiments.emulators.cache"
+CLIENTS_MODULE = "scale_experiments.emulators.clients"
+DISCOVERY_MODULE = "scale_experiments.emulators.discovery"
+HOLLOW_ROUTERS_MODULE = "scale_experiments.hollow"
+DEFAULT_REPLY_TIMEOUT_S = 30.0
+
+
+def start_emulator(
+    context: ExperimentContext,
+    name: str,
+    module: str,
+    *arguments: str,
+    reply_timeout_s: float = DEFAULT_REPLY_TIMEOUT_S,
+) -> ControlClient:
+    """Start a module of this package as a process, which the context ends at the latest.
+
+    `name` is how errors call it. Raises OSError where the process can't be started.
+    """
+    process = context.spawn(
+        [sys.executable, "-m", module, *arguments], stdin=subprocess.PIPE, stdout=subprocess.PIPE
+    )
+    return ControlClient(process, name, reply_timeout_s)
--- a/scale_experiments/emulators/messages/routers.py
+++ b/scale_experiments/emulators/messages/routers.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 from typing import Any, ClassVar, Literal
 
@@ -23,7 +24,7 @@
     mode: HollowMode = field(metadata={KEY: "held"})
     discovery: list[str]
     settings: dict[str, Any]
-    cached_list: dict[str, Any] = field(metadata={KEY: "known"})
+    cached_list: Mapping[str, Any] = field(metadata={KEY: "known"})
     spread_s: float
 
 
--- a/scale_experiments/endpoint_changes.py
+++ b/scale_experiments/endpoint_changes.py
@@ -1,71 +1,124 @@
-"""Endpoint lists in discovery's form, and sequences of changes of one entry each."""
+"""Random endpoint lists, and sequences of changes of one entry each."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator, Sequence
-from typing import Any
+from dataclasses import dataclass
+from enum import StrEnum
 
 import numpy as np
-import orjson
+from pydantic import BaseModel, ConfigDict, Field
+
+from scale_experiments.endpoint_entries import (
+    CACHE_PORT,
+    TERMINATED,
+    TERMINATING,
+    EndpointEntry,
+    build_entry,
+    encode_list,
+)
 
 DEFAULT_ZONES = 51
 DEFAULT_WEIGHT = 1.0
-CHANGES = ("drain", "gone", "join", "restart", "weight")
+GROUPS = 4
+
+
+class ListChangeSize(BaseModel):
+    """The columns of a size of the scenarios that change lists."""
+
+    model_config = ConfigDict(extra="forbid")
+
+    routers: int = Field(
+        default=1, ge=1, le=1_000_000, strict=True, description="siblings, as the settings say"
+    )
+    caches: int = Field(
+        ge=1, le=100_000, strict=True, description="page caches in the list, beside the origin"
+    )
+    changes_per_s: float = Field(ge=0, description="changes of the list a second")
+
+
+class ChangeKind(StrEnum):
+    """How an entry changes; the values are parts of the names of metrics."""
+
+    DRAIN = "drain"
+    GONE = "gone"
+    JOIN = "join"  # what was gone is back
+    RESTART = "restart"
+    WEIGHT = "weight"  # is halved
 
 
-def build_entries(caches: int, zones: int, weight: float, rng: np.random.Generator) -> list[dict[str, Any]]:
-    """A list's entries in discovery's form, the origin last."""
+@dataclass(slots=True, frozen=True)
+class EndpointChange:
+    """One changed entry; `kind` is None where it only undoes the change before."""
+
+    kind: ChangeKind | None
+    index: int
+    entry: EndpointEntry
+
+    def encoded(self) -> bytes:
+        """The change as discovery's JSON."""
+        return encode_list({"index": self.index, "snapshot": False, "endpoints": [self.entry]})
+
+
+def build_entries(caches: int, zones: int, weight: float, rng: np.random.Generator) -> list[EndpointEntry]:
+    """Page caches with random names in so many zones, and an origin as the last entry."""
     names = rng.choice(2**32, size=caches + 1, replace=False)
     return [
-        {
-            "name": f"s-{name:08x}",
-            "address": f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}:6379",
-            "zone": f"z{i % zones}",
-            "type": "std-1c" if i < caches else "origin",
-            "group": i % 4,
-            "status": "in_service",
-            "weight": weight,
-            "since_ms": 0,
-        }
+        build_entry(
+            f"s-{name:08x}",
+            f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}:{CACHE_PORT}",
+            zone=f"z{i % zones}",
+            server_type="std-1c" if i < caches else "origin",
+            group=i % GROUPS,
+            weight=weight,
+        )
         for i, name in enumerate(names.tolist())
     ]
 
 
-def encode_message(index: int, whole: bool, entries: Sequence[dict[str, Any]]) -> bytes:
-    """A list or its changes as discovery words them."""
-    return orjson.dumps({"index": index, "snapshot": whole, "endpoints": entries})
-
-
 class ChangeSequence:
-    """Messages that change one entry each; after every five sorts the list is as it was."""
+    """Changes of random entries; after a round, a change of each kind, the list is as it was."""
 
-    def __init__(self, entries: Sequence[dict[str, Any]], rng: np.random.Generator, rounds: int) -> None:
+    def __init__(
+        self, entries: Sequence[EndpointEntry], rng: np.random.Generator, rounds: int, first_index: int = 2
+    ) -> None:
         self.rng = rng
         self.entries = entries[:-1]  # never the origin
         self.rounds = rounds
-        self.index = 1
+        self.next_index = first_index
         self.restarts = 0
 
-    def __iter__(self) -> Iterator[tuple[str | None, bytes]]:
-        """The sort of each change, None for those that only undo one, and its text."""
+    def __iter__(self) -> Iterator[EndpointChange]:
+        """The changes in order; an index each."""
+        removed = None
         for _ in range(self.rounds):
-            for sort in CHANGES:
+            for kind in ChangeKind:
+                # a join draws as well, so that the entries of a seed stay the same
                 entry = self.entries[int(self.rng.integers(len(self.entries)))]
-                if sort == "drain":
-                    yield sort, self._message(entry, status="terminating")
-                    yield None, self._message(entry)
-                elif sort == "weight":
-                    yield sort, self._message(entry, weight=entry["weight"] / 2)
-                    yield None, self._message(entry)
-                elif sort == "restart":
-                    self.restarts += 1
-                    yield sort, self._message(entry, since_ms=self.restarts)
-                elif sort == "gone":
-                    gone = entry
-                    yield sort, self._message(entry, status="terminated")
-                else:
-                    yield sort, self._message(gone)
-
-    def _message(self, entry: dict[str, Any], **other: Any) -> bytes:
-        self.index += 1
-        return encode_message(self.index, False, [{**entry, **other}])
+                if kind is ChangeKind.GONE:
+                    removed = entry
+                elif kind is ChangeKind.JOIN and removed is not None:
+                    entry = removed
+                yield from self._change(kind, entry)
+
+    def _change(self, kind: ChangeKind, entry: EndpointEntry) -> Iterator[EndpointChange]:
+        """A change of an entry and, where no later change does so, the one that undoes it."""
+        match kind:
+            case ChangeKind.DRAIN:
+                yield self._indexed(kind, {**entry, "status": TERMINATING})
+                yield self._indexed(None, entry)
+            case ChangeKind.GONE:
+                yield self._indexed(kind, {**entry, "status": TERMINATED})
+            case ChangeKind.JOIN:
+                yield self._indexed(kind, entry)
+            case ChangeKind.RESTART:
+                self.restarts += 1
+                yield self._indexed(kind, {**entry, "since_ms": self.restarts})
+            case ChangeKind.WEIGHT:
+                yield self._indexed(kind, {**entry, "weight": entry["weight"] / 2})
+                yield self._indexed(None, entry)
+
+    def _indexed(self, kind: ChangeKind | None, entry: EndpointEntry) -> EndpointChange:
+        index = self.next_index
+        self.next_index += 1
+        return EndpointChange(kind, index, entry)
--- a/scale_experiments/reference_work.py
+++ b/scale_experiments/reference_work.py
@@ -2,8 +2,18 @@
 
 from __future__ import annotations
 
+import os
+import statistics
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
+
+REFERENCE_METRIC = {
+    "reference_cpu_s": "CPU seconds of a fixed piece of work, by which to compare differently busy machines"
+}
+MACHINE_METRICS = {
+    **REFERENCE_METRIC,
+    "load": "processes that wanted a core of this machine in the last minute, at the end of the sample",
+}
 
 
 def thread_cpu_s(work: Callable[..., object], *args: object) -> float:
@@ -17,3 +27,8 @@
     """CPU seconds of a table of 100,000 numbers, filled and sorted: a busy machine makes all work slower."""
     numbers = [i * 2_654_435_761 % 2**32 for i in range(100_000)]
     return thread_cpu_s(lambda: sorted({number: (number, 0.5) for number in numbers}))
+
+
+def machine_metrics(references: Sequence[float]) -> dict[str, float]:
+    """`MACHINE_METRICS` now; `references` are CPU seconds of the reference work during the sample."""
+    return {"load": os.getloadavg()[0], "reference_cpu_s": statistics.fmean(references)}
--- a/scale_experiments/router_process.py
+++ b/scale_experiments/router_process.py
@@ -2,33 +2,150 @@
 
 from __future__ import annotations
 
+import os
 import shutil
+import socket
+import subprocess
+import time
 import tomllib
+from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
+
+import orjson
 
 from scale_experiments.context import ExperimentContext
+from scale_experiments.endpoint_entries import EndpointList
 
 ROOT = Path(__file__).parent.parent
 ROUTER_SOURCES = ("cache_router", "deploy", "requirements.txt")
 BUILD_TIMEOUT_S = 300.0
+CONNECT_TIMEOUT_S = 1.0
+READY_POLL_INTERVAL_S = 0.05
+LOG_EXCERPT_LENGTH = 300  # characters of a log's end in an error
+
+
+class RouterStartError(RuntimeError):
+    """A router that could not be built, or was not ready in time."""
+
+
+@dataclass(slots=True, frozen=True, kw_only=True)
+class RouterConfiguration:
+    """What a router's configuration file says, but for its address."""
+
+    name: str
+    discovery: str  # host:port
+    seed: int
+    memory_mb: int
+    descriptors: int
+    cached_list: EndpointList
+    settings: dict[str, Any]
+
+    def encoded(self, listen: str) -> bytes:
+        """The file's content for a router that listens at host:port."""
+        return orjson.dumps(
+            {
+                "name": self.name,
+                "listen": listen,
+                "discovery": self.discovery,
+                "seed": f"{self.seed:016x}",
+                "limits": {"cores": 1.0, "memory_mb": self.memory_mb, "sockets": self.descriptors},
+                "known": self.cached_list,
+                "settings": self.settings,
+            }
+        )
+
+
+@dataclass(slots=True, frozen=True)
+class RouterProcess:
+    """A router that was started; `address` is host:port."""
+
+    process: subprocess.Popen[bytes]
+    address: str
+    log: Path
 
 
 def build_router(context: ExperimentContext) -> tuple[Path, str]:
-    """A copy of the program in the run's folder, built as deployed, and the command that runs it."""
+    """A copy of the program in the run's folder, built as deployed once a run, and the command that runs it.
+
+    Raises RouterStartError where the build fails, subprocess.TimeoutExpired after `BUILD_TIMEOUT_S`.
+    """
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     folder = context.folder / "router"
     if not folder.exists():
         context.progress("build")
-        folder.mkdir()
-        for name in ROUTER_SOURCES:
-            if (ROOT / name).is_dir():
-                shutil.copytree(ROOT / name, folder / name, ignore=shutil.ignore_patterns("__pycache__"))
-            else:
-                shutil.copy(ROOT / name, folder / name)
-        log = (folder / "build.log").open("wb")
-        with log:
-            process = context.spawn(["/bin/sh", "-c", deploy["build"]], cwd=folder, stdout=log, stderr=log)
-            status = process.wait(min(BUILD_TIMEOUT_S, context.remaining_s()))
-        if status:
-            raise RuntimeError(f"build ended with {status}: {(folder / 'build.log').read_text()[-300:]}")
+        _copy_sources(folder)
+        _run_build(context, folder, deploy["build"])
     return folder, deploy["run"]
+
+
+def _copy_sources(folder: Path) -> None:
+    folder.mkdir()
+    for name in ROUTER_SOURCES:
+        if (ROOT / name).is_dir():
+            shutil.copytree(ROOT / name, folder / name, ignore=shutil.ignore_patterns("__pycache__"))
+        else:
+            shutil.copy(ROOT / name, folder / name)
+
+
+def _run_build(context: ExperimentContext, folder: Path, command: str) -> None:
+    log = folder / "build.log"
+    with log.open("wb") as output:
+        process = context.spawn(["/bin/sh", "-c", command], cwd=folder, stdout=output, stderr=output)
+        status = process.wait(min(BUILD_TIMEOUT_S, context.remaining_s()))
+    if status:
+        raise RouterStartError(f"build ended with {status}: {log.read_text()[-LOG_EXCERPT_LENGTH:]}")
+
+
+def start_router(context: ExperimentContext, configuration: RouterConfiguration, host: str) -> RouterProcess:
+    """Start a router at a free port of `host`, with the limit of descriptors that it is configured with.
+
+    Raises what `build_router` raises.
+    """
+    folder, command = build_router(context)
+    listen = _free_address(host)
+    path = context.folder / f"router-{configuration.name}.json"
+    path.write_bytes(configuration.encoded(listen))
+    variables = {
+        "RELAY_CONFIG": str(path),
+        "RELAY_NAME": configuration.name,
+        "RELAY_LISTEN": listen,
+        "RELAY_DISCOVERY": configuration.discovery,
+    }
+    log = path.with_suffix(".log")
+    with log.open("wb") as output:
+        process = context.spawn(
+            ["/bin/sh", "-c", f"ulimit -n {configuration.descriptors}; {command}"],
+            cwd=folder,
+            env={**os.environ, **variables},
+            stdout=output,
+            stderr=output,
+        )
+    return RouterProcess(process, listen, log)
+
+
+def _free_address(host: str) -> str:
+    with socket.socket() as probe:
+        probe.bind((host, 0))
+        return "{}:{}".format(*probe.getsockname())
+
+
+def wait_until_ready(router: RouterProcess, timeout_s: float) -> None:
+    """Wait until a router answers `+PONG`; raises RouterStartError where it ends or does not in time."""
+    host, _, port = router.address.rpartition(":")
+    deadline = time.monotonic() + timeout_s
+    while time.monotonic() < deadline and router.process.poll() is None:
+        if _answers_ping(host, int(port)):
+            return
+        time.sleep(READY_POLL_INTERVAL_S)
+    excerpt = router.log.read_text(errors="replace")[-LOG_EXCERPT_LENGTH:]
+    raise RouterStartError(f"router at {router.address} is not ready after {timeout_s:g} s: {excerpt}")
+
+
+def _answers_ping(host: str, port: int) -> bool:
+    try:
+        with socket.create_connection((host, port), CONNECT_TIMEOUT_S) as client:
+            client.sendall(b"*1\r\n$4\r\nPING\r\n")
+            return client.recv(64) == b"+PONG\r\n"
+    except OSError:
+        return False
--- a/scale_experiments/scenarios/list_change.py
+++ b/scale_experiments/scenarios/list_change.py
@@ -11,7 +11,7 @@
 import time
 import tracemalloc
 from collections.abc import Iterator, Mapping, Sequence
-from typing import Any
+from dataclasses import dataclass
 
 import numpy as np
 import orjson
@@ -37,14 +37,15 @@
 from cache_router.settings_reader import read_settings
 from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.endpoint_changes import (
-    CHANGES,
     DEFAULT_WEIGHT,
     DEFAULT_ZONES,
+    ChangeKind,
     ChangeSequence,
+    ListChangeSize,
     build_entries,
-    encode_message,
 )
-from scale_experiments.reference_work import measure_reference_cpu_s, thread_cpu_s
+from scale_experiments.endpoint_entries import TERMINATING, EndpointEntry, build_snapshot, encode_list
+from scale_experiments.reference_work import REFERENCE_METRIC, measure_reference_cpu_s, thread_cpu_s
 
 MAX_LATENCY_US = 60_000_000  # that a histogram holds
 
@@ -66,22 +67,12 @@
     )
 
 
-class Size(BaseModel):
+class Size(ListChangeSize):
     """The columns of a size."""
 
-    model_config = ConfigDict(extra="forbid")
-
-    routers: int = Field(
-        default=1, ge=1, le=1_000_000, strict=True, description="siblings, as the settings say"
-    )
-    caches: int = Field(
-        ge=1, le=100_000, strict=True, description="page caches in the list, beside the origin"
-    )
-    changes_per_s: float = Field(ge=0, description="changes of the list a second")
-
 
 METRICS = {
-    **{f"{sort}_cpu_s": f"CPU seconds of Router.handle for one {sort}, mean" for sort in CHANGES},
+    **{f"{kind}_cpu_s": f"CPU seconds of Router.handle for one {kind}, mean" for kind in ChangeKind},
     "change_cpu_s": "CPU seconds of Router.handle for a change of one entry, mean over the five sorts",
     "change_max_cpu_s": "CPU seconds of Router.handle for a change of one entry, the longest seen",
     "request_cpu_s": "CPU seconds of Router.handle for the first request after a change, mean",
@@ -96,7 +87,7 @@
     "router_bytes": "bytes that a Router holds for the list, the entries not counted (tracemalloc)",
     "host_bytes": "bytes that a Dispatcher holds for the list, with router and entries (tracemalloc)",
     "change_peak_bytes": "bytes above that for a moment, while it takes one change (tracemalloc)",
-    "reference_cpu_s": "CPU seconds of a fixed piece of work, by which to compare differently busy machines",
+    **REFERENCE_METRIC,
     "core_share": "share of one core that changes take at changes_per_s, whole path",
     "change_bytes_per_s": "bytes a second that changes bring at changes_per_s, without headers",
 }
@@ -116,17 +107,18 @@
 
 
 def read_endpoints(text: bytes) -> tuple[Endpoint, ...]:
-    """The entries of a message."""
+    """The endpoints of a list in discovery's JSON."""
     return tuple(each.entry for each in read_endpoint_list(orjson.loads(text)).endpoints)
 
 
 class SteppingClock:
-    """The time that a router is told: it only advances."""
+    """The time that a router is given, in seconds; it only advances."""
 
     def __init__(self) -> None:
         self.time = 1e9
 
     def advance(self) -> float:
+        """One second later."""
         self.time += 1.0
         return self.time
 
@@ -139,7 +131,7 @@
 
 
 def deliver(dispatcher: Dispatcher, text: bytes) -> None:
-    """What a watch does with an answer."""
+    """Do what a watch does with a response."""
     update = read_endpoint_list(orjson.loads(text))
     dispatcher.on_endpoint_update(update.update_kind, update.endpoints)
 
@@ -157,87 +149,135 @@
     return spent
 
 
-def measure_router(
-    settings: Settings, entries: Sequence[dict[str, Any]], parameters: Parameters, seed: int
-) -> tuple[dict[str, float], HdrHistogram]:
-    """The decision module alone, told entries that are read already."""
-    whole = read_endpoints(encode_message(1, True, entries))
-    clock = SteppingClock()
-    first, same = [], []
-    router = Router(settings, seed, clock.advance())
-    for _ in range(parameters.whole_lists):
-        router = Router(settings, seed, clock.advance())
-        event = EndpointUpdate(EndpointUpdateKind.SNAPSHOT, whole)
-        first.append(thread_cpu_s(router.handle, clock.advance(), event))
-        same.append(thread_cpu_s(router.handle, clock.advance(), event))
-    spent: dict[str, list[float]] = {sort: [] for sort in CHANGES}
-    requests: list[float] = []
+def cost_histogram(costs: Sequence[float]) -> HdrHistogram:
+    """CPU seconds as microseconds."""
     histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
-    for sort, text in ChangeSequence(entries, np.random.default_rng(seed), parameters.changes):
-        event = EndpointUpdate(EndpointUpdateKind.DELTA, read_endpoints(text))
-        cost = thread_cpu_s(router.handle, clock.advance(), event)
-        requests.append(first_request_cpu_s(router, clock.advance(), len(requests)))
-        if sort is not None:
-            spent[sort].append(cost)
-            histogram.record_value(min(MAX_LATENCY_US, max(1, round(cost * 1e6))))
-    zone = [
-        {**entry, "status": "terminating"} for entry in entries[:-1] if entry["zone"] == entries[0]["zone"]
-    ]
-    lost, back = (
-        read_endpoints(encode_message(1, False, zone)),
-        tuple(e for e in whole if e.zone == whole[0].zone),
-    )
-    zones = []
-    for _ in range(parameters.whole_lists):
-        zones.append(
-            thread_cpu_s(router.handle, clock.advance(), EndpointUpdate(EndpointUpdateKind.DELTA, lost))
-        )
-        router.handle(clock.advance(), EndpointUpdate(EndpointUpdateKind.DELTA, back))
-    means = {f"{sort}_cpu_s": statistics.fmean(costs) for sort, costs in spent.items() if costs}
+    for cost in costs:
+        histogram.record_value(min(MAX_LATENCY_US, max(1, round(cost * 1e6))))
+    return histogram
+
+
+@dataclass(slots=True, frozen=True)
+class ListWorkload:
+    """What one sample feeds a router with: its settings, its list, and how often each is changed."""
+
+    settings: Settings
+    entries: Sequence[EndpointEntry]
+    parameters: Parameters
+    seed: int
+
+    def changes(self) -> ChangeSequence:
+        """The changes of the sample, the same each time."""
+        return self._changes(self.parameters.changes)
+
+    def first_change(self) -> bytes:
+        """The first change, as discovery's JSON."""
+        return next(iter(self._changes(1))).encoded()
+
+    def snapshot(self) -> bytes:
+        """The whole list, as discovery's JSON."""
+        return encode_list(build_snapshot(1, self.entries))
+
+    def _changes(self, rounds: int) -> ChangeSequence:
+        return ChangeSequence(self.entries, np.random.default_rng(self.seed), rounds)
+
+
+def measure_router(workload: ListWorkload) -> tuple[dict[str, float], HdrHistogram]:
+    """The decision module alone, which gets endpoints that are decoded already."""
+    endpoints = read_endpoints(workload.snapshot())
+    clock = SteppingClock()
+    router, snapshot_costs = measure_router_snapshots(workload, endpoints, clock)
+    change_costs, request_costs = measure_router_changes(workload, router, clock)
+    zone_cpu_s = measure_router_zone(workload, endpoints, router, clock)
+    means = {f"{kind}_cpu_s": statistics.fmean(costs) for kind, costs in change_costs.items() if costs}
+    every_cost = [cost for costs in change_costs.values() for cost in costs]
     return {
         **means,
         "change_cpu_s": statistics.fmean(means.values()),
-        "change_max_cpu_s": max(cost for costs in spent.values() for cost in costs),
-        "request_cpu_s": statistics.fmean(requests),
-        "zone_cpu_s": statistics.fmean(zones),
-        "first_list_cpu_s": statistics.fmean(first),
-        "same_list_cpu_s": statistics.fmean(same),
-    }, histogram
-
-
-def measure_path(
-    settings: Settings, entries: Sequence[dict[str, Any]], parameters: Parameters, seed: int
-) -> tuple[dict[str, float], HdrHistogram]:
-    """All that a list costs once its bytes are there: text, entries, table, decision module."""
-    whole = encode_message(1, True, entries)
-    first, same, spent, sizes = [], [], [], []
-    for _ in range(parameters.whole_lists):
-        dispatcher = build_dispatcher(settings, seed)
-        first.append(thread_cpu_s(deliver, dispatcher, whole))
-        same.append(thread_cpu_s(deliver, dispatcher, whole))
-    histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
-    for sort, text in ChangeSequence(entries, np.random.default_rng(seed), parameters.changes):
+        "change_max_cpu_s": max(every_cost),
+        "request_cpu_s": statistics.fmean(request_costs),
+        "zone_cpu_s": zone_cpu_s,
+        **snapshot_costs,
+    }, cost_histogram(every_cost)
+
+
+def measure_router_snapshots(
+    workload: ListWorkload, endpoints: tuple[Endpoint, ...], clock: SteppingClock
+) -> tuple[Router, dict[str, float]]:
+    """A router that has the list; the mean CPU seconds of a first snapshot and of an unchanged one."""
+    snapshot = EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints)
+    first, same = [], []
+    router = Router(workload.settings, workload.seed, clock.advance())
+    for _ in range(workload.parameters.whole_lists):
+        router = Router(workload.settings, workload.seed, clock.advance())
+        first.append(thread_cpu_s(router.handle, clock.advance(), snapshot))
+        same.append(thread_cpu_s(router.handle, clock.advance(), snapshot))
+    means = {"first_list_cpu_s": statistics.fmean(first), "same_list_cpu_s": statistics.fmean(same)}
+    return router, means
+
+
+def measure_router_changes(
+    workload: ListWorkload, router: Router, clock: SteppingClock
+) -> tuple[dict[ChangeKind, list[float]], list[float]]:
+    """CPU seconds of the changes of each kind, and of the first request after each change."""
+    change_costs: dict[ChangeKind, list[float]] = {kind: [] for kind in ChangeKind}
+    request_costs: list[float] = []
+    for change in workload.changes():
+        update = EndpointUpdate(EndpointUpdateKind.DELTA, read_endpoints(change.encoded()))
+        cost = thread_cpu_s(router.handle, clock.advance(), update)
+        request_costs.append(first_request_cpu_s(router, clock.advance(), len(request_costs)))
+        if change.kind is not None:
+            change_costs[change.kind].append(cost)
+    return change_costs, request_costs
+
+
+def measure_router_zone(
+    workload: ListWorkload, endpoints: tuple[Endpoint, ...], router: Router, clock: SteppingClock
+) -> float:
+    """CPU seconds of one update that drains all caches of the first zone, mean; each is undone."""
+    entries = workload.entries
+    zone: list[EndpointEntry] = [
+        {**entry, "status": TERMINATING} for entry in entries[:-1] if entry["zone"] == entries[0]["zone"]
+    ]
+    draining = read_endpoints(encode_list({"index": 1, "snapshot": False, "endpoints": zone}))
+    ready = tuple(endpoint for endpoint in endpoints if endpoint.zone == endpoints[0].zone)
+    costs = []
+    for _ in range(workload.parameters.whole_lists):
+        update = EndpointUpdate(EndpointUpdateKind.DELTA, draining)
+        costs.append(thread_cpu_s(router.handle, clock.advance(), update))
+        router.handle(clock.advance(), EndpointUpdate(EndpointUpdateKind.DELTA, ready))
+    return statistics.fmean(costs)
+
+
+def measure_path(workload: ListWorkload) -> tuple[dict[str, float], HdrHistogram]:
+    """All that a list costs once its bytes are there: JSON, endpoints, table, decision module."""
+    snapshot = workload.snapshot()
+    first, same, costs, sizes = [], [], [], []
+    for _ in range(workload.parameters.whole_lists):
+        dispatcher = build_dispatcher(workload.settings, workload.seed)
+        first.append(thread_cpu_s(deliver, dispatcher, snapshot))
+        same.append(thread_cpu_s(deliver, dispatcher, snapshot))
+    for change in workload.changes():
+        text = change.encoded()
         cost = thread_cpu_s(deliver, dispatcher, text)
-        if sort is not None:
-            spent.append(cost)
+        if change.kind is not None:
+            costs.append(cost)
             sizes.append(len(text))
-            histogram.record_value(min(MAX_LATENCY_US, max(1, round(cost * 1e6))))
     return {
-        "path_change_cpu_s": statistics.fmean(spent),
+        "path_change_cpu_s": statistics.fmean(costs),
         "path_first_list_cpu_s": statistics.fmean(first),
         "path_same_list_cpu_s": statistics.fmean(same),
         "change_bytes": statistics.fmean(sizes),
-        "whole_list_bytes": float(len(whole)),
-    }, histogram
+        "whole_list_bytes": float(len(snapshot)),
+    }, cost_histogram(costs)
 
 
-def measure_memory(
-    settings: Settings, entries: Sequence[dict[str, Any]], parameters: Parameters, seed: int
-) -> dict[str, float]:
+def measure_memory(workload: ListWorkload) -> dict[str, float]:
     """What the interpreter allocates, with every allocation traced; nothing is timed meanwhile."""
-    whole = encode_message(1, True, entries)
-    endpoints = read_endpoints(whole)
-    change = next(text for _, text in ChangeSequence(entries, np.random.default_rng(seed), 1))
+    settings, seed = workload.settings, workload.seed
+    snapshot = workload.snapshot()
+    endpoints = read_endpoints(snapshot)
+    change = workload.first_change()
     tracemalloc.start()
     try:
         before = traced_bytes()
@@ -247,8 +287,8 @@
         del router
         before = traced_bytes()
         dispatcher = build_dispatcher(settings, seed)
-        deliver(dispatcher, whole)
-        host_bytes = traced_bytes() - before
+        deliver(dispatcher, snapshot)
+        dispatcher_bytes = traced_bytes() - before
         before = traced_bytes()
         tracemalloc.reset_peak()
         deliver(dispatcher, change)
@@ -257,7 +297,7 @@
         tracemalloc.stop()
     return {
         "router_bytes": float(router_bytes),
-        "host_bytes": float(host_bytes),
+        "host_bytes": float(dispatcher_bytes),
         "change_peak_bytes": float(peak),
     }
 
@@ -272,23 +312,25 @@
     parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
 ) -> Iterator[Sample]:
     """One sample; CPU seconds are of this thread alone, so that a busy machine adds little to them."""
-    caches, changes_per_s = int(size["caches"]), float(size["changes_per_s"])
-    settings = build_settings(int(size.get("routers", 1)))
-    entries = build_entries(caches, parameters.zones, parameters.weight, np.random.default_rng(seed))
+    changes_per_s = float(size["changes_per_s"])
+    entries = build_entries(
+        int(size["caches"]), parameters.zones, parameters.weight, np.random.default_rng(seed)
+    )
+    workload = ListWorkload(build_settings(int(size.get("routers", 1))), entries, parameters, seed)
     gc.collect()
-    gc.freeze()  # what the rig itself holds is not a router's to collect
+    gc.freeze()  # objects of the experiment are not a router's to collect
     try:
         references = [measure_reference_cpu_s()]
         context.progress("decision module")
-        metrics, change = measure_router(settings, entries, parameters, seed)
+        metrics, change_costs = measure_router(workload)
         context.progress("whole path")
-        more, path = measure_path(settings, entries, parameters, seed)
+        path_metrics, path_costs = measure_path(workload)
         references.append(measure_reference_cpu_s())
         context.progress("memory")
-        metrics |= more | measure_memory(settings, entries, parameters, seed)
+        metrics |= path_metrics | measure_memory(workload)
     finally:
         gc.unfreeze()
     metrics["reference_cpu_s"] = statistics.fmean(references)
     metrics["core_share"] = changes_per_s * metrics["path_change_cpu_s"]
     metrics["change_bytes_per_s"] = changes_per_s * metrics["change_bytes"]
-    yield Sample(metrics, {"change_us": change, "path_change_us": path})
+    yield Sample(metrics, {"change_us": change_costs, "path_change_us": path_costs})
--- a/scale_experiments/scenarios/list_change_process.py
+++ b/scale_experiments/scenarios/list_change_process.py
@@ -6,23 +6,19 @@
 
 from __future__ import annotations
 
-import os
-import socket
 import statistics
-import subprocess
-import sys
 import time
-from collections.abc import Iterator, Mapping
-from typing import Any
+from collections.abc import Iterator, Mapping, Sequence
+from dataclasses import dataclass
 
 import numpy as np
-import orjson
 import psutil
 from pydantic import BaseModel, ConfigDict, Field
 
 from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.cpu import process_cpu_s
 from scale_experiments.emulators.control import ControlClient
+from scale_experiments.emulators.launch import DISCOVERY_MODULE, start_emulator
 from scale_experiments.emulators.messages.discovery import (
     ChangeList,
     DiscoveryStats,
@@ -30,15 +26,27 @@
     Listening,
     ReplaceList,
 )
-from scale_experiments.endpoint_changes import DEFAULT_WEIGHT, DEFAULT_ZONES, ChangeSequence, build_entries
-from scale_experiments.reference_work import measure_reference_cpu_s
-from scale_experiments.router_process import build_router
-from scale_experiments.scenarios import list_change
+from scale_experiments.endpoint_changes import (
+    DEFAULT_WEIGHT,
+    DEFAULT_ZONES,
+    ChangeSequence,
+    EndpointChange,
+    ListChangeSize,
+    build_entries,
+)
+from scale_experiments.endpoint_entries import EndpointEntry, build_snapshot
+from scale_experiments.reference_work import REFERENCE_METRIC, measure_reference_cpu_s
+from scale_experiments.router_process import (
+    RouterConfiguration,
+    RouterProcess,
+    start_router,
+    wait_until_ready,
+)
 
 READY_TIMEOUT_S = 60.0
-POLL_TIMEOUT_S = 30.0  # for a router to take a change and ask for the next
+POLL_TIMEOUT_S = 30.0  # for a router to apply a change and poll for the next
 POLL_INTERVAL_S = 0.005
-REPLY_TIMEOUT_S = 30.0
+FIRST_INDEX = 2  # of discovery's list; the router has the one before from its configuration
 
 
 class Parameters(BaseModel):
@@ -54,18 +62,12 @@
     sockets: int = Field(default=1024, ge=64, description="descriptors that the router may hold")
 
 
-class Size(BaseModel):
+class Size(ListChangeSize):
     """The columns of a size."""
 
-    model_config = ConfigDict(extra="forbid")
-
     routers: int = Field(
         default=1, ge=1, strict=True, description="siblings, as the settings say; one is run"
     )
-    caches: int = Field(
-        ge=1, le=100_000, strict=True, description="page caches in the list, beside the origin"
-    )
-    changes_per_s: float = Field(ge=0, description="changes of the list a second")
 
 
 METRICS = {
@@ -80,7 +82,7 @@
     "quiet_bytes_per_s": "bytes in both directions without any change, headers counted, TCP's not",
     "bytes_per_s": "bytes in both directions at changes_per_s, headers counted, TCP's not",
     "first_list_bytes": "bytes to the router until it is ready, headers counted, TCP's not",
-    "reference_cpu_s": list_change.METRICS["reference_cpu_s"],
+    **REFERENCE_METRIC,
 }
 SETTINGS = {
     "classes": [{"name": "page-read", "aim": 0.3, "giveUp": 1.2, "effect": "free"}],
@@ -91,125 +93,143 @@
 }
 
 
-def start_router(
-    context: ExperimentContext, parameters: Parameters, configuration: dict[str, Any]
-) -> subprocess.Popen[bytes]:
-    """A router that has answered `+PONG`; `configuration` is the rest of its configuration.
+def wait_until_polled(discovery: ControlClient) -> DiscoveryStats:
+    """Wait until the router has the latest change and polls for the next; returns discovery's counts then.
 
-    Raises RuntimeError where it is not ready in time.
+    Raises RuntimeError after `POLL_TIMEOUT_S`.
     """
-    folder, command = build_router(context)
-    with socket.socket() as probe:  # a port that is free now
-        probe.bind(("127.0.0.1", 0))
-        listen = probe.getsockname()
-    config = {
-        "name": "n0",
-        "listen": "{}:{}".format(*listen),
-        "limits": {"cores": 1.0, "memory_mb": parameters.memory_mb, "sockets": parameters.sockets},
-        **configuration,
-    }
-    path = context.folder / "router.json"
-    path.write_bytes(orjson.dumps(config))
-    log = context.folder / "router.log"
-    with log.open("wb") as output:
-        process = context.spawn(
-            ["/bin/sh", "-c", f"ulimit -n {parameters.sockets}; {command}"],
-            cwd=folder,
-            env={**os.environ, "RELAY_CONFIG": str(path)},
-            stdout=output,
-            stderr=output,
-        )
-    deadline = time.monotonic() + READY_TIMEOUT_S
-    while time.monotonic() < deadline and process.poll() is None:
-        try:
-            with socket.create_connection(listen, 1.0) as client:
-                client.sendall(b"*1\r\n$4\r\nPING\r\n")
-                if client.recv(64) == b"+PONG\r\n":
-                    return process
-        except OSError:
-            pass
-        time.sleep(0.05)
-    raise RuntimeError(f"the router is not ready: {log.read_text(errors='replace')[-300:]}")
-
-
-def wait_until_polled(discovery: ControlClient) -> DiscoveryStats:
-    """Wait until the router has the latest change, and waits for the next; discovery's counts then."""
     deadline = time.monotonic() + POLL_TIMEOUT_S
     while time.monotonic() < deadline:
         stats = discovery.request(GetDiscoveryStats())
         if stats.waiting == 1 and stats.open == 1:
             return stats
         time.sleep(POLL_INTERVAL_S)
-    raise RuntimeError(f"the router has not asked again within {POLL_TIMEOUT_S:g} s: {stats}")
+    raise RuntimeError(f"the router has not polled again within {POLL_TIMEOUT_S:g} s: {stats}")
+
+
+@dataclass(slots=True, frozen=True)
+class RouterUsage:
+    """What a router has used since its start, CPU seconds and bytes of HTTP, at a time."""
+
+    at: float
+    cpu_s: float
+    bytes_in: int
+    bytes_out: int
+
+
+class WatchingRouter:
+    """One router, and the discovery that it watches."""
+
+    def __init__(self, discovery: ControlClient, router: RouterProcess) -> None:
+        self.discovery = discovery
+        self.router = router
+
+    def usage(self) -> RouterUsage:
+        """What the router has used once it has the latest change and polls for the next."""
+        stats = wait_until_polled(self.discovery)
+        cpu_s = process_cpu_s(self.router.process.pid)
+        # what discovery has received, the router has sent
+        return RouterUsage(stats.at, cpu_s, bytes_in=stats.bytes_out, bytes_out=stats.bytes_in)
+
+    def resident_bytes(self) -> float:
+        """Resident memory of the router now."""
+        return float(psutil.Process(self.router.process.pid).memory_info().rss)
+
+    def apply(self, change: EndpointChange) -> None:
+        """Change the list, and wait until the router polls for the next change."""
+        self.discovery.request(ChangeList(change.index, [change.entry]))
+        wait_until_polled(self.discovery)
+
+
+def start(
+    parameters: Parameters,
+    size: Mapping[str, float],
+    seed: int,
+    entries: Sequence[EndpointEntry],
+    context: ExperimentContext,
+) -> WatchingRouter:
+    """Start discovery and a router with these entries.
+
+    Raises ControlError, OSError or RouterStartError where one of them does not start.
+    """
+    discovery = start_emulator(context, "discovery", DISCOVERY_MODULE, "127.0.0.1:0")
+    address = discovery.receive(Listening).address
+    discovery.request(ReplaceList(FIRST_INDEX, entries))
+    configuration = RouterConfiguration(
+        name="n0",
+        discovery=address,
+        seed=seed,
+        memory_mb=parameters.memory_mb,
+        descriptors=parameters.sockets,
+        cached_list=build_snapshot(FIRST_INDEX - 1, entries),
+        settings={**SETTINGS, "siblings": int(size.get("routers", 1))},
+    )
+    router = start_router(context, configuration, "127.0.0.1")
+    wait_until_ready(router, READY_TIMEOUT_S)
+    return WatchingRouter(discovery, router)
+
+
+def measure_changes(watching: WatchingRouter, changes: ChangeSequence) -> tuple[RouterUsage, int]:
+    """Apply all changes; returns the usage after the last, and how many there were.
+
+    Each comes before the poll is over that waits for it, so that no poll without a change is among what they
+    cost. Those that only undo one are counted as well.
+    """
+    count = 0
+    for change in changes:
+        watching.apply(change)
+        count += 1
+    return watching.usage(), count
+
+
+def compute_metrics(
+    start: RouterUsage, quiet: RouterUsage, changed: RouterUsage, changes: int, changes_per_s: float
+) -> dict[str, float]:
+    """Metrics of the router's usage after its start, a time without changes, and so many changes."""
+    seconds = quiet.at - start.at
+    quiet_share = (quiet.cpu_s - start.cpu_s) / seconds
+    quiet_bytes = (quiet.bytes_in - start.bytes_in + quiet.bytes_out - start.bytes_out) / seconds
+    change_cpu_s = (changed.cpu_s - quiet.cpu_s) / changes
+    change_out = (changed.bytes_out - quiet.bytes_out) / changes
+    change_in = (changed.bytes_in - quiet.bytes_in) / changes
+    return {
+        "start_cpu_s": start.cpu_s,
+        "process_change_cpu_s": change_cpu_s,
+        "quiet_core_share": quiet_share,
+        "core_share": quiet_share + changes_per_s * change_cpu_s,
+        "change_in_bytes": change_in,
+        "change_out_bytes": change_out,
+        "quiet_bytes_per_s": quiet_bytes,
+        "bytes_per_s": quiet_bytes + changes_per_s * (change_in + change_out),
+        "first_list_bytes": float(start.bytes_in),
+    }
 
 
 def measure(
     parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
 ) -> Iterator[Sample]:
-    """One sample; CPU seconds are the router's alone. Raises RuntimeError where it does not start or hear."""
-    changes_per_s = float(size["changes_per_s"])
+    """One sample; CPU seconds are the router's alone.
+
+    Raises what `start` raises, and RuntimeError where the router does not take a change.
+    """
     rng = np.random.default_rng(seed)
     entries = build_entries(int(size["caches"]), DEFAULT_ZONES, DEFAULT_WEIGHT, rng)
     references = [measure_reference_cpu_s()]
     context.progress("start")
-    pipes = {"stdin": subprocess.PIPE, "stdout": subprocess.PIPE}
-    emulator = context.spawn(
-        [sys.executable, "-m", "scale_experiments.emulators.discovery", "127.0.0.1:0"], **pipes
-    )
-    discovery = ControlClient(emulator, "discovery", REPLY_TIMEOUT_S)
-    address = discovery.receive(Listening).address
-    discovery.request(ReplaceList(2, entries))
-    cached_list = {"index": 1, "snapshot": True, "endpoints": entries}
-    configuration = {
-        "discovery": address,
-        "seed": f"{seed:016x}",
-        "known": cached_list,
-        "settings": {**SETTINGS, "siblings": int(size.get("routers", 1))},
-    }
-    router = start_router(context, parameters, configuration)
-    started = wait_until_polled(discovery)
-    start_cpu_s = process_cpu_s(router.pid)
-    resident = psutil.Process(router.pid).memory_info().rss
-
+    watching = start(parameters, size, seed, entries, context)
+    started = watching.usage()
+    resident_bytes = watching.resident_bytes()
     context.progress("quiet")
-    before, cpu_before = started, start_cpu_s
     time.sleep(parameters.quiet_s)
-    after, cpu_after = wait_until_polled(discovery), process_cpu_s(router.pid)
-    seconds = after.at - before.at
-    quiet_cpu = (cpu_after - cpu_before) / seconds
-    quiet_bytes = (after.bytes_in - before.bytes_in + after.bytes_out - before.bytes_out) / seconds
-
+    quiet = watching.usage()
     context.progress("changes")
-    # each comes before the call is over that waits for it, so that nothing of quiet is among what they cost;
-    # those that only undo one are counted as well
-    count = 0
-    before, cpu_before = after, cpu_after
-    for index, (_, text) in enumerate(ChangeSequence(entries, rng, parameters.changes), 3):
-        discovery.request(ChangeList(index, orjson.loads(text)["endpoints"]))
-        after = wait_until_polled(discovery)
-        count += 1
-    cpu_after = process_cpu_s(router.pid)
-    change_cpu = (cpu_after - cpu_before) / count
-    # discovery's bytes in are the router's out
-    change_out = (after.bytes_in - before.bytes_in) / count
-    change_in = (after.bytes_out - before.bytes_out) / count
-    most_resident = psutil.Process(router.pid).memory_info().rss
+    changes = ChangeSequence(entries, rng, parameters.changes, first_index=FIRST_INDEX + 1)
+    changed, count = measure_changes(watching, changes)
+    metrics = compute_metrics(started, quiet, changed, count, float(size["changes_per_s"]))
+    metrics["resident_bytes"] = resident_bytes
+    metrics["most_resident_bytes"] = watching.resident_bytes()
     references.append(measure_reference_cpu_s())
-    context.stop(router)
-    context.stop(emulator)
-    yield Sample(
-        {
-            "start_cpu_s": start_cpu_s,
-            "process_change_cpu_s": change_cpu,
-            "quiet_core_share": quiet_cpu,
-            "core_share": quiet_cpu + changes_per_s * change_cpu,
-            "resident_bytes": float(resident),
-            "most_resident_bytes": float(most_resident),
-            "change_in_bytes": change_in,
-            "change_out_bytes": change_out,
-            "quiet_bytes_per_s": quiet_bytes,
-            "bytes_per_s": quiet_bytes + changes_per_s * (change_in + change_out),
-            "first_list_bytes": float(started.bytes_out),
-            "reference_cpu_s": statistics.fmean(references),
-        }
-    )
+    context.stop(watching.router.process)
+    context.stop(watching.discovery.process)
+    metrics["reference_cpu_s"] = statistics.fmean(references)
+    yield Sample({name: metrics[name] for name in METRICS})
--- /dev/null
+++ b/scale_experiments/watch_fleet.py
@@ -0,0 +1,228 @@
+"""A fleet of hollow routers that watch discovery, each a process or many to a process."""
+
+from __future__ import annotations
+
+import subprocess
+import time
+from collections.abc import Sequence
+from dataclasses import dataclass, fields
+from typing import Any, Literal
+
+from scale_experiments.context import ExperimentContext
+from scale_experiments.emulators.control import ControlClient, request_all
+from scale_experiments.emulators.launch import DISCOVERY_MODULE, HOLLOW_ROUTERS_MODULE, start_emulator
+from scale_experiments.emulators.messages.common import Done
+from scale_experiments.emulators.messages.discovery import (
+    ChangeList,
+    DiscoveryStats,
+    GetDiscoveryStats,
+    Listening,
+    ReplaceList,
+)
+from scale_experiments.emulators.messages.routers import (
+    GetRoutersStats,
+    GetUpdateTimes,
+    HollowMode,
+    RoutersStats,
+    StartRouters,
+)
+from scale_experiments.endpoint_entries import IN_SERVICE, TERMINATING, build_loopback_entries, build_snapshot
+
+POLL_INTERVAL_S = 0.25
+REPLY_TIMEOUT_S = 90.0  # of a process that is busy with some thousand routers
+SETTLING_S = 1.0  # after the last router's start
+CACHE_NETWORK = "127.1"
+SEEDS_PER_SAMPLE = 1_000_000
+SEEDS_PER_PROCESS = 100_000
+
+SubscriptionMode = Literal["asked", "pushed"]  # lists are asked for by routers, or pushed to all
+
+
+@dataclass(slots=True, frozen=True, kw_only=True)
+class WatchFleetOptions:
+    """How many of what; `real_mode` is what routers with the program's own watch store of a list."""
+
+    routers: int
+    real_routers: int  # at most; all in one process
+    hollow_processes: int  # for the other routers
+    discoveries: int
+    caches: int
+    zones: int
+    real_mode: HollowMode
+    spread_s: float  # within which all routers start
+    seed: int
+
+
+@dataclass(slots=True, frozen=True, kw_only=True)
+class FleetUsage:
+    """What each role has used at a time: counts, CPU seconds and bytes, summed over its processes.
+
+    Discovery's figures have no prefix.
+    """
+
+    at: float  # in a difference: the seconds between
+    polls: float
+    connections: float
+    bytes_in: float
+    bytes_out: float
+    cpu_s: float
+    resident_bytes: float
+    descriptors: float
+    real_cpu_s: float
+    real_resident_bytes: float
+    light_cpu_s: float
+
+    def since(self, earlier: FleetUsage) -> FleetUsage:
+        """What was used from an earlier moment to this one."""
+        return FleetUsage(
+            **{each.name: getattr(self, each.name) - getattr(earlier, each.name) for each in fields(self)}
+        )
+
+
+def build_settings(mode: SubscriptionMode, routers: int) -> dict[str, Any]:
+    """Settings with the times of the customers' sites."""
+    return {
+        "classes": [{"name": "read", "aim": 0.5, "giveUp": 2.0, "effect": "free"}],
+        "membershipMode": "subscribe" if mode == "asked" else "automatic",
+        "siblings": routers,
+        "rules": {"rampTime": 10.0, "overloadFor": 1.0, "stopSendingWithin": 0.5},
+    }
+
+
+class WatchFleet:
+    """Discovery, and the routers that watch it; all methods raise ControlError where a process has ended."""
+
+    def __init__(self, options: WatchFleetOptions, context: ExperimentContext) -> None:
+        self.options = options
+        self.context = context
+        zones = [f"z{zone}" for zone in range(options.zones)]
+        self.entries = build_loopback_entries(options.caches, CACHE_NETWORK, zones, "m2")
+        self.index = 1
+        self.changed_at: dict[int, float] = {}  # of each index, at the first process of discovery
+        self.processes: list[subprocess.Popen[bytes]] = []
+        self.discoveries: list[ControlClient] = []
+        self.real: list[ControlClient] = []
+        self.light: list[ControlClient] = []
+
+    @property
+    def real_routers(self) -> int:
+        """How many routers have the program's own watch."""
+        return min(self.options.real_routers, self.options.routers)
+
+    @property
+    def light_routers(self) -> int:
+        """How many routers only send the same polls."""
+        return self.options.routers - self.real_routers
+
+    def start(self, mode: SubscriptionMode) -> None:
+        """Start all, spread over the time for which a poll waits, so that their polls don't come in step."""
+        self.discoveries = [
+            self._start_emulator("discovery", DISCOVERY_MODULE, f"127.0.1.{number + 1}:0")
+            for number in range(self.options.discoveries)
+        ]
+        addresses = [client.receive(Listening).address for client in self.discoveries]
+        request_all(self.discoveries, ReplaceList(self.index, self.entries))
+        counts = self._routers_per_process()
+        processes = [self._start_emulator("routers", HOLLOW_ROUTERS_MODULE) for _ in counts]
+        self.real, self.light = processes[:1], processes[1:]
+        for number, (process, routers) in enumerate(zip(processes, counts, strict=True)):
+            process.send(self._start_command(number, routers, addresses, mode))
+        for process in processes:
+            process.receive(Done)
+        time.sleep(self.options.spread_s + SETTLING_S)
+
+    def _start_emulator(self, name: str, module: str, *arguments: str) -> ControlClient:
+        client = start_emulator(self.context, name, module, *arguments, reply_timeout_s=REPLY_TIMEOUT_S)
+        self.processes.append(client.process)
+        return client
+
+    def _routers_per_process(self) -> list[int]:
+        """The real routers, and the others spread evenly over their processes."""
+        processes = self.options.hollow_processes if self.light_routers else 0
+        light = [
+            self.light_routers // processes + (number < self.light_routers % processes)
+            for number in range(processes)
+        ]
+        return [self.real_routers, *light]
+
+    def _start_command(
+        self, number: int, routers: int, addresses: list[str], mode: SubscriptionMode
+    ) -> StartRouters:
+        first = number % len(addresses)
+        return StartRouters(
+            routers=routers,
+            seed=self.options.seed * SEEDS_PER_SAMPLE + number * SEEDS_PER_PROCESS,
+            mode=self.options.real_mode if number == 0 else "index",
+            discovery=addresses[first:] + addresses[:first],
+            settings=build_settings(mode, self.options.routers),
+            cached_list=build_snapshot(self.index, self.entries),
+            spread_s=self.options.spread_s,
+        )
+
+    def stop(self) -> None:
+        """End all, so that the next mode starts anew."""
+        for process in self.processes:
+            self.context.stop(process)
+        self.processes.clear()
+
+    def change(self) -> None:
+        """Change one entry: it is terminating, or in service again."""
+        self.index += 1
+        entry = self.entries[self.index // 2 % len(self.entries)]
+        entry["status"] = TERMINATING if self.index % 2 else IN_SERVICE
+        changed = request_all(self.discoveries, ChangeList(self.index, [entry]))
+        self.changed_at[self.index] = min(reply.at for reply in changed)
+
+    def wait_until_notified(self, timeout_s: float) -> None:
+        """Wait until all routers have the latest change, and no longer than that."""
+        deadline = time.monotonic() + timeout_s
+        while time.monotonic() < deadline and not self.context.expired():
+            if min(stats.lowest_index for stats in self._router_stats()) >= self.index:
+                return
+            time.sleep(POLL_INTERVAL_S)
+
+    def notification_delays(self, index: int, since: float) -> tuple[list[float], int]:
+        """Seconds after `since` at which routers had an index, sorted; and how many did not have it."""
+        replies = request_all([*self.real, *self.light], GetUpdateTimes(index))
+        times = [each for reply in replies for each in reply.times]
+        delays = sorted(max(0.0, each - since) for each in times if each is not None)
+        return delays, len(times) - len(delays)
+
+    def polls_since(self, started_at: float) -> dict[float, float]:
+        """Polls at discovery in each bucket of time, a tenth of a second, by its number."""
+        counts: dict[float, float] = {}
+        for stats in self.discovery_stats():
+            for bucket, polls in stats.polls_over_time:
+                if (bucket + 1) * stats.bucket_s > started_at:
+                    counts[bucket] = counts.get(bucket, 0.0) + polls
+        return counts
+
+    def notification_s(self) -> float:
+        """Seconds from the latest change until discovery had written it to all that waited."""
+        return max(stats.notification_s for stats in self.discovery_stats())
+
+    def usage(self) -> FleetUsage:
+        """Counts and usage now."""
+        discovery = self.discovery_stats()
+        real = request_all(self.real, GetRoutersStats())
+        light = request_all(self.light, GetRoutersStats())
+        return FleetUsage(
+            at=discovery[0].at,
+            polls=sum(stats.polls for stats in discovery),
+            connections=sum(stats.connections for stats in discovery),
+            bytes_in=sum(stats.bytes_in for stats in discovery),
+            bytes_out=sum(stats.bytes_out for stats in discovery),
+            cpu_s=sum(stats.cpu_s for stats in discovery),
+            resident_bytes=sum(stats.resident_bytes for stats in discovery),
+            descriptors=sum(stats.descriptors for stats in discovery),
+            real_cpu_s=sum(stats.cpu_s for stats in real),
+            real_resident_bytes=sum(stats.resident_bytes for stats in real),
+            light_cpu_s=sum(stats.cpu_s for stats in light),
+        )
+
+    def discovery_stats(self) -> list[DiscoveryStats]:
+        """The counts of each process of discovery."""
+        return request_all(self.discoveries, GetDiscoveryStats())
+
+    def _router_stats(self) -> Sequence[RoutersStats]:
+        return request_all([*self.real, *self.light], GetRoutersStats())
