--- a/scale_experiments/scenarios/cold_start.py
+++ b/scale_experiments/scenarios/cold_start.py
@@ -1,8 +1,8 @@
 """One page cache starts cold, and all routers together may send it only so much.
 
-The cache goes, its place is taken by others, and it comes back empty; each router is told at its own time.
-What then reaches it, in every window of the settings' length, is set against its budget. All routers of the
-fleet are run, and each cache's rate of requests is the same at all sizes.
+The cache goes, others take its keys, and it comes back empty; each router is notified at its own time. What
+then reaches it, in every window of the settings' length, is set against its budget. All routers of the fleet
+are run, and each cache's rate of requests is the same at all sizes.
 """
 
 from __future__ import annotations
@@ -14,12 +14,18 @@
 
 from cache_router.endpoint import EndpointState
 from scale_experiments.context import ExperimentContext, Sample
+from scale_experiments.fleet_run import complete_sample, run_fleet
+from scale_experiments.simulation.cache_server import CacheServer
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.key_placement import place_keys
 from scale_experiments.simulation.model import FleetModel, site_settings
 from scale_experiments.simulation.slow_start import capacity_within
 from scale_experiments.simulation.statistics import CountedEvent
 
+MOST_POPULAR_KEY = "page:0"
+REMOVAL_NOTICE_S = 0.5  # from the removal until the first router is notified
+WARM_WINDOWS = 2  # windows of the settings after the slow start, in which the cache's share is measured
+
 SIZES = ("routers", "caches", "cores")
 METRICS = {
     "requests_per_s": "first tries of clients in the whole fleet",
@@ -58,7 +64,7 @@
 
 
 def build_fleet(parameters: Parameters, size: Mapping[str, float], seed: int) -> Fleet:
-    """The fleet at rest."""
+    """The fleet of a size, before its first request."""
     routers, caches, cores = int(size["routers"]), int(size["caches"]), int(size["cores"])
     unloaded = FleetModel(routers, caches, 1.0)
     rate = unloaded.rate_at_utilization(parameters.use_share, cores)
@@ -78,58 +84,89 @@
     return Fleet(site_settings(hedging_allowed=parameters.second_copies), model, seed)
 
 
-def measure(
-    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
-) -> Iterator[Sample]:
-    """One sample: `size` has routers, caches and the cores of a cache."""
-    fleet = build_fleet(parameters, size, seed)
-    hottest = parameters.watched == "hottest"
-    endpoints = [c.endpoint for c in fleet.caches.values()]
-    name = next(place_keys(fleet.settings, endpoints, ["page:0"])) if hottest else endpoints[0].name
-    cache = fleet.caches[name]
-    if not fleet.run(parameters.warm_s, context.expired):
-        return
-    context.progress("the cache goes")
+def select_cache(fleet: Fleet, parameters: Parameters) -> CacheServer:
+    """The cache that is watched: the one that holds the most popular key, or the first."""
+    endpoints = [cache.endpoint for cache in fleet.caches.values()]
+    name = endpoints[0].name
+    if parameters.watched == "hottest":
+        name = next(place_keys(fleet.settings, endpoints, [MOST_POPULAR_KEY]))
+    return fleet.caches[name]
+
+
+def remove_cache(fleet: Fleet, cache: CacheServer, parameters: Parameters) -> None:
+    """Shut the cache down, and have all routers notified."""
+    name = cache.endpoint.name
     fleet.fail_servers([name], is_silent=False)
-    fleet.notify_all([name], EndpointState.REMOVED, 0.5, parameters.spread_s)
-    if not fleet.run(parameters.absent_s, context.expired):
-        return
-    context.progress("the cache starts")
+    fleet.notify_all([name], EndpointState.REMOVED, REMOVAL_NOTICE_S, parameters.spread_s)
+
+
+def restore_cache(fleet: Fleet, cache: CacheServer, parameters: Parameters) -> None:
+    """Start the cache empty, begin to count, and have all routers notified; some of them restart."""
+    name = cache.endpoint.name
     fleet.restore_servers([name])
     cache.arrivals = []
     fleet.reset()
     fleet.notify_all([name], EndpointState.READY, parameters.notice_s, parameters.spread_s)
-    settings = fleet.settings
     if parameters.restarted_share:
-        # with the list as it is now: a new process is told it before its first request
+        # with the list as it is now: a new process gets it before its first request
         restarted = fleet.routers[: round(parameters.restarted_share * len(fleet.routers))]
         fleet.restart_routers(restarted, parameters.notice_s, parameters.spread_s)
-    if not fleet.run(settings.slow_start_duration, context.expired):
-        return
-    counts = dict(fleet.statistics.counts)
-    shares = fleet.statistics.served_share()
-    received = list(cache.arrivals)
-    retries = cache.received_retries
-    for each in fleet.caches.values():
-        each.received = 0
-    if not fleet.run(settings.overload_window * 2, context.expired):
-        return
+
+
+def slow_start_metrics(fleet: Fleet, cache: CacheServer) -> dict[str, float]:
+    """What has happened since the cache started."""
+    counts = fleet.statistics.counts
+    requests = max(1, counts[CountedEvent.REQUEST])
+    received = len(cache.arrivals or ())
+    return {
+        "received": received,
+        "received_again_share": cache.received_retries / max(1, received),
+        "served_share": fleet.statistics.served_share(),
+        "attempts_per_request": counts[CountedEvent.ATTEMPT] / requests,
+        "tries_per_wish": counts[CountedEvent.REQUEST] / max(1, counts[CountedEvent.CLIENT_REQUEST]),
+        "origin_per_request": counts[CountedEvent.ORIGIN_ATTEMPT] / requests,
+    }
+
+
+def budget_metrics(fleet: Fleet, cache: CacheServer) -> dict[str, float]:
+    """How far the cache's budget was used in the windows since its start."""
+    settings = fleet.settings
     use = fleet.budget_use(cache)
     first_capacity = capacity_within(settings, fleet.model, 0.0, settings.overload_window)
-    mean = sum(c.received for c in fleet.caches.values()) / len(fleet.caches)
-    requests = max(1, counts[CountedEvent.REQUEST])
-    yield Sample(
-        {
-            "requests_per_s": fleet.model.requests_per_s * fleet.model.routers,
-            "budget_share": use.strict,
-            "budget_slack_share": use.with_slack,
-            "budget_first_count": settings.overload_multiple * first_capacity,
-            "received": len(received),
-            "received_again_share": retries / max(1, len(received)),
-            "fair_share": cache.received / max(1e-9, mean),
-            "served_share": shares,
-            "attempts_per_request": counts[CountedEvent.ATTEMPT] / requests,
-            "tries_per_wish": counts[CountedEvent.REQUEST] / max(1, counts[CountedEvent.CLIENT_REQUEST]),
-            "origin_per_request": counts[CountedEvent.ORIGIN_ATTEMPT] / requests,
-        }
-    )
+    return {
+        "budget_share": use.strict,
+        "budget_slack_share": use.with_slack,
+        "budget_first_count": settings.overload_multiple * first_capacity,
+    }
+
+
+def measure_sample(
+    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+) -> Sample:
+    """Warm up, remove the cache, start it cold, and wait until some windows after its slow start."""
+    fleet = build_fleet(parameters, size, seed)
+    cache = select_cache(fleet, parameters)
+    settings = fleet.settings
+    run_fleet(fleet, parameters.warm_s, context)
+    context.progress("the cache goes")
+    remove_cache(fleet, cache, parameters)
+    run_fleet(fleet, parameters.absent_s, context)
+    context.progress("the cache starts")
+    restore_cache(fleet, cache, parameters)
+    run_fleet(fleet, settings.slow_start_duration, context)
+    metrics = {"requests_per_s": fleet.model.requests_per_s * fleet.model.routers}
+    metrics |= slow_start_metrics(fleet, cache)
+    for each in fleet.caches.values():
+        each.received = 0
+    run_fleet(fleet, settings.overload_window * WARM_WINDOWS, context)
+    mean_received = sum(each.received for each in fleet.caches.values()) / len(fleet.caches)
+    metrics["fair_share"] = cache.received / max(1e-9, mean_received)
+    metrics |= budget_metrics(fleet, cache)
+    return Sample({name: metrics[name] for name in METRICS})
+
+
+def measure(
+    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+) -> Iterator[Sample]:
+    """One sample: `size` has routers, caches and the cores of a cache."""
+    yield from complete_sample(lambda: measure_sample(parameters, size, seed, context))
--- a/scale_experiments/scenarios/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -1,8 +1,8 @@
 """Connections and handshakes between routers and page caches, by instances of the decision module.
 
-The fleet is at rest: no cache comes or goes, and none is short of room. A sample of the routers is run; what
-a cache holds of it is scaled up to the fleet (`routers_run` against `routers` tells by how much). The worst
-cache's figures then hold the sample's chance as well, and are rather too high than too low.
+The fleet is steady: no cache comes or goes, and none is short of capacity. A sample of the routers is run, and
+the connections of a cache are scaled up to the fleet, by `routers` over `routers_run`. The worst cache's
+figures then include the chance of the sample, and are rather too high than too low.
 """
 
 from __future__ import annotations
@@ -15,13 +15,16 @@
 from hdrh.histogram import HdrHistogram
 from pydantic import BaseModel, ConfigDict, Field
 
+from cache_router.settings import Settings
 from scale_experiments.context import ExperimentContext, Sample
+from scale_experiments.fleet_run import complete_sample, run_fleet
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
 from scale_experiments.simulation.statistics import CountedEvent
 
 SERVERS_USED_WINDOW_S = 10.0  # seconds within which the caches that a router meets are counted
-MIN_ROUTERS_SAMPLED = 10  # routers
+MIN_ROUTERS_SAMPLED = 10
+MAX_LATENCY_US = 10_000_000  # that a histogram holds
 
 SIZES = ("routers", "caches", "requests_per_s")
 METRICS = {
@@ -69,20 +72,17 @@
 
 
 def percentiles(values: list[float]) -> tuple[float, float, float]:
-    """Mean, 99th percentile and most."""
+    """Mean, 99th percentile and maximum."""
     return float(np.mean(values)), float(np.percentile(values, 99)), max(values)
 
 
-def measure(
-    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
-) -> Iterator[Sample]:
-    """One sample: `size` has routers, caches, zones, regions and requests_per_s of the whole fleet."""
+def build_model(parameters: Parameters, size: Mapping[str, float], warm_s: float) -> FleetModel:
+    """The fleet of a size; so many routers are sampled that there are about `most_requests` requests."""
     routers = int(size["routers"])
     rate = size["requests_per_s"] / routers
-    warm_s = size.get("warm_s", parameters.warm_s)
     spans = warm_s + parameters.measured_s
     affordable = max(MIN_ROUTERS_SAMPLED, int(parameters.most_requests / (rate * spans)))
-    model = FleetModel(
+    return FleetModel(
         routers=routers,
         caches=int(size["caches"]),
         requests_per_s=rate,
@@ -94,27 +94,20 @@
         hit_share=parameters.hit_share,
         router_descriptors=parameters.descriptors,
     )
-    settings = site_settings(
+
+
+def build_settings(parameters: Parameters) -> Settings:
+    """The settings of the site, with the prices of connections."""
+    return site_settings(
         connection_price=parameters.connection_price,
         handshake_price=parameters.handshake_price,
         connection_idle_timeout=parameters.connection_idle_s,
     )
-    fleet = Fleet(settings, model, seed)
-    fleet.decision_timer.reset()
-    context.progress(f"{model.routers_run} of {model.routers} routers, {model.caches} caches: warming")
-    if not fleet.run(warm_s, context.expired):
-        return
-    fleet.reset()
-    fleet.watch_servers_used(SERVERS_USED_WINDOW_S)
-    context.progress(f"{model.routers_run} of {model.routers} routers, {model.caches} caches: measuring")
-    if not fleet.run(parameters.measured_s, context.expired):
-        return
-    yield Sample(compute_metrics(fleet, parameters), {"latency": latency_histogram(fleet)})
 
 
 def latency_histogram(fleet: Fleet) -> HdrHistogram:
-    """Microseconds from a client's first try until it is served."""
-    latency = HdrHistogram(1, 10_000_000, 2)
+    """Microseconds from a client's first attempt until it is served."""
+    latency = HdrHistogram(1, MAX_LATENCY_US, 2)
     for seconds in fleet.statistics.latencies:
         latency.record_value(round(seconds * 1e6))
     return latency
@@ -122,40 +115,92 @@
 
 def compute_metrics(fleet: Fleet, parameters: Parameters) -> dict[str, float]:
     """The metrics of a fleet since its last reset."""
-    model, counts, now = fleet.model, fleet.statistics.counts, fleet.events.now
+    counts = fleet.statistics.counts
+    metrics = {
+        "routers_run": fleet.model.routers_run,
+        "served_share": counts[CountedEvent.SERVED] / max(1, counts[CountedEvent.CLIENT_REQUEST]),
+        **cache_metrics(fleet, parameters.use_share),
+        **router_metrics(fleet),
+        **decision_metrics(fleet),
+    }
+    return {name: metrics[name] for name in METRICS}
+
+
+def cache_metrics(fleet: Fleet, use_share: float) -> dict[str, float]:
+    """What the page caches bear, scaled up to the whole fleet; their cores are used to `use_share`."""
+    model, now = fleet.model, fleet.events.now
     seconds = now - fleet.statistics.counted_from
     caches = list(fleet.caches.values())
-    pools = [router.pool for router in fleet.routers]
-    mean, high, worst = percentiles([model.scale * c.connections.mean(now) for c in caches])
-    received = [c.received for c in caches]
-    cache_rate = model.scale * sum(received) / len(caches) / seconds
-    handshakes = model.scale * counts[CountedEvent.HANDSHAKE] / len(caches) / seconds
-    cores = math.ceil(cache_rate * model.mean_service_time / parameters.use_share)
-    requests = max(1, counts[CountedEvent.REQUEST])
-    open_connections = sum(pool.connections.current for pool in pools)
-    calls = fleet.decision_timer.calls_per_request()
-    seconds_per_call = fleet.decision_timer.seconds_per_call()
+    mean, high, worst = percentiles([model.scale * cache.connections.mean(now) for cache in caches])
+    received = [cache.received for cache in caches]
+    rate = model.scale * sum(received) / len(caches) / seconds
+    handshakes = model.scale * fleet.statistics.counts[CountedEvent.HANDSHAKE] / len(caches) / seconds
+    cores = math.ceil(rate * model.mean_service_time / use_share)
+    worst_high = max(cache.connections.percentile_99(now, model.scale) for cache in caches)
     return {
-        "routers_run": model.routers_run,
         "cache_connections_mean": mean,
         "cache_connections_p99": high,
         "cache_connections_worst": worst,
-        "cache_connections_worst_high": max(c.connections.percentile_99(now, model.scale) for c in caches),
+        "cache_connections_worst_high": worst_high,
         "cache_connections_per_core": worst / cores,
         "cache_cores": cores,
-        "cache_requests_per_s": cache_rate,
+        "cache_requests_per_s": rate,
         "cache_requests_worst_ratio": max(received) * len(caches) / max(1, sum(received)),
         "cache_handshakes_per_s": handshakes,
         "cache_handshake_cores": handshakes * model.handshake_core_time,
+    }
+
+
+def router_metrics(fleet: Fleet) -> dict[str, float]:
+    """What the routers that are run do and hold."""
+    counts, now = fleet.statistics.counts, fleet.events.now
+    seconds = now - fleet.statistics.counted_from
+    requests = max(1, counts[CountedEvent.REQUEST])
+    pools = [router.pool for router in fleet.routers]
+    routers = fleet.model.routers_run
+    open_connections = sum(pool.connections.current for pool in pools)
+    return {
         "handshakes_per_request": counts[CountedEvent.HANDSHAKE] / requests,
         "attempts_per_request": counts[CountedEvent.ATTEMPT] / requests,
-        "router_connections_mean": sum(p.connections.mean(now) for p in pools) / model.routers_run,
-        "router_connections_most": max(p.connections.peak for p in pools),
-        "router_idle_share": sum(len(p.idle) for p in pools) / max(1, open_connections),
-        "router_dials_per_s": counts[CountedEvent.CONNECT] / model.routers_run / seconds,
+        "router_connections_mean": sum(pool.connections.mean(now) for pool in pools) / routers,
+        "router_connections_most": max(pool.connections.peak for pool in pools),
+        "router_idle_share": sum(len(pool.idle) for pool in pools) / max(1, open_connections),
+        "router_dials_per_s": counts[CountedEvent.CONNECT] / routers / seconds,
         "caches_met_10s": float(np.mean(fleet.statistics.servers_used)),
+    }
+
+
+def decision_metrics(fleet: Fleet) -> dict[str, float]:
+    """The processor time of the decision module."""
+    calls = fleet.decision_timer.calls_per_request()
+    seconds_per_call = fleet.decision_timer.seconds_per_call()
+    return {
         "handle_cpu_s": seconds_per_call,
         "handle_calls_per_request": calls,
-        "router_core_share": calls * seconds_per_call * model.requests_per_s,
-        "served_share": counts[CountedEvent.SERVED] / max(1, counts[CountedEvent.CLIENT_REQUEST]),
+        "router_core_share": calls * seconds_per_call * fleet.model.requests_per_s,
     }
+
+
+def measure_sample(
+    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+) -> Sample:
+    """Warm the fleet up and measure it; raises TimeLimitReachedError."""
+    warm_s = size.get("warm_s", parameters.warm_s)
+    model = build_model(parameters, size, warm_s)
+    fleet = Fleet(build_settings(parameters), model, seed)
+    fleet.decision_timer.reset()
+    description = f"{model.routers_run} of {model.routers} routers, {model.caches} caches"
+    context.progress(f"{description}: warming")
+    run_fleet(fleet, warm_s, context)
+    fleet.reset()
+    fleet.watch_servers_used(SERVERS_USED_WINDOW_S)
+    context.progress(f"{description}: measuring")
+    run_fleet(fleet, parameters.measured_s, context)
+    return Sample(compute_metrics(fleet, parameters), {"latency": latency_histogram(fleet)})
+
+
+def measure(
+    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+) -> Iterator[Sample]:
+    """One sample: `size` has routers, caches, zones, regions and requests_per_s of the whole fleet."""
+    yield from complete_sample(lambda: measure_sample(parameters, size, seed, context))
--- a/scale_experiments/scenarios/placement.py
+++ b/scale_experiments/scenarios/placement.py
@@ -7,9 +7,9 @@
 
 from __future__ import annotations
 
-import itertools
 from collections import OrderedDict
-from collections.abc import Iterator, Mapping
+from collections.abc import Iterator, Mapping, Sequence
+from dataclasses import dataclass
 from typing import Annotated, Any
 
 import numpy as np
@@ -20,6 +20,11 @@
 from scale_experiments.simulation.key_placement import place_keys
 from scale_experiments.simulation.model import site_settings
 
+BISECTION_STEPS = 60
+MAX_OBJECTS_RATIO = 100  # objects there are at most, over those that the caches hold
+OBJECTS_TOLERANCE = 0.01  # share
+FloatArray = np.ndarray[Any, np.dtype[np.float64]]
+
 SIZES = ("groups", "skew")
 METRICS = {
     "objects": "objects there are, so many that one ring for all would hit as stated",
@@ -51,97 +56,148 @@
     descriptors: Annotated[int, Field(ge=1)] = 372
 
 
-def key_popularity(objects: int, skew: float, flat: float) -> np.ndarray[Any, np.dtype[np.float64]]:
-    weights: np.ndarray[Any, np.dtype[np.float64]] = (
-        np.arange(1, objects + 1, dtype=np.float64) + flat
-    ) ** -skew
-    shares: np.ndarray[Any, np.dtype[np.float64]] = weights / weights.sum()
+def key_popularity(objects: int, skew: float, flat: float) -> FloatArray:
+    """The share of reads of each object by rank: Zipf's law with exponent `skew`, ranks moved by `flat`."""
+    weights: FloatArray = (np.arange(1, objects + 1, dtype=np.float64) + flat) ** -skew
+    shares: FloatArray = weights / weights.sum()
     return shares
 
 
-def expected_hit_share(shares: np.ndarray[Any, np.dtype[np.float64]], kept: int) -> float:
-    """Share of hits of one cache that drops what was used longest ago (Che's approximation, 2002)."""
-    if kept >= len(shares):
+def expected_hit_share(shares: FloatArray, capacity: int) -> float:
+    """Share of hits of one least-recently-used cache of so many objects (Che's approximation, 2002)."""
+    if capacity >= len(shares):
         return 1.0
     low, high = 0.0, 1.0
-    while np.sum(-np.expm1(-shares * high)) < kept:
+    while np.sum(-np.expm1(-shares * high)) < capacity:
         high *= 2
-    for _ in range(60):
+    for _ in range(BISECTION_STEPS):
         middle = (low + high) / 2
-        if np.sum(-np.expm1(-shares * middle)) < kept:
+        if np.sum(-np.expm1(-shares * middle)) < capacity:
             low = middle
         else:
             high = middle
     return float(np.sum(shares * -np.expm1(-shares * high)))
 
 
-def objects_for(hit_share: float, kept: int, skew: float, flat: float) -> int:
-    """How many objects make a cache of `kept` hit so often, by bisection."""
-    low, high = kept, 2 * kept
-    while expected_hit_share(key_popularity(high, skew, flat), kept) > hit_share and high < 100 * kept:
+def objects_for(hit_share: float, capacity: int, skew: float, flat: float) -> int:
+    """How many objects there are for a cache of `capacity` objects to hit so often, by bisection."""
+
+    def hits_more_often(objects: int) -> bool:
+        return expected_hit_share(key_popularity(objects, skew, flat), capacity) > hit_share
+
+    low, high = capacity, 2 * capacity
+    while hits_more_often(high) and high < MAX_OBJECTS_RATIO * capacity:
         low, high = high, 2 * high
-    while high - low > 0.01 * low:
+    while high - low > OBJECTS_TOLERANCE * low:
         middle = (low + high) // 2
-        if expected_hit_share(key_popularity(middle, skew, flat), kept) > hit_share:
+        if hits_more_often(middle):
             low = middle
         else:
             high = middle
     return high
 
 
+@dataclass(slots=True, frozen=True)
+class RingResult:
+    """What reads met on one ring."""
+
+    hit_share: float
+    worst_cache_ratio: float  # reads at the busiest cache over the mean
+
+
+class LeastRecentlyUsedCaches:
+    """The caches of one ring, each with the most popular of its keys at first."""
+
+    def __init__(self, owners: Sequence[int], caches: int, capacity: int) -> None:
+        self.owners = owners  # the number of the cache of each key, by rank
+        self.capacity = capacity
+        # of each cache, the key used last at the end
+        self.contents: list[OrderedDict[int, None]] = [OrderedDict() for _ in range(caches)]
+        for key, owner in enumerate(owners):
+            if len(self.contents[owner]) < capacity:
+                self.contents[owner][key] = None
+                self.contents[owner].move_to_end(key, last=False)
+
+    def read(self, key: int) -> bool:
+        """Whether its cache has a key; afterwards it has it."""
+        cached = self.contents[self.owners[key]]
+        if key in cached:
+            cached.move_to_end(key)
+            return True
+        cached[key] = None
+        if len(cached) > self.capacity:
+            cached.popitem(last=False)
+        return False
+
+
 def simulate(
-    owners: list[int],
+    owners: Sequence[int],
     caches: int,
-    kept: int,
-    shares: np.ndarray[Any, np.dtype[np.float64]],
+    capacity: int,
+    shares: FloatArray,
     *,
     reads: int,
     rng: np.random.Generator,
-) -> tuple[float, float]:
-    """Share of hits, and reads at the busiest cache over the mean, in the second half of `reads`."""
-    contents: list[OrderedDict[int, None]] = [OrderedDict() for _ in range(caches)]
-    for key, owner in enumerate(owners):
-        if len(contents[owner]) < kept:
-            contents[owner][key] = None
-            contents[owner].move_to_end(key, last=False)
+) -> RingResult:
+    """What the second half of so many reads meets."""
+    ring = LeastRecentlyUsedCaches(owners, caches, capacity)
     received = [0] * caches
     hits = counted = 0
     ranks = np.searchsorted(np.cumsum(shares), rng.random(reads)).tolist()
-    half = reads // 2
-    for i, rank in enumerate(ranks):
+    for number, rank in enumerate(ranks):
         key = min(rank, len(owners) - 1)
-        owner = owners[key]
-        cached = contents[owner]
-        hit = key in cached
-        if hit:
-            cached.move_to_end(key)
-        else:
-            cached[key] = None
-            if len(cached) > kept:
-                cached.popitem(last=False)
-        if i >= half:
-            received[owner] += 1
-            hits += hit
+        is_hit = ring.read(key)
+        if number >= reads // 2:
+            received[owners[key]] += 1
+            hits += is_hit
             counted += 1
-    return hits / counted, max(received) * caches / counted
+    return RingResult(hits / counted, max(received) * caches / counted)
 
 
-def measure_groups(parameters: Parameters, groups: int, skew: float, objects: int, seed: int) -> list[float]:
-    """Share of hits and worst ratio, means over the groups that are run."""
+def measure_groups(parameters: Parameters, groups: int, skew: float, objects: int, seed: int) -> RingResult:
+    """Means over the groups that are run."""
     caches = parameters.caches // groups
     shares = key_popularity(objects, skew, parameters.flat)
-    settings = site_settings()
+    reads = int(parameters.rounds * caches * parameters.kept)
     rng = np.random.default_rng(seed)
-    found = []
+    results = []
     for group in range(min(groups, parameters.groups_run)):
-        names = [f"s-{group:02x}{i:06x}" for i in range(caches)]
-        entries = [Endpoint(name, weight=1.0) for name in names]
-        number = {name: i for i, name in enumerate(names)}
-        keys = (f"page:{k}" for k in itertools.islice(itertools.count(), objects))
-        owners = [number[name] for name in place_keys(settings, entries, keys)]
-        reads = int(parameters.rounds * caches * parameters.kept)
-        found.append(simulate(owners, caches, parameters.kept, shares, reads=reads, rng=rng))
-    return [float(np.mean([f[i] for f in found])) for i in range(2)]
+        owners = place_on_group(group, caches, objects)
+        results.append(simulate(owners, caches, parameters.kept, shares, reads=reads, rng=rng))
+    return RingResult(
+        float(np.mean([result.hit_share for result in results])),
+        float(np.mean([result.worst_cache_ratio for result in results])),
+    )
+
+
+def place_on_group(group: int, caches: int, objects: int) -> list[int]:
+    """The number of the cache, among those of a group, that the ring gives each key to, by rank."""
+    names = [f"s-{group:02x}{number:06x}" for number in range(caches)]
+    endpoints = [Endpoint(name, weight=1.0) for name in names]
+    numbers = {name: number for number, name in enumerate(names)}
+    keys = (f"page:{rank}" for rank in range(objects))
+    return [numbers[name] for name in place_keys(site_settings(), endpoints, keys)]
+
+
+def compute_metrics(
+    parameters: Parameters, groups: int, objects: int, pooled: RingResult, grouped: RingResult
+) -> dict[str, float]:
+    """Metrics of rings by group, against one ring for all."""
+    writes = parameters.write_share / (1 - parameters.write_share)
+    misses, pooled_misses = 1 - grouped.hit_share, 1 - pooled.hit_share
+    met = parameters.target_routers / groups
+    kept_share = min(1.0, parameters.descriptors * groups / parameters.target_caches)
+    return {
+        "objects": objects,
+        "groups_run": min(groups, parameters.groups_run),
+        "hit_share": grouped.hit_share,
+        "pooled_hit_share": pooled.hit_share,
+        "origin_fetch_ratio": misses / pooled_misses,
+        "origin_load_ratio": (misses + writes) / (pooled_misses + writes),
+        "worst_cache_ratio": grouped.worst_cache_ratio,
+        "target_routers_per_cache": met,
+        "target_kept_connections": met * kept_share,
+    }
 
 
 def measure(
@@ -149,30 +205,13 @@
 ) -> Iterator[Sample]:
     """One sample: `size` has the groups and the skew of the keys (Zipf's exponent)."""
     groups, skew = int(size["groups"]), float(size["skew"])
-    objects = objects_for(
-        parameters.pooled_hit_share, parameters.caches * parameters.kept, skew, parameters.flat
-    )
+    capacity = parameters.caches * parameters.kept
+    objects = objects_for(parameters.pooled_hit_share, capacity, skew, parameters.flat)
     context.progress(f"{objects} objects, one ring")
-    pooled, worst = measure_groups(parameters, 1, skew, objects, seed)
-    hits = pooled
+    pooled = measure_groups(parameters, 1, skew, objects, seed)
+    grouped = pooled
     if groups > 1 and not context.expired():
         context.progress(f"{objects} objects, {groups} rings")
-        hits, worst = measure_groups(parameters, groups, skew, objects, seed)
-    if context.expired():
-        return
-    writes = parameters.write_share / (1 - parameters.write_share)
-    met = parameters.target_routers / groups
-    yield Sample(
-        {
-            "objects": objects,
-            "groups_run": min(groups, parameters.groups_run),
-            "hit_share": hits,
-            "pooled_hit_share": pooled,
-            "origin_fetch_ratio": (1 - hits) / (1 - pooled),
-            "origin_load_ratio": (1 - hits + writes) / (1 - pooled + writes),
-            "worst_cache_ratio": worst,
-            "target_routers_per_cache": met,
-            "target_kept_connections": met
-            * min(1.0, parameters.descriptors * groups / parameters.target_caches),
-        }
-    )
+        grouped = measure_groups(parameters, groups, skew, objects, seed)
+    if not context.expired():
+        yield Sample(compute_metrics(parameters, groups, objects, pooled, grouped))
--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -1,6 +1,6 @@
 """Clients ask for more than the page caches bear, for some seconds; how long is it until all is served again.
 
-The number of routers told to the module can be far above those that are run: the caches' cores are of those
+The router count of the settings can be far above the routers that are run: the caches' cores are of those
 that are run, so that each router sees the load of a large fleet at a cost that can be borne. Its own share
 of a cache's load is then larger than in the fleet.
 """
@@ -13,6 +13,7 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from scale_experiments.context import ExperimentContext, Sample
+from scale_experiments.fleet_run import complete_sample, run_fleet
 from scale_experiments.scenarios.zone_loss import recovery_seconds
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
@@ -45,51 +46,78 @@
     skew: Annotated[float, Field(ge=0)] = 0.95
 
 
-def measure(
-    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
-) -> Iterator[Sample]:
-    """One sample: `size` has routers, how many of them are run, caches and the cores of a cache."""
+def requests_per_s(parameters: Parameters, size: Mapping[str, float]) -> float:
+    """Requests at all routers that are run, before the surge."""
+    unloaded = FleetModel(int(size["routers_run"]), int(size["caches"]), 1.0)
+    return unloaded.rate_at_utilization(parameters.use_share, int(size["cores"]))
+
+
+def build_fleet(parameters: Parameters, size: Mapping[str, float], seed: int) -> Fleet:
+    """The fleet of a size, before its first request."""
     caches, cores, run = int(size["caches"]), int(size["cores"]), int(size["routers_run"])
-    unloaded = FleetModel(run, caches, 1.0)
-    rate = unloaded.rate_at_utilization(parameters.use_share, cores)
     model = FleetModel(
         routers=int(size["routers"]),
         routers_sampled=run,
         caches=caches,
-        requests_per_s=rate / run,
+        requests_per_s=requests_per_s(parameters, size) / run,
         zipf_exponent=parameters.skew,
         cores=cores,
         zones=3,
     )
-    fleet = Fleet(site_settings(), model, seed)
-    if not fleet.run(parameters.warm_s, context.expired):
-        return
-    fleet.reset()
-    if not fleet.run(parameters.before_s, context.expired):
-        return
-    metrics = {"requests_per_s": rate, "before_served_share": fleet.statistics.served_share()}
-    context.progress("surge")
+    return Fleet(site_settings(), model, seed)
+
+
+def run_surge(fleet: Fleet, parameters: Parameters, context: ExperimentContext) -> float:
+    """The share of requests of clients that is served during the surge."""
     fleet.reset()
     fleet.clients.demand = parameters.demand
-    if not fleet.run(parameters.surge_s, context.expired):
-        return
+    run_fleet(fleet, parameters.surge_s, context)
     counts = fleet.statistics.counts
-    metrics["surge_served_share"] = counts[CountedEvent.SERVED] / max(1, counts[CountedEvent.CLIENT_REQUEST])
-    context.progress("after the surge")
+    return counts[CountedEvent.SERVED] / max(1, counts[CountedEvent.CLIENT_REQUEST])
+
+
+def measure_recovery(fleet: Fleet, parameters: Parameters, context: ExperimentContext) -> dict[str, float]:
+    """The fleet after the surge."""
     fleet.reset()
     fleet.clients.demand = 1.0
-    if not fleet.run(parameters.after_s, context.expired):
-        return
-    counts = fleet.statistics.counts
+    run_fleet(fleet, parameters.after_s, context)
+    counts, model = fleet.statistics.counts, fleet.model
     requests = max(1, counts[CountedEvent.REQUEST])
-    received = sum(c.received for c in fleet.caches.values())
-    yield Sample(
+    received = sum(cache.received for cache in fleet.caches.values())
+    capacity_s = model.caches * model.cores * parameters.after_s
+    return {
+        "after_served_share": fleet.statistics.served_share(),
+        "recovery_s": recovery_seconds(fleet.statistics.served_by_second()),
+        "refused_per_request": counts[CountedEvent.REJECTED] / requests,
+        "attempts_per_request": counts[CountedEvent.ATTEMPT] / requests,
+        "cache_use_share": received * model.mean_service_time / capacity_s,
+    }
+
+
+def measure_sample(
+    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+) -> Sample:
+    """The fleet before the surge, in it and after it; raises TimeLimitReachedError."""
+    fleet = build_fleet(parameters, size, seed)
+    run_fleet(fleet, parameters.warm_s, context)
+    fleet.reset()
+    run_fleet(fleet, parameters.before_s, context)
+    before_served_share = fleet.statistics.served_share()
+    context.progress("surge")
+    surge_served_share = run_surge(fleet, parameters, context)
+    context.progress("after the surge")
+    return Sample(
         {
-            **metrics,
-            "after_served_share": fleet.statistics.served_share(),
-            "recovery_s": recovery_seconds(fleet.statistics.served_by_second()),
-            "refused_per_request": counts[CountedEvent.REJECTED] / requests,
-            "attempts_per_request": counts[CountedEvent.ATTEMPT] / requests,
-            "cache_use_share": received * unloaded.mean_service_time / (caches * cores * parameters.after_s),
+            "requests_per_s": requests_per_s(parameters, size),
+            "before_served_share": before_served_share,
+            "surge_served_share": surge_served_share,
+            **measure_recovery(fleet, parameters, context),
         }
     )
+
+
+def measure(
+    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+) -> Iterator[Sample]:
+    """One sample: `size` has routers, how many of them are run, caches and the cores of a cache."""
+    yield from complete_sample(lambda: measure_sample(parameters, size, seed, context))
--- a/scale_experiments/scenarios/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -1,9 +1,10 @@
 """A rack, a zone or a region of page caches is lost and comes back, or the routers of a region are cut off.
 
-What is lost stays silent: connections to it stay open, new ones never come up, and each router is told late.
+What is lost stays silent: connections to it stay open, new ones never come up, and routers are notified late.
 It comes back cold and empty. A region that is cut off keeps its routers and caches, which reach only each
 other. All routers of the fleet are run, and each cache's rate of requests is the same at all sizes. A size
-may have the module told of more routers than are run (`told`), for what rests on their number alone.
+may set the router count of the settings (`told`) above the routers that are run, for what depends on that
+number alone.
 """
 
 from __future__ import annotations
@@ -15,6 +16,7 @@
 
 from cache_router.endpoint import EndpointState
 from scale_experiments.context import ExperimentContext, Sample
+from scale_experiments.fleet_run import complete_sample, run_fleet
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
 from scale_experiments.simulation.statistics import SETTLING_SECONDS, CountedEvent
@@ -71,7 +73,7 @@
 
 
 def build_fleet(parameters: Parameters, size: Mapping[str, float], seed: int) -> Fleet:
-    """The fleet at rest."""
+    """The fleet of a size, before its first request."""
     routers, caches, cores = int(size["routers"]), int(size["caches"]), int(size["cores"])
     unloaded = FleetModel(routers, caches, 1.0)
     rate = unloaded.rate_at_utilization(parameters.use_share, cores)
@@ -104,7 +106,10 @@
 
 
 def recovery_seconds(seconds: Sequence[float]) -> float:
-    """Seconds until each later one has been good; the whole span where the last one was not."""
+    """Seconds until `RECOVERED_SHARE` is reached for good; all of them where the last one does not reach it.
+
+    `seconds` are the shares of requests served in each second.
+    """
     return float(max((i + 1 for i, share in enumerate(seconds) if share < RECOVERED_SHARE), default=0))
 
 
@@ -113,67 +118,7 @@
     return fleet.statistics.counts[event] / max(1, fleet.statistics.counts[CountedEvent.REQUEST])
 
 
-def measure(
-    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
-) -> Iterator[Sample]:
-    """One sample: `size` has routers, caches and the cores of a cache."""
-    fleet = build_fleet(parameters, size, seed)
-    names = lost_caches(fleet, parameters)
-    isolated = parameters.lost == "cut"
-    region = fleet.caches[names[0]].location.region
-    fleet.statistics.watched_regions = {region}
-    if not fleet.run(parameters.warm_s, context.expired):
-        return
-    fleet.reset()
-    if not fleet.run(parameters.before_s, context.expired):
-        return
-    origin_before = fleet.statistics.counts[CountedEvent.ORIGIN_ATTEMPT] / parameters.before_s
-    metrics = {
-        "requests_per_s": fleet.model.requests_per_s * fleet.model.routers_run,
-        "caches_lost": float(len(fleet.caches) - len(names) if isolated else len(names)),
-        "before_served_share": fleet.statistics.served_share(),
-        "before_dials_per_request": per_accepted_request(fleet, CountedEvent.CONNECT),
-        "before_attempts_per_request": per_accepted_request(fleet, CountedEvent.ATTEMPT),
-    }
-
-    context.progress("lost")
-    fleet.reset()
-    if isolated:
-        fleet.network.isolated_regions = {region}
-    else:
-        fleet.fail_servers(names)
-        fleet.notify_all(names, EndpointState.REMOVED, *parameters.notice_s)
-    if not fleet.run(parameters.lost_s, context.expired):
-        return
-    metrics |= {f"lost_{name}": value for name, value in aftermath(fleet, origin_before).items()}
-    metrics["lost_dials_failed_per_request"] = per_accepted_request(fleet, CountedEvent.CONNECT_FAILED)
-    counts = fleet.statistics.counts
-    client_requests = max(1, counts[CountedEvent.CLIENT_REQUEST])
-    metrics["lost_tries_per_wish"] = counts[CountedEvent.REQUEST] / client_requests
-    metrics["apart_served_share"] = fleet.statistics.watched_served_share()
-    apart = fleet.statistics.watched.totals
-    apart_requests = max(1, apart[CountedEvent.REQUEST])
-    metrics["apart_refused_per_request"] = apart[CountedEvent.REJECTED] / apart_requests
-
-    context.progress("back")
-    fleet.reset()
-    if isolated:
-        fleet.network.isolated_regions = set()
-    else:
-        fleet.restore_servers(names)
-        for name in names:
-            fleet.caches[name].arrivals = []
-        fleet.notify_all(names, EndpointState.READY, *parameters.back_notice_s)
-    ramp = fleet.settings.slow_start_duration + sum(parameters.back_notice_s) + SETTLING_SECONDS
-    if not fleet.run(ramp, context.expired):
-        return
-    metrics |= {f"back_{name}": value for name, value in aftermath(fleet, origin_before).items()}
-    uses = [fleet.budget_use(fleet.caches[name]) for name in names]
-    metrics["back_budget_slack_share"] = max(use.with_slack for use in uses)
-    yield Sample(metrics)
-
-
-def aftermath(fleet: Fleet, origin_before: float) -> dict[str, float]:
+def aftermath(fleet: Fleet, origin_rate_before: float) -> dict[str, float]:
     """What has become of the requests since the last reset."""
     statistics = fleet.statistics
     shares = statistics.served_by_second()
@@ -185,5 +130,90 @@
         "recovery_s": recovery_seconds(shares),
         "dials_per_request": per_accepted_request(fleet, CountedEvent.CONNECT),
         "attempts_per_request": per_accepted_request(fleet, CountedEvent.ATTEMPT),
-        "origin_ratio": origin_rate / max(1e-9, origin_before),
+        "origin_ratio": origin_rate / max(1e-9, origin_rate_before),
     }
+
+
+class LossRun:
+    """One sample: the fleet, and what of it is lost."""
+
+    def __init__(self, parameters: Parameters, fleet: Fleet, context: ExperimentContext) -> None:
+        self.parameters = parameters
+        self.fleet = fleet
+        self.context = context
+        self.names = lost_caches(fleet, parameters)
+        self.is_isolation = parameters.lost == "cut"
+        self.region = fleet.caches[self.names[0]].location.region
+        fleet.statistics.watched_regions = {self.region}
+
+    def measure(self) -> Sample:
+        """All phases in turn; raises TimeLimitReachedError."""
+        run_fleet(self.fleet, self.parameters.warm_s, self.context)
+        metrics, origin_rate = self.measure_before()
+        self.context.progress("lost")
+        metrics |= self.measure_loss(origin_rate)
+        self.context.progress("back")
+        metrics |= self.measure_return(origin_rate)
+        return Sample(metrics)
+
+    def measure_before(self) -> tuple[dict[str, float], float]:
+        """The fleet before the loss; also the attempts at the origin a second."""
+        fleet, seconds = self.fleet, self.parameters.before_s
+        fleet.reset()
+        run_fleet(fleet, seconds, self.context)
+        lost = len(fleet.caches) - len(self.names) if self.is_isolation else len(self.names)
+        metrics = {
+            "requests_per_s": fleet.model.requests_per_s * fleet.model.routers_run,
+            "caches_lost": float(lost),
+            "before_served_share": fleet.statistics.served_share(),
+            "before_dials_per_request": per_accepted_request(fleet, CountedEvent.CONNECT),
+            "before_attempts_per_request": per_accepted_request(fleet, CountedEvent.ATTEMPT),
+        }
+        return metrics, fleet.statistics.counts[CountedEvent.ORIGIN_ATTEMPT] / seconds
+
+    def measure_loss(self, origin_rate: float) -> dict[str, float]:
+        """The fleet while the loss lasts."""
+        fleet = self.fleet
+        fleet.reset()
+        if self.is_isolation:
+            fleet.network.isolated_regions = {self.region}
+        else:
+            fleet.fail_servers(self.names)
+            fleet.notify_all(self.names, EndpointState.REMOVED, *self.parameters.notice_s)
+        run_fleet(fleet, self.parameters.lost_s, self.context)
+        counts, isolated = fleet.statistics.counts, fleet.statistics.watched.totals
+        client_requests = max(1, counts[CountedEvent.CLIENT_REQUEST])
+        isolated_requests = max(1, isolated[CountedEvent.REQUEST])
+        return {
+            **{f"lost_{name}": value for name, value in aftermath(fleet, origin_rate).items()},
+            "lost_dials_failed_per_request": per_accepted_request(fleet, CountedEvent.CONNECT_FAILED),
+            "lost_tries_per_wish": counts[CountedEvent.REQUEST] / client_requests,
+            "apart_served_share": fleet.statistics.watched_served_share(),
+            "apart_refused_per_request": isolated[CountedEvent.REJECTED] / isolated_requests,
+        }
+
+    def measure_return(self, origin_rate: float) -> dict[str, float]:
+        """The fleet until the slow start after the return is over."""
+        fleet = self.fleet
+        fleet.reset()
+        if self.is_isolation:
+            fleet.network.isolated_regions = set()
+        else:
+            fleet.restore_servers(self.names)
+            for name in self.names:
+                fleet.caches[name].arrivals = []
+            fleet.notify_all(self.names, EndpointState.READY, *self.parameters.back_notice_s)
+        notice_s = sum(self.parameters.back_notice_s)
+        run_fleet(fleet, fleet.settings.slow_start_duration + notice_s + SETTLING_SECONDS, self.context)
+        metrics = {f"back_{name}": value for name, value in aftermath(fleet, origin_rate).items()}
+        uses = [fleet.budget_use(fleet.caches[name]) for name in self.names]
+        metrics["back_budget_slack_share"] = max(use.with_slack for use in uses)
+        return metrics
+
+
+def measure(
+    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+) -> Iterator[Sample]:
+    """One sample: `size` has routers, caches and the cores of a cache."""
+    fleet = build_fleet(parameters, size, seed)
+    yield from complete_sample(LossRun(parameters, fleet, context).measure)
