--- a/scale_experiments/scenarios/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -1,7 +1,7 @@
 """Connections and handshakes between routers and page caches, by instances of the decision module.
 
-The fleet is steady: no cache comes or goes, and none is short of capacity. A sample of the routers is run, and
-the connections of a cache are scaled up to the fleet, by `routers` over `routers_run`. The worst cache's
+The fleet is steady: no cache comes or goes, and none is short of capacity. A sample of the routers is run,
+and the connections of a cache are scaled up to the fleet, by `routers` over `routers_run`. The worst cache's
 figures then include the chance of the sample, and are rather too high than too low.
 """
 
