--- a/scale_experiments/context.py
+++ b/scale_experiments/context.py
@@ -1,4 +1,4 @@
-"""What a kind of experiment may use: a folder, processes that are ended for it, and the time left."""
+"""What a scenario may use: a folder, processes that are ended for it, and the time left."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-TERMINATION_GRACE_S = 5.0  # seconds from SIGTERM to SIGKILL for all that a run has started, together
+TERMINATION_GRACE_S = 5.0  # from SIGTERM to SIGKILL, for all processes of a run together
 
 
 class TimeLimit(KeyboardInterrupt):
@@ -35,7 +35,10 @@
 
 
 class ExperimentContext:
-    """The surroundings of one run; on exit, however it comes, all that it started is ended, by id."""
+    """The folder, processes and time limit of one run.
+
+    However a run ends, all processes that it has started are ended, by id, and its folder is removed.
+    """
 
     def __init__(
         self, time_limit_s: float, report_progress: Callable[[str], None] = lambda text: None
@@ -48,7 +51,7 @@
         self.interruption: KeyboardInterrupt | None = None
 
     def interrupt(self, error: KeyboardInterrupt) -> None:
-        """End the run, from a signal handler: once, and not between a process's start and its noting."""
+        """End the run, from a signal handler: once, and not before a process that starts is registered."""
         if self.interruption is None:
             self.interruption = error
             if not self.shield_depth:
@@ -56,7 +59,7 @@
 
     @contextlib.contextmanager
     def shielded(self) -> Iterator[None]:
-        """What must not be broken off; an interruption that came meanwhile follows it."""
+        """Defer an interruption until the block has ended; raises it then."""
         before = self.interruption
         self.shield_depth += 1
         try:
@@ -75,7 +78,7 @@
         self.close()
 
     def progress(self, text: str) -> None:
-        """Tell the user how far the run is."""
+        """Show the user how far the run is."""
         self.report_progress(text)
 
     def remaining_s(self) -> float:
@@ -98,7 +101,10 @@
         return process
 
     def stop(self, process: subprocess.Popen[bytes], grace_s: float = TERMINATION_GRACE_S) -> None:
-        """End one process and what it started in its group, and reap it; one that ended is left alone."""
+        """End a process and its group, and reap it; one that has ended is left alone.
+
+        It is killed `grace_s` seconds after SIGTERM.
+        """
         self._stop([process], grace_s)
 
     def close(self) -> None:
@@ -130,7 +136,7 @@
 
 
 def _signal_group(process: subprocess.Popen[bytes], number: signal.Signals) -> None:
-    """Only while it is unreaped, or its id might be another's."""
+    """Signal a process group, unless its leader is reaped: its id might be another's by then."""
     if process.returncode is None:
         with contextlib.suppress(ProcessLookupError):
             os.killpg(process.pid, number)
--- a/scale_experiments/experiment.py
+++ b/scale_experiments/experiment.py
@@ -12,7 +12,7 @@
 import tomllib
 from collections.abc import Iterator, Mapping
 from pathlib import Path
-from typing import Annotated, Any, Protocol, cast
+from typing import Annotated, Any, Protocol, TypeVar, cast
 
 from pydantic import (
     AfterValidator,
@@ -31,6 +31,9 @@
 
 MAX_TIME_LIMIT_S = 7200.0  # that a run may take
 MAX_SIZES = 100
+HELPER_PREFIX = "_"  # of modules that are no scenarios
+
+Model = TypeVar("Model", bound=BaseModel)
 
 
 def check_finite(value: object) -> object:
@@ -90,7 +93,7 @@
     at: dict[str, Number] = Field(default_factory=dict)
 
     def applies_to(self, size: Mapping[str, float]) -> bool:
-        """Whether it speaks of this size."""
+        """Whether the budget is one of this size."""
         return all(column in size and size[column] == value for column, value in self.at.items())
 
 
@@ -111,7 +114,11 @@
 
 def scenario_names() -> list[str]:
     """The scenarios that an experiment can name."""
-    return sorted(module.name for module in pkgutil.iter_modules(scenarios.__path__) if module.name[0] != "_")
+    return sorted(
+        module.name
+        for module in pkgutil.iter_modules(scenarios.__path__)
+        if not module.name.startswith(HELPER_PREFIX)
+    )
 
 
 def load_scenario(name: str) -> Scenario:
@@ -147,7 +154,10 @@
     within: tuple[int | str, ...] = (),
     known: type[BaseModel] | None = None,
 ) -> str:
-    """One fault that a schema found, in one line."""
+    """The first error that a schema found, in one line.
+
+    `within` is the place of the table in the file; the fields of `known` are listed for an unknown key.
+    """
     # a field that is not known comes first: it is most often the one that another is missing
     first = min(error.errors(include_url=False), key=lambda e: e["type"] != "extra_forbidden")
     path = first["loc"]
@@ -173,10 +183,7 @@
 
 def load_experiment(file: Path) -> tuple[Experiment, Scenario, BaseModel]:
     """An experiment, its scenario and that scenario's parameters, all checked; raises InputError."""
-    try:
-        experiment = Experiment.model_validate(read_toml(file))
-    except ValidationError as e:
-        raise InputError(describe_validation_error(file, e, known=Experiment)) from e
+    experiment = _validate(file, Experiment, read_toml(file))
     if experiment.name != file.stem:
         raise InputError(f"{file}: name: must be the file's, {file.stem!r}, not {experiment.name!r}")
     try:
@@ -184,21 +191,29 @@
     except KeyError:
         known = ", ".join(scenario_names())
         raise InputError(f"{file}: kind: must be one of {known}, not {experiment.kind!r}") from None
+    parameters = _validate(file, scenario.Parameters, experiment.parameters, ("parameters",))
+    if (schema := size_model(scenario)) is not None:
+        for number, size in enumerate(experiment.sizes):
+            _validate(file, schema, size, ("sizes", number))
+    _check_budgets(file, experiment, scenario)
+    return experiment, scenario, parameters
+
+
+def _validate(
+    file: Path, model: type[Model], table: Mapping[str, Any], within: tuple[int | str, ...] = ()
+) -> Model:
+    """A table by its schema; raises InputError that names the field, `within` the file."""
     try:
-        parameters = scenario.Parameters.model_validate(experiment.parameters)
+        return model.model_validate(table)
     except ValidationError as e:
-        raise InputError(describe_validation_error(file, e, ("parameters",), scenario.Parameters)) from e
-    for i, size in enumerate(experiment.sizes):
-        if (schema := size_model(scenario)) is not None:
-            try:
-                schema.model_validate(size)
-            except ValidationError as e:
-                raise InputError(describe_validation_error(file, e, ("sizes", i), schema)) from e
-    for i, budget in enumerate(experiment.budgets):
+        raise InputError(describe_validation_error(file, e, within, model)) from e
+
+
+def _check_budgets(file: Path, experiment: Experiment, scenario: Scenario) -> None:
+    """Raise InputError for a budget of what is not measured, or of no size."""
+    for number, budget in enumerate(experiment.budgets):
+        place = f"{file}: budgets[{number}]"
         if budget.metric not in scenario.METRICS:
-            raise InputError(
-                f"{file}: budgets[{i}].metric: is not measured by {experiment.kind}: {budget.metric!r}"
-            )
+            raise InputError(f"{place}.metric: is not measured by {experiment.kind}: {budget.metric!r}")
         if not any(budget.applies_to(size) for size in experiment.sizes):
-            raise InputError(f"{file}: budgets[{i}].at: is none of the sizes")
-    return experiment, scenario, parameters
+            raise InputError(f"{place}.at: is none of the sizes")
