--- a/scale_experiments/emulators/cache.py
+++ b/scale_experiments/emulators/cache.py
@@ -38,7 +38,9 @@
 from scale_experiments.emulators.messages.common import Done
 from scale_experiments.emulators.origin import Origin
 
+MAX_ARRAY_LENGTH = 16  # of a request
 MAX_VALUE_BYTES = 64 * 1024
+MAX_REQUEST_BYTES = MAX_VALUE_BYTES + 8192
 MAX_PENDING_MISSES = 50_000  # requests that missed and wait for the origin
 SAMPLE_INTERVAL_S = 0.1  # between counts of open connections
 BACKLOG = 512
@@ -159,7 +161,7 @@
 
     def __init__(self, cache: Cache) -> None:
         self.cache = cache
-        self.reader = RespReader(16, MAX_VALUE_BYTES, MAX_VALUE_BYTES + 8192)
+        self.reader = RespReader(MAX_ARRAY_LENGTH, MAX_VALUE_BYTES, MAX_REQUEST_BYTES)
         self.reply_at = 0.0  # when the latest reply goes out: a later request's does not overtake it
         self.over_limit = False
         self.requests = 0
@@ -264,7 +266,7 @@
 
 
 class CachesEmulator:
-    """The process."""
+    """All that the process emulates, driven by the commands of its control channel."""
 
     def __init__(self) -> None:
         self.caches: dict[str, Cache] = {}
--- a/scale_experiments/emulators/clients.py
+++ b/scale_experiments/emulators/clients.py
@@ -23,6 +23,17 @@
 from cache_router.net.resp import INCOMPLETE, ErrorReply, Message, RespError, RespReader, encode_command
 from scale_experiments.emulators.control import process_usage, serve_commands
 from scale_experiments.emulators.messages.clients import (
+    CONNECTIONS_OPENED,
+    FAILED,
+    LOST,
+    NOT_CONNECTED,
+    NOT_SENT,
+    OPEN_CONNECTIONS,
+    REJECTED,
+    REQUESTS,
+    RETRIES,
+    SERVED,
+    UNANSWERED,
     ClientsStats,
     GetClientsStats,
     PauseClients,
@@ -30,10 +41,12 @@
 )
 from scale_experiments.emulators.messages.common import Done
 
-MAX_VALUE = 64 * 1024
+MAX_ARRAY_LENGTH = 16  # of a reply
+MAX_VALUE_BYTES = 64 * 1024
+MAX_REPLY_BYTES = MAX_VALUE_BYTES + 8192
 MAX_LATENCY_US = 60_000_000
-KEYS_PER_DRAW = 4096  # keys drawn at once
-MAX_CONNECTIONS_PER_ROUTER = 4000  # to one router
+KEYS_PER_DRAW = 4096
+MAX_CONNECTIONS_PER_ROUTER = 4000
 DEADLINE_GRACE_S = 0.2  # after a deadline, until its connection is given up
 
 
@@ -44,7 +57,7 @@
 
 
 class ClientRequest:
-    """One request."""
+    """One request; times are of the event loop, in seconds."""
 
     __slots__ = ("completed", "data", "due_at", "is_retry", "sent_at")
 
@@ -61,7 +74,7 @@
 
     def __init__(self, load: RouterLoad) -> None:
         self.load = load
-        self.reader = RespReader(16, MAX_VALUE, MAX_VALUE + 8192)
+        self.reader = RespReader(MAX_ARRAY_LENGTH, MAX_VALUE_BYTES, MAX_REPLY_BYTES)
         self.request: ClientRequest | None = None
         self.completed_requests = 0
         self.expiry: asyncio.TimerHandle | None = None
@@ -81,7 +94,7 @@
         self.transport.write(request.data)
 
     def _complete(self, outcome: str) -> None:
-        """The request in hand has ended."""
+        """Count the outcome of the request in flight, unless it was counted before."""
         request, self.request = self.request, None
         if self.expiry is not None:
             self.expiry.cancel()
@@ -90,22 +103,22 @@
             self.load.record_outcome(outcome, request)
 
     def _time_out(self) -> None:
-        self._complete("unanswered")
+        self._complete(UNANSWERED)
         self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
         """Complete the request in flight, if its reply is whole."""
         self.reader.feed(data)
         try:
-            answer = self.reader.next()
+            reply = self.reader.next()
         except RespError:
-            self._complete("failed")
+            self._complete(FAILED)
             self.transport.abort()
             return
-        if answer is INCOMPLETE:
+        if reply is INCOMPLETE:
             return
         self.completed_requests += 1
-        self._complete(outcome_of(answer))
+        self._complete(outcome_of(reply))
         self.load.idle.append(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -120,20 +133,20 @@
             self.request, request.is_retry = None, True
             if self.expiry is not None:
                 self.expiry.cancel()
-            load.counts["sent_again"] += 1
+            load.counts[RETRIES] += 1
             load.send(request)
         else:
-            self._complete("lost")
+            self._complete(LOST)
 
 
-def outcome_of(answer: Message) -> str:
-    """What an answer says: served, refused or failed."""
-    match answer:
+def outcome_of(reply: Message) -> str:
+    """What a reply says: that the request was served, rejected or failed."""
+    match reply:
         case bytes() | [bytes(), *_]:
-            return "served"
+            return SERVED
         case ErrorReply(text) if text.split(" ")[0] == "BUSY":
-            return "refused"
-    return "failed"
+            return REJECTED
+    return FAILED
 
 
 class RouterLoad:
@@ -185,7 +198,7 @@
                 await asyncio.sleep(remaining_s)
             if self.paused:
                 return
-            self.counts["asked"] += 1
+            self.counts[REQUESTS] += 1
             self.send(ClientRequest(data, due_at))
 
     def send(self, request: ClientRequest) -> None:
@@ -196,7 +209,7 @@
                 connection.send(request)
                 return
         if self.open_connections + len(self.pending_connects) >= MAX_CONNECTIONS_PER_ROUTER:
-            self.record_outcome("not_sent", request)
+            self.record_outcome(NOT_SENT, request)
             return
         task = asyncio.create_task(self._connect(request))
         self.pending_connects.add(task)
@@ -209,20 +222,20 @@
                     lambda: ClientConnection(self), *self.address
                 )
         except OSError:  # also a time-out
-            self.record_outcome("not_connected", request)
+            self.record_outcome(NOT_CONNECTED, request)
             return
         connection.send(request)
 
     def record_outcome(self, outcome: str, request: ClientRequest) -> None:
-        """Count an answer, or that there is none."""
+        """Count how a request ended and, if it was served, its latency."""
         self.counts[outcome] += 1
-        if outcome == "served":
+        if outcome == SERVED:
             latency_s = asyncio.get_running_loop().time() - request.due_at
             self.latency.record_value(max(1, min(MAX_LATENCY_US, round(latency_s * 1e6))))
 
 
 class ClientsEmulator:
-    """The process."""
+    """All that the process emulates, driven by the commands of its control channel."""
 
     def __init__(self) -> None:
         self.loads: list[RouterLoad] = []
@@ -241,7 +254,8 @@
         latency = HdrHistogram(1, MAX_LATENCY_US, 2)
         for load in self.loads:
             counts.update(load.counts)
-            counts.update({"open": load.open_connections, "connections": load.connections_opened})
+            counts[OPEN_CONNECTIONS] += load.open_connections
+            counts[CONNECTIONS_OPENED] += load.connections_opened
             latency.add(load.latency)
         return ClientsStats(
             time=time.time(),
--- a/scale_experiments/emulators/messages/clients.py
+++ b/scale_experiments/emulators/messages/clients.py
@@ -8,6 +8,21 @@
 from scale_experiments.emulators.codec import KEY
 from scale_experiments.emulators.messages.common import Done, ProcessUsage
 
+# outcomes of requests, by which ClientsStats counts
+SERVED = "served"
+REJECTED = "refused"
+FAILED = "failed"
+UNANSWERED = "unanswered"
+LOST = "lost"  # with their connection
+NOT_CONNECTED = "not_connected"
+NOT_SENT = "not_sent"
+FAILED_OUTCOMES = (FAILED, UNANSWERED, LOST, NOT_CONNECTED, NOT_SENT)
+# what else it counts
+REQUESTS = "asked"
+RETRIES = "sent_again"
+OPEN_CONNECTIONS = "open"
+CONNECTIONS_OPENED = "connections"
+
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class StartClients:
@@ -38,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class ClientsStats(ProcessUsage):
-    """Counts by outcome since the start; `latency` is an HDR histogram in microseconds, base64."""
+    """Counts by name since the start, as above; `latency` is an HDR histogram in microseconds, base64."""
 
     time: float
     counts: dict[str, int]
--- a/scale_experiments/socket_metrics.py
+++ b/scale_experiments/socket_metrics.py
@@ -10,12 +10,15 @@
 from hdrh.histogram import HdrHistogram
 
 from scale_experiments.emulators.messages.caches import CachesStats
-from scale_experiments.emulators.messages.clients import ClientsStats
-
-# outcomes that the clients' emulator counts
-SERVED = "served"
-REJECTED = "refused"
-FAILED_OUTCOMES = ("failed", "unanswered", "lost", "not_connected", "not_sent")
+from scale_experiments.emulators.messages.clients import (
+    CONNECTIONS_OPENED,
+    FAILED_OUTCOMES,
+    OPEN_CONNECTIONS,
+    REJECTED,
+    REQUESTS,
+    SERVED,
+    ClientsStats,
+)
 
 
 @dataclass(slots=True, frozen=True)
@@ -33,9 +36,9 @@
     counts = {
         name: count - before.clients.counts.get(name, 0) for name, count in after.clients.counts.items()
     }
-    requests = max(1, counts["asked"])
+    requests = max(1, counts[REQUESTS])
     fetches = after.caches.origin.requests - before.caches.origin.requests
-    open_clients = after.clients.counts["open"]
+    open_clients = after.clients.counts[OPEN_CONNECTIONS]
     return {
         "requests_per_s": requests / seconds,
         **client_metrics(counts, after.clients),
@@ -43,7 +46,7 @@
         "origin_per_request": fetches / requests,
         **router_metrics(after.router_cpu_s - before.router_cpu_s, requests, seconds, routers),
         "client_connections_per_router": open_clients / len(routers),
-        "client_connections_per_request": counts["connections"] / requests,
+        "client_connections_per_request": counts[CONNECTIONS_OPENED] / requests,
     }
 
 
