--- a/scale_experiments/emulators/cache.py
+++ b/scale_experiments/emulators/cache.py
@@ -51,7 +51,7 @@
 
 
 class CacheCluster:
-    """What all caches of the process share."""
+    """The settings that all caches of the process share, and the misses that wait for the origin."""
 
     def __init__(self, settings: CacheSettings) -> None:
         self.settings = settings
@@ -60,7 +60,7 @@
         self.pending_misses: OrderedDict[bytes, list[Cache]] = OrderedDict()
 
     def on_fetched(self, key: bytes, request_id: bytes, is_write: bool, caches: list[Cache]) -> None:
-        """The origin has answered: the caches that missed hold the key; a write drops it everywhere."""
+        """Store a fetched key at the caches that missed it, or remove a written key from all."""
         if is_write:
             for cache in caches:
                 cache.remove(key)
@@ -69,14 +69,14 @@
                 cache.store(key)
 
     def on_miss(self, request_id: bytes, cache: Cache) -> None:
-        """A request missed at a cache."""
+        """Remember where a request missed, until the origin answers it; the oldest are forgotten."""
         self.pending_misses.setdefault(request_id, []).append(cache)
         if len(self.pending_misses) > MAX_PENDING_MISSES:
             self.pending_misses.popitem(last=False)
 
 
 class Cache:
-    """One page cache."""
+    """One page cache: its keys, its connections and its counts."""
 
     def __init__(self, cluster: CacheCluster, name: str, address: tuple[str, int]) -> None:
         self.cluster = cluster
@@ -92,7 +92,7 @@
         self.open_sum = 0.0
 
     async def listen(self) -> None:
-        """Begin to accept."""
+        """Accept connections; raises OSError if the address can't be used."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
             lambda: CacheConnection(self), *self.address, backlog=BACKLOG, reuse_address=True
@@ -108,7 +108,7 @@
         return False
 
     def store(self, key: bytes) -> None:
-        """Hold a key from now on."""
+        """Store a key; the one used longest ago goes if there are too many."""
         if self.warm:
             self.keys.pop(key, None)
         else:
@@ -117,7 +117,7 @@
                 self.keys.popitem(last=False)
 
     def remove(self, key: bytes) -> None:
-        """Hold a key no longer."""
+        """Remove a key."""
         if self.warm:
             self.keys[key] = None
         else:
@@ -142,7 +142,7 @@
         )
 
     async def set_mode(self, mode: CacheMode) -> None:
-        """Serve, drain, hang or die."""
+        """Behave in another way from now on; raises OSError where a dead cache can't listen again."""
         if mode == "dead":
             if self.server is not None:
                 self.server.close()
--- a/scale_experiments/emulators/discovery.py
+++ b/scale_experiments/emulators/discovery.py
@@ -166,7 +166,7 @@
         self.notified_polls = 0
 
     async def listen(self) -> None:
-        """Begin to accept; the port stays the same once chosen."""
+        """Accept connections; the port stays the same once chosen. Raises OSError."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
             lambda: PollConnection(self), *self.address, backlog=BACKLOG, reuse_address=True
--- a/scale_experiments/scenarios/list_change.py
+++ b/scale_experiments/scenarios/list_change.py
@@ -1,7 +1,7 @@
 """What a change of the list, and a whole list, cost one router; no sockets, all in this process.
 
-Only what hosts use is called: `Router.handle`, `read_endpoint_list` and `Dispatcher.on_endpoint_update`, on
-pools that hold no connection.
+Only what the program itself uses is called: `Router.handle`, `read_endpoint_list` and
+`Dispatcher.on_endpoint_update`, on pools without connections.
 """
 
 from __future__ import annotations
--- a/scale_experiments/scenarios/placement.py
+++ b/scale_experiments/scenarios/placement.py
@@ -1,8 +1,8 @@
 """The price of a separate ring for each group of zones: what is then kept twice, and fetched again.
 
-The routers of a group use only the page caches of their group: a cache meets a part of the routers, but each
-group keeps copies of its own. Objects are dropped as they were used longest ago; keys are placed by the
-decision module's own ring. The fleet is small; what counts is the ratio to one ring for all.
+The routers of a group use only the page caches of their group: a cache serves a part of the routers, but each
+group caches copies of its own. Caches evict the least recently used object; keys are placed by the decision
+module's own ring. The fleet is small; what counts is the ratio to one ring for all.
 """
 
 from __future__ import annotations
--- a/scale_experiments/scenarios/sockets.py
+++ b/scale_experiments/scenarios/sockets.py
@@ -2,7 +2,7 @@
 
 A few routers are started by `run` of deploy/balancer.toml, after its `build` in a folder of the run, with the
 limits of a deployment, against page caches at an address each and a load of clients. CPU is of the routers'
-processes. `siblings` is the size of the fleet as the settings tell it: it sets for how long connections stay.
+processes. `siblings` is the router count of the settings, which sets for how long connections are kept.
 """
 
 from __future__ import annotations
--- a/scale_experiments/scenarios/watch.py
+++ b/scale_experiments/scenarios/watch.py
@@ -1,9 +1,9 @@
 """Watches of the list: their standing price, how a change spreads, and discovery's return after an outage.
 
 Discovery and the routers are processes of their own on loopback. Some routers are real but for their clients
-(the program's own watch and host, which keeps the list); the others put the same calls on the wire at the
-same times with less work, so that one machine bears thousands. CPU is of processes; times are wall-clock and
-hold the wait for this machine's cores, which all routers share here and would not on machines of their own.
+(the program's own watch and dispatcher, which stores the list); the others send the same polls at the same
+times with less work, so that one machine bears thousands. CPU is of processes; times are wall-clock and
+include the wait for this machine's cores, which all routers share here.
 """
 
 from __future__ import annotations
