--- a/scale_experiments/emulators/control.py
+++ b/scale_experiments/emulators/control.py
@@ -1,4 +1,4 @@
-"""The control channel of a stand-in: JSON objects, one a line, on standard input; as many replies on output.
+"""The control channel of an emulator: JSON objects, one a line, on standard input; as many replies on output.
 
 The end of standard input ends the process, so that none outlives the experiment that started it.
 """
@@ -11,96 +11,111 @@
 import subprocess
 import sys
 import time
-from collections.abc import Callable, Coroutine
-from typing import Any
+from collections.abc import Callable, Coroutine, Mapping, Sequence
+from typing import Any, TypeVar
 
 import orjson
 import psutil
 
-LONGEST_LINE = (
-    64 * 1024 * 1024
-)  # bytes; a list of some thousand entries, or the times of some thousand routers
-Handler = Callable[[dict[str, Any]], Coroutine[Any, Any, dict[str, Any]]]
+from scale_experiments.emulators.codec import Command, decode, decode_command, encode, encode_command
+from scale_experiments.emulators.messages.common import ProcessUsage
+
+# a list of some thousand entries, or the times of some thousand routers
+MAX_LINE_BYTES = 64 * 1024 * 1024
+READ_BYTES = 1 << 20
+ERROR_KEY = "error"  # of the reply to a command that failed
+MAX_ERROR_LENGTH = 300
+Reply = TypeVar("Reply")
+Handler = Callable[[Any], Coroutine[Any, Any, object]]
 
 
 class ControlError(RuntimeError):
-    """A stand-in that ended, answered too late, or reported an error."""
+    """An emulator that ended, answered too late, or reported an error."""
 
 
-def usage() -> dict[str, float]:
-    """What this process uses: CPU seconds (user and system), resident bytes, descriptors; and the time."""
+def process_usage() -> ProcessUsage:
+    """What this process uses now."""
     process = psutil.Process()
-    return {
-        "at": time.monotonic(),
-        "cpu_s": time.process_time(),
-        "resident_bytes": process.memory_info().rss,
-        "descriptors": process.num_fds(),
-    }
+    return ProcessUsage(
+        at=time.monotonic(),
+        cpu_s=time.process_time(),
+        resident_bytes=process.memory_info().rss,
+        descriptors=process.num_fds(),
+    )
 
 
-async def serve(handle: Handler) -> None:
-    """Answer commands until standard input ends; one that fails answers with `error` and ends nothing."""
+async def serve_commands(handle: Handler, command_types: Mapping[str, type[Any]]) -> None:
+    """Carry out commands until standard input ends; one that fails answers with `error` and ends nothing."""
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(limit=LONGEST_LINE)
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
         try:
-            reply = await handle(orjson.loads(line))
+            reply = encode(await handle(decode_command(command_types, orjson.loads(line))))
         except (KeyError, ValueError, OSError) as e:
-            reply = {"error": f"{type(e).__name__}: {e}"[:300]}
+            reply = {ERROR_KEY: f"{type(e).__name__}: {e}"[:MAX_ERROR_LENGTH]}
         sys.stdout.buffer.write(orjson.dumps(reply) + b"\n")
         sys.stdout.buffer.flush()
 
 
-class Control:
-    """The experiment's end of a stand-in's control channel.
+class ControlClient:
+    """The experiment's end of an emulator's control channel.
 
     `process` was started with pipes for standard input and output; who started it ends it.
     """
 
-    def __init__(self, process: subprocess.Popen[bytes], name: str, patience_s: float = 30.0) -> None:
-        assert process.stdin is not None and process.stdout is not None
+    def __init__(self, process: subprocess.Popen[bytes], name: str, reply_timeout_s: float) -> None:
+        if process.stdin is None or process.stdout is None:
+            raise ValueError(f"{name} must be started with pipes for standard input and output")
         self.process = process
         self.name = name
-        self.patience_s = patience_s
+        self.reply_timeout_s = reply_timeout_s
         self.unread = bytearray()
         self.input = process.stdin
         self.output = process.stdout.fileno()
 
-    def tell(self, do: str, **fields: Any) -> None:
-        """Send a command; its reply is read by `reply`."""
+    def send(self, command: Command[Any]) -> None:
+        """Send a command; its reply is read by `receive`. Raises ControlError if the emulator has ended."""
         try:
-            self.input.write(orjson.dumps({"do": do, **fields}) + b"\n")
+            self.input.write(orjson.dumps(encode_command(command)) + b"\n")
             self.input.flush()
         except OSError as e:
             raise ControlError(f"{self.name} has ended: {e}") from e
 
-    def reply(self) -> dict[str, Any]:
-        """The reply to the oldest command that has none yet."""
-        until = time.monotonic() + self.patience_s
+    def receive(self, reply_type: type[Reply]) -> Reply:
+        """The reply to the oldest command that has none yet.
+
+        Raises ControlError if the emulator has ended, reports an error, or sends nothing for
+        `reply_timeout_s`.
+        """
+        message = orjson.loads(self._read_line())
+        if not isinstance(message, dict) or ERROR_KEY in message:
+            raise ControlError(f"{self.name}: {message}")
+        return decode(reply_type, message)
+
+    def request(self, command: Command[Reply]) -> Reply:
+        """Send a command and wait for its reply; raises ControlError."""
+        self.send(command)
+        return self.receive(command.reply_type)
+
+    def _read_line(self) -> bytes:
+        deadline = time.monotonic() + self.reply_timeout_s
         with selectors.DefaultSelector() as selector:
             selector.register(self.output, selectors.EVENT_READ)
             while (end := self.unread.find(b"\n")) < 0:
-                if not selector.select(max(0.0, until - time.monotonic())):
-                    raise ControlError(f"{self.name} gave no answer within {self.patience_s:g} s")
-                data = os.read(self.output, 1 << 20)
+                if not selector.select(max(0.0, deadline - time.monotonic())):
+                    raise ControlError(f"{self.name} gave no answer within {self.reply_timeout_s:g} s")
+                data = os.read(self.output, READ_BYTES)
                 if not data:
                     raise ControlError(f"{self.name} has ended")
                 self.unread += data
-        reply = orjson.loads(self.unread[:end])
+        line = bytes(self.unread[:end])
         del self.unread[: end + 1]
-        if not isinstance(reply, dict) or "error" in reply:
-            raise ControlError(f"{self.name}: {reply}")
-        return reply
-
-    def ask(self, do: str, **fields: Any) -> dict[str, Any]:
-        """Send a command and wait for its reply."""
-        self.tell(do, **fields)
-        return self.reply()
+        return line
 
 
-def ask_all(controls: list[Control], do: str, **fields: Any) -> list[dict[str, Any]]:
-    """Send one command to several stand-ins at once, then collect their replies in order."""
-    for control in controls:
-        control.tell(do, **fields)
-    return [control.reply() for control in controls]
+def request_all(clients: Sequence[ControlClient], command: Command[Reply]) -> list[Reply]:
+    """Send one command to several emulators at once, then collect their replies in order."""
+    for client in clients:
+        client.send(command)
+    return [client.receive(command.reply_type) for client in clients]
--- a/scale_experiments/scenarios/list_change.py
+++ b/scale_experiments/scenarios/list_change.py
@@ -1,7 +1,7 @@
 """What a change of the list, and a whole list, cost one router; no sockets, all in this process.
 
-Only what hosts use is called: `Router.handle`, `read_endpoint_list` and `Dispatcher.on_endpoint_update`, on
-pools that hold no connection.
+Only what the program itself uses is called: `Router.handle`, `read_endpoint_list` and
+`Dispatcher.on_endpoint_update`, on pools without connections.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 import statistics
 import time
 import tracemalloc
-from collections.abc import Callable, Iterator, Mapping, Sequence
-from typing import Any
+from collections.abc import Iterator, Mapping, Sequence
+from dataclasses import dataclass
 
 import numpy as np
 import orjson
@@ -35,10 +35,19 @@
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Settings
 from cache_router.settings_reader import read_settings
-from scale_experiments.context import Lab, Sample
+from scale_experiments.context import ExperimentContext, Sample
+from scale_experiments.endpoint_changes import (
+    DEFAULT_WEIGHT,
+    DEFAULT_ZONES,
+    ChangeKind,
+    ChangeSequence,
+    ListChangeSize,
+    build_entries,
+)
+from scale_experiments.endpoint_entries import TERMINATING, EndpointEntry, build_snapshot, encode_list
+from scale_experiments.reference_work import REFERENCE_METRIC, measure_reference_cpu_s, thread_cpu_s
 
-LONGEST_US = 60_000_000  # that a histogram holds
-CHANGES = ("drain", "gone", "join", "restart", "weight")
+MAX_LATENCY_US = 60_000_000  # that a histogram holds
 
 
 class Parameters(BaseModel):
@@ -50,28 +59,20 @@
     whole_lists: int = Field(
         default=3, ge=1, le=100, description="whole lists of each sort that a sample times"
     )
-    zones: int = Field(default=51, ge=1, le=10_000, description="zones over which the caches are spread")
+    zones: int = Field(
+        default=DEFAULT_ZONES, ge=1, le=10_000, description="zones over which the caches are spread"
+    )
     weight: float = Field(
-        default=1.0, gt=0, le=1000, description="of each cache; a change of weight halves it"
+        default=DEFAULT_WEIGHT, gt=0, le=1000, description="of each cache; a change of weight halves it"
     )
 
 
-class Size(BaseModel):
+class Size(ListChangeSize):
     """The columns of a size."""
 
-    model_config = ConfigDict(extra="forbid")
-
-    routers: int = Field(
-        default=1, ge=1, le=1_000_000, strict=True, description="siblings, as the settings say"
-    )
-    caches: int = Field(
-        ge=1, le=100_000, strict=True, description="page caches in the list, beside the origin"
-    )
-    changes_per_s: float = Field(ge=0, description="changes of the list a second")
-
 
 METRICS = {
-    **{f"{sort}_cpu_s": f"CPU seconds of Router.handle for one {sort}, mean" for sort in CHANGES},
+    **{f"{kind}_cpu_s": f"CPU seconds of Router.handle for one {kind}, mean" for kind in ChangeKind},
     "change_cpu_s": "CPU seconds of Router.handle for a change of one entry, mean over the five sorts",
     "change_max_cpu_s": "CPU seconds of Router.handle for a change of one entry, the longest seen",
     "request_cpu_s": "CPU seconds of Router.handle for the first request after a change, mean",
@@ -86,13 +87,13 @@
     "router_bytes": "bytes that a Router holds for the list, the entries not counted (tracemalloc)",
     "host_bytes": "bytes that a Dispatcher holds for the list, with router and entries (tracemalloc)",
     "change_peak_bytes": "bytes above that for a moment, while it takes one change (tracemalloc)",
-    "reference_cpu_s": "CPU seconds of a fixed piece of work, by which to compare differently busy machines",
+    **REFERENCE_METRIC,
     "core_share": "share of one core that changes take at changes_per_s, whole path",
     "change_bytes_per_s": "bytes a second that changes bring at changes_per_s, without headers",
 }
 
 
-def settings_of(routers: int) -> Settings:
+def build_settings(routers: int) -> Settings:
     """A site's settings, as far as lists matter: an origin in the list, weights that are sizes."""
     return read_settings(
         {
@@ -105,242 +106,231 @@
     )
 
 
-def lines_of(caches: int, parameters: Parameters, rng: np.random.Generator) -> list[dict[str, Any]]:
-    """A list's entries in discovery's form, the origin last."""
-    names = rng.choice(2**32, size=caches + 1, replace=False)
-    return [
-        {
-            "name": f"s-{name:08x}",
-            "address": f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}:6379",
-            "zone": f"z{i % parameters.zones}",
-            "type": "std-1c" if i < caches else "origin",
-            "group": i % 4,
-            "status": "in_service",
-            "weight": parameters.weight,
-            "since_ms": 0,
-        }
-        for i, name in enumerate(names.tolist())
-    ]
-
-
-def message(index: int, whole: bool, lines: Sequence[dict[str, Any]]) -> bytes:
-    """A list or its changes as discovery words them."""
-    return orjson.dumps({"index": index, "snapshot": whole, "endpoints": lines})
-
-
-def entries_of(text: bytes) -> tuple[Endpoint, ...]:
-    """The entries of a message."""
-    return tuple(member.entry for member in read_endpoint_list(orjson.loads(text)).endpoints)
-
-
-def timed(work: Callable[..., object], *args: object) -> float:
-    """CPU seconds of this thread that a call takes."""
-    began = time.thread_time()
-    work(*args)
-    return time.thread_time() - began
-
-
-class Changes:
-    """Messages that change one entry each; after every five sorts the list is as it was."""
+def read_endpoints(text: bytes) -> tuple[Endpoint, ...]:
+    """The endpoints of a list in discovery's JSON."""
+    return tuple(each.entry for each in read_endpoint_list(orjson.loads(text)).endpoints)
 
-    def __init__(self, lines: Sequence[dict[str, Any]], rng: np.random.Generator, rounds: int) -> None:
-        self.rng = rng
-        self.lines = lines[:-1]  # never the origin
-        self.rounds = rounds
-        self.index = 1
-        self.restarts = 0
 
-    def __iter__(self) -> Iterator[tuple[str | None, bytes]]:
-        """The sort of each change, None for those that only undo one, and its text."""
-        for _ in range(self.rounds):
-            for sort in CHANGES:
-                line = self.lines[int(self.rng.integers(len(self.lines)))]
-                if sort == "drain":
-                    yield sort, self._message(line, status="terminating")
-                    yield None, self._message(line)
-                elif sort == "weight":
-                    yield sort, self._message(line, weight=line["weight"] / 2)
-                    yield None, self._message(line)
-                elif sort == "restart":
-                    self.restarts += 1
-                    yield sort, self._message(line, since_ms=self.restarts)
-                elif sort == "gone":
-                    gone = line
-                    yield sort, self._message(line, status="terminated")
-                else:
-                    yield sort, self._message(gone)
-
-    def _message(self, line: dict[str, Any], **other: Any) -> bytes:
-        self.index += 1
-        return message(self.index, False, [{**line, **other}])
-
-
-class Clock:
-    """The time that a router is told: it only advances."""
+class SteppingClock:
+    """The time that a router is given, in seconds; it only advances."""
 
     def __init__(self) -> None:
         self.time = 1e9
 
-    def tick(self) -> float:
+    def advance(self) -> float:
+        """One second later."""
         self.time += 1.0
         return self.time
 
 
-def reference() -> float:
-    """CPU seconds of a table of 100,000 numbers, filled and sorted: a busy machine makes all work slower."""
-    numbers = [i * 2_654_435_761 % 2**32 for i in range(100_000)]
-    return timed(lambda: sorted({number: (number, 0.5) for number in numbers}))
-
-
-def new_host(settings: Settings, seed: int) -> Dispatcher:
-    """A router's host, with pools that hold no connection."""
+def build_dispatcher(settings: Settings, seed: int) -> Dispatcher:
+    """A router's dispatcher, with pools that hold no connection."""
     servers = ConnectionPool(CacheConnection, 8, settings.connect_timeout, settings.connection_idle_timeout)
     origin = ConnectionPool(OriginConnection, 8, settings.connect_timeout, settings.connection_idle_timeout)
     return Dispatcher(settings, seed, servers, origin, lambda: None)
 
 
-def tell(host: Dispatcher, text: bytes) -> None:
-    """What a watch does with an answer."""
+def deliver(dispatcher: Dispatcher, text: bytes) -> None:
+    """Do what a watch does with a response."""
     update = read_endpoint_list(orjson.loads(text))
-    host.on_endpoint_update(update.update_kind, update.endpoints)
+    dispatcher.on_endpoint_update(update.update_kind, update.endpoints)
 
 
-def first_request(router: Router, now: float, number: int) -> float:
+def first_request_cpu_s(router: Router, now: float, number: int) -> float:
     """CPU seconds of a request, which also meets work that a change put off; it is then answered."""
     name = f"r{number}"
     request = Request(name, "page-read", 1.2, f"page:{number}")
-    began = time.thread_time()
+    started_at = time.thread_time()
     actions = router.handle(now, request)
-    spent = time.thread_time() - began
+    spent = time.thread_time() - started_at
     for action in actions:
         if isinstance(action, Send):
             router.handle(now + 0.01, AttemptCompleted(name, 0, AttemptStatus.OK, True, 0.01))
     return spent
 
 
-def measure_router(
-    settings: Settings, lines: Sequence[dict[str, Any]], parameters: Parameters, seed: int
-) -> tuple[dict[str, float], HdrHistogram]:
-    """The decision module alone, told entries that are read already."""
-    whole = entries_of(message(1, True, lines))
-    clock = Clock()
-    first, same = [], []
-    router = Router(settings, seed, clock.tick())
-    for _ in range(parameters.whole_lists):
-        router = Router(settings, seed, clock.tick())
-        event = EndpointUpdate(EndpointUpdateKind.SNAPSHOT, whole)
-        first.append(timed(router.handle, clock.tick(), event))
-        same.append(timed(router.handle, clock.tick(), event))
-    spent: dict[str, list[float]] = {sort: [] for sort in CHANGES}
-    requests: list[float] = []
-    histogram = HdrHistogram(1, LONGEST_US, 3)
-    for sort, text in Changes(lines, np.random.default_rng(seed), parameters.changes):
-        event = EndpointUpdate(EndpointUpdateKind.DELTA, entries_of(text))
-        cost = timed(router.handle, clock.tick(), event)
-        requests.append(first_request(router, clock.tick(), len(requests)))
-        if sort is not None:
-            spent[sort].append(cost)
-            histogram.record_value(min(LONGEST_US, max(1, round(cost * 1e6))))
-    zone = [{**line, "status": "terminating"} for line in lines[:-1] if line["zone"] == lines[0]["zone"]]
-    lost, back = entries_of(message(1, False, zone)), tuple(e for e in whole if e.zone == whole[0].zone)
-    zones = []
-    for _ in range(parameters.whole_lists):
-        zones.append(timed(router.handle, clock.tick(), EndpointUpdate(EndpointUpdateKind.DELTA, lost)))
-        router.handle(clock.tick(), EndpointUpdate(EndpointUpdateKind.DELTA, back))
-    means = {f"{sort}_cpu_s": statistics.fmean(costs) for sort, costs in spent.items() if costs}
+def cost_histogram(costs: Sequence[float]) -> HdrHistogram:
+    """CPU seconds as microseconds."""
+    histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
+    for cost in costs:
+        histogram.record_value(min(MAX_LATENCY_US, max(1, round(cost * 1e6))))
+    return histogram
+
+
+@dataclass(slots=True, frozen=True)
+class ListWorkload:
+    """What one sample feeds a router with: its settings, its list, and how often each is changed."""
+
+    settings: Settings
+    entries: Sequence[EndpointEntry]
+    parameters: Parameters
+    seed: int
+
+    def changes(self) -> ChangeSequence:
+        """The changes of the sample, the same each time."""
+        return self._changes(self.parameters.changes)
+
+    def first_change(self) -> bytes:
+        """The first change, as discovery's JSON."""
+        return next(iter(self._changes(1))).encoded()
+
+    def snapshot(self) -> bytes:
+        """The whole list, as discovery's JSON."""
+        return encode_list(build_snapshot(1, self.entries))
+
+    def _changes(self, rounds: int) -> ChangeSequence:
+        return ChangeSequence(self.entries, np.random.default_rng(self.seed), rounds)
+
+
+def measure_router(workload: ListWorkload) -> tuple[dict[str, float], HdrHistogram]:
+    """The decision module alone, which gets endpoints that are decoded already."""
+    endpoints = read_endpoints(workload.snapshot())
+    clock = SteppingClock()
+    router, snapshot_costs = measure_router_snapshots(workload, endpoints, clock)
+    change_costs, request_costs = measure_router_changes(workload, router, clock)
+    zone_cpu_s = measure_router_zone(workload, endpoints, router, clock)
+    means = {f"{kind}_cpu_s": statistics.fmean(costs) for kind, costs in change_costs.items() if costs}
+    every_cost = [cost for costs in change_costs.values() for cost in costs]
     return {
         **means,
         "change_cpu_s": statistics.fmean(means.values()),
-        "change_max_cpu_s": max(cost for costs in spent.values() for cost in costs),
-        "request_cpu_s": statistics.fmean(requests),
-        "zone_cpu_s": statistics.fmean(zones),
-        "first_list_cpu_s": statistics.fmean(first),
-        "same_list_cpu_s": statistics.fmean(same),
-    }, histogram
-
-
-def measure_path(
-    settings: Settings, lines: Sequence[dict[str, Any]], parameters: Parameters, seed: int
-) -> tuple[dict[str, float], HdrHistogram]:
-    """All that a list costs once its bytes are there: text, entries, table, decision module."""
-    whole = message(1, True, lines)
-    first, same, spent, sizes = [], [], [], []
-    for _ in range(parameters.whole_lists):
-        host = new_host(settings, seed)
-        first.append(timed(tell, host, whole))
-        same.append(timed(tell, host, whole))
-    histogram = HdrHistogram(1, LONGEST_US, 3)
-    for sort, text in Changes(lines, np.random.default_rng(seed), parameters.changes):
-        cost = timed(tell, host, text)
-        if sort is not None:
-            spent.append(cost)
+        "change_max_cpu_s": max(every_cost),
+        "request_cpu_s": statistics.fmean(request_costs),
+        "zone_cpu_s": zone_cpu_s,
+        **snapshot_costs,
+    }, cost_histogram(every_cost)
+
+
+def measure_router_snapshots(
+    workload: ListWorkload, endpoints: tuple[Endpoint, ...], clock: SteppingClock
+) -> tuple[Router, dict[str, float]]:
+    """A router that has the list; the mean CPU seconds of a first snapshot and of an unchanged one."""
+    snapshot = EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints)
+    first, same = [], []
+    router = Router(workload.settings, workload.seed, clock.advance())
+    for _ in range(workload.parameters.whole_lists):
+        router = Router(workload.settings, workload.seed, clock.advance())
+        first.append(thread_cpu_s(router.handle, clock.advance(), snapshot))
+        same.append(thread_cpu_s(router.handle, clock.advance(), snapshot))
+    means = {"first_list_cpu_s": statistics.fmean(first), "same_list_cpu_s": statistics.fmean(same)}
+    return router, means
+
+
+def measure_router_changes(
+    workload: ListWorkload, router: Router, clock: SteppingClock
+) -> tuple[dict[ChangeKind, list[float]], list[float]]:
+    """CPU seconds of the changes of each kind, and of the first request after each change."""
+    change_costs: dict[ChangeKind, list[float]] = {kind: [] for kind in ChangeKind}
+    request_costs: list[float] = []
+    for change in workload.changes():
+        update = EndpointUpdate(EndpointUpdateKind.DELTA, read_endpoints(change.encoded()))
+        cost = thread_cpu_s(router.handle, clock.advance(), update)
+        request_costs.append(first_request_cpu_s(router, clock.advance(), len(request_costs)))
+        if change.kind is not None:
+            change_costs[change.kind].append(cost)
+    return change_costs, request_costs
+
+
+def measure_router_zone(
+    workload: ListWorkload, endpoints: tuple[Endpoint, ...], router: Router, clock: SteppingClock
+) -> float:
+    """CPU seconds of one update that drains all caches of the first zone, mean; each is undone."""
+    entries = workload.entries
+    zone: list[EndpointEntry] = [
+        {**entry, "status": TERMINATING} for entry in entries[:-1] if entry["zone"] == entries[0]["zone"]
+    ]
+    draining = read_endpoints(encode_list({"index": 1, "snapshot": False, "endpoints": zone}))
+    ready = tuple(endpoint for endpoint in endpoints if endpoint.zone == endpoints[0].zone)
+    costs = []
+    for _ in range(workload.parameters.whole_lists):
+        update = EndpointUpdate(EndpointUpdateKind.DELTA, draining)
+        costs.append(thread_cpu_s(router.handle, clock.advance(), update))
+        router.handle(clock.advance(), EndpointUpdate(EndpointUpdateKind.DELTA, ready))
+    return statistics.fmean(costs)
+
+
+def measure_path(workload: ListWorkload) -> tuple[dict[str, float], HdrHistogram]:
+    """All that a list costs once its bytes are there: JSON, endpoints, table, decision module."""
+    snapshot = workload.snapshot()
+    first, same, costs, sizes = [], [], [], []
+    for _ in range(workload.parameters.whole_lists):
+        dispatcher = build_dispatcher(workload.settings, workload.seed)
+        first.append(thread_cpu_s(deliver, dispatcher, snapshot))
+        same.append(thread_cpu_s(deliver, dispatcher, snapshot))
+    for change in workload.changes():
+        text = change.encoded()
+        cost = thread_cpu_s(deliver, dispatcher, text)
+        if change.kind is not None:
+            costs.append(cost)
             sizes.append(len(text))
-            histogram.record_value(min(LONGEST_US, max(1, round(cost * 1e6))))
     return {
-        "path_change_cpu_s": statistics.fmean(spent),
+        "path_change_cpu_s": statistics.fmean(costs),
         "path_first_list_cpu_s": statistics.fmean(first),
         "path_same_list_cpu_s": statistics.fmean(same),
         "change_bytes": statistics.fmean(sizes),
-        "whole_list_bytes": float(len(whole)),
-    }, histogram
+        "whole_list_bytes": float(len(snapshot)),
+    }, cost_histogram(costs)
 
 
-def measure_memory(
-    settings: Settings, lines: Sequence[dict[str, Any]], parameters: Parameters, seed: int
-) -> dict[str, float]:
+def measure_memory(workload: ListWorkload) -> dict[str, float]:
     """What the interpreter allocates, with every allocation traced; nothing is timed meanwhile."""
-    whole = message(1, True, lines)
-    entries = entries_of(whole)
-    change = next(text for _, text in Changes(lines, np.random.default_rng(seed), 1))
+    settings, seed = workload.settings, workload.seed
+    snapshot = workload.snapshot()
+    endpoints = read_endpoints(snapshot)
+    change = workload.first_change()
     tracemalloc.start()
     try:
-        before = held()
+        before = traced_bytes()
         router = Router(settings, seed, 1e9)
-        router.handle(1e9, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, entries))
-        router_bytes = held() - before
+        router.handle(1e9, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints))
+        router_bytes = traced_bytes() - before
         del router
-        before = held()
-        host = new_host(settings, seed)
-        tell(host, whole)
-        host_bytes = held() - before
-        before = held()
+        before = traced_bytes()
+        dispatcher = build_dispatcher(settings, seed)
+        deliver(dispatcher, snapshot)
+        dispatcher_bytes = traced_bytes() - before
+        before = traced_bytes()
         tracemalloc.reset_peak()
-        tell(host, change)
+        deliver(dispatcher, change)
         peak = tracemalloc.get_traced_memory()[1] - before
     finally:
         tracemalloc.stop()
     return {
         "router_bytes": float(router_bytes),
-        "host_bytes": float(host_bytes),
+        "host_bytes": float(dispatcher_bytes),
         "change_peak_bytes": float(peak),
     }
 
 
-def held() -> int:
+def traced_bytes() -> int:
     """Bytes allocated and not garbage."""
     gc.collect()
     return tracemalloc.get_traced_memory()[0]
 
 
-def measure(parameters: Parameters, size: Mapping[str, float], seed: int, lab: Lab) -> Iterator[Sample]:
+def measure(
+    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+) -> Iterator[Sample]:
     """One sample; CPU seconds are of this thread alone, so that a busy machine adds little to them."""
-    caches, changes_per_s = int(size["caches"]), float(size["changes_per_s"])
-    settings = settings_of(int(size.get("routers", 1)))
-    lines = lines_of(caches, parameters, np.random.default_rng(seed))
+    changes_per_s = float(size["changes_per_s"])
+    entries = build_entries(
+        int(size["caches"]), parameters.zones, parameters.weight, np.random.default_rng(seed)
+    )
+    workload = ListWorkload(build_settings(int(size.get("routers", 1))), entries, parameters, seed)
     gc.collect()
-    gc.freeze()  # what the rig itself holds is not a router's to collect
+    gc.freeze()  # objects of the experiment are not a router's to collect
     try:
-        references = [reference()]
-        lab.progress("decision module")
-        metrics, change = measure_router(settings, lines, parameters, seed)
-        lab.progress("whole path")
-        more, path = measure_path(settings, lines, parameters, seed)
-        references.append(reference())
-        lab.progress("memory")
-        metrics |= more | measure_memory(settings, lines, parameters, seed)
+        references = [measure_reference_cpu_s()]
+        context.progress("decision module")
+        metrics, change_costs = measure_router(workload)
+        context.progress("whole path")
+        path_metrics, path_costs = measure_path(workload)
+        references.append(measure_reference_cpu_s())
+        context.progress("memory")
+        metrics |= path_metrics | measure_memory(workload)
     finally:
         gc.unfreeze()
     metrics["reference_cpu_s"] = statistics.fmean(references)
     metrics["core_share"] = changes_per_s * metrics["path_change_cpu_s"]
     metrics["change_bytes_per_s"] = changes_per_s * metrics["change_bytes"]
-    yield Sample(metrics, {"change_us": change, "path_change_us": path})
+    yield Sample(metrics, {"change_us": change_costs, "path_change_us": path_costs})
--- a/scale_experiments/scenarios/sockets.py
+++ b/scale_experiments/scenarios/sockets.py
@@ -2,37 +2,51 @@
 
 A few routers are started by `run` of deploy/balancer.toml, after its `build` in a folder of the run, with the
 limits of a deployment, against page caches at an address each and a load of clients. CPU is of the routers'
-processes. `siblings` is the size of the fleet as the settings tell it: it sets for how long connections stay.
+processes. `siblings` is the router count of the settings, which sets for how long connections are kept.
 """
 
 from __future__ import annotations
 
-import os
-import shutil
-import socket
 import subprocess
-import sys
 import time
-import tomllib
-from collections.abc import Iterator, Mapping
-from pathlib import Path
+from collections.abc import Iterator, Mapping, Sequence
 from typing import Any, Literal
 
-import orjson
 import psutil
 from hdrh.histogram import HdrHistogram
 from pydantic import BaseModel, ConfigDict, Field
 
-from scale_experiments.context import Lab, Sample
-from scale_experiments.emulators.control import Control
-from scale_experiments.scenarios.list_change import reference
-
-ROOT = Path(__file__).parent.parent.parent
-BUILT_FROM = ("cache_router", "deploy", "requirements.txt")
-BUILD_MOST_S = 300.0
-READY_MOST_S = 30.0
-PATIENCE_S = 60.0
-PORT = 6379
+from scale_experiments.context import ExperimentContext, Sample
+from scale_experiments.emulators.control import ControlClient
+from scale_experiments.emulators.launch import CACHES_MODULE, CLIENTS_MODULE, DISCOVERY_MODULE, start_emulator
+from scale_experiments.emulators.messages.caches import GetCachesStats, SetCacheMode, StartCaches
+from scale_experiments.emulators.messages.clients import GetClientsStats, StartClients
+from scale_experiments.emulators.messages.discovery import Listening, ReplaceList
+from scale_experiments.endpoint_entries import (
+    EndpointEntry,
+    build_entry,
+    build_loopback_entries,
+    build_snapshot,
+)
+from scale_experiments.reference_work import MACHINE_METRICS, machine_metrics, measure_reference_cpu_s
+from scale_experiments.router_process import (
+    RouterConfiguration,
+    RouterProcess,
+    build_router,
+    start_router,
+    wait_until_ready,
+)
+from scale_experiments.socket_metrics import Usage, compute_metrics
+
+READY_TIMEOUT_S = 30.0
+REPLY_TIMEOUT_S = 60.0
+REQUEST_DEADLINE_S = 2.0
+SEEDS_PER_SAMPLE = 1000
+LIST_INDEX = 1
+CACHE_NETWORK = "127.2"
+ORIGIN_LISTEN = "127.3.0.1:0"
+DISCOVERY_LISTEN = "127.3.0.2:0"
+ROUTER_NETWORK = "127.4.0"
 
 
 class Parameters(BaseModel):
@@ -95,30 +109,17 @@
     "router_descriptors": "descriptors of a router at the end, mean",
     "client_connections_per_router": "open connections of clients to a router at the end",
     "client_connections_per_request": "connections that clients opened for each request",
-    "reference_cpu_s": "CPU seconds of a fixed piece of work, by which to compare differently busy machines",
-    "load": "processes that wanted a core of this machine in the last minute, at the end of the sample",
+    **MACHINE_METRICS,
 }
 
 
-def cache_entries(caches: int) -> list[dict[str, Any]]:
-    """Page caches in discovery's form, at an address each."""
-    return [
-        {
-            "name": f"s-{i:08x}",
-            "address": f"127.2.{i // 250}.{i % 250 + 1}:{PORT}",
-            "zone": "a",
-            "type": "std",
-            "group": i // 8,
-            "status": "in_service",
-            "weight": 1.0,
-            "since_ms": 0,
-        }
-        for i in range(caches)
-    ]
-
-
-def settings(parameters: Parameters, siblings: int) -> dict[str, Any]:
-    """The settings of a site, in the form that a router is told."""
+def build_cache_entries(count: int) -> list[EndpointEntry]:
+    """Page caches, an address each."""
+    return build_loopback_entries(count, CACHE_NETWORK, ["a"], "std")
+
+
+def build_settings(parameters: Parameters, router_count: int) -> dict[str, Any]:
+    """The settings of a site, as a configuration file has them."""
     return {
         "classes": [
             {"name": "read", "aim": 0.5, "giveUp": 2.0, "effect": "free", "value": 1.0},
@@ -147,248 +148,153 @@
         "penalties": {"connection": parameters.connection_price, "handshake": parameters.handshake_price},
         "resolution": 0.005,
         "rules": {"coldFrom": 0.32, "overloadFor": 1.0, "rampTime": 9.0, "stopSendingWithin": 0.5},
-        "siblings": siblings,
+        "siblings": router_count,
         "weights": "silent",
     }
 
 
-def built(lab: Lab) -> tuple[Path, str]:
-    """A copy of the program in the run's folder, built as deployed, and the command that runs it."""
-    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    folder = lab.folder / "router"
-    if not folder.exists():
-        lab.progress("build")
-        folder.mkdir()
-        for name in BUILT_FROM:
-            if (ROOT / name).is_dir():
-                shutil.copytree(ROOT / name, folder / name, ignore=shutil.ignore_patterns("__pycache__"))
-            else:
-                shutil.copy(ROOT / name, folder / name)
-        log = (folder / "build.log").open("wb")
-        with log:
-            process = lab.spawn(["/bin/sh", "-c", deploy["build"]], cwd=folder, stdout=log, stderr=log)
-            status = process.wait(min(BUILD_MOST_S, lab.left_s()))
-        if status:
-            raise RuntimeError(f"build ended with {status}: {(folder / 'build.log').read_text()[-300:]}")
-    return folder, deploy["run"]
-
-
-class Site:
-    """The processes of one sample."""
-
-    def __init__(self, parameters: Parameters, size: Mapping[str, float], seed: int, lab: Lab) -> None:
+class Deployment:
+    """The processes of one sample: caches with an origin, a discovery, routers and clients."""
+
+    def __init__(
+        self, parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+    ) -> None:
         self.parameters = parameters
         self.size = size
         self.seed = seed
-        self.lab = lab
+        self.context = context
+        self.cache_names: list[str] = []
         self.processes: list[subprocess.Popen[bytes]] = []
         self.routers: list[psutil.Process] = []
-        self.addresses: list[str] = []
-
-    def _standin(self, name: str, *args: str) -> Control:
-        pipes = {"stdin": subprocess.PIPE, "stdout": subprocess.PIPE}
-        process = self.lab.spawn(
-            [sys.executable, "-m", f"scale_experiments.emulators.{name}", *args], **pipes
-        )
-        self.processes.append(process)
-        return Control(process, name, PATIENCE_S)
 
     def start(self) -> None:
-        """Start caches, discovery, routers and, once these are ready, the load."""
+        """Start caches, discovery, routers and, once these are ready, the load.
+
+        Raises ControlError, OSError or RouterStartError where a process does not start.
+        """
+        build_router(self.context)  # before any emulator runs
+        entries = build_cache_entries(int(self.size["caches"]))
+        self.cache_names = [entry["name"] for entry in entries]
+        origin = self._start_caches(entries)
+        entries.append(build_entry("origin", origin, zone="a", server_type="origin", group=0))
+        discovery = self._start_discovery(entries)
+        routers = [
+            self._start_router(number, discovery, entries) for number in range(int(self.size["routers"]))
+        ]
+        for router in routers:
+            wait_until_ready(router, READY_TIMEOUT_S)
+        self._start_clients([router.address for router in routers])
+
+    def _start_emulator(self, name: str, module: str, *arguments: str) -> ControlClient:
+        client = start_emulator(self.context, name, module, *arguments, reply_timeout_s=REPLY_TIMEOUT_S)
+        self.processes.append(client.process)
+        return client
+
+    def _start_caches(self, entries: Sequence[EndpointEntry]) -> str:
+        """Start caches and origin; returns the origin's address."""
         p = self.parameters
-        folder, command = built(self.lab)
-        entries = cache_entries(int(self.size["caches"]))
-        self.caches = self._standin("cache")
-        origin = self.caches.ask(
-            "start",
-            addresses={e["name"]: e["address"] for e in entries},
-            origin="127.3.0.1:0",
-            most_keys=p.keys,
-            **p.model_dump(
-                include={
-                    "value_bytes",
-                    "service_s",
-                    "handshake_s",
-                    "idle_s",
-                    "most_connections",
-                    "warm",
-                    "origin_service_s",
-                    "origin_most_at_once",
-                }
-            ),
-        )["origin"]
-        entries.append({**entries[0], "name": "origin", "address": origin, "type": "origin"})
-        known = {"index": 1, "snapshot": True, "endpoints": entries}
-        discovery = self._standin("discovery", "127.3.0.2:0")
-        address = discovery.reply()["address"]
-        discovery.ask("list", index=1, endpoints=entries)
-        for i in range(int(self.size["routers"])):
-            self._start_router(i, folder, command, address, known)
-        for listen in self.addresses:
-            self._ready(listen)
-        self.clients = self._standin("clients")
-        self.clients.ask(
-            "start",
-            routers=self.addresses,
-            rate_per_s=self.size["requests_per_s"],
-            seed=self.seed * 1000,
-            deadline_s=2.0,
-            read="read",
-            write="put",
-            **p.model_dump(include={"keys", "zipf", "write_share", "value_bytes"}),
+        self.caches = self._start_emulator("cache", CACHES_MODULE)
+        command = StartCaches(
+            addresses={entry["name"]: entry["address"] for entry in entries},
+            origin=ORIGIN_LISTEN,
+            max_keys=p.keys,
+            value_bytes=p.value_bytes,
+            service_s=p.service_s,
+            handshake_s=p.handshake_s,
+            idle_s=p.idle_s,
+            max_connections=p.most_connections,
+            warm=p.warm,
+            origin_service_s=p.origin_service_s,
+            origin_max_concurrent=p.origin_most_at_once,
         )
+        return self.caches.request(command).origin
+
+    def _start_discovery(self, entries: Sequence[EndpointEntry]) -> str:
+        """Start discovery with a list; returns its address."""
+        discovery = self._start_emulator("discovery", DISCOVERY_MODULE, DISCOVERY_LISTEN)
+        address = discovery.receive(Listening).address
+        discovery.request(ReplaceList(LIST_INDEX, entries))
+        return address
+
+    def _start_router(self, number: int, discovery: str, entries: Sequence[EndpointEntry]) -> RouterProcess:
+        configuration = RouterConfiguration(
+            name=f"n{number}",
+            discovery=discovery,
+            seed=self.seed * SEEDS_PER_SAMPLE + number,
+            memory_mb=self.parameters.memory_mb,
+            descriptors=self.parameters.sockets,
+            cached_list=build_snapshot(LIST_INDEX, entries),
+            settings=build_settings(self.parameters, int(self.size["siblings"])),
+        )
+        router = start_router(self.context, configuration, f"{ROUTER_NETWORK}.{number + 1}")
+        self.processes.append(router.process)
+        self.routers.append(psutil.Process(router.process.pid))
+        return router
 
-    def _start_router(
-        self, number: int, folder: Path, command: str, discovery: str, known: dict[str, Any]
-    ) -> None:
+    def _start_clients(self, routers: list[str]) -> None:
         p = self.parameters
-        with socket.socket() as taken:  # a port that is free now
-            taken.bind((f"127.4.0.{number + 1}", 0))
-            listen = "{}:{}".format(*taken.getsockname())
-        config = {
-            "name": f"n{number}",
-            "listen": listen,
-            "discovery": discovery,
-            "seed": f"{self.seed * 1000 + number:016x}",
-            "limits": {"cores": 1.0, "memory_mb": p.memory_mb, "sockets": p.sockets},
-            "known": known,
-            "settings": settings(p, int(self.size["siblings"])),
-        }
-        path = self.lab.folder / f"router-{number}.json"
-        path.write_bytes(orjson.dumps(config))
-        told = {"RELAY_NAME": config["name"], "RELAY_LISTEN": listen, "RELAY_DISCOVERY": discovery}
-        with (self.lab.folder / f"router-{number}.log").open("wb") as log:
-            process = self.lab.spawn(
-                ["/bin/sh", "-c", f"ulimit -n {p.sockets}; {command}"],
-                cwd=folder,
-                env={**os.environ, **told, "RELAY_CONFIG": str(path)},
-                stdout=log,
-                stderr=log,
+        self.clients = self._start_emulator("clients", CLIENTS_MODULE)
+        self.clients.request(
+            StartClients(
+                routers=routers,
+                rate_per_s=self.size["requests_per_s"],
+                seed=self.seed * SEEDS_PER_SAMPLE,
+                deadline_s=REQUEST_DEADLINE_S,
+                read_class="read",
+                write_class="put",
+                keys=p.keys,
+                zipf_exponent=p.zipf,
+                write_share=p.write_share,
+                value_bytes=p.value_bytes,
             )
-        self.processes.append(process)
-        self.routers.append(psutil.Process(process.pid))
-        self.addresses.append(listen)
-
-    def _ready(self, listen: str) -> None:
-        """Wait until a router answers `+PONG`; raises RuntimeError where it does not."""
-        host, _, port = listen.rpartition(":")
-        until = time.monotonic() + READY_MOST_S
-        while time.monotonic() < until:
-            try:
-                with socket.create_connection((host, int(port)), 1.0) as client:
-                    client.sendall(b"*1\r\n$4\r\nPING\r\n")
-                    if client.recv(64) == b"+PONG\r\n":
-                        return
-            except OSError:
-                pass
-            time.sleep(0.1)
-        raise RuntimeError(f"router at {listen} is not ready after {READY_MOST_S:g} s")
-
-    def usage(self) -> dict[str, Any]:
+        )
+
+    def usage(self) -> Usage:
         """Counts since the start, and latencies since the last call."""
         cpu_s = sum(sum(r.cpu_times()[:2]) for r in self.routers)
-        clients = self.clients.ask("stats", restart=True)
-        return {"caches": self.caches.ask("stats"), "clients": clients, "cpu_s": cpu_s}
+        clients = self.clients.request(GetClientsStats(restart=True))
+        return Usage(self.caches.request(GetCachesStats()), clients, cpu_s)
 
-    def play(self) -> None:
+    def run_load(self) -> None:
         """Let the time pass that is measured, with the fault of some caches at its beginning."""
         p, faulty = self.parameters, int(self.size.get("faulty", 0))
-        left = p.measure_s
+        remaining_s = p.measure_s
         if faulty:
-            names = [e["name"] for e in cache_entries(int(self.size["caches"]))[:faulty]]
-            self.caches.ask("mode", names=names, mode=p.fault)
-            time.sleep(min(p.fault_s, left))
-            left -= min(p.fault_s, left)
-            self.caches.ask("mode", names=names, mode="serve")
-        time.sleep(left)
+            names = self.cache_names[:faulty]
+            self.caches.request(SetCacheMode(names, p.fault))
+            time.sleep(min(p.fault_s, remaining_s))
+            remaining_s -= min(p.fault_s, remaining_s)
+            self.caches.request(SetCacheMode(names, "serve"))
+        time.sleep(remaining_s)
+
+    def check_routers(self) -> None:
+        """Raise RuntimeError if a router has ended."""
+        if any(not each.is_running() or each.status() == psutil.STATUS_ZOMBIE for each in self.routers):
+            raise RuntimeError("a router has ended")
 
     def stop(self) -> None:
-        """End all of this sample."""
+        """End all processes of the sample, the ones started last first."""
         for process in reversed(self.processes):
-            self.lab.stop(process)
-
-
-def figures(before: dict[str, Any], after: dict[str, Any], routers: list[psutil.Process]) -> dict[str, float]:
-    """Metrics of what happened between two moments."""
-    seconds = after["caches"]["at"] - before["caches"]["at"]
-    each = [
-        {field: now[field] - before["caches"]["caches"][name][field] for field in now}
-        for name, now in after["caches"]["caches"].items()
-    ]
-    samples = max(1, after["caches"]["samples"] - before["caches"]["samples"])
-    names = after["clients"]["counts"].keys()
-    counts = {n: after["clients"]["counts"][n] - before["clients"]["counts"].get(n, 0) for n in names}
-    asked, cpu_s = max(1, counts["asked"]), after["cpu_s"] - before["cpu_s"]
-    caches = len(each)
-
-    def total(field: str) -> float:
-        return float(sum(e[field] for e in each))
-
-    ends = ("served", "refused", "failed", "unanswered", "lost", "not_connected", "not_sent")
-    ended = max(1, sum(counts.get(k, 0) for k in ends))
-
-    def share(*kinds: str) -> float:
-        return float(sum(counts.get(k, 0) for k in kinds) / ended)
-
-    held = total("open_sum") / samples
-    origin = after["caches"]["origin"]["requests"] - before["caches"]["origin"]["requests"]
-    latency = HdrHistogram.decode(after["clients"]["latency"])
-    found = [r.memory_info().rss for r in routers]
-    return {
-        "requests_per_s": asked / seconds,
-        "served_share": share("served"),
-        "refused_share": share("refused"),
-        "lost_share": share(*ends[2:]),
-        "latency_p50_s": latency.get_value_at_percentile(50) / 1e6,
-        "latency_p99_s": latency.get_value_at_percentile(99) / 1e6,
-        "attempts_per_request": total("requests") / asked,
-        "handshakes_per_request": total("accepted") / asked,
-        "handshakes_per_cache_per_s": total("accepted") / caches / seconds,
-        "open_per_cache": held / caches,
-        "open_per_cache_per_router": held / caches / len(routers),
-        "most_open_at_a_cache": max(c["most_open"] for c in after["caches"]["caches"].values()),
-        "open_to_caches_per_router": held / len(routers),
-        "caches_met_share": sum(e["requests"] > 0 for e in each) / caches,
-        "fullest_cache_share": max(e["requests"] for e in each) * caches / max(1.0, total("requests")),
-        "hit_share": total("hits") / max(1.0, total("requests")),
-        "busy_per_request": total("busy") / asked,
-        "origin_per_request": origin / asked,
-        "router_cpu_per_request_s": cpu_s / asked,
-        "router_cpu_share": cpu_s / seconds / len(routers),
-        "router_resident_bytes": sum(found) / len(routers),
-        "router_most_resident_bytes": most_resident(routers),
-        "router_descriptors": sum(r.num_fds() for r in routers) / len(routers),
-        "client_connections_per_router": after["clients"]["counts"]["open"] / len(routers),
-        "client_connections_per_request": counts["connections"] / asked,
-    }
-
+            self.context.stop(process)
 
-def most_resident(routers: list[psutil.Process]) -> float:
-    """The kernel's high-water mark of resident bytes, of the router that had the most."""
-    marks = []
-    for router in routers:
-        lines = Path(f"/proc/{router.pid}/status").read_text().splitlines()
-        marks += [int(line.split()[1]) * 1024 for line in lines if line.startswith("VmHWM:")]
-    return float(max(marks, default=0))
 
-
-def measure(parameters: Parameters, size: Mapping[str, float], seed: int, lab: Lab) -> Iterator[Sample]:
-    """One sample; raises ControlError or RuntimeError where a process ends or is not ready in time."""
-    site = Site(parameters, size, seed, lab)
+def measure(
+    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
+) -> Iterator[Sample]:
+    """One sample; raises ControlError, OSError or RuntimeError where a process does not start, or ends."""
+    deployment = Deployment(parameters, size, seed, context)
     try:
-        lab.progress("start")
-        site.start()
+        context.progress("start")
+        deployment.start()
         time.sleep(parameters.warm_s)
-        lab.progress("measure")
-        references = [reference()]
-        before = site.usage()
-        site.play()
-        after = site.usage()
-        references.append(reference())
-        if any(not r.is_running() or r.status() == psutil.STATUS_ZOMBIE for r in site.routers):
-            raise RuntimeError("a router has ended")
-        metrics = figures(before, after, site.routers)
-        metrics |= {"load": os.getloadavg()[0], "reference_cpu_s": sum(references) / 2}
-        yield Sample(metrics, {"latency": HdrHistogram.decode(after["clients"]["latency"])})
+        context.progress("measure")
+        references = [measure_reference_cpu_s()]
+        before = deployment.usage()
+        deployment.run_load()
+        after = deployment.usage()
+        references.append(measure_reference_cpu_s())
+        deployment.check_routers()
+        metrics = compute_metrics(before, after, deployment.routers) | machine_metrics(references)
+        yield Sample(metrics, {"latency": HdrHistogram.decode(after.clients.latency)})
     finally:
-        site.stop()
+        deployment.stop()
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import socket
+from dataclasses import replace
 from typing import Any
 
 import orjson
@@ -11,8 +12,26 @@
 
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.net.discovery import Discovery
-from scale_experiments.emulators import discovery as discovery_emulator
-from scale_experiments.emulators.cache import Cache, Plan
+from scale_experiments.emulators.cache import Cache, CacheCluster
+from scale_experiments.emulators.codec import (
+    Command,
+    CommandError,
+    decode,
+    decode_command,
+    encode,
+    encode_command,
+)
+from scale_experiments.emulators.discovery import DiscoveryEmulator
+from scale_experiments.emulators.endpoint_registry import Registry
+from scale_experiments.emulators.messages.caches import CacheSettings, CachesStats, SetCacheMode, StartCaches
+from scale_experiments.emulators.messages.clients import GetClientsStats, PauseClients
+from scale_experiments.emulators.messages.discovery import (
+    ChangeList,
+    DiscoveryStats,
+    ResetUnanswered,
+    SetDiscoveryMode,
+)
+from scale_experiments.emulators.messages.routers import GetUpdateTimes
 from tests.endpoint_lists import ENDPOINT_ENTRY
 from tests.loopback import Link, format_address, read, run
 
@@ -22,16 +41,16 @@
     return {**ENDPOINT_ENTRY, "name": name, "status": status}
 
 
-def poll(registry: discovery_emulator.Registry, after: int | None) -> tuple[int, bool, dict[str, str]]:
+def poll(registry: Registry, after: int | None) -> tuple[int, bool, dict[str, str]]:
     """Poll for what is newer than an index; return index, whether a snapshot, and states by name."""
-    response = orjson.loads(registry.answer(after))
+    response = orjson.loads(registry.response_body(after))
     states = {e["name"]: e["status"] for e in response["endpoints"]}
     return response["index"], response["snapshot"], states
 
 
 def test_registry_sends_changes_or_a_snapshot_if_the_index_is_too_old() -> None:
     """Changes are sent to a known index, a snapshot to one that is unknown or no longer kept."""
-    registry = discovery_emulator.Registry(kept=2)
+    registry = Registry(log_length=2)
     registry.replace(5, [endpoint_entry("a"), endpoint_entry("b")])
     assert poll(registry, None) == (5, True, {"a": "in_service", "b": "in_service"})
     assert poll(registry, 5) == (5, False, {})
@@ -49,7 +68,7 @@
     """A poll waits until the list changes, and gets no response while discovery hangs."""
 
     async def scenario() -> None:
-        server = discovery_emulator.Discovery()
+        server = DiscoveryEmulator()
         await server.listen()
         server.registry.replace(41, [endpoint_entry("a")])
         updates: asyncio.Queue[tuple[EndpointUpdateKind, list[str]]] = asyncio.Queue()
@@ -62,7 +81,7 @@
         watch.subscribe()
 
         async def wait_for_polls(count: int) -> None:
-            while server.calls < count:
+            while server.polls < count:
                 await asyncio.sleep(0.001)
 
         await wait_for_polls(1)
@@ -75,7 +94,7 @@
         server.change(43, [endpoint_entry("c")])
         assert not server.waiting
         assert updates.empty()
-        assert server.reset_held() == 1
+        assert server.reset_unanswered() == 1
         assert await updates.get() == (EndpointUpdateKind.FAILED, [])
         await server.set_mode("serve")
         watch.subscribe()
@@ -91,7 +110,7 @@
     """The emulator rejects what routers never send, so that a mistake in a router is not overlooked."""
 
     async def scenario() -> None:
-        server = discovery_emulator.Discovery()
+        server = DiscoveryEmulator()
         await server.listen()
         client = Link(*await asyncio.open_connection(*server.address))
         client.write(b"GET /registry/instances?after=x HTTP/1.1\r\n\r\n")
@@ -102,32 +121,26 @@
     run(scenario)
 
 
-PLAN: dict[str, Any] = {
-    "value_bytes": 3,
-    "service_s": 0.0,
-    "handshake_s": 0.0,
-    "idle_s": 9.0,
-    "most_connections": 2,
-    "most_keys": 2,
-    "warm": False,
-}
+CACHE_SETTINGS = CacheSettings(
+    value_bytes=3, service_s=0.0, handshake_s=0.0, idle_s=9.0, max_connections=2, max_keys=2, warm=False
+)
 
 
 def test_cache_stores_a_missed_key_from_the_origin_response_until_a_write() -> None:
     """The cache server of a miss stores the value; a write removes it everywhere."""
-    plan = Plan(PLAN)
-    first, other = (Cache(plan, name, ("127.0.0.1", 0)) for name in "ab")
-    plan.missed(b"r1", first)
-    plan.fetched(b"k1", b"r1", False, [first, other])
-    assert first.has(b"k1")
-    assert not other.has(b"k1")
-    assert not plan.misses
-    plan.fetched(b"k1", b"w1", True, [first, other])
-    assert not first.has(b"k1")
+    cluster = CacheCluster(CACHE_SETTINGS)
+    first, other = (Cache(cluster, name, ("127.0.0.1", 0)) for name in "ab")
+    cluster.on_miss(b"r1", first)
+    cluster.on_fetched(b"k1", b"r1", False, [first, other])
+    assert first.contains(b"k1")
+    assert not other.contains(b"k1")
+    assert not cluster.pending_misses
+    cluster.on_fetched(b"k1", b"w1", True, [first, other])
+    assert not first.contains(b"k1")
     for key in (b"k1", b"k2", b"k3"):
-        first.hold(key)
-    assert not first.has(b"k1")  # no more than its capacity
-    assert first.has(b"k3")
+        first.store(key)
+    assert not first.contains(b"k1")  # no more than its capacity
+    assert first.contains(b"k3")
 
 
 def test_cache_drains_hangs_fails_and_restarts_empty() -> None:
@@ -136,7 +149,7 @@
     async def scenario() -> None:
         with socket.create_server(("127.0.0.1", 0)) as occupied:
             address = occupied.getsockname()
-        cache = Cache(Plan({**PLAN, "warm": True}), "a", address)
+        cache = Cache(CacheCluster(replace(CACHE_SETTINGS, warm=True)), "a", address)
         await cache.listen()
         links = [Link(*await asyncio.open_connection(*address)) for _ in range(3)]
         for link, value in zip(links, (b"vvv", b"vvv", None), strict=True):
@@ -161,8 +174,91 @@
         link = Link(*await asyncio.open_connection(*address))
         link.write(read("r4"))
         assert (await link.resp())[:2] == [None, b"miss"]
-        assert (cache.accepted, cache.handshakes, cache.hits, cache.missed, cache.busy) == (4, 3, 2, 1, 2)
+        assert (cache.accepted, cache.handshakes, cache.hits, cache.misses, cache.rejected) == (4, 3, 2, 1, 2)
         link.close()
         await cache.set_mode("dead")
 
     run(scenario)
+
+
+@pytest.mark.parametrize(
+    ("command", "message"),
+    [
+        (
+            StartCaches(
+                value_bytes=3,
+                service_s=0.1,
+                handshake_s=0.2,
+                idle_s=9.0,
+                max_connections=2,
+                max_keys=4,
+                warm=True,
+                addresses={"a": "127.2.0.1:6379"},
+                origin="127.3.0.1:0",
+                origin_service_s=0.3,
+                origin_max_concurrent=5,
+            ),
+            {
+                "do": "start",
+                "value_bytes": 3,
+                "service_s": 0.1,
+                "handshake_s": 0.2,
+                "idle_s": 9.0,
+                "most_connections": 2,
+                "most_keys": 4,
+                "warm": True,
+                "addresses": {"a": "127.2.0.1:6379"},
+                "origin": "127.3.0.1:0",
+                "origin_service_s": 0.3,
+                "origin_most_at_once": 5,
+            },
+        ),
+        (SetCacheMode(["a"], "hang"), {"do": "mode", "names": ["a"], "mode": "hang"}),
+        (GetClientsStats(restart=True), {"do": "stats", "restart": True}),
+        (PauseClients(), {"do": "rest"}),
+        (ChangeList(7, [ENDPOINT_ENTRY]), {"do": "change", "index": 7, "endpoints": [ENDPOINT_ENTRY]}),
+        (SetDiscoveryMode("silent"), {"do": "silent"}),
+        (SetDiscoveryMode("busy", 1.5), {"do": "busy", "after_s": 1.5}),
+        (ResetUnanswered(), {"do": "reset_held"}),
+        (GetUpdateTimes(7), {"do": "had", "index": 7}),
+    ],
+)
+def test_command_keeps_its_form_as_json(command: Command[Any], message: dict[str, Any]) -> None:
+    assert encode_command(command) == message
+    assert decode_command({message["do"]: type(command)}, message) == command
+
+
+def test_stats_keep_their_form_as_json_and_are_read_again() -> None:
+    usage = {"at": 1.0, "cpu_s": 0.5, "resident_bytes": 10, "descriptors": 3}
+    discovery = DiscoveryEmulator().stats()
+    assert set(encode(discovery)) == {
+        *usage,
+        "calls",
+        "connections",
+        "answered",
+        "refused",
+        "bytes_in",
+        "bytes_out",
+        "told_s",
+        "told_calls",
+        "index",
+        "open",
+        "waiting",
+        "bucket_s",
+        "over_time",
+    }
+    assert decode(DiscoveryStats, encode(discovery)) == discovery
+    counters = {"accepted": 1, "handshakes": 2, "requests": 3, "hits": 4, "missed": 5, "busy": 6}
+    cache = {**counters, "open_sum": 7.0, "most_open": 8, "open": 9}
+    origin = {"requests": 1, "turned_away": 2, "connections": 3, "open": 4, "most_open": 5}
+    message = {**usage, "time": 2.0, "samples": 4, "caches": {"a": cache}, "origin": origin}
+    stats = decode(CachesStats, message)
+    assert (stats.caches["a"].misses, stats.caches["a"].rejected, stats.origin.rejected) == (5, 6, 2)
+    assert encode(stats) == message
+
+
+def test_command_that_is_unknown_or_lacks_a_field_is_rejected() -> None:
+    with pytest.raises(CommandError, match="no such command: stop"):
+        decode_command({"had": GetUpdateTimes}, {"do": "stop"})
+    with pytest.raises(KeyError, match="index"):
+        decode_command({"had": GetUpdateTimes}, {"do": "had"})
