--- a/scale_experiments/__init__.py
+++ b/scale_experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Scale experiments: stand-ins for what surrounds a router, and runs of them at growing sizes."""
+"""Scale experiments: emulators of what surrounds a router, and runs of them at growing sizes."""
