--- a/scale_experiments/emulators/clients.py
+++ b/scale_experiments/emulators/clients.py
@@ -40,6 +40,7 @@
     StartClients,
 )
 from scale_experiments.emulators.messages.common import Done
+from scale_experiments.histograms import encode_histogram
 
 MAX_ARRAY_LENGTH = 16  # of a reply
 MAX_VALUE_BYTES = 64 * 1024
@@ -260,7 +261,7 @@
         return ClientsStats(
             time=time.time(),
             counts=dict(counts),
-            latency=bytes(latency.encode()).decode("ascii"),
+            latency=encode_histogram(latency),
             **asdict(process_usage()),
         )
 
--- a/scale_experiments/results.py
+++ b/scale_experiments/results.py
@@ -16,11 +16,11 @@
 from typing import Any
 
 import orjson
-from hdrh.histogram import HdrHistogram
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from scale_experiments.context import Sample
 from scale_experiments.experiment import Budget, Experiment, InputError, describe_validation_error
+from scale_experiments.histograms import encode_histogram
 
 ROOT = Path(__file__).parent.parent
 CPU_INFO = Path("/proc/cpuinfo")
@@ -155,16 +155,6 @@
     )
 
 
-def encode_histogram(histogram: HdrHistogram) -> str:
-    """A histogram in HDR's own encoding, as base64."""
-    return bytes(histogram.encode()).decode("ascii")
-
-
-def decode_histogram(text: str) -> HdrHistogram:
-    """A stored histogram."""
-    return HdrHistogram.decode(text)
-
-
 def write_result(result: Result, path: Path) -> None:
     """Replace the file atomically, so that it is complete at any time."""
     text = orjson.dumps(
--- a/scale_experiments/scenarios/sockets.py
+++ b/scale_experiments/scenarios/sockets.py
@@ -13,7 +13,6 @@
 from typing import Any, Literal
 
 import psutil
-from hdrh.histogram import HdrHistogram
 from pydantic import BaseModel, ConfigDict, Field
 
 from scale_experiments.context import ExperimentContext, Sample
@@ -28,6 +27,7 @@
     build_loopback_entries,
     build_snapshot,
 )
+from scale_experiments.histograms import decode_histogram
 from scale_experiments.reference_work import MACHINE_METRICS, machine_metrics, measure_reference_cpu_s
 from scale_experiments.router_process import (
     RouterConfiguration,
@@ -295,6 +295,6 @@
         references.append(measure_reference_cpu_s())
         deployment.check_routers()
         metrics = compute_metrics(before, after, deployment.routers) | machine_metrics(references)
-        yield Sample(metrics, {"latency": HdrHistogram.decode(after.clients.latency)})
+        yield Sample(metrics, {"latency": decode_histogram(after.clients.latency)})
     finally:
         deployment.stop()
--- a/scale_experiments/socket_metrics.py
+++ b/scale_experiments/socket_metrics.py
@@ -7,7 +7,6 @@
 from pathlib import Path
 
 import psutil
-from hdrh.histogram import HdrHistogram
 
 from scale_experiments.emulators.messages.caches import CachesStats
 from scale_experiments.emulators.messages.clients import (
@@ -19,6 +18,7 @@
     SERVED,
     ClientsStats,
 )
+from scale_experiments.histograms import decode_histogram
 
 
 @dataclass(slots=True, frozen=True)
@@ -57,7 +57,7 @@
     def share(*outcomes: str) -> float:
         return float(sum(counts.get(outcome, 0) for outcome in outcomes) / ended)
 
-    latency = HdrHistogram.decode(clients.latency)
+    latency = decode_histogram(clients.latency)
     return {
         "served_share": share(SERVED),
         "refused_share": share(REJECTED),
--- a/tests/test_kept_results.py
+++ b/tests/test_kept_results.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from scale_experiments.results import decode_histogram, load_result, write_result
+from scale_experiments.histograms import decode_histogram
+from scale_experiments.results import load_result, write_result
 
 RESULTS = sorted((Path(__file__).parent.parent / "scale_experiments" / "results").glob("*.json"))
 
--- a/tests/test_scale_experiments.py
+++ b/tests/test_scale_experiments.py
@@ -17,7 +17,8 @@
 
 from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.experiment import Experiment, InputError, load_experiment
-from scale_experiments.results import decode_histogram, load_result
+from scale_experiments.histograms import decode_histogram
+from scale_experiments.results import load_result
 from scale_experiments.runner import RunOutcome, run
 from scale_experiments.target import TARGET, load_target
 
