--- /dev/null
+++ b/tests/cache_router/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the router, in the layout of its package."""
--- a/tests/test_admission_control.py
+++ b/tests/cache_router/decisions/test_admission_control.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from cache_router.decisions.events import AttemptStatus
-from tests.driver import Driver, Outcome, entry, settings
+from tests.support.driver import Driver, Outcome, entry, settings
 
 
 def test_load_is_shed_by_the_reported_queues() -> None:
--- a/tests/test_concurrency_limit.py
+++ b/tests/cache_router/decisions/test_concurrency_limit.py
@@ -4,8 +4,8 @@
 
 from cache_router.decisions import concurrency_limit
 from cache_router.decisions.events import AttemptStatus
-from tests.driver import Driver, Outcome, entry, settings
-from tests.router_scenarios import CACHE_ASIDE, fleet, request_and_miss
+from tests.support.driver import Driver, Outcome, entry, settings
+from tests.support.router_scenarios import CACHE_ASIDE, fleet, request_and_miss
 
 
 def test_slow_answers_reduce_the_limit() -> None:
--- a/tests/test_endpoint_polling.py
+++ b/tests/cache_router/decisions/test_endpoint_polling.py
@@ -6,8 +6,8 @@
 
 from cache_router.decisions.actions import LogMessage, SetTimer, SubscribeToEndpoints
 from cache_router.decisions.events import DiscoveryAddressChanged, EndpointUpdateKind, TimerFired
-from tests.driver import Driver, settings
-from tests.router_scenarios import FAILED_CALL, fleet
+from tests.support.driver import Driver, settings
+from tests.support.router_scenarios import FAILED_CALL, fleet
 
 
 def test_router_subscribes_and_backs_off_after_failures() -> None:
--- a/tests/test_endpoints.py
+++ b/tests/cache_router/decisions/test_endpoints.py
@@ -5,8 +5,8 @@
 from cache_router.decisions import concurrency_limit
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.endpoint import EndpointState
-from tests.driver import Driver, entry, settings
-from tests.router_scenarios import fleet
+from tests.support.driver import Driver, entry, settings
+from tests.support.router_scenarios import fleet
 
 
 def test_restarted_server_starts_with_a_fresh_state() -> None:
--- a/tests/test_hash_ring.py
+++ b/tests/cache_router/decisions/test_hash_ring.py
@@ -6,9 +6,9 @@
 
 from cache_router.decisions.hash_ring import ring_hash, virtual_nodes
 from cache_router.endpoint import EndpointState
-from tests.driver import Driver, entry, settings
-from tests.reference_ring import primary_server, ring_positions
-from tests.router_scenarios import primary_servers
+from tests.support.driver import Driver, entry, settings
+from tests.support.reference_ring import primary_server, ring_positions
+from tests.support.router_scenarios import primary_servers
 
 
 def test_digest_gives_eight_positions() -> None:
--- a/tests/test_hedging.py
+++ b/tests/cache_router/decisions/test_hedging.py
@@ -9,8 +9,8 @@
 from cache_router.decisions import hedging
 from cache_router.decisions.events import AttemptStatus, EndpointUpdateKind
 from cache_router.endpoint import EndpointState
-from tests.driver import Driver, entry, settings
-from tests.router_scenarios import CACHE_ASIDE, fleet, ignore_key_popularity
+from tests.support.driver import Driver, entry, settings
+from tests.support.router_scenarios import CACHE_ASIDE, fleet, ignore_key_popularity
 
 
 def request_without_answer(driver: Driver, name: str, **fields: Any) -> None:
--- a/tests/test_idle_connections.py
+++ b/tests/cache_router/decisions/test_idle_connections.py
@@ -8,8 +8,8 @@
 from cache_router.decisions.events import AttemptStatus
 from cache_router.decisions.idle_connections import KEEP_SHARE
 from cache_router.settings import Settings
-from tests.driver import Driver, settings
-from tests.router_scenarios import fleet
+from tests.support.driver import Driver, settings
+from tests.support.router_scenarios import fleet
 
 
 def test_idle_connections_are_closed_when_they_cost_more_than_a_handshake() -> None:
--- a/tests/test_origin_queue.py
+++ b/tests/cache_router/decisions/test_origin_queue.py
@@ -6,8 +6,8 @@
 
 from cache_router.decisions.actions import Reject
 from cache_router.decisions.events import AttemptStatus
-from tests.driver import Driver, Outcome, settings
-from tests.router_scenarios import CACHE_ASIDE, fleet, request_and_miss
+from tests.support.driver import Driver, Outcome, settings
+from tests.support.router_scenarios import CACHE_ASIDE, fleet, request_and_miss
 
 
 def test_reads_queued_for_the_origin_are_answered_in_time() -> None:
--- a/tests/test_outlier_detection.py
+++ b/tests/cache_router/decisions/test_outlier_detection.py
@@ -6,8 +6,8 @@
 
 from cache_router.decisions import concurrency_limit, events, outlier_detection
 from cache_router.decisions.events import AttemptStatus
-from tests.driver import Driver, entry, settings
-from tests.router_scenarios import fleet, ignore_key_popularity, servers_clockwise
+from tests.support.driver import Driver, entry, settings
+from tests.support.router_scenarios import fleet, ignore_key_popularity, servers_clockwise
 
 
 def fail_attempts(driver: Driver, server: str, times: int, status: AttemptStatus) -> None:
--- a/tests/test_overload_backoff.py
+++ b/tests/cache_router/decisions/test_overload_backoff.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, LoadReport
-from tests.driver import Driver, entry, settings
+from tests.support.driver import Driver, entry, settings
 
 
 def report_overload(driver: Driver, name: str, service_time: float = 0.5, queue_length: float = 20.0) -> str:
--- a/tests/test_retry_policy.py
+++ b/tests/cache_router/decisions/test_retry_policy.py
@@ -6,8 +6,8 @@
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass
-from tests.driver import Driver, Outcome, entry, settings
-from tests.router_scenarios import fleet
+from tests.support.driver import Driver, Outcome, entry, settings
+from tests.support.router_scenarios import fleet
 
 MAY_HAVE_EXECUTED = [AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED]
 NOT_EXECUTED = [AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT]
--- a/tests/test_router.py
+++ b/tests/cache_router/decisions/test_router.py
@@ -19,8 +19,8 @@
     TimerKind,
 )
 from cache_router.endpoint import Endpoint, EndpointState
-from tests.driver import Driver, Outcome, entry, settings
-from tests.router_scenarios import CACHE_ASIDE, fleet
+from tests.support.driver import Driver, Outcome, entry, settings
+from tests.support.router_scenarios import CACHE_ASIDE, fleet
 
 DRAINING = (entry("a", state=EndpointState.DRAINING), entry("b", weight=0.0, state=EndpointState.DRAINING))
 
--- a/tests/test_router_properties.py
+++ b/tests/cache_router/decisions/test_router_properties.py
@@ -15,8 +15,8 @@
 from cache_router.decisions.router import Router
 from cache_router.endpoint import EndpointState
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings
-from tests.driver import Driver, entry, settings
-from tests.router_scenarios import CACHE_ASIDE, fleet
+from tests.support.driver import Driver, entry, settings
+from tests.support.router_scenarios import CACHE_ASIDE, fleet
 
 # weighted by repetition
 EVENTS = [
--- a/tests/test_server_selection.py
+++ b/tests/cache_router/decisions/test_server_selection.py
@@ -8,9 +8,9 @@
 from cache_router.decisions.events import AttemptStatus
 from cache_router.decisions.model import PendingRequest, Server
 from cache_router.decisions.server_selection import ServerSelector
-from tests.driver import Driver, Outcome, entry, settings
-from tests.reference_ring import primary_server
-from tests.router_scenarios import fleet, ignore_key_popularity, primary_servers, servers_clockwise
+from tests.support.driver import Driver, Outcome, entry, settings
+from tests.support.reference_ring import primary_server
+from tests.support.router_scenarios import fleet, ignore_key_popularity, primary_servers, servers_clockwise
 
 
 def exhaust_capacity(driver: Driver, *names: str) -> None:
--- a/tests/test_slow_start.py
+++ b/tests/cache_router/decisions/test_slow_start.py
@@ -25,8 +25,8 @@
 from cache_router.decisions.model import Server
 from cache_router.decisions.router import Router
 from cache_router.decisions.slow_start import SlowStartQuota
-from tests.driver import Driver, entry, settings
-from tests.router_scenarios import primary_servers
+from tests.support.driver import Driver, entry, settings
+from tests.support.router_scenarios import primary_servers
 
 ROUTERS, CACHES, START = 30, 10, 5.0
 LATENCY = 0.02
--- /dev/null
+++ b/tests/cache_router/net/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the network code, on loopback."""
--- a/tests/test_net_cache_connection.py
+++ b/tests/cache_router/net/test_cache_connection.py
@@ -5,8 +5,8 @@
 import pytest
 
 from cache_router.decisions.events import AttemptStatus
-from tests.loopback import HIT, MISS, Peer, run
-from tests.upstream_attempts import cache_attempts, info_without_deadline
+from tests.support.loopback import HIT, MISS, Peer, run
+from tests.support.upstream_attempts import cache_attempts, info_without_deadline
 
 OVERSIZED_VALUE = b"$70000\r\n" + b"x" * 70000
 
--- a/tests/test_net_client_connection.py
+++ b/tests/cache_router/net/test_client_connection.py
@@ -8,8 +8,8 @@
 
 from cache_router.net import client_connection
 from cache_router.net.client_connection import MAX_PIPELINED_COMMANDS, ClientConnection
-from tests.event_order import wait_until
-from tests.loopback import HIT, Link, Router, command, error_text, read, run
+from tests.support.event_order import wait_until
+from tests.support.loopback import HIT, Link, Router, command, error_text, read, run
 
 
 def test_replies_are_written_in_the_order_of_the_commands() -> None:
--- a/tests/test_client_disconnects.py
+++ b/tests/cache_router/net/test_client_disconnects.py
@@ -13,9 +13,14 @@
 from cache_router.net import client_connection
 from cache_router.net.client_connection import ClientConnection
 from cache_router.net.socket_state import is_hung_up
-from tests.event_order import DelayedConnections, first_connection, record_written_requests, wait_until
-from tests.loopback import HIT, MISS, Link, Router, command, http, keyed_write, read, run
-from tests.upstream_attempts import GET
+from tests.support.event_order import (
+    DelayedConnections,
+    first_connection,
+    record_written_requests,
+    wait_until,
+)
+from tests.support.loopback import HIT, MISS, Link, Router, command, http, keyed_write, read, run
+from tests.support.upstream_attempts import GET
 
 
 async def disconnect(router: Router, client: Link) -> None:
--- a/tests/test_net_connection_pool.py
+++ b/tests/cache_router/net/test_connection_pool.py
@@ -7,8 +7,8 @@
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net import connection_pool
-from tests.loopback import HIT, MISS, Peer, format_address, run
-from tests.upstream_attempts import GET, cache_attempts
+from tests.support.loopback import HIT, MISS, Peer, format_address, run
+from tests.support.upstream_attempts import GET, cache_attempts
 
 
 def test_longest_idle_connection_is_used_first() -> None:
--- a/tests/test_descriptors.py
+++ b/tests/cache_router/net/test_descriptors.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from tests.endpoint_lists import encode_endpoint_list, peer_entry
-from tests.loopback import HIT, Link, Peer, command, format_address, http, read, run
-from tests.router_process import (
+from tests.support.endpoint_lists import encode_endpoint_list, peer_entry
+from tests.support.loopback import HIT, Link, Peer, command, format_address, http, read, run
+from tests.support.router_process import (
     PROCESS_TEST_TIMEOUT,
     config_with_cache,
     connected_client,
--- a/tests/test_net_discovery.py
+++ b/tests/cache_router/net/test_discovery.py
@@ -12,8 +12,8 @@
 from cache_router.net.endpoint_list_reader import EndpointListError, read_endpoint_list
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.settings import WatchBudget
-from tests.endpoint_lists import ENDPOINT_ENTRY, WatchRecorder, accept_poll, encode_endpoint_list
-from tests.loopback import Peer, http, run
+from tests.support.endpoint_lists import ENDPOINT_ENTRY, WatchRecorder, accept_poll, encode_endpoint_list
+from tests.support.loopback import Peer, http, run
 
 
 def test_endpoint_entry_is_read() -> None:
--- a/tests/test_net_dispatcher.py
+++ b/tests/cache_router/net/test_dispatcher.py
@@ -9,7 +9,7 @@
 from cache_router.decisions.actions import Action, Fail, LogMessage, Send
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, Event, Request
 from cache_router.net import dispatcher
-from tests.loopback import HIT, MISS, Router, error_text, http, keyed_write, read, run
+from tests.support.loopback import HIT, MISS, Router, error_text, http, keyed_write, read, run
 
 
 def test_hit_is_returned_to_the_client() -> None:
--- a/tests/test_net_endpoint_table.py
+++ b/tests/cache_router/net/test_endpoint_table.py
@@ -17,8 +17,8 @@
 from cache_router.net.dispatcher import Dispatcher
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.net.origin_connection import OriginConnection
-from tests.driver import entry, settings
-from tests.loopback import HIT, Router, run
+from tests.support.driver import entry, settings
+from tests.support.loopback import HIT, Router, run
 
 
 @pytest.mark.parametrize("change", ["removed", "draining", "restarted", "replaced"])
--- a/tests/test_net_eviction.py
+++ b/tests/cache_router/net/test_eviction.py
@@ -9,8 +9,8 @@
 import pytest
 
 from cache_router.net import client_connection_table, eviction
-from tests.event_order import wait_until
-from tests.loopback import HIT, Link, Router, command, error_text, read, run
+from tests.support.event_order import wait_until
+from tests.support.loopback import HIT, Link, Router, command, error_text, read, run
 
 
 def test_incomplete_command_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_late_connections.py
+++ b/tests/cache_router/net/test_late_connections.py
@@ -9,8 +9,13 @@
 
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.endpoint import EndpointState
-from tests.event_order import DelayedConnections, first_connection, record_written_requests, wait_until
-from tests.loopback import HIT, KEYED_WRITE, READ, SETTINGS, Router, http, keyed_write, read, run
+from tests.support.event_order import (
+    DelayedConnections,
+    first_connection,
+    record_written_requests,
+    wait_until,
+)
+from tests.support.loopback import HIT, KEYED_WRITE, READ, SETTINGS, Router, http, keyed_write, read, run
 
 
 @pytest.mark.parametrize("change", ["draining", "removed", "restarted"])
--- a/tests/test_net_listener.py
+++ b/tests/cache_router/net/test_listener.py
@@ -9,7 +9,7 @@
 import pytest
 
 from cache_router.net import listener
-from tests.loopback import HIT, Router, command, run
+from tests.support.loopback import HIT, Router, command, run
 
 
 def test_failed_accept_is_retried_after_a_delay(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_net_origin_connection.py
+++ b/tests/cache_router/net/test_origin_connection.py
@@ -8,8 +8,8 @@
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net.command import Command
-from tests.loopback import Link, Peer, http, run
-from tests.upstream_attempts import GET, AttemptRunner, info_without_deadline, origin_attempts
+from tests.support.loopback import Link, Peer, http, run
+from tests.support.upstream_attempts import GET, AttemptRunner, info_without_deadline, origin_attempts
 
 # the letters that RFC 3986 allows unescaped in a path
 UNRESERVED = (string.ascii_letters + string.digits + "-._~").encode()
--- a/tests/test_net_request_table.py
+++ b/tests/cache_router/net/test_request_table.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.loopback import HIT, Router, error_text, read, run
+from tests.support.loopback import HIT, Router, error_text, read, run
 
 
 def test_request_id_in_use_is_rejected() -> None:
--- a/tests/test_net_upstream_connection.py
+++ b/tests/cache_router/net/test_upstream_connection.py
@@ -12,8 +12,8 @@
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.net.upstream_connection import UpstreamConnection
-from tests.loopback import HIT, Peer, http, run
-from tests.upstream_attempts import HUGE_SET, AttemptRunner, cache_attempts
+from tests.support.loopback import HIT, Peer, http, run
+from tests.support.upstream_attempts import HUGE_SET, AttemptRunner, cache_attempts
 
 
 @pytest.mark.parametrize("kind", [CacheConnection, OriginConnection])
--- a/tests/test_upstream_responses.py
+++ b/tests/cache_router/net/test_upstream_responses.py
@@ -8,7 +8,7 @@
 
 from cache_router.net import upstream_connection
 from cache_router.net.origin_connection import OriginConnection
-from tests.loopback import HIT, Router, http, keyed_write, read, run
+from tests.support.loopback import HIT, Router, http, keyed_write, read, run
 
 
 def test_late_second_response_is_not_taken_for_another_request() -> None:
--- a/tests/test_config.py
+++ b/tests/cache_router/test_config.py
@@ -9,8 +9,8 @@
 
 from cache_router.config import read_config
 from cache_router.errors import RouterError
-from tests.router_process import VALID_CONFIG
-from tests.test_simulator_adapter import CONF
+from tests.cache_router.test_simulator_adapter import CONF
+from tests.support.router_process import VALID_CONFIG
 
 
 def test_configuration_is_read() -> None:
--- a/tests/test_server.py
+++ b/tests/cache_router/test_server.py
@@ -18,9 +18,10 @@
 from cache_router import server
 from cache_router.config import ConfigError, read_config
 from cache_router.settings import RequestClass, Settings
-from tests.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
-from tests.loopback import HIT, TEST_TIMEOUT, Peer, format_address, http, read, read_values, run
-from tests.router_process import (
+from tests.cache_router.test_simulator_adapter import CONF
+from tests.support.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
+from tests.support.loopback import HIT, TEST_TIMEOUT, Peer, format_address, http, read, read_values, run
+from tests.support.router_process import (
     CACHED_LIST,
     VALID_CONFIG,
     config_with_cache,
@@ -28,7 +29,6 @@
     listen_address,
     router_process,
 )
-from tests.test_simulator_adapter import CONF
 
 
 def exit_status(config: bytes | None, path: Path, monkeypatch: pytest.MonkeyPatch) -> int:
--- a/tests/test_settings_reader.py
+++ b/tests/cache_router/test_settings_reader.py
@@ -6,7 +6,7 @@
 
 from cache_router.settings import Idempotency, IdempotencyScope, SettingsError
 from cache_router.settings_reader import read_settings
-from tests.test_simulator_adapter import CONF
+from tests.cache_router.test_simulator_adapter import CONF
 
 
 def test_settings_are_read() -> None:
--- a/tests/test_shutdown.py
+++ b/tests/cache_router/test_shutdown.py
@@ -11,9 +11,9 @@
 import pytest
 
 from cache_router.net import client_connection_table
-from tests.endpoint_lists import encode_endpoint_list
-from tests.event_order import wait_until
-from tests.loopback import (
+from tests.support.endpoint_lists import encode_endpoint_list
+from tests.support.event_order import wait_until
+from tests.support.loopback import (
     HIT,
     KEYED_WRITE,
     MISS,
@@ -27,7 +27,7 @@
     read,
     run,
 )
-from tests.router_process import config_with_cache, connected_client, listen_address, router_process
+from tests.support.router_process import config_with_cache, connected_client, listen_address, router_process
 
 
 @pytest.mark.parametrize("waiting_for", ["server", "origin", "capacity"])
--- a/tests/test_simulator_adapter.py
+++ b/tests/cache_router/test_simulator_adapter.py
@@ -15,7 +15,7 @@
 from cache_router.decisions.actions import CloseIdleConnections, LogMessage, Reject, Send
 from cache_router.simulator_adapter import SimulatorAdapter, WireError
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 ROUTER_ID = 3
 CONF: dict[str, Any] = {
     "classes": [
--- a/tests/test_startup.py
+++ b/tests/cache_router/test_startup.py
@@ -20,9 +20,9 @@
 from cache_router.net.dispatcher import Dispatcher
 from cache_router.net.endpoint_list_reader import read_endpoint_list
 from cache_router.net.origin_connection import OriginConnection
-from tests.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
-from tests.loopback import Peer, http, run
-from tests.router_process import (
+from tests.support.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
+from tests.support.loopback import Peer, http, run
+from tests.support.router_process import (
     PROCESS_TEST_TIMEOUT,
     VALID_CONFIG,
     config_with_cache,
--- a/tests/test_watch_budget.py
+++ b/tests/cache_router/test_watch_budget.py
@@ -17,10 +17,10 @@
 )
 from cache_router.decisions.router import Router
 from cache_router.settings import MIN_BACKOFF, WatchBudget
-from tests.driver import Driver, entry, settings
-from tests.endpoint_lists import ENDPOINT_ENTRY, WatchRecorder, accept_poll, encode_endpoint_list
-from tests.loopback import Peer, http, run
-from tests.router_scenarios import FAILED_CALL
+from tests.support.driver import Driver, entry, settings
+from tests.support.endpoint_lists import ENDPOINT_ENTRY, WatchRecorder, accept_poll, encode_endpoint_list
+from tests.support.loopback import Peer, http, run
+from tests.support.router_scenarios import FAILED_CALL
 
 SETTINGS = {
     "polled": settings(must_subscribe=True, overload_window=2.0, slow_start_duration=8.9),
--- /dev/null
+++ b/tests/deploy/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the files that sites are deployed with."""
--- a/tests/test_deploy.py
+++ b/tests/deploy/test_deploy.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 
 # stand-ins for `python3 -m venv` and for the pip in the environment that it makes: nothing is downloaded
--- a/tests/test_code_rules.py
+++ b/tests/project/test_code_rules.py
@@ -7,7 +7,7 @@
 
 from cache_router.decisions.actions import Send
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 DECISIONS = {
     name: (ROOT / name).read_text()
     for name in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
--- a/tests/test_emulators.py
+++ b/tests/scale_experiments/test_emulators.py
@@ -32,8 +32,8 @@
     SetDiscoveryMode,
 )
 from scale_experiments.emulators.messages.routers import GetUpdateTimes
-from tests.endpoint_lists import ENDPOINT_ENTRY
-from tests.loopback import Link, format_address, read, run
+from tests.support.endpoint_lists import ENDPOINT_ENTRY
+from tests.support.loopback import Link, format_address, read, run
 
 
 def endpoint_entry(name: str, status: str = "in_service") -> dict[str, Any]:
--- a/tests/test_kept_results.py
+++ b/tests/scale_experiments/test_kept_results.py
@@ -9,7 +9,7 @@
 from scale_experiments.histograms import decode_histogram
 from scale_experiments.results import load_result, write_result
 
-RESULTS = sorted((Path(__file__).parent.parent / "scale_experiments" / "results").glob("*.json"))
+RESULTS = sorted((Path(__file__).parents[2] / "scale_experiments" / "results").glob("*.json"))
 
 
 def test_results_are_kept() -> None:
--- a/tests/test_scale_experiments.py
+++ b/tests/scale_experiments/test_scale_experiments.py
@@ -22,7 +22,7 @@
 from scale_experiments.runner import RunOutcome, run
 from scale_experiments.target import TARGET, load_target
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 PATIENCE_S = 120.0
 SMALL = """
 name = "small"
--- a/tests/test_simulated_connection_pool.py
+++ b/tests/scale_experiments/test_simulated_connection_pool.py
@@ -28,7 +28,7 @@
 from scale_experiments.simulation.requests import Attempt, ClientRequest, PendingRequest
 from scale_experiments.simulation.router import SimulatedRouter
 from scale_experiments.simulation.statistics import DecisionTimer, FleetStatistics
-from tests.loopback import HIT, Link, Peer
+from tests.support.loopback import HIT, Link, Peer
 
 # in seconds; the clocks of both pools are put forward, so that nothing waits so long
 REUSE_DELAY = 100.0
--- a/tests/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -11,7 +11,7 @@
 from cache_router.net.discovery import Discovery
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.settings import WatchBudget
-from tests.loopback import Link, Peer
+from tests.support.loopback import Link, Peer
 
 ENDPOINT_ENTRY: dict[str, Any] = {
     "name": "s-1",
--- a/tests/event_order.py
+++ b/tests/support/event_order.py
@@ -9,7 +9,7 @@
 import pytest
 
 from cache_router.net.upstream_connection import AttemptInFlight, UpstreamConnection
-from tests.loopback import Link, Peer, Router
+from tests.support.loopback import Link, Peer, Router
 
 
 class DelayedConnections:
--- a/tests/router_process.py
+++ b/tests/support/router_process.py
@@ -15,9 +15,9 @@
 import orjson
 
 from cache_router.net.address import parse_address
-from tests.endpoint_lists import ENDPOINT_ENTRY, peer_entry
-from tests.loopback import Link, Peer
-from tests.test_simulator_adapter import CONF
+from tests.cache_router.test_simulator_adapter import CONF
+from tests.support.endpoint_lists import ENDPOINT_ENTRY, peer_entry
+from tests.support.loopback import Link, Peer
 
 CACHED_LIST = {"index": 41, "snapshot": True, "endpoints": [ENDPOINT_ENTRY]}
 
--- a/tests/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -10,7 +10,7 @@
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.net.upstream_connection import AttemptInFlight, UpstreamResponse
-from tests.loopback import Link, Peer
+from tests.support.loopback import Link, Peer
 
 GET = Command(b"C.GET", b"k", b"r1", {"c": "read", "d": "900"}, 900)
 HUGE_SET = Command(b"C.SET", b"k", b"r1", {"c": "book", "d": "900"}, 900, b"x" * 32_000_000)
