--- a/cache_router/decisions/admission_control.py
+++ b/cache_router/decisions/admission_control.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from cache_router.decisions.fleet_health import FleetHealth
-from cache_router.decisions.model import Server
+from cache_router.decisions.server import Server
 from cache_router.settings import Settings
 
 MAX_QUEUEING_SHARE = 0.25  # of the time left, that may be spent behind what a server is reported to hold
--- a/cache_router/decisions/attempt_feedback.py
+++ b/cache_router/decisions/attempt_feedback.py
@@ -6,9 +6,10 @@
 from cache_router.decisions.events import ANSWERED, AttemptCompleted, AttemptStatus
 from cache_router.decisions.fleet_health import FleetHealth
 from cache_router.decisions.idle_connections import IdleConnections
-from cache_router.decisions.model import Attempt, Server
 from cache_router.decisions.outlier_detection import OutlierDetector
 from cache_router.decisions.overload_backoff import OverloadBackoff
+from cache_router.decisions.pending_request import Attempt
+from cache_router.decisions.server import Server
 from cache_router.decisions.slow_start import SlowStart
 
 NO_SIGN_OF_LIFE = (AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT)
--- a/cache_router/decisions/endpoints.py
+++ b/cache_router/decisions/endpoints.py
@@ -5,7 +5,7 @@
 
 from cache_router.decisions.events import EndpointUpdate, EndpointUpdateKind
 from cache_router.decisions.hash_ring import HashRing
-from cache_router.decisions.model import Server
+from cache_router.decisions.server import Server
 from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.settings import Settings
 
--- a/cache_router/decisions/hedging.py
+++ b/cache_router/decisions/hedging.py
@@ -4,8 +4,9 @@
 
 from cache_router.decisions.endpoints import EndpointList
 from cache_router.decisions.fleet_health import FleetHealth
-from cache_router.decisions.model import Attempt, PendingRequest, Server
+from cache_router.decisions.pending_request import Attempt, PendingRequest
 from cache_router.decisions.retry_policy import RetryBudget, RetryPolicy
+from cache_router.decisions.server import Server
 from cache_router.decisions.server_selection import ServerSelector
 from cache_router.decisions.slow_start import SlowStart
 from cache_router.settings import Idempotency, Settings
--- a/cache_router/decisions/origin_queue.py
+++ b/cache_router/decisions/origin_queue.py
@@ -2,7 +2,8 @@
 
 import heapq
 
-from cache_router.decisions.model import PendingRequest, Server
+from cache_router.decisions.pending_request import PendingRequest
+from cache_router.decisions.server import Server
 
 # of the origin's usual latency that must be left: a fetch given up midway is not even stored
 FETCH_LATENCIES_LEFT = 2.0
--- a/cache_router/decisions/retry_policy.py
+++ b/cache_router/decisions/retry_policy.py
@@ -3,7 +3,8 @@
 from dataclasses import dataclass
 
 from cache_router.decisions.events import AttemptStatus
-from cache_router.decisions.model import PendingRequest, Server
+from cache_router.decisions.pending_request import PendingRequest
+from cache_router.decisions.server import Server
 from cache_router.endpoint import Endpoint
 from cache_router.settings import Idempotency, IdempotencyScope, Settings
 
--- a/cache_router/decisions/server_selection.py
+++ b/cache_router/decisions/server_selection.py
@@ -12,8 +12,9 @@
 from cache_router.decisions.endpoints import EndpointList
 from cache_router.decisions.fleet_health import FleetHealth
 from cache_router.decisions.hash_ring import ring_hash
-from cache_router.decisions.model import PendingRequest, Server
+from cache_router.decisions.pending_request import PendingRequest
 from cache_router.decisions.retry_policy import RetryPolicy
+from cache_router.decisions.server import Server
 from cache_router.decisions.slow_start import SlowStart
 
 EPSILON = 0.25  # a server may stand this far above the average load before the walk passes it
--- a/cache_router/decisions/slow_start.py
+++ b/cache_router/decisions/slow_start.py
@@ -15,7 +15,7 @@
 from cache_router.settings import Settings
 
 if TYPE_CHECKING:
-    from cache_router.decisions.model import Server
+    from cache_router.decisions.server import Server
 
 
 def capacity_share(settings: Settings, endpoint: Endpoint, now: float) -> float:
--- a/tests/cache_router/decisions/test_server_selection.py
+++ b/tests/cache_router/decisions/test_server_selection.py
@@ -6,7 +6,8 @@
 
 from cache_router.decisions import server_selection
 from cache_router.decisions.events import AttemptStatus
-from cache_router.decisions.model import PendingRequest, Server
+from cache_router.decisions.pending_request import PendingRequest
+from cache_router.decisions.server import Server
 from cache_router.decisions.server_selection import ServerSelector
 from tests.support.driver import Driver, Outcome, entry, settings
 from tests.support.reference_ring import primary_server
--- a/tests/cache_router/decisions/test_slow_start.py
+++ b/tests/cache_router/decisions/test_slow_start.py
@@ -22,8 +22,8 @@
     Request,
     TimerFired,
 )
-from cache_router.decisions.model import Server
 from cache_router.decisions.router import Router
+from cache_router.decisions.server import Server
 from cache_router.decisions.slow_start import SlowStartQuota
 from tests.support.driver import Driver, entry, settings
 from tests.support.router_scenarios import primary_servers
--- a/tests/support/driver.py
+++ b/tests/support/driver.py
@@ -22,8 +22,8 @@
     Request,
     TimerFired,
 )
-from cache_router.decisions.model import Server
 from cache_router.decisions.router import Router
+from cache_router.decisions.server import Server
 from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings
 from cache_router.simulator_adapter import read_timer, write_timer
