--- a/scale_experiments/__main__.py
+++ b/scale_experiments/__main__.py
@@ -10,17 +10,17 @@
 import structlog
 from pydantic import BaseModel
 
-from scale_experiments import log
-from scale_experiments.exit_status import ExitStatus
-from scale_experiments.experiment import (
+from scale_experiments.commands.exit_status import ExitStatus
+from scale_experiments.runs import log
+from scale_experiments.runs.experiment import (
     InputError,
     load_experiment,
     load_scenario,
     scenario_names,
     size_model,
 )
-from scale_experiments.runner import RunOutcome
-from scale_experiments.runner import run as run_experiment
+from scale_experiments.runs.runner import RunOutcome
+from scale_experiments.runs.runner import run as run_experiment
 
 RESULTS = Path(__file__).parent / "results"
 NAME_WIDTH = 22  # characters of the first column of lists
@@ -182,7 +182,7 @@
     standard errors. The best is marked with * and followed by its value at the size of target.toml.
     """
     # imported here, as numpy takes long to import and the other commands don't need it
-    sys.exit(import_module("scale_experiments.fit").main(list(results)))
+    sys.exit(import_module("scale_experiments.commands.fit").main(list(results)))
 
 
 @cli.command(epilog=REPORT_STATUSES, short_help="Write or check the tables of docs/CAPACITY.md.")
@@ -190,7 +190,7 @@
 def report(check: bool) -> None:
     """Write the tables of docs/CAPACITY.md from the kept results and scale_experiments/capacity.toml."""
     # imported here for the same reason
-    sys.exit(import_module("scale_experiments.report").main(check))
+    sys.exit(import_module("scale_experiments.commands.report").main(check))
 
 
 def main() -> None:
--- a/scale_experiments/capacity/comparison_table.py
+++ b/scale_experiments/capacity/comparison_table.py
@@ -18,7 +18,7 @@
 )
 from scale_experiments.fitting.selection import best_fit, fit_form
 from scale_experiments.number_format import SIZE_DIGITS, format_number
-from scale_experiments.results import Result
+from scale_experiments.runs.results import Result
 
 HEADER = ("what", "size", "before", "after", "after / before", "the same by the reference")
 NOT_MEASURED_ROW = ("not measured", *[""] * (len(HEADER) - 1))
--- a/scale_experiments/capacity/formatting.py
+++ b/scale_experiments/capacity/formatting.py
@@ -8,7 +8,7 @@
 from scale_experiments.capacity.breaking_point import MAX_PROGRESS
 from scale_experiments.capacity.growth_path import GrowthPath
 from scale_experiments.capacity.schema import MISSING_MECHANISM, Unit
-from scale_experiments.estimate import Estimate
+from scale_experiments.measurement.estimate import Estimate
 from scale_experiments.number_format import SIGNIFICANT_DIGITS, format_number, format_with_error
 
 
--- a/scale_experiments/capacity/kept_results.py
+++ b/scale_experiments/capacity/kept_results.py
@@ -8,7 +8,7 @@
 from scale_experiments.fitting.forms import Fit
 from scale_experiments.fitting.observations import Observation, Size, at_largest_size, observations_of
 from scale_experiments.fitting.selection import best_fit, fit_form
-from scale_experiments.results import Result, load_result
+from scale_experiments.runs.results import Result, load_result
 
 BASELINE_SUFFIX = ".before"  # of a result made before the mechanism was built
 
--- a/scale_experiments/capacity/model.py
+++ b/scale_experiments/capacity/model.py
@@ -13,11 +13,11 @@
 from scale_experiments.capacity.paths import CAPACITY_TABLE
 from scale_experiments.capacity.references import resolve_in_code, resolve_in_target
 from scale_experiments.capacity.schema import CapacityItem, CapacityTable, Demand, MeasuredTerm
-from scale_experiments.estimate import Estimate
-from scale_experiments.experiment import InputError
 from scale_experiments.expression import Expression, ExpressionError
 from scale_experiments.fitting.forms import FitError
 from scale_experiments.fitting.observations import CONFOUNDED_COLUMNS, Size, mean_at, varying_columns
+from scale_experiments.measurement.estimate import Estimate
+from scale_experiments.runs.experiment import InputError
 from scale_experiments.target import Target
 
 
--- a/scale_experiments/capacity/source_tables.py
+++ b/scale_experiments/capacity/source_tables.py
@@ -10,7 +10,7 @@
 from scale_experiments.capacity.schema import Parameter
 from scale_experiments.fitting.observations import varying_columns
 from scale_experiments.number_format import SIZE_DIGITS, format_number
-from scale_experiments.results import Result
+from scale_experiments.runs.results import Result
 
 PARAMETER_HEADER = ("figure", "at the target", "known by", "from", "why")
 PARAMETER_DIGITS = 5  # significant digits
--- /dev/null
+++ b/scale_experiments/commands/__init__.py
@@ -0,0 +1,1 @@
+"""The commands that read results: `fit` and `report`."""
--- a/scale_experiments/report.py
+++ b/scale_experiments/commands/report.py
@@ -17,10 +17,10 @@
 from scale_experiments.capacity.page import page_tables
 from scale_experiments.capacity.paths import CAPACITY_PAGE, CAPACITY_TABLE, RESULTS_FOLDER, ROOT, TARGET_FILE
 from scale_experiments.capacity.reader import read_capacity
-from scale_experiments.exit_status import ExitStatus
-from scale_experiments.experiment import InputError
+from scale_experiments.commands.exit_status import ExitStatus
 from scale_experiments.expression import ExpressionError
 from scale_experiments.fitting.forms import FitError
+from scale_experiments.runs.experiment import InputError
 from scale_experiments.target import load_target
 
 END_OF_PAGE = "(end)"
--- a/scale_experiments/emulators/clients.py
+++ b/scale_experiments/emulators/clients.py
@@ -40,7 +40,7 @@
     StartClients,
 )
 from scale_experiments.emulators.messages.common import Done
-from scale_experiments.histograms import encode_histogram
+from scale_experiments.measurement.histograms import encode_histogram
 
 MAX_ARRAY_LENGTH = 16  # of a reply
 MAX_VALUE_BYTES = 64 * 1024
--- a/scale_experiments/emulators/launch.py
+++ b/scale_experiments/emulators/launch.py
@@ -5,13 +5,13 @@
 import subprocess
 import sys
 
-from scale_experiments.context import ExperimentContext
 from scale_experiments.emulators.control import ControlClient
+from scale_experiments.runs.context import ExperimentContext
 
 CACHES_MODULE = "scale_experiments.emulators.cache"
 CLIENTS_MODULE = "scale_experiments.emulators.clients"
 DISCOVERY_MODULE = "scale_experiments.emulators.discovery"
-HOLLOW_ROUTERS_MODULE = "scale_experiments.hollow"
+HOLLOW_ROUTERS_MODULE = "scale_experiments.routers.hollow"
 DEFAULT_REPLY_TIMEOUT_S = 30.0
 
 
--- /dev/null
+++ b/scale_experiments/endpoint_lists/__init__.py
@@ -0,0 +1,1 @@
+"""Endpoint lists of any size, and sequences of changes of them."""
--- a/scale_experiments/endpoint_changes.py
+++ b/scale_experiments/endpoint_lists/endpoint_changes.py
@@ -9,7 +9,7 @@
 import numpy as np
 from pydantic import BaseModel, ConfigDict, Field
 
-from scale_experiments.endpoint_entries import (
+from scale_experiments.endpoint_lists.endpoint_entries import (
     CACHE_PORT,
     TERMINATED,
     TERMINATING,
--- a/scale_experiments/fitting/forms.py
+++ b/scale_experiments/fitting/forms.py
@@ -9,8 +9,8 @@
 import numpy as np
 import numpy.typing as npt
 
-from scale_experiments.estimate import Estimate
 from scale_experiments.fitting.observations import Size
+from scale_experiments.measurement.estimate import Estimate
 
 Array = npt.NDArray[np.float64]
 
--- a/scale_experiments/fitting/interpolation.py
+++ b/scale_experiments/fitting/interpolation.py
@@ -9,9 +9,9 @@
 
 import numpy as np
 
-from scale_experiments.estimate import Estimate
 from scale_experiments.fitting.forms import Array, Fit, FitError, Form
 from scale_experiments.fitting.observations import Observation, Size
+from scale_experiments.measurement.estimate import Estimate
 from scale_experiments.number_format import format_number
 
 MIN_SIZES = 3  # the fewest of which one can be left out and interpolated between its neighbours
--- a/scale_experiments/fitting/observations.py
+++ b/scale_experiments/fitting/observations.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from scale_experiments.results import Result
+from scale_experiments.runs.results import Result
 
 Size = Mapping[str, float]  # by column, such as `routers` or `caches`
 
--- a/scale_experiments/fitting/regression.py
+++ b/scale_experiments/fitting/regression.py
@@ -8,9 +8,9 @@
 
 import numpy as np
 
-from scale_experiments.estimate import Estimate
 from scale_experiments.fitting.forms import Array, Fit, FitError, Form
 from scale_experiments.fitting.observations import Observation, Size
+from scale_experiments.measurement.estimate import Estimate
 from scale_experiments.number_format import format_with_error
 
 # of the columns: above it they grow together, and their slopes can't be told apart
--- a/scale_experiments/fitting/selection.py
+++ b/scale_experiments/fitting/selection.py
@@ -5,7 +5,6 @@
 import math
 from collections.abc import Iterator, Sequence
 
-from scale_experiments.estimate import ROUNDING_TOLERANCE
 from scale_experiments.fitting.forms import Fit, FitError, Form
 from scale_experiments.fitting.interpolation import fit_interpolated
 from scale_experiments.fitting.observations import (
@@ -15,6 +14,7 @@
     varying_columns,
 )
 from scale_experiments.fitting.regression import fit_regression
+from scale_experiments.measurement.estimate import ROUNDING_TOLERANCE
 
 SIGNIFICANT_ERRORS = 2.0  # a slope of fewer standard errors than this counts as none
 
--- a/scale_experiments/socket_metrics.py
+++ b/scale_experiments/measurement/socket_metrics.py
@@ -18,7 +18,7 @@
     SERVED,
     ClientsStats,
 )
-from scale_experiments.histograms import decode_histogram
+from scale_experiments.measurement.histograms import decode_histogram
 
 
 @dataclass(slots=True, frozen=True)
--- a/scale_experiments/number_format.py
+++ b/scale_experiments/number_format.py
@@ -4,7 +4,7 @@
 
 import math
 
-from scale_experiments.estimate import Estimate
+from scale_experiments.measurement.estimate import Estimate
 
 SIGNIFICANT_DIGITS = 3
 ERROR_DIGITS = 2
--- a/scale_experiments/hollow.py
+++ b/scale_experiments/routers/hollow.py
@@ -1,6 +1,6 @@
 """Hollow routers: hundreds in one process, each with the real watch over a real socket and no clients.
 
-    python -m scale_experiments.hollow
+    python -m scale_experiments.routers.hollow
 
 A hollow router is a router without its data path, as a hollow node of Kubernetes is a kubelet without
 containers: discovery can't tell it from a whole one. It is the program's own `Discovery` and `Dispatcher`,
--- a/scale_experiments/router_process.py
+++ b/scale_experiments/routers/router_process.py
@@ -14,10 +14,10 @@
 
 import orjson
 
-from scale_experiments.context import ExperimentContext
-from scale_experiments.endpoint_entries import EndpointList
+from scale_experiments.endpoint_lists.endpoint_entries import EndpointList
+from scale_experiments.runs.context import ExperimentContext
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 ROUTER_SOURCES = ("cache_router", "deploy", "requirements.txt")
 BUILD_TIMEOUT_S = 300.0
 CONNECT_TIMEOUT_S = 1.0
--- a/scale_experiments/watch_fleet.py
+++ b/scale_experiments/routers/watch_fleet.py
@@ -8,7 +8,6 @@
 from dataclasses import dataclass, fields
 from typing import Any, Literal
 
-from scale_experiments.context import ExperimentContext
 from scale_experiments.emulators.control import ControlClient, request_all
 from scale_experiments.emulators.launch import DISCOVERY_MODULE, HOLLOW_ROUTERS_MODULE, start_emulator
 from scale_experiments.emulators.messages.common import Done
@@ -26,7 +25,13 @@
     RoutersStats,
     StartRouters,
 )
-from scale_experiments.endpoint_entries import IN_SERVICE, TERMINATING, build_loopback_entries, build_snapshot
+from scale_experiments.endpoint_lists.endpoint_entries import (
+    IN_SERVICE,
+    TERMINATING,
+    build_loopback_entries,
+    build_snapshot,
+)
+from scale_experiments.runs.context import ExperimentContext
 
 POLL_INTERVAL_S = 0.25
 REPLY_TIMEOUT_S = 90.0  # of a process that is busy with some thousand routers
--- a/scale_experiments/experiment.py
+++ b/scale_experiments/runs/experiment.py
@@ -27,7 +27,7 @@
 )
 
 from scale_experiments import scenarios
-from scale_experiments.context import ExperimentContext, Sample
+from scale_experiments.runs.context import ExperimentContext, Sample
 
 MAX_TIME_LIMIT_S = 7200.0  # that a run may take
 MAX_SIZES = 100
--- a/scale_experiments/fleet_run.py
+++ b/scale_experiments/runs/fleet_run.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterator
 
-from scale_experiments.context import ExperimentContext, Sample
+from scale_experiments.runs.context import ExperimentContext, Sample
 from scale_experiments.simulation.fleet import Fleet
 
 
--- a/scale_experiments/results.py
+++ b/scale_experiments/runs/results.py
@@ -18,11 +18,11 @@
 import orjson
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from scale_experiments.context import Sample
-from scale_experiments.experiment import Budget, Experiment, InputError, describe_validation_error
-from scale_experiments.histograms import encode_histogram
+from scale_experiments.measurement.histograms import encode_histogram
+from scale_experiments.runs.context import Sample
+from scale_experiments.runs.experiment import Budget, Experiment, InputError, describe_validation_error
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 CPU_INFO = Path("/proc/cpuinfo")
 # of which a result names the version
 PACKAGES = ("click", "h11", "hdrhistogram", "numpy", "orjson", "psutil", "pydantic", "structlog")
--- a/scale_experiments/runner.py
+++ b/scale_experiments/runs/runner.py
@@ -13,10 +13,10 @@
 import structlog
 from pydantic import BaseModel
 
-from scale_experiments.context import ExperimentContext, Sample, TimeLimit
-from scale_experiments.experiment import Experiment, Scenario
-from scale_experiments.log import Progress
-from scale_experiments.results import Result, new_result, stored_sample, write_result
+from scale_experiments.runs.context import ExperimentContext, Sample, TimeLimit
+from scale_experiments.runs.experiment import Experiment, Scenario
+from scale_experiments.runs.log import Progress
+from scale_experiments.runs.results import Result, new_result, stored_sample, write_result
 
 # for a scenario to end by itself once its time is over, before it is interrupted
 TIME_LIMIT_GRACE_S = 1.0
--- a/scale_experiments/scenarios/cold_start.py
+++ b/scale_experiments/scenarios/cold_start.py
@@ -13,8 +13,8 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from cache_router.endpoint import EndpointState
-from scale_experiments.context import ExperimentContext, Sample
-from scale_experiments.fleet_run import complete_sample, run_fleet
+from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.fleet_run import complete_sample, run_fleet
 from scale_experiments.simulation.cache_server import CacheServer
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.key_placement import place_keys
--- a/scale_experiments/scenarios/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -16,8 +16,8 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from cache_router.settings import Settings
-from scale_experiments.context import ExperimentContext, Sample
-from scale_experiments.fleet_run import complete_sample, run_fleet
+from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.fleet_run import complete_sample, run_fleet
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
 from scale_experiments.simulation.statistics import CountedEvent
--- a/scale_experiments/scenarios/list_change.py
+++ b/scale_experiments/scenarios/list_change.py
@@ -35,8 +35,7 @@
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Settings
 from cache_router.settings_reader import read_settings
-from scale_experiments.context import ExperimentContext, Sample
-from scale_experiments.endpoint_changes import (
+from scale_experiments.endpoint_lists.endpoint_changes import (
     DEFAULT_WEIGHT,
     DEFAULT_ZONES,
     ChangeKind,
@@ -44,8 +43,18 @@
     ListChangeSize,
     build_entries,
 )
-from scale_experiments.endpoint_entries import TERMINATING, EndpointEntry, build_snapshot, encode_list
-from scale_experiments.reference_work import REFERENCE_METRIC, measure_reference_cpu_s, thread_cpu_s
+from scale_experiments.endpoint_lists.endpoint_entries import (
+    TERMINATING,
+    EndpointEntry,
+    build_snapshot,
+    encode_list,
+)
+from scale_experiments.measurement.reference_work import (
+    REFERENCE_METRIC,
+    measure_reference_cpu_s,
+    thread_cpu_s,
+)
+from scale_experiments.runs.context import ExperimentContext, Sample
 
 MAX_LATENCY_US = 60_000_000  # that a histogram holds
 
--- a/scale_experiments/scenarios/list_change_process.py
+++ b/scale_experiments/scenarios/list_change_process.py
@@ -15,8 +15,6 @@
 import psutil
 from pydantic import BaseModel, ConfigDict, Field
 
-from scale_experiments.context import ExperimentContext, Sample
-from scale_experiments.cpu import process_cpu_s
 from scale_experiments.emulators.control import ControlClient
 from scale_experiments.emulators.launch import DISCOVERY_MODULE, start_emulator
 from scale_experiments.emulators.messages.discovery import (
@@ -26,7 +24,7 @@
     Listening,
     ReplaceList,
 )
-from scale_experiments.endpoint_changes import (
+from scale_experiments.endpoint_lists.endpoint_changes import (
     DEFAULT_WEIGHT,
     DEFAULT_ZONES,
     ChangeSequence,
@@ -34,14 +32,16 @@
     ListChangeSize,
     build_entries,
 )
-from scale_experiments.endpoint_entries import EndpointEntry, build_snapshot
-from scale_experiments.reference_work import REFERENCE_METRIC, measure_reference_cpu_s
-from scale_experiments.router_process import (
+from scale_experiments.endpoint_lists.endpoint_entries import EndpointEntry, build_snapshot
+from scale_experiments.measurement.cpu import process_cpu_s
+from scale_experiments.measurement.reference_work import REFERENCE_METRIC, measure_reference_cpu_s
+from scale_experiments.routers.router_process import (
     RouterConfiguration,
     RouterProcess,
     start_router,
     wait_until_ready,
 )
+from scale_experiments.runs.context import ExperimentContext, Sample
 
 READY_TIMEOUT_S = 60.0
 POLL_TIMEOUT_S = 30.0  # for a router to apply a change and poll for the next
--- a/scale_experiments/scenarios/placement.py
+++ b/scale_experiments/scenarios/placement.py
@@ -16,7 +16,7 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from cache_router.endpoint import Endpoint
-from scale_experiments.context import ExperimentContext, Sample
+from scale_experiments.runs.context import ExperimentContext, Sample
 from scale_experiments.simulation.key_placement import place_keys
 from scale_experiments.simulation.model import site_settings
 
--- a/scale_experiments/scenarios/sockets.py
+++ b/scale_experiments/scenarios/sockets.py
@@ -15,28 +15,32 @@
 import psutil
 from pydantic import BaseModel, ConfigDict, Field
 
-from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.emulators.control import ControlClient
 from scale_experiments.emulators.launch import CACHES_MODULE, CLIENTS_MODULE, DISCOVERY_MODULE, start_emulator
 from scale_experiments.emulators.messages.caches import GetCachesStats, SetCacheMode, StartCaches
 from scale_experiments.emulators.messages.clients import GetClientsStats, StartClients
 from scale_experiments.emulators.messages.discovery import Listening, ReplaceList
-from scale_experiments.endpoint_entries import (
+from scale_experiments.endpoint_lists.endpoint_entries import (
     EndpointEntry,
     build_entry,
     build_loopback_entries,
     build_snapshot,
 )
-from scale_experiments.histograms import decode_histogram
-from scale_experiments.reference_work import MACHINE_METRICS, machine_metrics, measure_reference_cpu_s
-from scale_experiments.router_process import (
+from scale_experiments.measurement.histograms import decode_histogram
+from scale_experiments.measurement.reference_work import (
+    MACHINE_METRICS,
+    machine_metrics,
+    measure_reference_cpu_s,
+)
+from scale_experiments.measurement.socket_metrics import Usage, compute_metrics
+from scale_experiments.routers.router_process import (
     RouterConfiguration,
     RouterProcess,
     build_router,
     start_router,
     wait_until_ready,
 )
-from scale_experiments.socket_metrics import Usage, compute_metrics
+from scale_experiments.runs.context import ExperimentContext, Sample
 
 READY_TIMEOUT_S = 30.0
 REPLY_TIMEOUT_S = 60.0
--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -12,8 +12,8 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-from scale_experiments.context import ExperimentContext, Sample
-from scale_experiments.fleet_run import complete_sample, run_fleet
+from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.fleet_run import complete_sample, run_fleet
 from scale_experiments.scenarios.zone_loss import recovery_seconds
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
--- a/scale_experiments/scenarios/watch.py
+++ b/scale_experiments/scenarios/watch.py
@@ -15,11 +15,15 @@
 from hdrh.histogram import HdrHistogram
 from pydantic import BaseModel, ConfigDict, Field
 
-from scale_experiments.context import ExperimentContext, Sample
 from scale_experiments.emulators.control import request_all
 from scale_experiments.emulators.messages.discovery import ResetUnanswered, SetDiscoveryMode
-from scale_experiments.reference_work import MACHINE_METRICS, machine_metrics, measure_reference_cpu_s
-from scale_experiments.watch_fleet import SubscriptionMode, WatchFleet, WatchFleetOptions
+from scale_experiments.measurement.reference_work import (
+    MACHINE_METRICS,
+    machine_metrics,
+    measure_reference_cpu_s,
+)
+from scale_experiments.routers.watch_fleet import SubscriptionMode, WatchFleet, WatchFleetOptions
+from scale_experiments.runs.context import ExperimentContext, Sample
 
 MAX_DELAY_US = 600_000_000  # that a histogram holds
 Outage = Literal["silent", "reset", "refuse", "busy"]
--- a/tests/scale_experiments/test_capacity.py
+++ b/tests/scale_experiments/test_capacity.py
@@ -10,7 +10,6 @@
 
 import pytest
 
-from scale_experiments import fit, report
 from scale_experiments.capacity.formatting import format_progress
 from scale_experiments.capacity.kept_results import NotMeasuredError
 from scale_experiments.capacity.markers import replace_tables
@@ -19,11 +18,12 @@
 from scale_experiments.capacity.provenance import describe_basis
 from scale_experiments.capacity.reader import read_capacity
 from scale_experiments.capacity.schema import CapacityTable
-from scale_experiments.experiment import InputError
+from scale_experiments.commands import fit, report
 from scale_experiments.fitting.forms import FitError, Form
 from scale_experiments.fitting.observations import Observation, observations_of
 from scale_experiments.fitting.selection import best_fit, fit_form
-from scale_experiments.results import load_result
+from scale_experiments.runs.experiment import InputError
+from scale_experiments.runs.results import load_result
 from scale_experiments.target import load_target
 
 
--- a/tests/scale_experiments/test_kept_results.py
+++ b/tests/scale_experiments/test_kept_results.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from scale_experiments.histograms import decode_histogram
-from scale_experiments.results import load_result, write_result
+from scale_experiments.measurement.histograms import decode_histogram
+from scale_experiments.runs.results import load_result, write_result
 
 RESULTS = sorted((Path(__file__).parents[2] / "scale_experiments" / "results").glob("*.json"))
 
--- a/tests/scale_experiments/test_scale_experiments.py
+++ b/tests/scale_experiments/test_scale_experiments.py
@@ -15,11 +15,11 @@
 from hdrh.histogram import HdrHistogram
 from pydantic import BaseModel
 
-from scale_experiments.context import ExperimentContext, Sample
-from scale_experiments.experiment import Experiment, InputError, load_experiment
-from scale_experiments.histograms import decode_histogram
-from scale_experiments.results import load_result
-from scale_experiments.runner import RunOutcome, run
+from scale_experiments.measurement.histograms import decode_histogram
+from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.experiment import Experiment, InputError, load_experiment
+from scale_experiments.runs.results import load_result
+from scale_experiments.runs.runner import RunOutcome, run
 from scale_experiments.target import TARGET, load_target
 
 ROOT = Path(__file__).parents[2]
