--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,25 @@
-test:
+.DEFAULT_GOAL := help
+.PHONY: help format lint imports types unit test
+
+help: ## list the targets
+	@sed -nE 's/^([a-z]+):.*## (.*)/make \1\t\2/p' $(MAKEFILE_LIST) | expand -t 16
+
+format: ## rewrite the sources in the formatter's style, imports sorted
+	ruff check --select I --fix .
+	ruff format .
+
+lint: ## check style, format and dead code
 	ruff check .
 	ruff format --check .
+	vulture
+
+imports: ## check the contracts between packages (pyproject.toml, importlinter)
+	lint-imports --no-cache
+
+types: ## check the types
 	mypy
+
+unit: ## run the tests alone
 	python -m pytest
 
-.PHONY: test
+test: lint types unit ## run all checks, as CI does
