--- /dev/null
+++ b/tests/project/test_glossary.py
@@ -0,0 +1,89 @@
+"""The glossary, held against the configuration page, the simulator's adapter and the sources."""
+
+from __future__ import annotations
+
+import ast
+import re
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parents[2]
+PAGE = (ROOT / "docs" / "GLOSSARY.md").read_text()
+CONFIGURATION_PAGE = (ROOT / "docs" / "CONFIGURATION.md").read_text()
+SOURCES = {path: path.read_text() for path in (ROOT / "cache_router").rglob("*.py")}
+ADAPTER = SOURCES[ROOT / "cache_router" / "simulator_adapter.py"]
+CODE_MARKS = re.compile(r"`([^`]+)`")
+
+
+def section(title: str) -> str:
+    """Return the text of one section of the glossary."""
+    return PAGE.partition(f"\n## {title}\n")[2].partition("\n## ")[0]
+
+
+def words(text: str) -> list[str]:
+    """Return the words in code marks in the first cells of the tables of a text."""
+    rows = [line for line in text.splitlines() if line.startswith("| `")]
+    return [word for row in rows for word in CODE_MARKS.findall(row.split("|")[1])]
+
+
+def string_constants(source: str) -> set[str]:
+    """Return the strings of a module, those of bytes included."""
+    values = (node.value for node in ast.walk(ast.parse(source)) if isinstance(node, ast.Constant))
+    return {v.decode("latin-1") if isinstance(v, bytes) else v for v in values if isinstance(v, str | bytes)}
+
+
+def wire_nodes(node: ast.AST) -> Iterator[ast.expr | None]:
+    """Yield the expressions in which the adapter spells a word of the wire, as far as they are in a node."""
+    if isinstance(node, ast.Dict):
+        yield from node.keys
+        yield from node.values
+    elif isinstance(node, ast.Set):
+        yield from node.elts
+    elif isinstance(node, ast.Subscript):
+        yield node.slice
+    elif isinstance(node, ast.Compare):
+        yield from node.comparators
+    elif isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute) and node.func.attr == "get":
+        yield from node.args
+
+
+def wire_words() -> set[str]:
+    """Return the words of the simulator that the adapter reads or writes."""
+    expressions = [e for node in ast.walk(ast.parse(ADAPTER)) for e in wire_nodes(node)]
+    constants = {e.value for e in expressions if isinstance(e, ast.Constant) and isinstance(e.value, str)}
+    return constants - {"", "__main__"}  # the default of an absent field, and the name of the main module
+
+
+def test_glossary_has_each_key_of_the_configuration() -> None:
+    """The first table of the section has the keys, the second one has their values."""
+    keys, _, values = section("Configuration").partition("\n| value |")
+    documented = {path.rpartition(".")[2] for path in words(CONFIGURATION_PAGE)}
+    assert sorted(words(keys)) == sorted(documented)
+    assert set(words(values)) <= string_constants("\n".join(SOURCES.values()))
+
+
+def test_glossary_has_each_word_of_the_simulator() -> None:
+    glossary = words(section("The simulator"))
+    assert len(glossary) == len(set(glossary))
+    assert set(glossary) == wire_words()
+
+
+@pytest.mark.parametrize("title", ["RESP: clients and cache servers", "HTTP: discovery and the origin"])
+def test_wire_words_of_the_glossary_are_in_the_sources(title: str) -> None:
+    constants = [constant for source in SOURCES.values() for constant in string_constants(source)]
+    listed = words(section(title))
+    assert listed
+    for word in listed:
+        spelled = re.compile(rf"(?<![\w-]){re.escape(word)}(?![\w-])", re.IGNORECASE)
+        assert any(spelled.search(constant) for constant in constants), word
+
+
+def test_terms_of_the_glossary_are_names_of_the_code() -> None:
+    """Each term in code marks, such as `Reject.retry_after`, names something in the sources."""
+    names = set(re.findall(r"\w+", "\n".join(SOURCES.values())))
+    rows = [line for line in PAGE.splitlines() if line.startswith("| ")]
+    terms = [term for row in rows for cell in row.split("|")[2:] for term in CODE_MARKS.findall(cell)]
+    assert len(terms) > 100
+    assert not [term for term in terms if not set(term.split(".")) <= names]
