--- a/scale_experiments/simulation/connection_pool.py
+++ b/scale_experiments/simulation/connection_pool.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
 from cache_router.decisions.events import AttemptStatus, LoadReport
+from scale_experiments.simulation.connection import SimulatedConnection
 from scale_experiments.simulation.connection_accounting import ConnectionCount
 from scale_experiments.simulation.network_rules import IDLE_MARGIN
 from scale_experiments.simulation.statistics import CountedEvent
@@ -20,20 +20,6 @@
 CLOCK_TOLERANCE = 1e-6  # seconds; rounding may make an event of the idle time come this much too early
 
 
-@dataclass(slots=True, eq=False)
-class SimulatedConnection:
-    """A connection of one router to one cache server. Times are in seconds."""
-
-    pool: SimulatedConnectionPool
-    server: CacheServer
-    listed_start: float  # of the server's process, from the router's endpoint list
-    process_started_at: float = math.inf  # as it is; infinite until the server has accepted the connection
-    idle_since: float = 0.0
-    is_idle: bool = False
-    is_expiry_scheduled: bool = False
-    is_open: bool = True
-
-
 class AttemptOwner(Protocol):
     """What a pool needs of the router whose attempts it carries."""
 
--- a/scale_experiments/simulation/requests.py
+++ b/scale_experiments/simulation/requests.py
@@ -7,7 +7,7 @@
 
 if TYPE_CHECKING:
     from scale_experiments.simulation.cache_server import CacheServer
-    from scale_experiments.simulation.connection_pool import SimulatedConnection
+    from scale_experiments.simulation.connection import SimulatedConnection
     from scale_experiments.simulation.router import SimulatedRouter
     from scale_experiments.simulation.server import SimulatedServer
 
