--- a/scale_experiments/simulation/attempt_runner.py
+++ b/scale_experiments/simulation/attempt_runner.py
@@ -23,7 +23,16 @@
     `endpoints` is the router's endpoint list, by name, as the router keeps it up to date.
     """
 
-    __slots__ = ("_caches", "_context", "_endpoints", "_on_finished", "_origin", "pool", "servers_used")
+    __slots__ = (
+        "_caches",
+        "_context",
+        "_endpoints",
+        "_on_finished",
+        "_origin",
+        "location",
+        "pool",
+        "servers_used",
+    )
 
     def __init__(
         self,
@@ -40,6 +49,7 @@
         self._caches = caches
         self._origin = origin
         self._on_finished = on_finished
+        self.location = location
         self.pool = SimulatedConnectionPool(context, location, self)
         self.servers_used: set[str] = set()  # cache servers that attempts went to, since last cleared
 
@@ -47,9 +57,7 @@
         """Start the next attempt of a request; a name that no cache server has means the origin."""
         cache = self._caches.get(server_name)
         server = self._origin if cache is None else cache
-        attempt = Attempt(request, request.attempts_sent, server, self._context.events.now)
-        request.attempts_sent += 1
-        request.attempts_in_flight[attempt.number] = attempt
+        attempt = request.start_attempt(server.name, self._context.events.now)
         status = self.precondition(attempt)
         if attempt.number >= self._context.settings.max_attempts:
             status = AttemptStatus.NOT_SENT
@@ -66,21 +74,33 @@
         """How an attempt ends that must not be sent any more, or None."""
         if attempt.request.is_answered or attempt.request.is_overdue:
             return AttemptStatus.NOT_SENT
-        endpoint = self._endpoints.get(attempt.server.name)
+        endpoint = self._endpoints.get(attempt.server_name)
         return None if endpoint is not None and endpoint.is_ready else AttemptStatus.CONNECT_FAILED
 
     def abandon(self, attempt: Attempt, status: AttemptStatus) -> None:
-        """Give up an attempt in flight, and close its connection."""
-        if attempt.connection is not None:
-            self.pool.close(attempt.connection)
+        """End an attempt in flight before its response, and close its connection."""
+        self.close_connection(attempt)
         if status is AttemptStatus.TIMEOUT:
             self._context.statistics.count(CountedEvent.TIMEOUT)
         self.finish(attempt, status)
 
+    def drop(self, attempt: Attempt) -> None:
+        """End an attempt in flight of a router that stops: only its connection closes."""
+        attempt.mark_finished()
+        self.close_connection(attempt)
+
+    def close_connection(self, attempt: Attempt) -> None:
+        """Close the connection that an attempt was sent on, if there is one."""
+        if attempt.connection is not None:
+            self.pool.close(attempt.connection)
+
+    def receive_response(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport) -> None:
+        """Receive the response to an attempt from a cache server."""
+        self.pool.receive_response(attempt, status, load_report)
+
     def finish(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport | None = None) -> None:
         """End an attempt; one that has ended already stays so."""
         if attempt.is_finished:
             return
-        attempt.is_finished = True
-        del attempt.request.attempts_in_flight[attempt.number]
+        attempt.mark_finished()
         self._on_finished(attempt, status, load_report)
--- a/scale_experiments/simulation/cache_server.py
+++ b/scale_experiments/simulation/cache_server.py
@@ -5,20 +5,18 @@
 import math
 from collections import OrderedDict
 from dataclasses import replace
-from typing import TYPE_CHECKING
 
 from cache_router.decisions.events import AttemptStatus, LoadReport
 from cache_router.endpoint import Endpoint
+from scale_experiments.simulation.connection import SimulatedConnection
 from scale_experiments.simulation.connection_accounting import ConnectionCount
+from scale_experiments.simulation.context import SimulationContext
 from scale_experiments.simulation.network import location_of
+from scale_experiments.simulation.requests import Attempt, ClientRequest
 from scale_experiments.simulation.server import SimulatedServer
 from scale_experiments.simulation.slow_start import capacity_share
 from scale_experiments.simulation.statistics import CountedEvent
 
-if TYPE_CHECKING:
-    from scale_experiments.simulation.context import SimulationContext
-    from scale_experiments.simulation.requests import Attempt, ClientRequest
-
 CELL_SIZE = 8  # cache servers
 SERVICE_TIME_SMOOTHING = 0.1  # weight of the last request in the reported service time
 
@@ -91,20 +89,28 @@
         limit = self._context.model.max_connections
         return not limit or self.connections.current < limit
 
+    def connection_opened(self) -> None:
+        """Count one connection more."""
+        self.connections.add(1, self._context.events.now)
+
+    def connection_closed(self) -> None:
+        """Count one connection less."""
+        self.connections.add(-1, self._context.events.now)
+
     # Attempts
 
-    def receive(self, attempt: Attempt) -> None:
-        """Serve, queue or reject an attempt whose request has arrived.
+    def receive(self, attempt: Attempt, connection: SimulatedConnection) -> None:
+        """Serve, queue or reject an attempt whose request has arrived on a connection.
 
-        What is out of reach stays silent: the attempt ends when its router gives it up.
+        A server that is out of reach stays silent: the attempt ends when its router abandons it.
         """
-        connection, context = attempt.connection, self._context
-        if connection is None or not context.network.is_reachable(connection.pool.location, self):
+        context, sender = self._context, attempt.sender
+        if not context.network.is_reachable(sender.location, self):
             return
         if connection.process_started_at < self.started_at:
-            connection.pool.close(connection)
-            latency = context.network.one_way_latency(connection.pool.location, self.location)
-            context.events.schedule(latency, connection.pool.owner.finish, attempt, AttemptStatus.RESET)
+            sender.close_connection(attempt)
+            latency = context.network.one_way_latency(sender.location, self.location)
+            context.events.schedule(latency, sender.finish, attempt, AttemptStatus.RESET)
             return
         self.received += 1
         self.received_retries += attempt.number > 0
@@ -140,21 +146,19 @@
             self._serve(self.queue.popleft())
         if status is AttemptStatus.MISS:
             self._context.statistics.count(CountedEvent.MISS)
-            attempt.request.missed_at.append(self)
+            attempt.request.mark_missed(self.name)
         self._respond(attempt, status)
 
     def _respond(self, attempt: Attempt, status: AttemptStatus) -> None:
-        context, connection = self._context, attempt.connection
+        context, sender = self._context, attempt.sender
         now = context.events.now
         if now - self._load_reported_at > context.model.load_report_interval:
             self._load_reported_at = now
             self._load_report = LoadReport(self._service_time, float(len(self.queue)))
-        if attempt.is_finished or connection is None:
+        if attempt.is_finished or not context.network.is_reachable(sender.location, self):
             return
-        pool = connection.pool
-        if context.network.is_reachable(pool.location, self):
-            latency = context.network.one_way_latency(pool.location, self.location)
-            context.events.schedule(latency, pool.receive_response, attempt, status, self._load_report)
+        latency = context.network.one_way_latency(sender.location, self.location)
+        context.events.schedule(latency, sender.receive_response, attempt, status, self._load_report)
 
     # Cached keys
 
--- a/scale_experiments/simulation/clients.py
+++ b/scale_experiments/simulation/clients.py
@@ -79,7 +79,7 @@
         self._send(router.index, ClientRequest(key, is_write, now))
 
     def _send(self, router_index: int, request: ClientRequest) -> None:
-        request.requests_sent += 1
+        request.mark_sent()
         request_id = f"{next(self._request_numbers):016x}"
         time_left = self._context.random.uniform(*self._context.model.client_timeout) - DEADLINE_MARGIN
         self._routers[router_index].accept(request_id, request, time_left)
--- a/scale_experiments/simulation/connection_pool.py
+++ b/scale_experiments/simulation/connection_pool.py
@@ -2,21 +2,18 @@
 
 from __future__ import annotations
 
-import math
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 from cache_router.decisions.events import AttemptStatus, LoadReport
+from scale_experiments.simulation.cache_server import CacheServer
 from scale_experiments.simulation.connection import SimulatedConnection
 from scale_experiments.simulation.connection_accounting import ConnectionCount
+from scale_experiments.simulation.context import SimulationContext
+from scale_experiments.simulation.network import Location
 from scale_experiments.simulation.network_rules import IDLE_MARGIN
+from scale_experiments.simulation.requests import Attempt
 from scale_experiments.simulation.statistics import CountedEvent
 
-if TYPE_CHECKING:
-    from scale_experiments.simulation.cache_server import CacheServer
-    from scale_experiments.simulation.context import SimulationContext
-    from scale_experiments.simulation.network import Location
-    from scale_experiments.simulation.requests import Attempt
-
 CLOCK_TOLERANCE = 1e-6  # seconds; rounding may make an event of the idle time come this much too early
 
 
@@ -33,12 +30,12 @@
 class SimulatedConnectionPool:
     """The connections of one router to all cache servers."""
 
-    __slots__ = ("_context", "_idle_by_server", "_idle_time", "connections", "idle", "location", "owner")
+    __slots__ = ("_context", "_idle_by_server", "_idle_time", "_location", "_owner", "connections", "idle")
 
     def __init__(self, context: SimulationContext, location: Location, owner: AttemptOwner) -> None:
         self._context = context
-        self.location = location
-        self.owner = owner
+        self._location = location
+        self._owner = owner
         self.connections = ConnectionCount(context.events.now)
         self.idle: dict[SimulatedConnection, None] = {}  # idle for longest first
         self._idle_by_server: dict[str, dict[SimulatedConnection, None]] = {}
@@ -48,31 +45,28 @@
         """Send an attempt on an idle connection, or on a new one, or finish it as not sent."""
         connection = self._take_idle(server, listed_start)
         if connection is not None:
-            self._send(connection, attempt)
+            self._send(attempt, connection, server)
         elif self._has_capacity():
             self._connect(attempt, server, listed_start)
         else:
-            self.owner.finish(attempt, AttemptStatus.NOT_SENT)
+            self._owner.finish(attempt, AttemptStatus.NOT_SENT)
 
     def receive_response(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport) -> None:
         """Keep the connection of an attempt that was answered, and finish the attempt."""
         connection = attempt.connection
         if attempt.is_finished or connection is None or not connection.is_open:
             return
-        if self._context.network.is_reachable(self.location, connection.server):
+        if self._context.network.is_reachable(self._location, connection.server):
             self._keep(connection)
-            self.owner.finish(attempt, status, load_report)
+            self._owner.finish(attempt, status, load_report)
 
     def close(self, connection: SimulatedConnection) -> None:
         """Close a connection; one that is closed already stays so."""
         if not connection.is_open:
             return
-        connection.is_open = False
         self._leave_idle(connection)
-        now = self._context.events.now
-        self.connections.add(-1, now)
-        if connection.process_started_at < math.inf:
-            connection.server.connections.add(-1, now)
+        self.connections.add(-1, self._context.events.now)
+        connection.mark_closed()
 
     def close_idle(self, server: str) -> None:
         """Close the idle connections to one server."""
@@ -104,68 +98,67 @@
         self.close(longest_idle)
         return True
 
-    def _send(self, connection: SimulatedConnection, attempt: Attempt) -> None:
-        attempt.connection = connection
-        server = connection.server
-        latency = self._context.network.one_way_latency(self.location, server.location)
-        self._context.events.schedule(latency, server.receive, attempt)
+    def _send(self, attempt: Attempt, connection: SimulatedConnection, server: CacheServer) -> None:
+        attempt.use_connection(connection)
+        latency = self._context.network.one_way_latency(self._location, server.location)
+        self._context.events.schedule(latency, server.receive, attempt, connection)
 
     def _connect(self, attempt: Attempt, server: CacheServer, listed_start: float) -> None:
         context = self._context
         context.statistics.count(CountedEvent.CONNECT)
-        connection = SimulatedConnection(self, server, listed_start)
-        attempt.connection = connection
+        connection = SimulatedConnection(server, listed_start)
+        attempt.use_connection(connection)
         self.connections.add(1, context.events.now)
-        round_trip = 2 * context.network.one_way_latency(self.location, server.location)
-        if not context.network.is_reachable(self.location, server) and not server.refuses_connections:
+        round_trip = 2 * context.network.one_way_latency(self._location, server.location)
+        if not context.network.is_reachable(self._location, server) and not server.refuses_connections:
             timeout = context.settings.connect_timeout
             context.events.schedule(timeout, self._connect_failed, connection, attempt)
         elif server.refuses_connections or not server.has_connection_capacity():
             context.events.schedule(round_trip, self._connect_failed, connection, attempt)
         else:
-            connection.process_started_at = server.started_at
-            server.connections.add(1, context.events.now)
+            connection.mark_accepted(server.started_at)
+            server.connection_opened()
             seconds = round_trip * context.model.handshake_round_trips
-            context.events.schedule(seconds, self._connected, connection, attempt)
+            context.events.schedule(seconds, self._connected, connection, attempt, server)
 
     def _connect_failed(self, connection: SimulatedConnection, attempt: Attempt) -> None:
         self._context.statistics.count(CountedEvent.CONNECT_FAILED)
         self.close(connection)
-        self.owner.finish(attempt, AttemptStatus.CONNECT_FAILED)
+        self._owner.finish(attempt, AttemptStatus.CONNECT_FAILED)
 
-    def _connected(self, connection: SimulatedConnection, attempt: Attempt) -> None:
+    def _connected(self, connection: SimulatedConnection, attempt: Attempt, server: CacheServer) -> None:
         if not connection.is_open:
             return
         context = self._context
-        if not context.network.is_reachable(self.location, connection.server):
+        if not context.network.is_reachable(self._location, server):
             time_left = attempt.sent_at + context.settings.connect_timeout - context.events.now
             context.events.schedule(max(0.0, time_left), self._connect_failed, connection, attempt)
             return
         context.statistics.count(CountedEvent.HANDSHAKE)
-        status = self.owner.precondition(attempt)
+        status = self._owner.precondition(attempt)
         if status is None:
-            attempt.needs_handshake = True
-            self._send(connection, attempt)
+            attempt.mark_handshake()
+            self._send(attempt, connection, server)
             return
         if status is AttemptStatus.NOT_SENT:
             self._keep(connection)  # nothing is known against the server
         else:
             self.close(connection)
-        self.owner.finish(attempt, status)
+        self._owner.finish(attempt, status)
 
     def _keep(self, connection: SimulatedConnection) -> None:
-        connection.idle_since, connection.is_idle = self._context.events.now, True
+        connection.mark_idle(self._context.events.now)
         self.idle[connection] = None
         self._idle_by_server.setdefault(connection.server.name, {})[connection] = None
         if not connection.is_expiry_scheduled:
             self._schedule_expiry(connection, self._idle_time)
 
     def _schedule_expiry(self, connection: SimulatedConnection, delay: float) -> None:
-        connection.is_expiry_scheduled = True
+        connection.mark_expiry_scheduled()
         self._context.events.schedule(delay, self._expire, connection)
 
     def _expire(self, connection: SimulatedConnection) -> None:
-        connection.is_expiry_scheduled = False
+        connection.mark_expiry_checked()
         if not connection.is_open or not connection.is_idle:
             return
         time_left = connection.idle_since + self._idle_time - self._context.events.now
@@ -177,7 +170,7 @@
     def _leave_idle(self, connection: SimulatedConnection) -> None:
         if not connection.is_idle:
             return
-        connection.is_idle = False
+        connection.mark_in_use()
         name = connection.server.name
         idle_at_server = self._idle_by_server[name]
         del self.idle[connection]
--- a/scale_experiments/simulation/network.py
+++ b/scale_experiments/simulation/network.py
@@ -1,13 +1,11 @@
-"""Where routers and servers stand, which of them reach each other, and how long a message takes."""
+"""Where routers and servers are, which of them reach each other, and how long a message takes."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import Protocol
 
-if TYPE_CHECKING:
-    from scale_experiments.simulation.model import FleetModel
-    from scale_experiments.simulation.server import SimulatedServer
+from scale_experiments.simulation.model import FleetModel
 
 
 @dataclass(slots=True, frozen=True)
@@ -18,6 +16,22 @@
     region: int
 
 
+class NetworkNode(Protocol):
+    """A server as the network sees it."""
+
+    @property
+    def location(self) -> Location:
+        """Where the server is."""
+
+    @property
+    def is_up(self) -> bool:
+        """Whether the server runs."""
+
+    @property
+    def is_always_reachable(self) -> bool:
+        """Whether routers of isolated regions reach the server too."""
+
+
 def location_of(index: int, model: FleetModel) -> Location:
     """The location of a fleet's n-th router or cache server: they are assigned to the zones in turn."""
     zone = index % model.zones
@@ -34,7 +48,7 @@
         self.same_zone, self.same_region, self.elsewhere = one_way_latency
         self.isolated_regions: set[int] = set()
 
-    def is_reachable(self, router: Location, server: SimulatedServer) -> bool:
+    def is_reachable(self, router: Location, server: NetworkNode) -> bool:
         """Whether messages pass between a router and a server now."""
         if not server.is_up:
             return False
--- a/scale_experiments/simulation/origin.py
+++ b/scale_experiments/simulation/origin.py
@@ -4,20 +4,17 @@
 
 import math
 from collections.abc import Mapping
-from typing import TYPE_CHECKING
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.endpoint import Endpoint
+from scale_experiments.simulation.cache_server import CacheServer
+from scale_experiments.simulation.context import SimulationContext
 from scale_experiments.simulation.model import ORIGIN
 from scale_experiments.simulation.network import Location
+from scale_experiments.simulation.requests import Attempt, PendingRequest
 from scale_experiments.simulation.server import SimulatedServer
 from scale_experiments.simulation.statistics import CountedEvent
 
-if TYPE_CHECKING:
-    from scale_experiments.simulation.cache_server import CacheServer
-    from scale_experiments.simulation.context import SimulationContext
-    from scale_experiments.simulation.requests import Attempt, PendingRequest
-
 FILLED_SERVERS = 2  # cache servers, of those that missed a key, in which its router stores it
 
 
@@ -38,9 +35,9 @@
 
     def start(self, attempt: Attempt) -> None:
         """Serve, queue or reject an attempt."""
-        context, router = self._context, attempt.request.router
+        context = self._context
         context.statistics.count(CountedEvent.ORIGIN_ATTEMPT)
-        if not context.network.is_reachable(router.location, self):
+        if not context.network.is_reachable(attempt.sender.location, self):
             self._finish_after(context.settings.connect_timeout, attempt, AttemptStatus.CONNECT_FAILED)
         elif self.has_free_core:
             self._serve(attempt)
@@ -50,11 +47,10 @@
             self.queue.append(attempt)
 
     def _finish_after(self, delay: float, attempt: Attempt, status: AttemptStatus) -> None:
-        finish = attempt.request.router.attempts.finish
-        self._context.events.schedule(delay, finish, attempt, status)
+        self._context.events.schedule(delay, attempt.sender.finish, attempt, status)
 
     def _round_trip(self, attempt: Attempt) -> float:
-        return 2 * self._context.network.one_way_latency(attempt.request.router.location, self.location)
+        return 2 * self._context.network.one_way_latency(attempt.sender.location, self.location)
 
     def _serve(self, attempt: Attempt) -> None:
         self.busy_cores += 1
@@ -69,18 +65,18 @@
             self._serve(self.queue.popleft())
 
     def _deliver(self, attempt: Attempt) -> None:
-        router = attempt.request.router
-        if attempt.is_finished or not self._context.network.is_reachable(router.location, self):
+        if attempt.is_finished or not self._context.network.is_reachable(attempt.sender.location, self):
             return
         if self._context.model.cached_objects:
             self._update_caches(attempt.request)
-        router.attempts.finish(attempt, AttemptStatus.OK)
+        attempt.sender.finish(attempt, AttemptStatus.OK)
 
     def _update_caches(self, request: PendingRequest) -> None:
         key = request.client_request.key
         if request.client_request.is_write:
             for cache in self._caches.values():
                 cache.invalidate(key)
-        for cache in request.missed_at[:FILLED_SERVERS]:
+        for name in request.missed_at[:FILLED_SERVERS]:
+            cache = self._caches[name]
             if cache.is_up:
                 cache.store(key)
--- a/scale_experiments/simulation/requests.py
+++ b/scale_experiments/simulation/requests.py
@@ -3,37 +3,87 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from typing import Protocol
 
-if TYPE_CHECKING:
-    from scale_experiments.simulation.cache_server import CacheServer
-    from scale_experiments.simulation.connection import SimulatedConnection
-    from scale_experiments.simulation.router import SimulatedRouter
-    from scale_experiments.simulation.server import SimulatedServer
+from cache_router.decisions.events import AttemptStatus, LoadReport
+from scale_experiments.simulation.connection import SimulatedConnection
+from scale_experiments.simulation.errors import DuplicateAnswerError
+from scale_experiments.simulation.network import Location
+
+
+class AttemptSender(Protocol):
+    """The router's side of an attempt, to which the servers report."""
+
+    @property
+    def location(self) -> Location:
+        """Where the router is."""
+
+    def close_connection(self, attempt: Attempt) -> None:
+        """Close the connection that an attempt was sent on, if there is one."""
+
+    def receive_response(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport) -> None:
+        """Receive the response to an attempt from a cache server."""
+
+    def finish(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport | None = None) -> None:
+        """End an attempt; an attempt that has ended stays as it is."""
 
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """What a client wants, in one request to a router or more."""
+    """What a client wants. The client sends one or more requests to a router for it."""
 
     key: str
     is_write: bool
     created_at: float  # seconds, when the client first asked
     requests_sent: int = 0
 
+    def mark_sent(self) -> None:
+        """Count one more request that the client sent to a router."""
+        self.requests_sent += 1
+
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
     """A request at a router, kept until it is answered and none of its attempts is in flight."""
 
     request_id: str
-    router: SimulatedRouter
+    sender: AttemptSender
     client_request: ClientRequest
     is_answered: bool = False
     is_overdue: bool = False
     attempts_sent: int = 0
-    attempts_in_flight: dict[int, Attempt] = field(default_factory=dict)
-    missed_at: list[CacheServer] = field(default_factory=list)
+    attempts_in_flight: dict[int, Attempt] = field(default_factory=dict)  # by number
+    missed_at: list[str] = field(default_factory=list)  # names of the cache servers that missed the key
+
+    @property
+    def is_done(self) -> bool:
+        """Whether the request is answered and none of its attempts is in flight."""
+        return self.is_answered and not self.attempts_in_flight
+
+    def start_attempt(self, server_name: str, now: float) -> Attempt:
+        """Add the next attempt, at this server."""
+        attempt = Attempt(self, self.attempts_sent, server_name, now)
+        self.attempts_sent += 1
+        self.attempts_in_flight[attempt.number] = attempt
+        return attempt
+
+    def mark_answered(self) -> None:
+        """Record the one answer.
+
+        Raises:
+            DuplicateAnswerError: if the request has an answer already.
+        """
+        if self.is_answered:
+            raise DuplicateAnswerError(self.request_id)
+        self.is_answered = True
+
+    def mark_overdue(self) -> None:
+        """Record that the request's deadline has passed."""
+        self.is_overdue = True
+
+    def mark_missed(self, server_name: str) -> None:
+        """Record that a cache server did not have the key."""
+        self.missed_at.append(server_name)
 
 
 @dataclass(slots=True, eq=False)
@@ -42,8 +92,26 @@
 
     request: PendingRequest
     number: int
-    server: SimulatedServer
+    server_name: str
     sent_at: float  # seconds
     connection: SimulatedConnection | None = None
     is_finished: bool = False
-    needs_handshake: bool = False  # the server does the work of a handshake with it
+    needs_handshake: bool = False  # the server spends core time on a handshake before it serves the attempt
+
+    @property
+    def sender(self) -> AttemptSender:
+        """The router's side of the attempt."""
+        return self.request.sender
+
+    def use_connection(self, connection: SimulatedConnection) -> None:
+        """Assign the connection that carries the attempt."""
+        self.connection = connection
+
+    def mark_handshake(self) -> None:
+        """Record that the attempt is the first one on a new connection."""
+        self.needs_handshake = True
+
+    def mark_finished(self) -> None:
+        """End the attempt: it is no longer in flight."""
+        self.is_finished = True
+        del self.request.attempts_in_flight[self.number]
--- a/scale_experiments/simulation/router.py
+++ b/scale_experiments/simulation/router.py
@@ -21,7 +21,7 @@
 from scale_experiments.simulation.attempt_runner import AttemptRunner
 from scale_experiments.simulation.cache_server import CacheServer
 from scale_experiments.simulation.context import SimulationContext
-from scale_experiments.simulation.errors import DuplicateAnswerError, MissingAnswerError
+from scale_experiments.simulation.errors import MissingAnswerError
 from scale_experiments.simulation.model import READ, WRITE
 from scale_experiments.simulation.network import location_of
 from scale_experiments.simulation.origin import Origin
@@ -91,9 +91,7 @@
         self.pool.close_all_idle()
         for request in list(self.requests.values()):
             for attempt in list(request.attempts_in_flight.values()):
-                attempt.is_finished = True
-                if attempt.connection is not None:
-                    self.pool.close(attempt.connection)
+                self.attempts.drop(attempt)
             if not request.is_answered:
                 self._answer(request, CountedEvent.FAILED)
 
@@ -116,7 +114,7 @@
     def accept(self, request_id: str, client_request: ClientRequest, time_left: float) -> None:
         """Take a request that is owed an answer within `time_left` seconds."""
         context = self._context
-        request = PendingRequest(request_id, self, client_request)
+        request = PendingRequest(request_id, self.attempts, client_request)
         self.requests[request_id] = request
         context.statistics.requests_ever += 1
         context.decision_timer.requests += 1
@@ -130,10 +128,12 @@
         )
 
     def _answer(self, request: PendingRequest, outcome: CountedEvent) -> None:
-        """Give a request its one answer; raises DuplicateAnswerError where it has one."""
-        if request.is_answered:
-            raise DuplicateAnswerError(request.request_id)
-        request.is_answered = True
+        """Give a request its one answer.
+
+        Raises:
+            DuplicateAnswerError: if the request has an answer already.
+        """
+        request.mark_answered()
         statistics, client_request = self._context.statistics, request.client_request
         statistics.answers_ever += 1
         if outcome is CountedEvent.SERVED:
@@ -149,13 +149,13 @@
         self._context.statistics.count_for_client(event, self.location.region, self._context.events.now)
 
     def _forget_if_done(self, request: PendingRequest) -> None:
-        if request.is_answered and not request.attempts_in_flight:
+        if request.is_done:
             self.requests.pop(request.request_id, None)
 
     def _on_deadline(self, request: PendingRequest) -> None:
         if not self.is_running:
             return
-        request.is_overdue = True
+        request.mark_overdue()
         for attempt in list(request.attempts_in_flight.values()):
             self.attempts.abandon(attempt, AttemptStatus.TIMEOUT)
         if not request.is_answered:
--- a/tests/scale_experiments/test_simulated_connection_pool.py
+++ b/tests/scale_experiments/test_simulated_connection_pool.py
@@ -20,13 +20,13 @@
 from scale_experiments.simulation import network_rules
 from scale_experiments.simulation.attempt_runner import AttemptRunner
 from scale_experiments.simulation.cache_server import CacheServer
+from scale_experiments.simulation.connection import SimulatedConnection
 from scale_experiments.simulation.context import SimulationContext
 from scale_experiments.simulation.event_queue import EventQueue
 from scale_experiments.simulation.model import START, FleetModel, site_settings
 from scale_experiments.simulation.network import Location, Network
 from scale_experiments.simulation.origin import Origin
 from scale_experiments.simulation.requests import Attempt, ClientRequest, PendingRequest
-from scale_experiments.simulation.router import SimulatedRouter
 from scale_experiments.simulation.statistics import DecisionTimer, FleetStatistics
 from tests.support.loopback import HIT, Link, Peer
 
@@ -143,7 +143,7 @@
 class ScriptedServer(CacheServer):
     """A cache server that answers only when the test says so."""
 
-    def receive(self, attempt: Attempt) -> None:
+    def receive(self, attempt: Attempt, connection: SimulatedConnection) -> None:
         """Leave an attempt without an answer."""
 
 
@@ -176,10 +176,11 @@
     async def send(self, process: int = 1, ends: AttemptStatus | None = None) -> Outcome:
         endpoint = Endpoint(self.server.name, weight=1.0, started_at=float(process))
         self.endpoints[endpoint.name] = endpoint
-        request = PendingRequest("r1", cast(SimulatedRouter, None), ClientRequest("k", False, START))
+        request = PendingRequest("r1", self.runner, ClientRequest("k", False, START))
         self.runner.start(request, endpoint.name)
         attempt = next(iter(request.attempts_in_flight.values()), None)
-        request.is_overdue = ends is AttemptStatus.NOT_SENT
+        if ends is AttemptStatus.NOT_SENT:
+            request.mark_overdue()
         if ends is AttemptStatus.CONNECT_FAILED:
             draining = Endpoint(
                 endpoint.name, weight=1.0, started_at=float(process), state=EndpointState.DRAINING
