--- a/scale_experiments/simulation/context.py
+++ b/scale_experiments/simulation/context.py
@@ -6,10 +6,11 @@
 from dataclasses import dataclass
 
 from cache_router.settings import Settings
+from scale_experiments.simulation.decision_timer import DecisionTimer
 from scale_experiments.simulation.event_queue import EventQueue
 from scale_experiments.simulation.model import FleetModel
 from scale_experiments.simulation.network import Network
-from scale_experiments.simulation.statistics import DecisionTimer, FleetStatistics
+from scale_experiments.simulation.statistics import FleetStatistics
 
 
 @dataclass(slots=True, frozen=True)
--- a/scale_experiments/simulation/fleet.py
+++ b/scale_experiments/simulation/fleet.py
@@ -21,6 +21,7 @@
 from scale_experiments.simulation.cache_server import CacheServer
 from scale_experiments.simulation.clients import Clients, key_of
 from scale_experiments.simulation.context import SimulationContext
+from scale_experiments.simulation.decision_timer import DecisionTimer
 from scale_experiments.simulation.event_queue import EventQueue, never
 from scale_experiments.simulation.key_placement import place_keys
 from scale_experiments.simulation.model import START, FleetModel
@@ -28,7 +29,7 @@
 from scale_experiments.simulation.origin import Origin
 from scale_experiments.simulation.router import SimulatedRouter
 from scale_experiments.simulation.slow_start import BudgetUse, budget_use
-from scale_experiments.simulation.statistics import DecisionTimer, FleetStatistics
+from scale_experiments.simulation.statistics import FleetStatistics
 
 
 class Fleet:
--- a/scale_experiments/simulation/statistics.py
+++ b/scale_experiments/simulation/statistics.py
@@ -3,19 +3,11 @@
 from __future__ import annotations
 
 import itertools
-import time
-from collections.abc import Iterable
 from enum import StrEnum, auto
-from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:
-    from cache_router.decisions.actions import Action
-    from cache_router.decisions.events import Event
-    from cache_router.decisions.router import Router
-    from scale_experiments.simulation.event_queue import EventQueue
+from scale_experiments.simulation.event_queue import EventQueue
 
 SETTLING_SECONDS = 3  # seconds after which a client has its answer or has given up for good
-CALLS_PER_TIMED_CALL = 16
 
 
 class CountedEvent(StrEnum):
@@ -120,37 +112,3 @@
 
     def _settled_seconds(self) -> int:
         return max(0, int(self._events.now - self.counted_from) - SETTLING_SECONDS)
-
-
-class DecisionTimer:
-    """Calls the decision modules, and measures the processor time of every 16th call."""
-
-    __slots__ = ("calls", "requests", "timed_calls", "timed_seconds")
-
-    def __init__(self) -> None:
-        self.reset()
-
-    def reset(self) -> None:
-        """Measure from now on: the calls with a complete endpoint list would distort the mean."""
-        self.calls = self.timed_calls = 0
-        self.timed_seconds = 0.0
-        self.requests = 0  # accepted by routers
-
-    def handle(self, router: Router, now: float, event: Event) -> Iterable[Action]:
-        """Give an event to a decision module, and return its actions."""
-        self.calls += 1
-        if self.calls % CALLS_PER_TIMED_CALL:
-            return router.handle(now, event)
-        start = time.thread_time()
-        actions = router.handle(now, event)
-        self.timed_seconds += time.thread_time() - start
-        self.timed_calls += 1
-        return actions
-
-    def calls_per_request(self) -> float:
-        """Calls of `Router.handle` for each request accepted."""
-        return self.calls / max(1, self.requests)
-
-    def seconds_per_call(self) -> float:
-        """Seconds of processor time that one call of `Router.handle` takes, mean of the timed ones."""
-        return self.timed_seconds / max(1, self.timed_calls)
--- a/tests/scale_experiments/test_simulated_connection_pool.py
+++ b/tests/scale_experiments/test_simulated_connection_pool.py
@@ -22,12 +22,13 @@
 from scale_experiments.simulation.cache_server import CacheServer
 from scale_experiments.simulation.connection import SimulatedConnection
 from scale_experiments.simulation.context import SimulationContext
+from scale_experiments.simulation.decision_timer import DecisionTimer
 from scale_experiments.simulation.event_queue import EventQueue
 from scale_experiments.simulation.model import START, FleetModel, site_settings
 from scale_experiments.simulation.network import Location, Network
 from scale_experiments.simulation.origin import Origin
 from scale_experiments.simulation.requests import Attempt, ClientRequest, PendingRequest
-from scale_experiments.simulation.statistics import DecisionTimer, FleetStatistics
+from scale_experiments.simulation.statistics import FleetStatistics
 from tests.support.loopback import HIT, Link, Peer
 
 # in seconds; the clocks of both pools are put forward, so that nothing waits so long
