--- a/scale_experiments/scenarios/cold_start.py
+++ b/scale_experiments/scenarios/cold_start.py
@@ -104,7 +104,7 @@
     """Start the cache empty, begin to count, and have all routers notified; some of them restart."""
     name = cache.endpoint.name
     fleet.restore_servers([name])
-    cache.arrivals = []
+    cache.record_arrivals()
     fleet.reset()
     fleet.notify_all([name], EndpointState.READY, parameters.notice_s, parameters.spread_s)
     if parameters.restarted_share:
@@ -157,7 +157,7 @@
     metrics = {"requests_per_s": fleet.model.requests_per_s * fleet.model.routers}
     metrics |= slow_start_metrics(fleet, cache)
     for each in fleet.caches.values():
-        each.received = 0
+        each.reset_statistics()
     run_fleet(fleet, settings.overload_window * WARM_WINDOWS, context)
     mean_received = sum(each.received for each in fleet.caches.values()) / len(fleet.caches)
     metrics["fair_share"] = cache.received / max(1e-9, mean_received)
--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -70,7 +70,7 @@
 def run_surge(fleet: Fleet, parameters: Parameters, context: ExperimentContext) -> float:
     """The share of requests of clients that is served during the surge."""
     fleet.reset()
-    fleet.clients.demand = parameters.demand
+    fleet.clients.set_demand(parameters.demand)
     run_fleet(fleet, parameters.surge_s, context)
     counts = fleet.statistics.counts
     return counts[CountedEvent.SERVED] / max(1, counts[CountedEvent.CLIENT_REQUEST])
@@ -79,7 +79,7 @@
 def measure_recovery(fleet: Fleet, parameters: Parameters, context: ExperimentContext) -> dict[str, float]:
     """The fleet after the surge."""
     fleet.reset()
-    fleet.clients.demand = 1.0
+    fleet.clients.set_demand(1.0)
     run_fleet(fleet, parameters.after_s, context)
     counts, model = fleet.statistics.counts, fleet.model
     requests = max(1, counts[CountedEvent.REQUEST])
--- a/scale_experiments/scenarios/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -144,7 +144,7 @@
         self.names = lost_caches(fleet, parameters)
         self.is_isolation = parameters.lost == "cut"
         self.region = fleet.caches[self.names[0]].location.region
-        fleet.statistics.watched_regions = {self.region}
+        fleet.statistics.watch_region(self.region)
 
     def measure(self) -> Sample:
         """All phases in turn; raises TimeLimitReachedError."""
@@ -176,7 +176,7 @@
         fleet = self.fleet
         fleet.reset()
         if self.is_isolation:
-            fleet.network.isolated_regions = {self.region}
+            fleet.network.isolate_region(self.region)
         else:
             fleet.fail_servers(self.names)
             fleet.notify_all(self.names, EndpointState.REMOVED, *self.parameters.notice_s)
@@ -197,11 +197,11 @@
         fleet = self.fleet
         fleet.reset()
         if self.is_isolation:
-            fleet.network.isolated_regions = set()
+            fleet.network.reconnect_regions()
         else:
             fleet.restore_servers(self.names)
             for name in self.names:
-                fleet.caches[name].arrivals = []
+                fleet.caches[name].record_arrivals()
             fleet.notify_all(self.names, EndpointState.READY, *self.parameters.back_notice_s)
         notice_s = sum(self.parameters.back_notice_s)
         run_fleet(fleet, fleet.settings.slow_start_duration + notice_s + SETTLING_SECONDS, self.context)
--- a/scale_experiments/simulation/attempt_runner.py
+++ b/scale_experiments/simulation/attempt_runner.py
@@ -29,9 +29,9 @@
         "_endpoints",
         "_on_finished",
         "_origin",
+        "_servers_used",
         "location",
         "pool",
-        "servers_used",
     )
 
     def __init__(
@@ -51,7 +51,16 @@
         self._on_finished = on_finished
         self.location = location
         self.pool = SimulatedConnectionPool(context, location, self)
-        self.servers_used: set[str] = set()  # cache servers that attempts went to, since last cleared
+        self._servers_used: set[str] = set()  # names of cache servers
+
+    @property
+    def servers_used_count(self) -> int:
+        """Distinct cache servers that attempts were started at, since the last `clear_servers_used`."""
+        return len(self._servers_used)
+
+    def clear_servers_used(self) -> None:
+        """Count the cache servers used from now on."""
+        self._servers_used.clear()
 
     def start(self, request: PendingRequest, server_name: str) -> None:
         """Start the next attempt of a request; a name that no cache server has means the origin."""
@@ -66,7 +75,7 @@
         elif cache is None:
             self._origin.start(attempt)
         else:
-            self.servers_used.add(server_name)
+            self._servers_used.add(server_name)
             self._context.statistics.count(CountedEvent.ATTEMPT)
             self.pool.start(attempt, cache, self._endpoints[server_name].started_at)
 
--- a/scale_experiments/simulation/cache_server.py
+++ b/scale_experiments/simulation/cache_server.py
@@ -51,7 +51,7 @@
         self.refuses_connections = False
         self.started_at = 0.0  # of the process; connections to an earlier one are reset. 0: long ago
         self.cached_keys: OrderedDict[str, None] = OrderedDict()  # least recently used first
-        self.arrivals: list[float] | None = None  # times of the attempts received, where they are recorded
+        self.arrivals: list[float] | None = None  # times of attempts received, once they are recorded
         self.received = 0  # attempts
         self.received_retries = 0  # second and later attempts of their request
         self._service_time = 0.0  # smoothed
@@ -63,6 +63,10 @@
         self.connections.reset(self._context.events.now)
         self.received = self.received_retries = 0
 
+    def record_arrivals(self) -> None:
+        """Record the time of each attempt received from now on in `arrivals`."""
+        self.arrivals = []
+
     # Process
 
     def fail(self, *, is_silent: bool) -> None:
--- a/scale_experiments/simulation/clients.py
+++ b/scale_experiments/simulation/clients.py
@@ -41,22 +41,26 @@
 
 
 class Clients:
-    """The clients of all routers. `demand` scales the model's rate of requests.
+    """The clients of all routers.
 
-    `routers` are those that run now, by their index: a retry goes to the one that has taken the place of a
-    router that was stopped.
+    `routers` are the routers that run now, by index: a retry goes to the replacement of a router that was
+    stopped.
     """
 
     def __init__(self, context: SimulationContext, seed: int, routers: Sequence[SimulatedRouter]) -> None:
-        self.demand = 1.0
+        self._demand = 1.0  # factor on the model's rate of requests
         self._context = context
         self._keys = KeyGenerator(context.model, seed)
         self._routers = routers
         self._request_numbers = itertools.count()
 
+    def set_demand(self, factor: float) -> None:
+        """Scale the model's rate of requests, from the next request at each router on."""
+        self._demand = factor
+
     def start(self, router: SimulatedRouter) -> None:
         """Send requests to a router until it is stopped; their arrivals are a Poisson process."""
-        rate = self._context.model.requests_per_s * self.demand
+        rate = self._context.model.requests_per_s * self._demand
         self._context.events.schedule(self._context.random.expovariate(rate), self._arrive, router)
 
     def retry(self, router_index: int, request: ClientRequest) -> None:
--- a/scale_experiments/simulation/decision_timer.py
+++ b/scale_experiments/simulation/decision_timer.py
@@ -26,6 +26,10 @@
         self.timed_seconds = 0.0
         self.requests = 0  # accepted by routers
 
+    def request_accepted(self) -> None:
+        """Count a request that a router accepted."""
+        self.requests += 1
+
     def handle(self, router: Router, now: float, event: Event) -> Iterable[Action]:
         """Give an event to a decision module, and return its actions."""
         self.calls += 1
--- a/scale_experiments/simulation/fleet.py
+++ b/scale_experiments/simulation/fleet.py
@@ -99,11 +99,11 @@
     def watch_servers_used(self, span: float) -> None:
         """Count, for each span of `span` seconds from now on, the cache servers that each router sends to."""
         for router in self.routers:
-            router.attempts.servers_used.clear()
+            router.attempts.clear_servers_used()
         self.events.schedule(span, self._record_servers_used, span)
 
     def _record_servers_used(self, span: float) -> None:
-        self.statistics.servers_used.extend(len(router.attempts.servers_used) for router in self.routers)
+        self.statistics.record_servers_used(router.attempts.servers_used_count for router in self.routers)
         self.watch_servers_used(span)
 
     def budget_use(self, cache: CacheServer) -> BudgetUse:
--- a/scale_experiments/simulation/network.py
+++ b/scale_experiments/simulation/network.py
@@ -41,12 +41,20 @@
 class Network:
     """The network between the routers and the servers.
 
-    Routers and cache servers of `isolated_regions` reach only what is in their own region.
+    Routers and cache servers of an isolated region reach only what is in their own region.
     """
 
     def __init__(self, one_way_latency: tuple[float, float, float]) -> None:
-        self.same_zone, self.same_region, self.elsewhere = one_way_latency
-        self.isolated_regions: set[int] = set()
+        self._same_zone, self._same_region, self._elsewhere = one_way_latency
+        self._isolated_regions: set[int] = set()
+
+    def isolate_region(self, region: int) -> None:
+        """Cut a region off from all others."""
+        self._isolated_regions.add(region)
+
+    def reconnect_regions(self) -> None:
+        """Connect all isolated regions again."""
+        self._isolated_regions.clear()
 
     def is_reachable(self, router: Location, server: NetworkNode) -> bool:
         """Whether messages pass between a router and a server now."""
@@ -55,10 +63,10 @@
         region = server.location.region
         if router.region == region or server.is_always_reachable:
             return True
-        return router.region not in self.isolated_regions and region not in self.isolated_regions
+        return router.region not in self._isolated_regions and region not in self._isolated_regions
 
     def one_way_latency(self, router: Location, server: Location) -> float:
         """Seconds that a message takes in one direction."""
         if router.zone == server.zone:
-            return self.same_zone
-        return self.same_region if router.region == server.region else self.elsewhere
+            return self._same_zone
+        return self._same_region if router.region == server.region else self._elsewhere
--- a/scale_experiments/simulation/router.py
+++ b/scale_experiments/simulation/router.py
@@ -116,9 +116,8 @@
         context = self._context
         request = PendingRequest(request_id, self.attempts, client_request)
         self.requests[request_id] = request
-        context.statistics.requests_ever += 1
-        context.decision_timer.requests += 1
-        self._count(CountedEvent.REQUEST)
+        context.statistics.request_accepted(self.location.region)
+        context.decision_timer.request_accepted()
         context.events.schedule(time_left, self._on_deadline, request)
         request_class = WRITE if client_request.is_write else READ
         self._handle(
@@ -135,19 +134,12 @@
         """
         request.mark_answered()
         statistics, client_request = self._context.statistics, request.client_request
-        statistics.answers_ever += 1
         if outcome is CountedEvent.SERVED:
-            # in the second in which its client first asked, so that each second's share served is known
-            created_at = client_request.created_at
-            statistics.count_for_client(outcome, self.location.region, created_at)
-            statistics.latencies.append(self._context.events.now - created_at)
+            statistics.request_served(self.location.region, client_request.created_at)
             return
-        self._count(outcome)
+        statistics.request_not_served(outcome, self.location.region)
         self._retry(self.index, client_request)
 
-    def _count(self, event: CountedEvent) -> None:
-        self._context.statistics.count_for_client(event, self.location.region, self._context.events.now)
-
     def _forget_if_done(self, request: PendingRequest) -> None:
         if request.is_done:
             self.requests.pop(request.request_id, None)
--- a/scale_experiments/simulation/statistics.py
+++ b/scale_experiments/simulation/statistics.py
@@ -3,11 +3,12 @@
 from __future__ import annotations
 
 import itertools
+from collections.abc import Iterable
 from enum import StrEnum, auto
 
 from scale_experiments.simulation.event_queue import EventQueue
 
-SETTLING_SECONDS = 3  # seconds after which a client has its answer or has given up for good
+SETTLING_SECONDS = 3  # seconds after which a client has its answer or has used up its attempts
 
 
 class CountedEvent(StrEnum):
@@ -59,11 +60,11 @@
 class FleetStatistics:
     """Counts and latencies since the last reset.
 
-    What concerns clients of the routers in `watched_regions` is also counted in `watched`.
+    Events of clients of the routers in a watched region are also counted in `watched`.
     """
 
     def __init__(self, events: EventQueue) -> None:
-        self.watched_regions: set[int] = set()
+        self._watched_regions: set[int] = set()
         self.requests_ever = 0  # accepted by routers; no reset clears these two
         self.answers_ever = 0
         self._events = events
@@ -72,7 +73,7 @@
     def reset(self) -> None:
         """Count from now on."""
         self.counted_from = self._events.now
-        self.all = EventTally()
+        self._all = EventTally()
         self.watched = EventTally()
         self.latencies: list[float] = []  # seconds from a client's first request until it was served
         self.servers_used: list[int] = []  # by one router within one span of time
@@ -80,11 +81,15 @@
     @property
     def counts(self) -> dict[CountedEvent, int]:
         """How often each event was counted."""
-        return self.all.totals
+        return self._all.totals
+
+    def watch_region(self, region: int) -> None:
+        """Count events of clients of this region's routers in `watched` too, from now on."""
+        self._watched_regions.add(region)
 
     def count(self, event: CountedEvent) -> None:
         """Count one event now."""
-        self.all.add(event, int(self._events.now - self.counted_from))
+        self._all.add(event, int(self._events.now - self.counted_from))
 
     def count_for_client(self, event: CountedEvent, region: int, at: float) -> None:
         """Count one event of a client of this region's routers, in the second of the time `at`.
@@ -94,17 +99,40 @@
         if at < self.counted_from:
             return
         second = int(at - self.counted_from)
-        self.all.add(event, second)
-        if region in self.watched_regions:
+        self._all.add(event, second)
+        if region in self._watched_regions:
             self.watched.add(event, second)
 
+    def request_accepted(self, region: int) -> None:
+        """Count a request that a router of this region accepted."""
+        self.requests_ever += 1
+        self.count_for_client(CountedEvent.REQUEST, region, self._events.now)
+
+    def request_served(self, region: int, created_at: float) -> None:
+        """Count a request served by a router of this region, for which its client first asked at this time.
+
+        It counts in the second of `created_at`, so that the share served of each second's requests is known.
+        """
+        self.answers_ever += 1
+        self.count_for_client(CountedEvent.SERVED, region, created_at)
+        self.latencies.append(self._events.now - created_at)
+
+    def request_not_served(self, outcome: CountedEvent, region: int) -> None:
+        """Count a request that a router of this region rejected or failed."""
+        self.answers_ever += 1
+        self.count_for_client(outcome, region, self._events.now)
+
+    def record_servers_used(self, counts: Iterable[int]) -> None:
+        """Record how many cache servers each router used within one span of time."""
+        self.servers_used.extend(counts)
+
     def served_by_second(self) -> list[float]:
         """The share served of the client requests made in each settled second since the last reset."""
-        return self.all.served_by_second(self._settled_seconds())
+        return self._all.served_by_second(self._settled_seconds())
 
     def served_share(self) -> float:
         """The same of all settled seconds together."""
-        return self.all.served_share(self._settled_seconds())
+        return self._all.served_share(self._settled_seconds())
 
     def watched_served_share(self) -> float:
         """The same for clients of the routers in the watched regions."""
--- a/tests/scale_experiments/test_fleet.py
+++ b/tests/scale_experiments/test_fleet.py
@@ -33,11 +33,11 @@
     lost = ["s-00000001"]
     fleet.fail_servers(lost)
     fleet.notify_all(lost, EndpointState.REMOVED, 1.0, 0.5)
-    fleet.network.isolated_regions = {2}
+    fleet.network.isolate_region(2)
     fleet.run(3.0)
-    fleet.network.isolated_regions = set()
+    fleet.network.reconnect_regions()
     fleet.restore_servers(lost)
-    fleet.caches[lost[0]].arrivals = []
+    fleet.caches[lost[0]].record_arrivals()
     fleet.notify_all(lost, EndpointState.READY, 0.5, 0.5)
     fleet.run(3.0)
     return fleet
@@ -63,7 +63,7 @@
 def test_an_isolated_region_reaches_its_own_servers() -> None:
     for everywhere in (False, True):
         fleet = Fleet(site_settings(), replace(SMALL, origin_always_reachable=everywhere), 1)
-        fleet.network.isolated_regions = {2}
+        fleet.network.isolate_region(2)
         inside, outside = fleet.routers[2].location, fleet.routers[0].location
         is_reachable = fleet.network.is_reachable
         reached = [[is_reachable(r, c) for c in fleet.caches.values()] for r in (inside, outside)]
@@ -81,9 +81,8 @@
 
 def test_what_a_warming_cache_received_is_compared_with_its_budget() -> None:
     fleet = fleet_after_faults(5)
-    cache = fleet.caches["s-00000001"]
-    cache.arrivals = [100.0] * 30
-    use = budget_use(fleet.settings, SMALL, cache.arrivals, 99.0)
+    arrivals = [100.0] * 30
+    use = budget_use(fleet.settings, SMALL, arrivals, 99.0)
     budget = 4.0 * capacity_within(fleet.settings, SMALL, 1.0, 2.0)
     assert use.strict == pytest.approx(30 / budget)
     assert use.with_slack < use.strict
