--- a/scale_experiments/simulation/fleet.py
+++ b/scale_experiments/simulation/fleet.py
@@ -66,15 +66,15 @@
 
     def _preload_caches(self) -> None:
         """Fill each cache server with the most popular of the keys that a router would send it."""
-        capacity, full = self.model.cached_objects, 0
-        most_keys = 2 * capacity * self.model.caches
+        full = 0
+        most_keys = 2 * self.model.cached_objects * self.model.caches
         keys = [key_of(rank) for rank in range(min(self.model.objects, most_keys))]
         endpoints = [cache.endpoint for cache in self.caches.values()]
         for key, server in zip(keys, place_keys(self.settings, endpoints, keys), strict=False):
-            cache = self.caches[server]
-            if len(cache.cached_keys) < capacity:
-                cache.preload(key)
-                full += len(cache.cached_keys) == capacity
+            cached_keys = self.caches[server].cached_keys
+            if not cached_keys.is_full:
+                cached_keys.preload(key)
+                full += cached_keys.is_full
             if full == len(self.caches):
                 break
 
--- a/scale_experiments/simulation/origin.py
+++ b/scale_experiments/simulation/origin.py
@@ -21,51 +21,46 @@
 class Origin(SimulatedServer):
     """The origin, in the first zone. It answers each attempt that it does not reject."""
 
-    __slots__ = ("_caches", "_context")
+    __slots__ = ("_caches",)
 
     def __init__(self, context: SimulationContext, caches: Mapping[str, CacheServer]) -> None:
         model = context.model
         mean_seconds = sum(model.origin_service_time) / 2
         queue_capacity = math.ceil(model.origin_max_queueing_time * model.origin_cores / mean_seconds)
         endpoint = Endpoint("s-origin", kind=ORIGIN, zone="z0", weight=1.0)
-        super().__init__(endpoint, Location(0, 0), model.origin_cores, queue_capacity)
-        self.is_always_reachable = model.origin_always_reachable
-        self._context = context
+        super().__init__(
+            context,
+            endpoint,
+            Location(0, 0),
+            cores=model.origin_cores,
+            queue_capacity=queue_capacity,
+            is_always_reachable=model.origin_always_reachable,
+        )
         self._caches = caches
 
     def start(self, attempt: Attempt) -> None:
         """Serve, queue or reject an attempt."""
         context = self._context
         context.statistics.count(CountedEvent.ORIGIN_ATTEMPT)
-        if not context.network.is_reachable(attempt.sender.location, self):
+        if not self._is_reachable_from(attempt):
             self._finish_after(context.settings.connect_timeout, attempt, AttemptStatus.CONNECT_FAILED)
-        elif self.has_free_core:
-            self._serve(attempt)
-        elif len(self.queue) >= self.queue_capacity:
+        elif not self._serve_or_queue(attempt):
             self._finish_after(self._round_trip(attempt), attempt, AttemptStatus.REJECTED)
-        else:
-            self.queue.append(attempt)
 
     def _finish_after(self, delay: float, attempt: Attempt, status: AttemptStatus) -> None:
         self._context.events.schedule(delay, attempt.sender.finish, attempt, status)
 
     def _round_trip(self, attempt: Attempt) -> float:
-        return 2 * self._context.network.one_way_latency(attempt.sender.location, self.location)
+        return 2 * self._one_way_latency(attempt)
 
     def _serve(self, attempt: Attempt) -> None:
-        self.busy_cores += 1
         events = self._context.events
         seconds = self._context.random.uniform(*self._context.model.origin_service_time)
-        events.schedule(seconds, self._complete)
+        events.schedule(seconds, self._release_core)
         events.schedule(seconds + self._round_trip(attempt), self._deliver, attempt)
 
-    def _complete(self) -> None:
-        self.busy_cores -= 1
-        if self.queue:
-            self._serve(self.queue.popleft())
-
     def _deliver(self, attempt: Attempt) -> None:
-        if attempt.is_finished or not self._context.network.is_reachable(attempt.sender.location, self):
+        if attempt.is_finished or not self._is_reachable_from(attempt):
             return
         if self._context.model.cached_objects:
             self._update_caches(attempt.request)
@@ -75,8 +70,8 @@
         key = request.client_request.key
         if request.client_request.is_write:
             for cache in self._caches.values():
-                cache.invalidate(key)
+                cache.cached_keys.invalidate(key)
         for name in request.missed_at[:FILLED_SERVERS]:
             cache = self._caches[name]
             if cache.is_up:
-                cache.store(key)
+                cache.cached_keys.store(key)
--- a/scale_experiments/simulation/server.py
+++ b/scale_experiments/simulation/server.py
@@ -2,40 +2,85 @@
 
 from __future__ import annotations
 
+from abc import ABC, abstractmethod
 from collections import deque
 
 from cache_router.endpoint import Endpoint
+from scale_experiments.simulation.context import SimulationContext
 from scale_experiments.simulation.network import Location
 from scale_experiments.simulation.requests import Attempt
 
 
-class SimulatedServer:
+class SimulatedServer(ABC):
     """A server as the routers and the network see it."""
 
     __slots__ = (
-        "busy_cores",
-        "cores",
+        "_busy_cores",
+        "_context",
+        "_cores",
+        "_queue",
+        "_queue_capacity",
         "endpoint",
         "is_always_reachable",
         "is_up",
         "location",
         "name",
-        "queue",
-        "queue_capacity",
     )
 
-    def __init__(self, endpoint: Endpoint, location: Location, cores: int, queue_capacity: int) -> None:
+    def __init__(
+        self,
+        context: SimulationContext,
+        endpoint: Endpoint,
+        location: Location,
+        *,
+        cores: int,
+        queue_capacity: int,
+        is_always_reachable: bool = False,
+    ) -> None:
+        self._context = context
         self.endpoint = endpoint
         self.name = endpoint.name
         self.location = location
-        self.cores = cores  # 0: as many as are needed
-        self.queue_capacity = queue_capacity
         self.is_up = True
-        self.is_always_reachable = False  # also from regions that are isolated
-        self.busy_cores = 0
-        self.queue: deque[Attempt] = deque()
-
-    @property
-    def has_free_core(self) -> bool:
-        """Whether an attempt can be served at once."""
-        return not self.cores or self.busy_cores < self.cores
+        self.is_always_reachable = is_always_reachable  # also from isolated regions
+        self._cores = cores  # 0: as many as are needed
+        self._busy_cores = 0
+        self._queue: deque[Attempt] = deque()
+        self._queue_capacity = queue_capacity
+
+    def _serve_or_queue(self, attempt: Attempt) -> bool:
+        """Serve an attempt at once or queue it; return False where neither is possible."""
+        if not self._cores or self._busy_cores < self._cores:
+            self._start_service(attempt)
+        elif len(self._queue) < self._queue_capacity:
+            self._queue.append(attempt)
+        else:
+            return False
+        return True
+
+    def _start_service(self, attempt: Attempt) -> None:
+        self._busy_cores += 1
+        self._serve(attempt)
+
+    @abstractmethod
+    def _serve(self, attempt: Attempt) -> None:
+        """Serve an attempt on the core that was assigned to it, and schedule the release of the core."""
+
+    def _release_core(self) -> None:
+        """Free a core after a service; the first attempt of the queue takes it."""
+        self._busy_cores -= 1
+        if self._queue:
+            self._start_service(self._queue.popleft())
+
+    def _lose_attempts(self) -> None:
+        """Lose the attempts that are served or queued."""
+        self._queue.clear()
+        self._busy_cores = 0
+
+    def _is_reachable_from(self, attempt: Attempt) -> bool:
+        """Whether messages pass between the attempt's router and this server now."""
+        return self._context.network.is_reachable(attempt.sender.location, self)
+
+    def _one_way_latency(self, attempt: Attempt) -> float:
+        """Seconds that a message takes between the attempt's router and this server."""
+        return self._context.network.one_way_latency(attempt.sender.location, self.location)
