--- a/scale_experiments/simulation/network_rules.py
+++ b/scale_experiments/simulation/network_rules.py
@@ -1,8 +1,8 @@
 """The rules of the router's network code that the simulation models, each with the module it stands in.
 
-That code needs an event loop, so that the simulation has rules of its own instead of loading it;
-tests/scale_experiments/test_simulated_connection_pool.py gives both pools the same attempts, and fails when
-they differ.
+That code needs an event loop, so that the simulation has rules of its own instead of loading it.
+tests/scale_experiments/test_simulated_connection_{reuse,closing}.py give both pools the same attempts, and
+fail when they differ.
 
 `cache_router.net.connection_pool`, modelled in `simulation.connection_pool`:
 
--- /dev/null
+++ b/tests/scale_experiments/conftest.py
@@ -0,0 +1,15 @@
+"""Fixtures of the simulated fleet's tests."""
+
+from __future__ import annotations
+
+from typing import cast
+
+import pytest
+
+from tests.support.connection_pools import Play, play_on_real_pool, play_on_simulated_pool
+
+
+@pytest.fixture(params=[play_on_real_pool, play_on_simulated_pool], ids=["real", "simulated"])
+def play(request: pytest.FixtureRequest) -> Play:
+    """Plays a scenario on one of the pools, with a budget of descriptors."""
+    return cast(Play, request.param)
--- a/tests/scale_experiments/test_simulated_connection_pool.py
+++ b/tests/support/connection_pools.py
@@ -1,4 +1,4 @@
-"""The simulated connection pool follows the rules of the real one: both get the same attempts."""
+"""The real and the simulated connection pool behind one interface, so that a scenario can be run on both."""
 
 from __future__ import annotations
 
@@ -7,16 +7,13 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, Protocol, cast
 
-import pytest
-
 from cache_router.decisions.events import AttemptStatus, LoadReport
 from cache_router.endpoint import Endpoint, EndpointState
-from cache_router.net import connection_pool, dispatcher
+from cache_router.net import connection_pool
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.command import Command
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.upstream_connection import AttemptInFlight, UpstreamResponse
-from cache_router.server import DescriptorBudget
 from scale_experiments.simulation import network_rules
 from scale_experiments.simulation.attempt_runner import AttemptRunner
 from scale_experiments.simulation.cache_server import CacheServer
@@ -235,134 +232,3 @@
 
 def play_on_simulated_pool(scenario: Scenario, budget: int) -> None:
     asyncio.run(scenario(SimulatedPool(budget)))
-
-
-@pytest.fixture(params=[play_on_real_pool, play_on_simulated_pool], ids=["real", "simulated"])
-def play(request: pytest.FixtureRequest) -> Play:
-    """Plays a scenario on one of the pools, with a budget of descriptors."""
-    return cast(Play, request.param)
-
-
-def test_the_constants_are_those_of_the_network_code() -> None:
-    assert network_rules.IDLE_MARGIN == connection_pool.IDLE_MARGIN
-    assert network_rules.REUSE_DELAY == connection_pool.REUSE_DELAY
-    assert network_rules.DEADLINE_MARGIN == dispatcher.DEADLINE_MARGIN
-    model = FleetModel(1, 1, 1.0)
-    assert model.reuse_delay == network_rules.REUSE_DELAY
-    assert model.router_descriptors == network_rules.ROUTER_DESCRIPTORS == 372
-    assert DescriptorBudget.divide(1024).caches == network_rules.ROUTER_DESCRIPTORS
-
-
-def test_a_connection_carries_one_attempt_at_a_time(play: Play) -> None:
-    async def scenario(pool: PoolUnderTest) -> None:
-        assert await pool.send() == 0
-        await pool.wait(REUSE_DELAY + 1)
-        assert await pool.send() == 1
-        assert await pool.closed() == set()
-
-    play(scenario, 8)
-
-
-def test_the_connection_idle_for_longest_is_reused_first(play: Play) -> None:
-    async def scenario(pool: PoolUnderTest) -> None:
-        assert [await pool.send() for _ in range(3)] == [0, 1, 2]
-        for connection in (1, 2, 0):
-            await pool.answer(connection)
-            await pool.wait(1.0)
-        await pool.wait(REUSE_DELAY)
-        assert [await pool.send() for _ in range(4)] == [1, 2, 0, 3]
-
-    play(scenario, 8)
-
-
-def test_a_connection_is_reused_only_after_the_delay(play: Play) -> None:
-    async def scenario(pool: PoolUnderTest) -> None:
-        assert await pool.send() == 0
-        await pool.answer(0)
-        await pool.wait(REUSE_DELAY - 5)
-        assert await pool.send() == 1
-        await pool.wait(10.0)
-        assert await pool.send() == 0
-
-    play(scenario, 8)
-
-
-def test_an_idle_connection_is_closed_before_the_server_would_close_it(play: Play) -> None:
-    async def scenario(pool: PoolUnderTest) -> None:
-        assert await pool.send() == 0
-        await pool.answer(0)
-        await pool.wait(IDLE_TIME / 2)
-        assert await pool.send() == 0
-        await pool.wait(IDLE_TIME)  # in use all the while
-        assert await pool.closed() == set()
-        await pool.answer(0)
-        await pool.wait(IDLE_TIME - 5)
-        assert await pool.closed() == set()
-        await pool.wait(10.0)
-        assert await pool.closed() == {0}
-        assert await pool.send() == 1
-
-    play(scenario, 8)
-
-
-def test_a_connection_to_an_earlier_process_is_not_reused(play: Play) -> None:
-    async def scenario(pool: PoolUnderTest) -> None:
-        assert await pool.send(process=1) == 0
-        await pool.answer(0)
-        await pool.wait(REUSE_DELAY + 1)
-        assert await pool.send(process=2) == 1
-        assert await pool.closed() == {0}
-
-    play(scenario, 8)
-
-
-def test_beyond_the_budget_the_connection_idle_for_longest_makes_way(play: Play) -> None:
-    async def scenario(pool: PoolUnderTest) -> None:
-        assert [await pool.send() for _ in range(3)] == [0, 1, 2]
-        assert await pool.send() is AttemptStatus.NOT_SENT
-        for connection in (1, 0):
-            await pool.answer(connection)
-        # both rest still, so that neither is reused
-        assert await pool.send() == 3
-        assert await pool.closed() == {1}
-        assert await pool.send() == 4
-        assert await pool.closed() == {0, 1}
-        assert await pool.send() is AttemptStatus.NOT_SENT
-
-    play(scenario, 3)
-
-
-def test_the_idle_connections_to_a_server_are_closed_at_once(play: Play) -> None:
-    async def scenario(pool: PoolUnderTest) -> None:
-        assert [await pool.send() for _ in range(3)] == [0, 1, 2]
-        for connection in (0, 2):
-            await pool.answer(connection)
-        await pool.close_idle()
-        assert await pool.closed() == {0, 2}
-
-    play(scenario, 8)
-
-
-def test_an_attempt_that_is_given_up_closes_its_connection(play: Play) -> None:
-    async def scenario(pool: PoolUnderTest) -> None:
-        assert [await pool.send() for _ in range(2)] == [0, 1]
-        await pool.abandon(0)
-        assert await pool.closed() == {0}
-
-    play(scenario, 8)
-
-
-@pytest.mark.parametrize(
-    ("ends", "closed", "next_connection"),
-    [(AttemptStatus.NOT_SENT, set(), 0), (AttemptStatus.CONNECT_FAILED, {0}, 1)],
-)
-def test_the_precondition_is_checked_once_a_connection_is_up(
-    play: Play, ends: AttemptStatus, closed: set[int], next_connection: int
-) -> None:
-    async def scenario(pool: PoolUnderTest) -> None:
-        assert await pool.send(ends=ends) is ends
-        assert await pool.closed() == closed
-        await pool.wait(REUSE_DELAY + 1)
-        assert await pool.send() == next_connection
-
-    play(scenario, 8)
