--- a/scale_experiments/simulation/router.py
+++ b/scale_experiments/simulation/router.py
@@ -1,8 +1,7 @@
-"""A simulated router: a decision module, its endpoint list and its requests."""
+"""A simulated router: its endpoint list, the requests that it accepts, and their answers."""
 
 from __future__ import annotations
 
-from collections import deque
 from collections.abc import Callable, Mapping, Sequence
 
 from cache_router.decisions.actions import Action, Cancel, CloseIdleConnections, Fail, Reject, Send, SetTimer
@@ -16,11 +15,11 @@
     Request,
     TimerFired,
 )
-from cache_router.decisions.router import Router
 from cache_router.endpoint import Endpoint, EndpointState
 from scale_experiments.simulation.attempt_runner import AttemptRunner
 from scale_experiments.simulation.cache_server import CacheServer
 from scale_experiments.simulation.context import SimulationContext
+from scale_experiments.simulation.decision_loop import DecisionLoop
 from scale_experiments.simulation.errors import MissingAnswerError
 from scale_experiments.simulation.model import READ, WRITE
 from scale_experiments.simulation.network import location_of
@@ -28,10 +27,10 @@
 from scale_experiments.simulation.requests import Attempt, ClientRequest, PendingRequest
 from scale_experiments.simulation.statistics import CountedEvent
 
-# units of the clock's resolution after its deadline within which a request must get its answer
+# A request must be answered at most this many units of the clock's resolution after its deadline.
 ANSWER_GRACE_TICKS = 4
 
-Retry = Callable[[int, ClientRequest], None]  # with the index of the router that did not serve the request
+Retry = Callable[[int, ClientRequest], None]  # the index is of the router that did not serve the request
 
 
 class SimulatedRouter:
@@ -43,8 +42,6 @@
     __slots__ = (
         "_context",
         "_decisions",
-        "_events",
-        "_is_handling",
         "_retry",
         "attempts",
         "endpoints",
@@ -65,9 +62,7 @@
     ) -> None:
         self._context = context
         self._retry = retry
-        self._decisions = Router(context.settings, context.random.getrandbits(48), context.events.now)
-        self._events: deque[Event] = deque()
-        self._is_handling = False
+        self._decisions = DecisionLoop(context, self._carry_out)
         self.index = index
         self.location = location_of(index, context.model)
         self.is_running = True
@@ -81,12 +76,12 @@
     # Start, stop and endpoint list
 
     def start(self, endpoints: Sequence[Endpoint]) -> None:
-        """Learn the complete endpoint list."""
+        """Receive the complete endpoint list."""
         self.endpoints.update((endpoint.name, endpoint) for endpoint in endpoints)
         self._handle(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(endpoints)))
 
     def stop(self) -> None:
-        """End the process: its connections close, and what it had not answered fails."""
+        """End the process: its connections close, and the requests without an answer fail."""
         self.is_running = False
         self.pool.close_all_idle()
         for request in list(self.requests.values()):
@@ -96,7 +91,7 @@
                 self._answer(request, CountedEvent.FAILED)
 
     def update_endpoints(self, endpoints: Sequence[Endpoint]) -> None:
-        """Learn of endpoints that changed; idle connections to those restarted or not ready are closed."""
+        """Receive changed endpoints; idle connections to those that restarted or are not ready are closed."""
         if not self.is_running:
             return
         for endpoint in endpoints:
@@ -112,7 +107,7 @@
     # Requests
 
     def accept(self, request_id: str, client_request: ClientRequest, time_left: float) -> None:
-        """Take a request that is owed an answer within `time_left` seconds."""
+        """Accept a request that must be answered within `time_left` seconds."""
         context = self._context
         request = PendingRequest(request_id, self.attempts, client_request)
         self.requests[request_id] = request
@@ -151,7 +146,7 @@
         for attempt in list(request.attempts_in_flight.values()):
             self.attempts.abandon(attempt, AttemptStatus.TIMEOUT)
         if not request.is_answered:
-            # the decision module has had its last event for it, but may still wait for a timer
+            # The decision module received its last event of this request, but may still wait for a timer.
             grace = self._context.settings.clock_resolution * ANSWER_GRACE_TICKS
             self._context.events.schedule(grace, self._check_answered, request)
 
@@ -162,18 +157,8 @@
     # Events and actions of the decision module
 
     def _handle(self, event: Event) -> None:
-        """Give an event to the decision module, after those that its own actions bring about."""
-        if not self.is_running:
-            return
-        self._events.append(event)
-        if self._is_handling:
-            return
-        self._is_handling = True
-        events, timer = self._context.events, self._context.decision_timer
-        while self._events:
-            for action in timer.handle(self._decisions, events.now, self._events.popleft()):
-                self._carry_out(action)
-        self._is_handling = False
+        if self.is_running:
+            self._decisions.handle(event)
 
     def _carry_out(self, action: Action) -> None:
         if isinstance(action, SetTimer):
