--- a/scale_experiments/simulation/attempt_runner.py
+++ b/scale_experiments/simulation/attempt_runner.py
@@ -1,4 +1,4 @@
-"""The attempts of one router: whether one may be sent, where it goes, and its end."""
+"""The attempts of one router: whether an attempt may be sent, to which server, and how it ends."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
         self._servers_used.clear()
 
     def start(self, request: PendingRequest, server_name: str) -> None:
-        """Start the next attempt of a request; a name that no cache server has means the origin."""
+        """Start the next attempt of a request; the origin serves it if no cache server has this name."""
         cache = self._caches.get(server_name)
         server = self._origin if cache is None else cache
         attempt = request.start_attempt(server.name, self._context.events.now)
@@ -80,7 +80,7 @@
             self.pool.start(attempt, cache, self._endpoints[server_name].started_at)
 
     def precondition(self, attempt: Attempt) -> AttemptStatus | None:
-        """How an attempt ends that must not be sent any more, or None."""
+        """Return the status of an attempt that may no longer be sent, or None if it may be sent."""
         if attempt.request.is_answered or attempt.request.is_overdue:
             return AttemptStatus.NOT_SENT
         endpoint = self._endpoints.get(attempt.server_name)
@@ -108,7 +108,7 @@
         self.pool.receive_response(attempt, status, load_report)
 
     def finish(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport | None = None) -> None:
-        """End an attempt; one that has ended already stays so."""
+        """End an attempt, unless it has ended already."""
         if attempt.is_finished:
             return
         attempt.mark_finished()
--- a/scale_experiments/simulation/connection_pool.py
+++ b/scale_experiments/simulation/connection_pool.py
@@ -1,4 +1,4 @@
-"""One router's modelled connections to cache servers; `network_rules` names the rules they follow."""
+"""One router's modelled connections to cache servers, by the rules that `network_rules` lists."""
 
 from __future__ import annotations
 
@@ -9,40 +9,40 @@
 from scale_experiments.simulation.connection import SimulatedConnection
 from scale_experiments.simulation.connection_accounting import ConnectionCount
 from scale_experiments.simulation.context import SimulationContext
+from scale_experiments.simulation.idle_connections import IdleConnections
 from scale_experiments.simulation.network import Location
 from scale_experiments.simulation.network_rules import IDLE_MARGIN
 from scale_experiments.simulation.requests import Attempt
 from scale_experiments.simulation.statistics import CountedEvent
 
-CLOCK_TOLERANCE = 1e-6  # seconds; rounding may make an event of the idle time come this much too early
+CLOCK_TOLERANCE = 1e-6  # seconds by which rounding may let the check of the idle time come too early
 
 
 class AttemptOwner(Protocol):
     """What a pool needs of the router whose attempts it carries."""
 
     def precondition(self, attempt: Attempt) -> AttemptStatus | None:
-        """How an attempt ends that must not be sent any more, or None."""
+        """Return the status of an attempt that may no longer be sent, or None if it may be sent."""
 
     def finish(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport | None = None) -> None:
-        """Take note of the end of an attempt."""
+        """End an attempt."""
 
 
 class SimulatedConnectionPool:
     """The connections of one router to all cache servers."""
 
-    __slots__ = ("_context", "_idle_by_server", "_idle_time", "_location", "_owner", "connections", "idle")
+    __slots__ = ("_context", "_idle_time", "_location", "_owner", "connections", "idle")
 
     def __init__(self, context: SimulationContext, location: Location, owner: AttemptOwner) -> None:
         self._context = context
         self._location = location
         self._owner = owner
         self.connections = ConnectionCount(context.events.now)
-        self.idle: dict[SimulatedConnection, None] = {}  # idle for longest first
-        self._idle_by_server: dict[str, dict[SimulatedConnection, None]] = {}
+        self.idle = IdleConnections()
         self._idle_time = max(0.0, context.settings.connection_idle_timeout - IDLE_MARGIN)
 
     def start(self, attempt: Attempt, server: CacheServer, listed_start: float) -> None:
-        """Send an attempt on an idle connection, or on a new one, or finish it as not sent."""
+        """Send an attempt on an idle connection or on a new one; without capacity, finish it as not sent."""
         connection = self._take_idle(server, listed_start)
         if connection is not None:
             self._send(attempt, connection, server)
@@ -52,7 +52,7 @@
             self._owner.finish(attempt, AttemptStatus.NOT_SENT)
 
     def receive_response(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport) -> None:
-        """Keep the connection of an attempt that was answered, and finish the attempt."""
+        """Keep the attempt's connection for reuse, and finish the attempt."""
         connection = attempt.connection
         if attempt.is_finished or connection is None or not connection.is_open:
             return
@@ -61,30 +61,30 @@
             self._owner.finish(attempt, status, load_report)
 
     def close(self, connection: SimulatedConnection) -> None:
-        """Close a connection; one that is closed already stays so."""
+        """Close a connection, if it is open."""
         if not connection.is_open:
             return
-        self._leave_idle(connection)
+        self.idle.discard(connection)
         self.connections.add(-1, self._context.events.now)
         connection.mark_closed()
 
     def close_idle(self, server: str) -> None:
         """Close the idle connections to one server."""
-        for connection in list(self._idle_by_server.get(server, ())):
+        for connection in self.idle.to_server(server):
             self.close(connection)
 
     def close_all_idle(self) -> None:
         """Close the idle connections to all servers."""
-        for connection in list(self.idle):
+        for connection in self.idle.all():
             self.close(connection)
 
     def _take_idle(self, server: CacheServer, listed_start: float) -> SimulatedConnection | None:
         latest = self._context.events.now - self._context.model.reuse_delay
         while True:
-            connection = next(iter(self._idle_by_server.get(server.name, ())), None)
+            connection = self.idle.longest_idle_to(server.name)
             if connection is None or connection.idle_since > latest:
                 return None
-            self._leave_idle(connection)
+            self.idle.discard(connection)
             if connection.listed_start == listed_start:
                 return connection
             self.close(connection)
@@ -92,7 +92,7 @@
     def _has_capacity(self) -> bool:
         if self.connections.current < self._context.model.router_descriptors:
             return True
-        longest_idle = next(iter(self.idle), None)
+        longest_idle = self.idle.longest_idle()
         if longest_idle is None:
             return False
         self.close(longest_idle)
@@ -141,15 +141,13 @@
             self._send(attempt, connection, server)
             return
         if status is AttemptStatus.NOT_SENT:
-            self._keep(connection)  # nothing is known against the server
+            self._keep(connection)  # the request was too late; the connection is usable
         else:
             self.close(connection)
         self._owner.finish(attempt, status)
 
     def _keep(self, connection: SimulatedConnection) -> None:
-        connection.mark_idle(self._context.events.now)
-        self.idle[connection] = None
-        self._idle_by_server.setdefault(connection.server.name, {})[connection] = None
+        self.idle.add(connection, self._context.events.now)
         if not connection.is_expiry_scheduled:
             self._schedule_expiry(connection, self._idle_time)
 
@@ -161,19 +159,9 @@
         connection.mark_expiry_checked()
         if not connection.is_open or not connection.is_idle:
             return
+        # the connection may have been used and become idle again since the check was scheduled
         time_left = connection.idle_since + self._idle_time - self._context.events.now
         if time_left > CLOCK_TOLERANCE:
             self._schedule_expiry(connection, time_left)
         else:
             self.close(connection)
-
-    def _leave_idle(self, connection: SimulatedConnection) -> None:
-        if not connection.is_idle:
-            return
-        connection.mark_in_use()
-        name = connection.server.name
-        idle_at_server = self._idle_by_server[name]
-        del self.idle[connection]
-        del idle_at_server[connection]
-        if not idle_at_server:
-            del self._idle_by_server[name]
--- /dev/null
+++ b/scale_experiments/simulation/idle_connections.py
@@ -0,0 +1,53 @@
+"""The idle connections of one router."""
+
+from __future__ import annotations
+
+from scale_experiments.simulation.connection import SimulatedConnection
+
+
+class IdleConnections:
+    """The idle connections of one router, in the order in which they became idle."""
+
+    __slots__ = ("_all", "_by_server")
+
+    def __init__(self) -> None:
+        # dictionaries without values: they keep the order, and any connection is removed in constant time
+        self._all: dict[SimulatedConnection, None] = {}
+        self._by_server: dict[str, dict[SimulatedConnection, None]] = {}
+
+    def __len__(self) -> int:
+        return len(self._all)
+
+    def add(self, connection: SimulatedConnection, now: float) -> None:
+        """Add a connection that became idle."""
+        connection.mark_idle(now)
+        self._all[connection] = None
+        self._by_server.setdefault(connection.server.name, {})[connection] = None
+
+    def discard(self, connection: SimulatedConnection) -> None:
+        """Remove a connection, if it is idle."""
+        if not connection.is_idle:
+            return
+        connection.mark_in_use()
+        name = connection.server.name
+        at_server = self._by_server[name]
+        del self._all[connection]
+        del at_server[connection]
+        if not at_server:
+            del self._by_server[name]
+
+    def longest_idle(self) -> SimulatedConnection | None:
+        """The connection that has been idle for longest, if there is one."""
+        return next(iter(self._all), None)
+
+    def longest_idle_to(self, server_name: str) -> SimulatedConnection | None:
+        """The connection to this server that has been idle for longest, if there is one."""
+        return next(iter(self._by_server.get(server_name, ())), None)
+
+    def all(self) -> list[SimulatedConnection]:
+        """A copy of the list of all idle connections."""
+        return list(self._all)
+
+    def to_server(self, server_name: str) -> list[SimulatedConnection]:
+        """A copy of the list of idle connections to this server."""
+        return list(self._by_server.get(server_name, ()))
--- a/scale_experiments/simulation/requests.py
+++ b/scale_experiments/simulation/requests.py
@@ -25,7 +25,7 @@
         """Receive the response to an attempt from a cache server."""
 
     def finish(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport | None = None) -> None:
-        """End an attempt; an attempt that has ended stays as it is."""
+        """End an attempt, unless it has ended already."""
 
 
 @dataclass(slots=True, eq=False)
