--- a/scale_experiments/simulation/__init__.py
+++ b/scale_experiments/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Many routers' decision modules before modelled cache servers, on a simulated clock."""
+"""A fleet of decision modules in front of modelled cache servers, on a simulated clock."""
--- a/scale_experiments/simulation/cache_server.py
+++ b/scale_experiments/simulation/cache_server.py
@@ -45,7 +45,8 @@
         self.connections = ConnectionCount(context.events.now)
         # while down: a machine whose process died refuses connections, a machine that is lost stays silent
         self.refuses_connections = False
-        self.started_at = 0.0  # of the process; connections to an earlier one are reset. 0: long ago
+        # start time of the process; 0 is long ago. Connections to an earlier process are reset.
+        self.started_at = 0.0
         self.cached_keys = KeyCache(model.cached_objects)
         self.arrivals: list[float] | None = None  # times of attempts received, once they are recorded
         self.received = 0  # attempts
@@ -72,7 +73,7 @@
         self.started_at = self._context.events.now
 
     def restart(self) -> None:
-        """Start again, with an empty cache and the capacity of a slow start."""
+        """Start a new process, with an empty cache and the capacity of a slow start."""
         now = self._context.events.now
         self.is_up = True
         self.refuses_connections = False
@@ -81,7 +82,7 @@
         self._load_reporter.restart()
 
     def has_connection_capacity(self) -> bool:
-        """Whether it accepts one more connection."""
+        """Whether the server accepts one more connection."""
         limit = self._context.model.max_connections
         return not limit or self.connections.current < limit
 
--- a/scale_experiments/simulation/clients.py
+++ b/scale_experiments/simulation/clients.py
@@ -1,4 +1,4 @@
-"""The clients: which keys they ask for, when, and how they retry."""
+"""The clients: which keys they request, when, and how they retry."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class KeyGenerator:
-    """Draws keys with Zipf's distribution."""
+    """Draws keys by the Zipf-Mandelbrot law: the weight of rank k is (k + rank_offset) ** -zipf_exponent."""
 
     def __init__(self, model: FleetModel, seed: int) -> None:
         ranks = np.arange(1, model.objects + 1, dtype=np.float64) + model.rank_offset
@@ -33,7 +33,7 @@
         self._drawn: list[int] = []
 
     def draw(self) -> str:
-        """The next key."""
+        """Return the next key."""
         if not self._drawn:
             ranks = np.searchsorted(self._cumulative, self._generator.random(KEYS_DRAWN_AT_ONCE))
             self._drawn = np.minimum(ranks, len(self._cumulative) - 1).tolist()
@@ -64,7 +64,7 @@
         self._context.events.schedule(self._context.random.expovariate(rate), self._arrive, router)
 
     def retry(self, router_index: int, request: ClientRequest) -> None:
-        """Repeat a request that was not served, after a backoff, if its client has attempts left."""
+        """Send a request that was not served again after a backoff, if its client has attempts left."""
         context = self._context
         if request.requests_sent >= context.model.client_attempts:
             return
--- a/scale_experiments/simulation/connection_accounting.py
+++ b/scale_experiments/simulation/connection_accounting.py
@@ -5,45 +5,46 @@
 import math
 
 NORMAL_99TH = 2.326  # standard deviations from the mean to the 99th percentile of a normal distribution
-SHORTEST_SPAN = 1e-9  # seconds; stands in for no time at all in a division
+SHORTEST_SPAN = 1e-9  # seconds; the divisor for a span of no time
 
 
 class ConnectionCount:
     """How many connections one end has open, with its distribution over time. Times are in seconds."""
 
-    __slots__ = ("changed_at", "current", "peak", "started_at", "weighted_squares", "weighted_sum")
+    __slots__ = ("_changed_at", "_started_at", "_weighted_squares", "_weighted_sum", "current", "peak")
 
     def __init__(self, at: float) -> None:
         self.current = 0
         self.reset(at)
 
     def reset(self, at: float) -> None:
-        """Start the statistics anew; the connections that are open stay counted."""
-        self.started_at = self.changed_at = at
-        self.weighted_sum = self.weighted_squares = 0.0  # of the counts, weighted by their seconds
+        """Restart the statistics; the connections that are open stay counted."""
+        self._started_at = self._changed_at = at
+        self._weighted_sum = self._weighted_squares = 0.0  # of the counts, weighted by their seconds
         self.peak = self.current
 
     def add(self, count: int, at: float) -> None:
         """Count connections opened, or closed where `count` is negative."""
-        seconds = at - self.changed_at
-        self.weighted_sum += seconds * self.current
-        self.weighted_squares += seconds * self.current * self.current
-        self.changed_at = at
+        seconds = at - self._changed_at
+        self._weighted_sum += seconds * self.current
+        self._weighted_squares += seconds * self.current * self.current
+        self._changed_at = at
         self.current += count
         self.peak = max(self.peak, self.current)
 
     def mean(self, at: float) -> float:
         """The mean over the time since the last reset."""
         self.add(0, at)
-        return self.weighted_sum / max(at - self.started_at, SHORTEST_SPAN)
+        return self._weighted_sum / max(at - self._started_at, SHORTEST_SPAN)
 
     def percentile_99(self, at: float, scale: float) -> float:
-        """The 99th percentile over time of the whole fleet's count, estimated from a sample's.
+        """Estimate the 99th percentile over time of the whole fleet's count from this sample's count.
 
-        The routers are independent of each other, so that both the mean and the variance of a sum of `scale`
-        as many are `scale` times as large; the sum is taken as normal.
+        The fleet has `scale` times as many routers as the sample. The routers are independent of each other,
+        so that the mean and the variance of their sum both grow by the factor `scale`. The sum is assumed to
+        be normally distributed.
         """
         mean = self.mean(at)
-        mean_square = self.weighted_squares / max(at - self.started_at, SHORTEST_SPAN)
+        mean_square = self._weighted_squares / max(at - self._started_at, SHORTEST_SPAN)
         variance = max(0.0, mean_square - mean * mean)
         return scale * mean + NORMAL_99TH * math.sqrt(scale * variance)
--- a/scale_experiments/simulation/context.py
+++ b/scale_experiments/simulation/context.py
@@ -1,4 +1,4 @@
-"""What all parts of one simulation share."""
+"""The objects that all parts of one simulation share."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 @dataclass(slots=True, frozen=True)
 class SimulationContext:
-    """The surroundings of one simulated fleet.
+    """The clock, network, statistics and configuration of one simulated fleet.
 
-    All parts draw from the one `random`: the order of their draws is a part of what a seed determines.
+    All parts draw from the same `random`, so that the order of their draws is part of what a seed determines.
     """
 
     settings: Settings
--- a/scale_experiments/simulation/decision_timer.py
+++ b/scale_experiments/simulation/decision_timer.py
@@ -13,7 +13,7 @@
 
 
 class DecisionTimer:
-    """Calls the decision modules, and measures the processor time of every 16th call."""
+    """Calls the decision modules, and measures the processor time of one in `CALLS_PER_TIMED_CALL` calls."""
 
     __slots__ = ("calls", "requests", "timed_calls", "timed_seconds")
 
@@ -21,7 +21,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Measure from now on: the calls with a complete endpoint list would distort the mean."""
+        """Measure from now on. Calls with a complete endpoint list, at the start, would distort the mean."""
         self.calls = self.timed_calls = 0
         self.timed_seconds = 0.0
         self.requests = 0  # accepted by routers
@@ -42,9 +42,9 @@
         return actions
 
     def calls_per_request(self) -> float:
-        """Calls of `Router.handle` for each request accepted."""
+        """Mean number of calls of `Router.handle` for each request accepted."""
         return self.calls / max(1, self.requests)
 
     def seconds_per_call(self) -> float:
-        """Seconds of processor time that one call of `Router.handle` takes, mean of the timed ones."""
+        """Mean processor time in seconds of the calls of `Router.handle` that were timed."""
         return self.timed_seconds / max(1, self.timed_calls)
--- a/scale_experiments/simulation/errors.py
+++ b/scale_experiments/simulation/errors.py
@@ -1,10 +1,10 @@
-"""Errors of the simulation: a decision module that breaks its contract with its clients."""
+"""Errors of the simulation: a decision module that breaks its contract with the clients."""
 
 from __future__ import annotations
 
 
 class SimulationError(Exception):
-    """What must never happen in a simulated fleet."""
+    """Base of the errors that stop a simulation."""
 
 
 class DuplicateAnswerError(SimulationError):
--- a/scale_experiments/simulation/event_queue.py
+++ b/scale_experiments/simulation/event_queue.py
@@ -5,18 +5,20 @@
 import heapq
 import itertools
 from collections.abc import Callable
-from typing import Any
+from typing import TypeVarTuple
+
+Arguments = TypeVarTuple("Arguments")
 
 EVENTS_BETWEEN_CHECKS = 10_000
 
 
 def never() -> bool:
-    """The condition of a run that only its time ends."""
+    """The stop condition of a run that ends only when its time is over."""
     return False
 
 
 class EventQueue:
-    """Callbacks in the order of their times; those of one time run in the order they were scheduled in.
+    """Callbacks in the order of their times; callbacks of one time run in the order of their scheduling.
 
     `now` is the simulated time in seconds. It advances only within `run`.
     """
@@ -25,17 +27,18 @@
 
     def __init__(self, now: float) -> None:
         self.now = now
-        self._due: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        # time, sequence number, callback and its arguments: a tuple, as heapq compares entries in place
+        self._due: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self._sequence = itertools.count()
 
-    def schedule(self, delay: float, callback: Callable[..., None], *arguments: Any) -> None:
+    def schedule(self, delay: float, callback: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
         """Call back with these arguments, `delay` seconds from now."""
         heapq.heappush(self._due, (self.now + delay, next(self._sequence), callback, arguments))
 
     def run(self, seconds: float, should_stop: Callable[[], bool] = never) -> bool:
-        """Let simulated time pass; return whether all of it did.
+        """Let simulated time pass; return whether all of it passed.
 
-        `should_stop` is called once in `EVENTS_BETWEEN_CHECKS` events and ends the run where it is.
+        `should_stop` is called once in `EVENTS_BETWEEN_CHECKS` events. The run ends early if it returns true.
         """
         end = self.now + seconds
         for number in itertools.count(1):
--- a/scale_experiments/simulation/fleet.py
+++ b/scale_experiments/simulation/fleet.py
@@ -1,12 +1,12 @@
 """A fleet of routers in front of modelled cache servers, on a simulated clock.
 
-Each router has a decision module of its own, `cache_router.decisions.router.Router`, that learns only its own
-events. What it asks for is done by the rules of `network_rules`.
+Each router has a decision module of its own, `cache_router.decisions.router.Router`, which receives only the
+events of its router. Its actions are carried out by the rules of `network_rules`.
 
-A large fleet is simulated by a sample of its routers: `FleetModel.routers` is the count that each decision
-module is configured with, `FleetModel.routers_sampled` of them are run, and the cores and connection limits
-of the cache servers hold for the sample. What is counted at a cache server is then of the sample, and
-`FleetModel.scale` times as much of the fleet. A mean scales linearly; a spread does not, see
+A large fleet is simulated by a sample of its routers. Each decision module is configured with the count
+`FleetModel.routers`; only `FleetModel.routers_sampled` of them are run. The cores and connection limits of
+the cache servers are for the sample, and so are the counts at a cache server: the counts of the whole fleet
+are `FleetModel.scale` times as high. A mean scales linearly; a percentile does not, see
 `ConnectionCount.percentile_99`.
 """
 
@@ -33,7 +33,7 @@
 
 
 class Fleet:
-    """The simulation. `run` lets time pass; what happens since `reset` is in `statistics`."""
+    """The simulation. `run` lets time pass; `statistics` holds the counts since the last `reset`."""
 
     def __init__(self, settings: Settings, model: FleetModel, seed: int) -> None:
         self.model = model
@@ -65,7 +65,7 @@
         return router
 
     def _preload_caches(self) -> None:
-        """Fill each cache server with the most popular of the keys that a router would send it."""
+        """Fill each cache server with the most popular of the keys that routers send to it."""
         full = 0
         most_keys = 2 * self.model.cached_objects * self.model.caches
         keys = [key_of(rank) for rank in range(min(self.model.objects, most_keys))]
@@ -79,13 +79,13 @@
                 break
 
     def endpoints(self) -> tuple[Endpoint, ...]:
-        """The endpoint list as it is now: all cache servers, then the origin."""
+        """The current endpoint list: all cache servers, then the origin."""
         return tuple(server.endpoint for server in [*self.caches.values(), self.origin])
 
     # Time and statistics
 
     def run(self, seconds: float, should_stop: Callable[[], bool] = never) -> bool:
-        """Let simulated time pass; return whether all of it did. `should_stop` is called now and then."""
+        """Let simulated time pass; return whether all of it passed, see `EventQueue.run`."""
         return self.events.run(seconds, should_stop)
 
     def reset(self) -> None:
@@ -97,7 +97,7 @@
             router.pool.connections.reset(self.events.now)
 
     def watch_servers_used(self, span: float) -> None:
-        """Count, for each span of `span` seconds from now on, the cache servers that each router sends to."""
+        """Count the cache servers that each router sends to, for each span of `span` seconds from now on."""
         for router in self.routers:
             router.attempts.clear_servers_used()
         self.events.schedule(span, self._record_servers_used, span)
@@ -109,7 +109,7 @@
     def budget_use(self, cache: CacheServer) -> BudgetUse:
         """How much of its slow start's budget a cache server was sent since the last reset.
 
-        It must have started then, with its arrivals recorded since.
+        The server must have started at that time and must have recorded its arrivals since.
         """
         started_at = self.statistics.counted_from
         return budget_use(self.settings, self.model, cache.arrivals or (), started_at)
@@ -117,26 +117,30 @@
     # Faults
 
     def fail_servers(self, names: Iterable[str], *, is_silent: bool = True) -> None:
-        """Let cache servers vanish; where not silent, only their processes, so that connects are refused."""
+        """Fail the machines of cache servers; if not silent, only the processes, which refuse connects."""
         for name in names:
             self.caches[name].fail(is_silent=is_silent)
 
     def restore_servers(self, names: Iterable[str]) -> None:
-        """Start cache servers again, with empty caches and the capacity of a slow start."""
+        """Restart cache servers, with empty caches and the capacity of a slow start."""
         for name in names:
             self.caches[name].restart()
 
     def notify_all(self, names: Iterable[str], state: EndpointState, delay: float, spread: float) -> None:
-        """Notify each router of cache servers' state after `delay` and its own share of `spread` seconds."""
+        """Notify each router of the state of cache servers.
+
+        Each router is notified after `delay` plus a random time of up to `spread` seconds.
+        """
         endpoints = tuple(replace(self.caches[name].endpoint, state=state) for name in names)
         for router in self.routers:
             after = delay + self.random.uniform(0, spread)
             self.events.schedule(after, router.update_endpoints, endpoints)
 
     def restart_routers(self, routers: Iterable[SimulatedRouter], delay: float, spread: float) -> None:
-        """Replace each of the routers after `delay` and its own share of `spread` seconds.
+        """Replace each of these routers, after `delay` plus a random time of up to `spread` seconds.
 
-        The new ones know the endpoint list as it is now; clients repeat what the old ones had not answered.
+        The new routers start with the current endpoint list. Clients retry the requests that the old routers
+        had not answered.
         """
         endpoints = self.endpoints()
         for router in routers:
--- a/scale_experiments/simulation/key_placement.py
+++ b/scale_experiments/simulation/key_placement.py
@@ -1,4 +1,4 @@
-"""The cache server to which a router at rest sends each key."""
+"""The cache server to which a router without load sends each key."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def place_keys(settings: Settings, endpoints: Iterable[Endpoint], keys: Iterable[str]) -> Iterator[str]:
-    """The name of the server to which a router with these endpoints sends its first read of each key.
+    """Yield, for each key, the name of the server to which a router with these endpoints sends a first read.
 
     Each read is served before the next one, so that load never changes a placement.
     """
--- a/scale_experiments/simulation/model.py
+++ b/scale_experiments/simulation/model.py
@@ -1,4 +1,4 @@
-"""What is simulated: the site's settings, the sizes of the fleet, and its rates and service times."""
+"""The parameters of a simulation: settings of the site, sizes of the fleet, rates and service times."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 def site_settings(**changes: Any) -> Settings:
-    """The settings of the first customer's site, with some changed.
+    """The settings of the first customer's site, with `changes` to the fields of `Settings`.
 
-    Their source is the example of the simulator's protocol.
+    The values are those of the example in the simulator's protocol.
     """
     classes = (
         RequestClass(READ, latency_objective=0.3, client_timeout=1.2, priority_weight=3.0),
@@ -54,27 +54,27 @@
 class FleetModel:
     """The fleet around the decision modules.
 
-    Times are in seconds; pairs are the ends of a range that is drawn from evenly. Cores and connections are
-    of the routers that are run, unless said otherwise.
+    Times are in seconds. A pair holds the ends of a range of uniform random values. Cores and connection
+    limits are for the routers that are run, unless a comment says otherwise.
     """
 
     routers: int  # of the whole fleet, which each decision module is configured with
     caches: int
-    requests_per_s: float  # of clients at each router, retries apart
+    requests_per_s: float  # of clients at each router, without retries
     routers_sampled: int = 0  # routers that are run; 0 is all of them
-    zones: int = 1  # cache servers and routers are assigned to them in turn
-    regions: int = 1  # zones are assigned to them in turn
+    zones: int = 1  # cache servers and routers are assigned to the zones in turn
+    regions: int = 1  # zones are assigned to the regions in turn
     objects: int = 100_000  # distinct keys
     zipf_exponent: float = 0.95
-    rank_offset: float = 10.0  # added to each rank, which flattens the top
-    cached_objects: int = 0  # in a cache server, least recently used out first; 0 draws hits by chance
-    hit_share: float = 0.9  # where hits are drawn by chance
+    rank_offset: float = 10.0  # added to each rank; reduces the share of the most popular keys
+    cached_objects: int = 0  # capacity of a cache server; 0 draws each hit with probability hit_share
+    hit_share: float = 0.9  # expected share of hits
     write_share: float = 0.03
     service_time: tuple[float, float] = (0.035, 0.064)  # of a hit
     miss_service_time: float = 0.002
-    cores: int = 0  # of a cache server; 0 is as many as are needed, and nothing ever waits
+    cores: int = 0  # of a cache server; with 0, no attempt ever waits
     queue_per_core: int = 20  # attempts
-    max_connections: int = 0  # that a cache server accepts; 0 is any number
+    max_connections: int = 0  # that a cache server accepts; 0 is no limit
     handshake_core_time: float = 0.0015
     handshake_round_trips: float = 2.5
     one_way_latency: tuple[float, float, float] = (0.0002, 0.001, 0.004)  # same zone, same region, elsewhere
@@ -84,10 +84,10 @@
     origin_always_reachable: bool = False  # also from regions that are isolated
     load_report_interval: float = 0.25  # a load report is at most this old
     router_descriptors: int = ROUTER_DESCRIPTORS  # of one router, for connections to cache servers
-    reuse_delay: float = REUSE_DELAY  # of a connection after an answer
-    client_attempts: int = 3  # requests of a client for one thing, in all
-    client_backoff: tuple[float, float] = (0.012, 0.1)  # before the first retry; doubles with each
-    client_timeout: tuple[float, float] = (0.6, 0.96)  # for one request: 50 to 80% of a read's time
+    reuse_delay: float = REUSE_DELAY  # from a response until its connection may be reused
+    client_attempts: int = 3  # requests that a client sends for one client request, including the first
+    client_backoff: tuple[float, float] = (0.012, 0.1)  # before the first retry; doubles with each retry
+    client_timeout: tuple[float, float] = (0.6, 0.96)  # for one request: 50 to 80% of the reads' timeout
 
     @property
     def routers_run(self) -> int:
@@ -100,16 +100,16 @@
         return self.routers / self.routers_run
 
     def rate_at_utilization(self, utilization: float, cores: int) -> float:
-        """Requests a second of the whole fleet that keep this share of all cache servers' cores busy."""
+        """Requests per second of the whole fleet that keep this share of all cache servers' cores busy."""
         return self.caches * cores * utilization / self.mean_service_time
 
     def origin_cores_for(self, requests_per_s: float, headroom: float) -> int:
-        """Cores with which the origin can serve `headroom` times the fetches and writes of this rate."""
+        """Cores with which the origin serves `headroom` times the fetches and writes at this request rate."""
         fetches = requests_per_s * (1 - self.hit_share + self.write_share)
         return max(1, round(headroom * fetches * sum(self.origin_service_time) / 2))
 
     @property
     def mean_service_time(self) -> float:
-        """Seconds that a core of a cache server takes for a request, hit or miss."""
+        """Mean seconds that a core of a cache server takes for a request, hit or miss."""
         hits = self.hit_share
         return hits * sum(self.service_time) / 2 + (1 - hits) * self.miss_service_time
--- a/scale_experiments/simulation/origin.py
+++ b/scale_experiments/simulation/origin.py
@@ -1,4 +1,7 @@
-"""The modelled origin. Routers reuse their connections to it, and no statistics count these."""
+"""The modelled origin.
+
+Connections to it are not modelled: routers reuse them, and no statistics count them.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 from scale_experiments.simulation.server import SimulatedServer
 from scale_experiments.simulation.statistics import CountedEvent
 
-FILLED_SERVERS = 2  # cache servers, of those that missed a key, in which its router stores it
+FILLED_SERVERS = 2  # cache servers in which a router stores a key after a miss, at most
 
 
 class Origin(SimulatedServer):
--- a/scale_experiments/simulation/slow_start.py
+++ b/scale_experiments/simulation/slow_start.py
@@ -1,4 +1,4 @@
-"""The capacity of a cache server that warms up, and how much of its budget the routers used."""
+"""The capacity of a cache server during slow start, and how much of its budget the routers used."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 class BudgetUse:
     """The largest share of a warming server's budget that it was sent within any window.
 
-    With a budget of N attempts, `strict` is the share of N, `with_slack` that of N + 2 x root of N + 2,
-    which allows for chance.
+    With a budget of N attempts, `strict` is the share of N. `with_slack` is the share of N + 2 x sqrt(N) + 2,
+    which includes a statistical tolerance.
     """
 
     strict: float
@@ -24,7 +24,7 @@
 
 
 def capacity_share(settings: Settings, age: float) -> float:
-    """The share of its capacity that a server has `age` seconds after its start: it rises evenly to 1."""
+    """The share of its capacity that a server has `age` seconds after its start; it rises linearly to 1."""
     if age >= settings.slow_start_duration:
         return 1.0
     initial = settings.slow_start_initial_share
@@ -34,7 +34,7 @@
 def capacity_within(settings: Settings, model: FleetModel, age: float, window: float) -> float:
     """Requests that a cache server can serve within `window` seconds from `age` seconds after its start."""
     duration, initial = settings.slow_start_duration, settings.slow_start_initial_share
-    warming = max(0.0, min(window, duration - age))  # seconds of the window in which it still warms up
+    warming = max(0.0, min(window, duration - age))  # seconds of the window within the slow start
     mean_share = initial + (1 - initial) * (age + warming / 2) / duration if warming else 1.0
     full_seconds = warming * mean_share + window - warming
     return max(1, model.cores) * full_seconds / model.mean_service_time
@@ -43,10 +43,11 @@
 def budget_use(
     settings: Settings, model: FleetModel, arrivals: Sequence[float], started_at: float
 ) -> BudgetUse:
-    """How much of the budget of a server started at `started_at` the attempts received used.
+    """How much of its budget a server that started at `started_at` was sent.
 
-    `arrivals` are their times in ascending order. Each window of `Settings.overload_window` seconds begins
-    with an arrival; its budget is `Settings.overload_multiple` times the capacity within it.
+    `arrivals` are the times of the attempts received, in ascending order. Each window begins with an arrival
+    and is `Settings.overload_window` seconds long. Its budget is `Settings.overload_multiple` times the
+    capacity within it.
     """
     after_start = [at for at in arrivals if at >= started_at]
     strict = with_slack = 0.0
--- a/scale_experiments/simulation/statistics.py
+++ b/scale_experiments/simulation/statistics.py
@@ -1,4 +1,4 @@
-"""What is counted while a fleet is simulated."""
+"""Counts and latencies of a simulated fleet."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CountedEvent(StrEnum):
-    """What is counted. A client request is what a client wants, in one request to a router or more."""
+    """The events that are counted. A client sends one or more requests to a router for a client request."""
 
     CLIENT_REQUEST = auto()
     REQUEST = auto()
@@ -30,7 +30,7 @@
 
 
 class EventTally:
-    """How often each event was counted, in all and in each second since the last reset."""
+    """How often each event was counted since the last reset, as a total and for each second."""
 
     __slots__ = ("by_second", "totals")
 
@@ -52,7 +52,7 @@
         return [s / m if m else 1.0 for s, m in zip(served, made, strict=False)]
 
     def served_share(self, seconds: int) -> float:
-        """The share served of the client requests made in all of the first seconds together."""
+        """The share served of the client requests made within the first seconds."""
         served = sum(self.by_second[CountedEvent.SERVED][:seconds])
         return served / max(1, sum(self.by_second[CountedEvent.CLIENT_REQUEST][:seconds]))
 
@@ -94,7 +94,7 @@
     def count_for_client(self, event: CountedEvent, region: int, at: float) -> None:
         """Count one event of a client of this region's routers, in the second of the time `at`.
 
-        What came before the last reset is not counted.
+        Events before the last reset are not counted.
         """
         if at < self.counted_from:
             return
@@ -131,11 +131,11 @@
         return self._all.served_by_second(self._settled_seconds())
 
     def served_share(self) -> float:
-        """The same of all settled seconds together."""
+        """The share served of the client requests made within all settled seconds."""
         return self._all.served_share(self._settled_seconds())
 
     def watched_served_share(self) -> float:
-        """The same for clients of the routers in the watched regions."""
+        """The share served of the client requests at routers in watched regions, within settled seconds."""
         return self.watched.served_share(self._settled_seconds())
 
     def _settled_seconds(self) -> int:
--- a/tests/scale_experiments/test_fleet.py
+++ b/tests/scale_experiments/test_fleet.py
@@ -27,7 +27,7 @@
 
 
 def fleet_after_faults(seed: int) -> Fleet:
-    """A small fleet in which a cache server failed and was restored, with a region isolated meanwhile."""
+    """A small fleet in which a cache server failed and was restored, and a region was isolated in between."""
     fleet = Fleet(site_settings(connection_price=0.06, handshake_price=0.06), SMALL, seed)
     fleet.run(3.0)
     lost = ["s-00000001"]
@@ -86,7 +86,7 @@
     budget = 4.0 * capacity_within(fleet.settings, SMALL, 1.0, 2.0)
     assert use.strict == pytest.approx(30 / budget)
     assert use.with_slack < use.strict
-    # warm at 8.9 s: half of the last window lies beyond
+    # the slow start ends at 8.9 s, so that this window is at full capacity
     full = capacity_within(fleet.settings, SMALL, 8.9, 2.0)
     assert full == pytest.approx(2.0 / SMALL.mean_service_time)
     warming = capacity_within(fleet.settings, SMALL, 0.0, 8.9)
--- a/tests/scale_experiments/test_simulated_connection_closing.py
+++ b/tests/scale_experiments/test_simulated_connection_closing.py
@@ -24,13 +24,13 @@
     play(scenario, 8)
 
 
-def test_beyond_the_budget_the_connection_idle_for_longest_makes_way(play: Play) -> None:
+def test_beyond_the_budget_the_connection_idle_for_longest_is_closed(play: Play) -> None:
     async def scenario(pool: PoolUnderTest) -> None:
         assert [await pool.send() for _ in range(3)] == [0, 1, 2]
         assert await pool.send() is AttemptStatus.NOT_SENT
         for connection in (1, 0):
             await pool.answer(connection)
-        # both rest still, so that neither is reused
+        # both are within the reuse delay, so that neither is reused
         assert await pool.send() == 3
         assert await pool.closed() == {1}
         assert await pool.send() == 4
@@ -51,7 +51,7 @@
     play(scenario, 8)
 
 
-def test_an_attempt_that_is_given_up_closes_its_connection(play: Play) -> None:
+def test_an_attempt_that_is_abandoned_closes_its_connection(play: Play) -> None:
     async def scenario(pool: PoolUnderTest) -> None:
         assert [await pool.send() for _ in range(2)] == [0, 1]
         await pool.abandon(0)
--- a/tests/support/connection_pools.py
+++ b/tests/support/connection_pools.py
@@ -28,16 +28,16 @@
 from scale_experiments.simulation.statistics import FleetStatistics
 from tests.support.loopback import HIT, Link, Peer
 
-# in seconds; the clocks of both pools are put forward, so that nothing waits so long
+# in seconds; the tests advance the clocks of both pools, so that no test waits so long
 REUSE_DELAY = 100.0
 IDLE_TIME = 1000.0
 LONG = 1e6
-PATIENCE = 10.0  # of a test, in real seconds, for what must come
-LOOP_TURNS = 30  # of the event loop, in which ends of connections come through on loopback
+PATIENCE = 10.0  # real seconds within which an expected outcome must arrive
+LOOP_TURNS = 30  # of the event loop, within which a closed connection is seen on loopback
 
 GET = Command(b"C.GET", b"k", b"r1", {"c": "read", "d": "900"}, 900)
 
-Outcome = int | AttemptStatus  # the number of the connection that an attempt came on, or how it ended instead
+Outcome = int | AttemptStatus  # the number of the connection of an attempt, or the status it ended with
 
 
 class PoolUnderTest(Protocol):
@@ -46,27 +46,27 @@
     async def send(self, process: int = 1, ends: AttemptStatus | None = None) -> Outcome:
         """Start an attempt at a process of the server.
 
-        `ends` is the precondition's word once a new connection is up.
+        `ends` is the status that the precondition returns once a new connection is up.
         """
 
     async def answer(self, connection: int) -> None:
         """Let the server answer the attempt on a connection."""
 
     async def abandon(self, connection: int) -> None:
-        """Give up the attempt on a connection."""
+        """Abandon the attempt on a connection."""
 
     async def close_idle(self) -> None:
         """Close the idle connections."""
 
     async def wait(self, seconds: float) -> None:
-        """Put the clock forward."""
+        """Advance the clock."""
 
     async def closed(self) -> set[int]:
         """The connections that are closed."""
 
 
 class AdjustableLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock can be put forward."""
+    """An event loop whose clock can be advanced."""
 
     offset = 0.0
 
@@ -75,7 +75,7 @@
 
 
 class RealPool:
-    """`ConnectionPool` on loopback; all that is known of its connections is what the server sees."""
+    """`ConnectionPool` on loopback, observed from the side of the server."""
 
     def __init__(self, peer: Peer, budget: int) -> None:
         idle_timeout = IDLE_TIME + connection_pool.IDLE_MARGIN
@@ -139,10 +139,10 @@
 
 
 class ScriptedServer(CacheServer):
-    """A cache server that answers only when the test says so."""
+    """A cache server that responds only when the test asks for it."""
 
     def receive(self, attempt: Attempt, connection: SimulatedConnection) -> None:
-        """Leave an attempt without an answer."""
+        """Leave an attempt without a response."""
 
 
 class SimulatedPool:
