--- a/tests/scale_experiments/test_fleet.py
+++ b/tests/scale_experiments/test_fleet.py
@@ -60,6 +60,25 @@
     assert all(len(r.pool.idle) <= r.pool.connections.current for r in fleet.routers)
 
 
+def test_a_stopped_router_has_no_connections_and_no_unanswered_requests() -> None:
+    fleet = Fleet(site_settings(), SMALL, 6)
+    fleet.run(3.0)
+    stopped = fleet.routers[1]
+    requests = list(stopped.requests.values())
+    failed = fleet.statistics.counts[CountedEvent.FAILED]
+    unanswered = sum(not request.is_answered for request in requests)
+    assert unanswered > 0
+    fleet.restart_routers([stopped], 0.0, 0.0)
+    fleet.run(0.0)
+    assert fleet.routers[1] is not stopped
+    assert stopped.pool.connections.current == len(stopped.pool.idle) == 0
+    assert all(request.is_done for request in requests)
+    assert fleet.statistics.counts[CountedEvent.FAILED] - failed == unanswered
+    fleet.run(3.0)
+    assert fleet.routers[1].pool.connections.peak > 0
+    assert stopped.pool.connections.current == 0
+
+
 def test_an_isolated_region_reaches_its_own_servers() -> None:
     for everywhere in (False, True):
         fleet = Fleet(site_settings(), replace(SMALL, origin_always_reachable=everywhere), 1)
