--- a/scale_experiments/simulation/fleet.py
+++ b/scale_experiments/simulation/fleet.py
@@ -39,12 +39,18 @@
         self.model = model
         self.settings = replace(settings, router_count=model.routers)
         self.events = EventQueue(START)
-        self.random = random.Random(seed)
+        self._random = random.Random(seed)
         self.network = Network(model.one_way_latency)
         self.statistics = FleetStatistics(self.events)
         self.decision_timer = DecisionTimer()
         self._context = SimulationContext(
-            self.settings, model, self.random, self.events, self.network, self.statistics, self.decision_timer
+            settings=self.settings,
+            model=model,
+            random=self._random,
+            events=self.events,
+            network=self.network,
+            statistics=self.statistics,
+            decision_timer=self.decision_timer,
         )
         caches = (CacheServer(self._context, i) for i in range(model.caches))
         self.caches = {cache.name: cache for cache in caches}
@@ -133,7 +139,7 @@
         """
         endpoints = tuple(replace(self.caches[name].endpoint, state=state) for name in names)
         for router in self.routers:
-            after = delay + self.random.uniform(0, spread)
+            after = delay + self._random.uniform(0, spread)
             self.events.schedule(after, router.update_endpoints, endpoints)
 
     def restart_routers(self, routers: Iterable[SimulatedRouter], delay: float, spread: float) -> None:
@@ -144,7 +150,7 @@
         """
         endpoints = self.endpoints()
         for router in routers:
-            after = delay + self.random.uniform(0, spread)
+            after = delay + self._random.uniform(0, spread)
             self.events.schedule(after, self._replace_router, router, endpoints)
 
     def _replace_router(self, router: SimulatedRouter, endpoints: Sequence[Endpoint]) -> None:
