--- a/cache_router/decisions/hedging.py
+++ b/cache_router/decisions/hedging.py
@@ -50,7 +50,7 @@
             server = self.selector.choose(pending, now)
         if server is None or not self.retry_policy.permits_attempt(pending, server, now):
             return None
-        self.retry_budget.tokens -= 1
+        self.retry_budget.take_token()
         return server
 
     def _answers_others(self, attempt: Attempt, now: float) -> bool:
--- a/cache_router/decisions/retry_policy.py
+++ b/cache_router/decisions/retry_policy.py
@@ -73,13 +73,18 @@
         """Whether a whole retry is left."""
         return self.tokens >= 1
 
-    def take(self, failure: AttemptStatus, success_rate: float) -> bool:
-        """Take a retry after a failure; False when less than one was left.
+    def take_token(self) -> bool:
+        """Take one retry out of the budget; False when less than one was left."""
+        is_left = self.has_token()
+        self.tokens = max(0.0, self.tokens - 1)
+        return is_left
+
+    def take_for_retry(self, failure: AttemptStatus, success_rate: float) -> bool:
+        """Pay for the retry after a failure; False when the budget does not permit it.
 
-        A cheap failure is free, unless most attempts fail: then each request would become many attempts.
+        The retry after a cheap failure is free, unless most attempts fail: then each request would become
+        many attempts.
         """
         if failure in CHEAP_FAILURES and success_rate >= FREE_RETRY_SUCCESS_RATE:
             return True
-        is_left = self.has_token()
-        self.tokens = max(0.0, self.tokens - 1)
-        return is_left
+        return self.take_token()
--- a/cache_router/decisions/router.py
+++ b/cache_router/decisions/router.py
@@ -85,7 +85,7 @@
             if isinstance(event, events.ClientDisconnected):
                 self._forget(pending)
             else:
-                pending.response_started = True
+                pending.mark_response_started()
         return self._actions
 
     # Endpoints
@@ -103,10 +103,8 @@
         caches = self.endpoints.caches
         self.slow_start.on_endpoint_update(caches, self.endpoints.total_size)
         self.outliers.on_endpoint_update(server.failures for server in caches)
-        for pending in self.queue.pop_all():
-            if pending.is_queued:
-                pending.is_queued = False
-                self._advance(pending)
+        for pending in self.queue.drain():
+            self._advance(pending)
 
     def _poll_later(self) -> None:
         backoff = self.poller.on_failure(self.now)
@@ -154,8 +152,7 @@
         request_id = pending.request.request_id
         target = CACHE_LATENCY_TARGET if server.is_cache else ORIGIN_LATENCY_TARGET
         attempt = Attempt(server, target * pending.request_class.latency_objective, self.now)
-        self.attempts[request_id, len(pending.attempts)] = attempt
-        pending.attempts.append(attempt)
+        self.attempts[request_id, pending.add_attempt(attempt)] = attempt
         server.concurrency.on_attempt_sent(self.now)
         self.slow_start.on_attempt_sent(server, self.now)
         self._actions.append(actions.Send(request_id, server.endpoint.name))
@@ -182,18 +179,17 @@
 
     def _forget(self, pending: PendingRequest) -> None:
         request_id = pending.request.request_id
-        pending.is_queued = False
+        pending.mark_dequeued()
         del self.pending[request_id]
         if not self.settings.cancellation_allowed:
             return
-        for number, attempt in enumerate(pending.attempts):
-            if attempt.is_open:
-                self._actions.append(actions.Cancel(request_id, number))
+        for number in pending.open_attempt_numbers():
+            self._actions.append(actions.Cancel(request_id, number))
 
     def _on_shutdown(self, event: events.ShutdownStarted) -> None:
         deadline = self.now + event.answer_within - self.settings.clock_resolution
         for pending in self.pending.values():
-            pending.deadline = min(pending.deadline, deadline)
+            pending.cut_deadline(deadline)
             if pending.is_queued:
                 self._set_queue_timer(pending)
 
@@ -203,8 +199,7 @@
         attempt = self.attempts.pop((event.request_id, event.attempt_number), None)
         if attempt is None:
             return
-        attempt.is_open = False
-        attempt.may_have_executed = event.status not in events.NOT_EXECUTED
+        attempt.complete(event.status)
         self.feedback.on_attempt_completed(attempt, event, self.now)
         self._close_idle_connections(attempt.server)
         pending = self.pending.get(event.request_id)
@@ -224,12 +219,12 @@
     def _on_failed_attempt(self, pending: PendingRequest, status: AttemptStatus) -> None:
         """Go to the origin after a miss; after anything else retry while the budget lasts."""
         if status is AttemptStatus.MISS and self.settings.cache_aside:
-            pending.to_origin = True
+            pending.redirect_to_origin()
         elif status is AttemptStatus.ERROR and not self.settings.cache_aside:
             # the caches fetch by themselves: with a failing origin each retry would be another fetch
-            pending.deadline = self.now
-        elif not pending.to_origin and not self.retry_budget.take(status, self.health.success_rate):
-            pending.deadline = self.now
+            pending.give_up_retries(self.now)
+        elif not pending.to_origin and not self.retry_budget.take_for_retry(status, self.health.success_rate):
+            pending.give_up_retries(self.now)
         self._advance(pending)
 
     # Timers
@@ -267,7 +262,6 @@
     # The queue for the origin
 
     def _enqueue(self, pending: PendingRequest) -> None:
-        pending.is_queued = True
         self._set_queue_timer(pending)
         self.queue.push(pending)
         self._serve_queue()
