--- /dev/null
+++ b/cache_router/decisions/attempt_sender.py
@@ -0,0 +1,51 @@
+"""Sending an attempt, to a cache or to the origin: records it, and sets the timer of its hedged request."""
+
+from dataclasses import dataclass, field
+
+from cache_router.decisions.action_buffer import ActionBuffer
+from cache_router.decisions.actions import Send, SetTimer
+from cache_router.decisions.events import AttemptStatus, Timer, TimerKind
+from cache_router.decisions.hedging import Hedging
+from cache_router.decisions.pending_request import Attempt, PendingRequest
+from cache_router.decisions.server import Server
+from cache_router.decisions.slow_start import SlowStart
+
+# shares of the latency objective; answers that are slower on average show too many attempts in flight
+CACHE_LATENCY_TARGET = 0.25
+ORIGIN_LATENCY_TARGET = 0.5  # the origin is slow by nature
+
+
+@dataclass(slots=True)
+class AttemptSender:
+    """Owns the attempts in flight, also those whose requests have ended."""
+
+    hedging: Hedging
+    slow_start: SlowStart
+    actions: ActionBuffer
+    in_flight: dict[tuple[str, int], Attempt] = field(default_factory=dict)  # by request id and number
+
+    def send(self, pending: PendingRequest, server: Server, now: float) -> None:
+        """Send the request's next attempt to a server."""
+        request_id = pending.request.request_id
+        target = CACHE_LATENCY_TARGET if server.is_cache else ORIGIN_LATENCY_TARGET
+        attempt = Attempt(server, target * pending.request_class.latency_objective, now)
+        self.in_flight[request_id, pending.add_attempt(attempt)] = attempt
+        server.concurrency.on_attempt_sent(now)
+        self.slow_start.on_attempt_sent(server, now)
+        self.actions.add(Send(request_id, server.endpoint.name))
+        hedge_delay = self.hedging.delay(pending, server, now)
+        if hedge_delay is not None:
+            self.actions.add(SetTimer(hedge_delay, Timer(TimerKind.HEDGE, request_id)))
+
+    def send_hedge(self, pending: PendingRequest, now: float) -> None:
+        """Send a hedged request if its last attempt is still unanswered and nothing forbids another."""
+        server = self.hedging.choose_server(pending, now)
+        if server is not None:
+            self.send(pending, server, now)
+
+    def complete(self, request_id: str, attempt_number: int, status: AttemptStatus) -> Attempt | None:
+        """Take an attempt that has ended out of those in flight; None when it is not one of them."""
+        attempt = self.in_flight.pop((request_id, attempt_number), None)
+        if attempt is not None:
+            attempt.complete(status)
+        return attempt
--- /dev/null
+++ b/cache_router/decisions/idle_connection_closer.py
@@ -0,0 +1,42 @@
+"""Closes the idle connections to a server when keeping them has cost as much as it saves."""
+
+from dataclasses import dataclass
+
+from cache_router.decisions.action_buffer import ActionBuffer
+from cache_router.decisions.actions import CloseIdleConnections, SetTimer
+from cache_router.decisions.endpoints import EndpointList
+from cache_router.decisions.events import Timer, TimerKind
+from cache_router.decisions.idle_connections import IdleConnections
+from cache_router.decisions.server import Server
+from cache_router.settings import Settings
+
+
+@dataclass(slots=True)
+class IdleConnectionCloser:
+    """Acts on the time that `IdleConnections` grants."""
+
+    settings: Settings
+    endpoints: EndpointList
+    idle_connections: IdleConnections
+    actions: ActionBuffer
+
+    def close_or_set_timer(self, server: Server, now: float) -> None:
+        """Close a server's idle connections when they are due, else look again when they will be.
+
+        No timer is set beyond the time after which the host closes idle connections itself.
+        """
+        cache_count = len(self.endpoints.caches)
+        time_left = self.idle_connections.time_left(server.concurrency, cache_count, now)
+        if time_left is None:
+            return
+        name = server.endpoint.name
+        if time_left < self.settings.clock_resolution:
+            self.actions.add(CloseIdleConnections(name))
+        elif time_left < self.settings.connection_idle_timeout:
+            self.actions.add(SetTimer(time_left, Timer(TimerKind.IDLE_CONNECTIONS, name)))
+
+    def on_timer(self, server_name: str, now: float) -> None:
+        """The timer of a server is due; a server that has left the list needs nothing."""
+        server = self.endpoints.servers.get(server_name)
+        if server is not None:
+            self.close_or_set_timer(server, now)
--- /dev/null
+++ b/cache_router/decisions/origin_scheduler.py
@@ -0,0 +1,87 @@
+"""Serves the queue for the origin: sends requests while there is capacity, and ends those that are too late.
+
+A request that no server at all can take waits in the same queue, until a server is listed.
+"""
+
+from dataclasses import dataclass
+
+from cache_router.decisions.action_buffer import ActionBuffer
+from cache_router.decisions.actions import SetTimer
+from cache_router.decisions.attempt_sender import AttemptSender
+from cache_router.decisions.endpoints import EndpointList
+from cache_router.decisions.events import Timer, TimerKind
+from cache_router.decisions.open_requests import OpenRequests
+from cache_router.decisions.origin_queue import OriginQueue, latest_start
+from cache_router.decisions.pending_request import PendingRequest
+from cache_router.decisions.retry_policy import RetryPolicy
+from cache_router.decisions.server import Server
+from cache_router.settings import Settings
+
+
+@dataclass(slots=True)
+class OriginScheduler:
+    """Decides when a queued request is sent to the origin, and when it no longer can be."""
+
+    settings: Settings
+    endpoints: EndpointList
+    queue: OriginQueue
+    retry_policy: RetryPolicy
+    open_requests: OpenRequests
+    sender: AttemptSender
+    actions: ActionBuffer
+
+    def enqueue(self, pending: PendingRequest, now: float) -> None:
+        """Queue a request, and send it at once if the origin has capacity for it."""
+        self.set_deadline_timer(pending, now)
+        self.queue.push(pending)
+        self.serve(now)
+
+    def set_deadline_timer(self, pending: PendingRequest, now: float) -> None:
+        """Set the timer by which a queued request is answered even if no other event reaches the router."""
+        latest = latest_start(pending, self.endpoints.least_loaded_origin())
+        timer = Timer(TimerKind.QUEUE_DEADLINE, pending.request.request_id)
+        self.actions.add(SetTimer(max(0.0, latest - now), timer))
+
+    def on_deadline_timer(self, request_id: str, now: float) -> None:
+        """End a queued request that is too late, or set its timer again: the origin may be faster by now."""
+        pending = self.open_requests.find(request_id)
+        if pending is None or not pending.is_queued:
+            return
+        latest = latest_start(pending, self.endpoints.least_loaded_origin())
+        # rounding may fire a timer too early, by up to half a step of the clock
+        if now >= latest - self.settings.clock_resolution / 2:
+            self.open_requests.reject_or_fail(pending)
+        else:
+            self.set_deadline_timer(pending, now)
+
+    def serve(self, now: float) -> None:
+        """Send queued requests while the origin has capacity, then end those that are too late."""
+        if not self.queue:
+            return
+        self._send_while_capacity_lasts(now)
+        for pending in self.queue.overdue(self.endpoints.least_loaded_origin(), now):
+            self.open_requests.reject_or_fail(pending)
+        self.queue.drop_ended()
+
+    def _send_while_capacity_lasts(self, now: float) -> None:
+        while (origin := self.endpoints.least_loaded_origin()) is not None:
+            if not origin.concurrency.has_capacity():
+                return
+            pending = self.queue.pop()
+            if pending is None:
+                return
+            if _is_in_time(pending, origin, now) and self.retry_policy.permits_attempt(pending, origin, now):
+                self.sender.send(pending, origin, now)
+            else:
+                self.open_requests.reject_or_fail(pending)
+
+
+def _is_in_time(pending: PendingRequest, origin: Server, now: float) -> bool:
+    """Whether an answer can be back in time.
+
+    An idle origin gets one request in any case: without it the router would never learn that the origin has
+    become faster.
+    """
+    if origin.concurrency.in_flight:
+        return now < latest_start(pending, origin)
+    return now < pending.deadline
--- /dev/null
+++ b/cache_router/decisions/subscription.py
@@ -0,0 +1,43 @@
+"""The subscription to the endpoint list: when the router asks discovery for the list."""
+
+from dataclasses import dataclass
+
+from cache_router.decisions.action_buffer import ActionBuffer
+from cache_router.decisions.actions import LogMessage, SetTimer, SubscribeToEndpoints
+from cache_router.decisions.endpoint_polling import EndpointPoller
+from cache_router.decisions.events import Timer, TimerKind
+from cache_router.settings import Settings
+
+
+@dataclass(slots=True)
+class EndpointSubscription:
+    """Subscribes where updates are not pushed, and polls again after a failure."""
+
+    settings: Settings
+    poller: EndpointPoller
+    actions: ActionBuffer
+
+    def on_update(self, is_cached: bool, now: float) -> None:
+        """An update arrived; a cached list comes before the first subscription."""
+        self.poller.on_update(is_cached, now)
+        if is_cached:
+            self._subscribe_unless_pushed()
+
+    def on_failure(self, now: float) -> None:
+        """Discovery could not be reached: poll again after a backoff."""
+        backoff = self.poller.on_failure(now)
+        self.actions.add(SetTimer(backoff, Timer(TimerKind.ENDPOINT_POLL)))
+        self.actions.add(LogMessage(f"discovery out of reach, {self.poller.failures} in a row"))
+
+    def on_address_changed(self, now: float) -> None:
+        """Discovery has another address: subscribe there at once."""
+        self.poller.on_address_changed(now)
+        self._subscribe_unless_pushed()
+
+    def on_poll_timer(self) -> None:
+        """The backoff is over: ask again, also where the host had opened the first watch by itself."""
+        self.actions.add(SubscribeToEndpoints())
+
+    def _subscribe_unless_pushed(self) -> None:
+        if self.settings.must_subscribe:
+            self.actions.add(SubscribeToEndpoints())
--- a/tests/cache_router/decisions/test_router_properties.py
+++ b/tests/cache_router/decisions/test_router_properties.py
@@ -9,8 +9,8 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from cache_router.decisions.actions import SetTimer
-from cache_router.decisions.events import AttemptStatus, EndpointUpdate, EndpointUpdateKind
+from cache_router.decisions.actions import Action, SetTimer
+from cache_router.decisions.events import AttemptStatus, EndpointUpdate, EndpointUpdateKind, Event, TimerKind
 from cache_router.decisions.retry_policy import RetryPolicy
 from cache_router.decisions.router import Router
 from cache_router.endpoint import EndpointState
@@ -140,18 +140,24 @@
     """Broken on purpose: retries and rejects any request."""
 
     def __init__(self, conf: Settings, seed: int, now: float) -> None:
-        """Put the permissive policy in place of the router's own."""
+        """Put the permissive policy in place of the router's own, in every part that asks it."""
         super().__init__(conf, seed, now)
-        self.retry_policy = PermissivePolicy(conf)
-        self.selector.retry_policy = self.hedging.retry_policy = self.retry_policy
+        policy = PermissivePolicy(conf)
+        for part in (self.selector, self.hedging, self.requests, self.open_requests, self.origin_scheduler):
+            part.retry_policy = policy
+
+
+def is_queue_timer(action: Action) -> bool:
+    """Whether an action sets the timer that answers a queued request in time."""
+    return isinstance(action, SetTimer) and action.timer.kind is TimerKind.QUEUE_DEADLINE
 
 
 class TimerlessRouter(Router):
     """Broken on purpose: sets no timer for queued requests."""
 
-    def _enqueue(self, pending: Any) -> None:
-        super()._enqueue(pending)
-        self._actions = [a for a in self._actions if not isinstance(a, SetTimer)]
+    def handle(self, now: float, event: Event) -> list[Action]:
+        """Handle an event, but leave out the timers of queued requests."""
+        return [action for action in super().handle(now, event) if not is_queue_timer(action)]
 
 
 @pytest.mark.parametrize("broken", [UnrestrictedRetryRouter, TimerlessRouter])
--- /dev/null
+++ b/tests/cache_router/decisions/test_subscription.py
@@ -0,0 +1,64 @@
+"""When the router subscribes to the endpoint list, and what it does after a failure."""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+
+from cache_router.decisions.action_buffer import ActionBuffer
+from cache_router.decisions.actions import LogMessage, SetTimer, SubscribeToEndpoints
+from cache_router.decisions.endpoint_polling import EndpointPoller
+from cache_router.decisions.events import Timer, TimerKind
+from cache_router.decisions.subscription import EndpointSubscription
+from cache_router.settings import MIN_BACKOFF
+from tests.support.driver import settings
+
+NOW = 100.0
+
+
+def new_subscription(must_subscribe: bool) -> EndpointSubscription:
+    """A subscription with a buffer of its own."""
+    conf = settings(must_subscribe=must_subscribe)
+    return EndpointSubscription(conf, EndpointPoller(conf, random.Random(1), NOW), ActionBuffer())
+
+
+@pytest.mark.parametrize("must_subscribe", [True, False])
+def test_router_subscribes_after_a_cached_list_where_updates_are_not_pushed(must_subscribe: bool) -> None:
+    subscription = new_subscription(must_subscribe)
+    actions = subscription.actions.start_event()
+    subscription.on_update(is_cached=True, now=NOW)
+    assert actions == [SubscribeToEndpoints()] * must_subscribe
+
+
+def test_update_of_a_running_watch_calls_for_nothing() -> None:
+    subscription = new_subscription(must_subscribe=True)
+    actions = subscription.actions.start_event()
+    subscription.on_update(is_cached=False, now=NOW)
+    assert actions == []
+
+
+@pytest.mark.parametrize("must_subscribe", [True, False])
+def test_failure_sets_a_poll_timer_and_counts_failures_in_the_log(must_subscribe: bool) -> None:
+    subscription = new_subscription(must_subscribe)
+    for failures in (1, 2):
+        actions = subscription.actions.start_event()
+        subscription.on_failure(NOW)
+        timer, log = actions
+        assert isinstance(timer, SetTimer)
+        assert timer.timer == Timer(TimerKind.ENDPOINT_POLL)
+        assert timer.delay >= MIN_BACKOFF
+        assert log == LogMessage(f"discovery out of reach, {failures} in a row")
+    actions = subscription.actions.start_event()
+    subscription.on_poll_timer()
+    assert actions == [SubscribeToEndpoints()]
+
+
+@pytest.mark.parametrize("must_subscribe", [True, False])
+def test_new_address_is_subscribed_to_and_clears_the_failures(must_subscribe: bool) -> None:
+    subscription = new_subscription(must_subscribe)
+    subscription.on_failure(NOW)
+    actions = subscription.actions.start_event()
+    subscription.on_address_changed(NOW)
+    assert actions == [SubscribeToEndpoints()] * must_subscribe
+    assert subscription.poller.failures == 0
--- a/tests/project/test_code_rules.py
+++ b/tests/project/test_code_rules.py
@@ -12,7 +12,7 @@
     name: (ROOT / name).read_text()
     for name in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
 }
-# what decisions are told and answer; held to the same rules, though they decide nothing
+# types of the decisions' input and output; held to the same rules, though they decide nothing
 TYPES = (
     "cache_router/decisions/actions.py",
     "cache_router/decisions/events.py",
@@ -22,7 +22,7 @@
 )
 # lines that are not blank; a module holds one concern
 MAX_FUNCTION_LINES = 40
-MAX_CLASS_LINES = 250
+MAX_CLASS_LINES = 200
 MAX_MODULE_LINES = 280
 DEPLOYMENT_WORDS = (
     "lessons mechelen hobart timetable booking slot- grid prize hint-spend quote amend shannonside "
