--- a/cache_router/decisions/actions.py
+++ b/cache_router/decisions/actions.py
@@ -1,4 +1,4 @@
-"""What the decisions answer to an event: the actions that a host carries out, in order.
+"""The actions that the decisions return for an event, and that a host carries out in order.
 
 Actions are plain data. Delays are in seconds.
 """
@@ -14,27 +14,27 @@
 
     request_id: str
     server: str
-    timeout: float | None = None  # None: until the client gives up
+    timeout: float | None = None  # seconds; None: until the client's own timeout
 
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: not carried out, and safe to retry."""
+    """Final answer: the client may safely send the request again."""
 
     request_id: str
-    retry_after: float = 0.0  # how long the client should wait before a retry; 0 is no advice
+    retry_after: float = 0.0  # seconds that the client should wait before a retry; 0 is no advice
 
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer that promises nothing: the request may have been carried out."""
+    """Final answer: the request may or may not have been executed."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Stop waiting for an attempt; whether the server stops work is its own matter."""
+    """Stop waiting for an attempt; the server may still execute it."""
 
     request_id: str
     attempt_number: int
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a `TimerFired` of the same timer after a delay."""
+    """Request a `TimerFired` of the same timer after a delay."""
 
     delay: float
     timer: Timer
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SubscribeToEndpoints:
-    """Ask for the endpoint list and its changes from now on."""
+    """Request the endpoint list, and its changes from now on."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/cache_router/decisions/endpoint_polling.py
+++ b/cache_router/decisions/endpoint_polling.py
@@ -1,14 +1,14 @@
-"""When discovery is asked again after a call for the endpoint list has failed.
+"""When the router calls discovery again after a call for the endpoint list has failed.
 
-Every change has to be known within the time that `settings.WatchBudget` divides. All routers lose discovery
-at once, so the backoff between calls grows and is jittered.
+The router must know each change of the list within the time that `settings.WatchBudget` divides. All routers
+lose discovery at the same time, so the backoff between their calls is exponential and jittered.
 """
 
 import random
 
 from cache_router.settings import MIN_BACKOFF, Settings
 
-BACKOFF_JITTER = (0.2, 1.0)  # share of a backoff, so that routers do not call in step
+BACKOFF_JITTER = (0.2, 1.0)  # factors of a backoff, so that routers do not call at the same time
 
 
 class EndpointPoller:
@@ -18,34 +18,43 @@
         self._settings = settings
         self._random = generator
         self._budget = settings.watch_budget
-        self._poll_due = now + self._budget.poll_cycle  # the next call has begun by then
-        self._longest_wait = self._budget.max_backoff  # that a failure may cost even when the call is due
-        self.failures = 0  # in a row
+        self._poll_due = now + self._budget.poll_cycle  # latest start of the next call
+        self._longest_wait = self._budget.max_backoff  # after a failure, even when the next call is due
+        self.failures = 0  # consecutive
 
     def on_update(self, is_cached: bool, now: float) -> None:
-        """An update came, and the watch goes on; a cached list is no sign that discovery can be reached."""
+        """An update arrived; unless the list was cached, it shows that discovery is reachable."""
         self._poll_due = now + self._budget.poll_cycle
         self._longest_wait = self._budget.max_backoff
         if not is_cached:
             self.failures = 0
 
     def on_address_changed(self, now: float) -> None:
-        """The backoff that another discovery earned must not delay the first call to the new one."""
+        """Forget the failures of the old address, so that they do not delay calls to the new one."""
         self.failures = 0
         self._poll_due = now + self._budget.address_change_cycle
         self._longest_wait = MIN_BACKOFF
 
     def on_failure(self, now: float) -> float:
-        """Count a failed call; the seconds after which to call again.
-
-        The failed call may have begun just before discovery could be reached: whatever time it took, the next
-        has begun by the end of the cycle, or what it would bring is known too late.
-        """
+        """Count a failed call; return the seconds after which to call again."""
         self.failures += 1
-        window = self._settings.overload_window
-        backoff = min(self._settings.slow_start_duration, window * 2.0 ** (self.failures - 2))
-        time_left = self._poll_due - now if self._settings.must_subscribe else self._budget.max_backoff
-        backoff = min(backoff, max(self._longest_wait, time_left)) * self._random.uniform(*BACKOFF_JITTER)
-        backoff = max(MIN_BACKOFF, backoff)
+        longest = max(self._longest_wait, self._time_until_due(now))
+        jittered = min(self._exponential_backoff(), longest) * self._random.uniform(*BACKOFF_JITTER)
+        backoff = max(MIN_BACKOFF, jittered)
         self._poll_due = now + backoff + self._budget.poll_cycle
         return backoff
+
+    def _exponential_backoff(self) -> float:
+        """Half the overload window after one failure, doubled with each, up to the slow start's duration."""
+        doubled = self._settings.overload_window * 2.0 ** (self.failures - 2)
+        return min(self._settings.slow_start_duration, doubled)
+
+    def _time_until_due(self, now: float) -> float:
+        """Seconds until the next call must have started, for the changes that it returns to be known in time.
+
+        The time that the failed call took counts, as discovery may have become reachable just after its
+        start. Where updates are pushed, the backoff alone is bounded.
+        """
+        if self._settings.must_subscribe:
+            return self._poll_due - now
+        return self._budget.max_backoff
--- a/cache_router/decisions/events.py
+++ b/cache_router/decisions/events.py
@@ -1,4 +1,4 @@
-"""What a host tells the decisions: the events that `router.Router.handle` takes.
+"""The events that a host hands to `router.Router.handle`.
 
 Events are plain data. Times are seconds on one clock that only advances; the host owns that clock.
 """
@@ -15,7 +15,7 @@
     DELTA = "delta"  # changed entries only
     SNAPSHOT = "snapshot"  # the complete list
     CACHED = "cached"  # the complete list as it was known before the router started
-    FAILED = "failed"  # discovery could not be reached; carries no endpoints
+    FAILED = "failed"  # discovery could not be reached; the update has no endpoints
 
 
 class AttemptStatus(Enum):
@@ -28,21 +28,19 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_SENT = "not_sent"  # for a reason on the router's side
-    MISS = "miss"
+    NOT_SENT = "not_sent"  # for a reason of the router's own
+    MISS = "miss"  # the cache does not have the key
 
 
-# the outcome itself proves that the request was not carried out
+# the status itself proves that the server did not execute the request
 NOT_EXECUTED = (
     AttemptStatus.REJECTED,
     AttemptStatus.CONNECT_FAILED,
     AttemptStatus.NOT_SENT,
     AttemptStatus.MISS,
 )
-
-
 ANSWERED = (AttemptStatus.OK, AttemptStatus.MISS)
-# fast failures, which tell nothing of a server's load
+# fast failures, which are no measure of a server's load
 FAILED = (AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.CONNECT_FAILED)
 
 
@@ -57,7 +55,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Timer:
-    """Which timer is set or due; a host hands it back as it is."""
+    """Which timer is set or due; a host returns it unchanged in `TimerFired`."""
 
     kind: TimerKind
     subject: str = ""
@@ -65,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdate:
-    """News of the endpoint list, or of the failure to get any."""
+    """A change of the endpoint list, or the failure of a call for it."""
 
     kind: EndpointUpdateKind
     endpoints: tuple[Endpoint, ...] = ()
@@ -73,12 +71,12 @@
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryAddressChanged:
-    """Updates come from another discovery from now on; the watch on the one before has ended."""
+    """Discovery has another address from now on; the watch at the previous address has ended."""
 
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A client's request; it is owed exactly one final answer within `time_left` seconds."""
+    """A client's request, which must get exactly one final answer within `time_left` seconds."""
 
     request_id: str
     request_class: str
@@ -90,7 +88,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseStarted:
-    """The response of an attempt has begun to flow to the client."""
+    """The client has received the first part of an attempt's response."""
 
     request_id: str
     attempt_number: int
@@ -98,10 +96,10 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """What a server reports of itself, a little late and noisy."""
+    """A server's own measurements, which are late and noisy."""
 
-    service_time: float  # seconds of a recent request, without queueing
-    queue_length: float  # requests that wait at the server
+    service_time: float  # seconds that a recent request took, without queueing
+    queue_length: float  # requests that wait in the server's queue
 
 
 @dataclass(slots=True, frozen=True)
@@ -111,14 +109,14 @@
     request_id: str
     attempt_number: int
     status: AttemptStatus
-    request_closed: bool = False  # the request has its final answer, or its client has left
+    request_closed: bool = False  # the request has its final answer, or its client has disconnected
     latency: float = 0.0  # seconds
     load_report: LoadReport | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client left; no answer is owed any more."""
+    """The client disconnected; its request needs no answer."""
 
     request_id: str
 
--- a/cache_router/decisions/hedging.py
+++ b/cache_router/decisions/hedging.py
@@ -1,4 +1,8 @@
-"""Hedged requests: a second attempt for a read whose answer is more likely lost than late."""
+"""Hedged requests: a second attempt for a read whose answer is more likely lost than late.
+
+The second attempt is sent after a delay, so that few requests are sent twice (Dean and Barroso, "The Tail at
+Scale", 2013).
+"""
 
 from dataclasses import dataclass
 
@@ -27,19 +31,17 @@
     settings: Settings
 
     def delay(self, pending: PendingRequest, server: Server, now: float) -> float | None:
-        """Seconds after an attempt at which to hedge it; None when it must not be, or would be too late."""
-        is_idempotent = pending.request_class.idempotency is Idempotency.IDEMPOTENT
-        latency = server.concurrency.latency
-        if not (is_idempotent and self.settings.hedging_allowed and server.is_cache and latency):
+        """Seconds after an attempt at which to hedge it; None when that is forbidden or would be too late."""
+        if not self._may_be_hedged(pending, server):
             return None
-        usual_latency = max(latency, self.health.queueing_latency)
+        usual_latency = max(server.concurrency.latency, self.health.queueing_latency)
         delay = max(LATENCY_FACTOR * usual_latency, self.settings.clock_resolution)
         return delay if now + delay < pending.deadline else None
 
     def choose_server(self, pending: PendingRequest, now: float) -> Server | None:
-        """The server for a hedged request that is due, taken from the retry budget; None when none is sent.
+        """The server for a hedged request that is due, paid from the retry budget; None when none is sent.
 
-        A server that has answered others since has the key; one that has not may be down.
+        The first choice is the server of the last attempt, which most likely has the key.
         """
         last = pending.attempts[-1]
         is_progressing = pending.is_queued or pending.response_started or pending.to_origin
@@ -53,7 +55,14 @@
         self.retry_budget.take_token()
         return server
 
+    def _may_be_hedged(self, pending: PendingRequest, server: Server) -> bool:
+        """Whether an attempt at a cache, of known latency, may be repeated without harm."""
+        if not self.settings.hedging_allowed or not server.is_cache or not server.concurrency.latency:
+            return False
+        return pending.request_class.idempotency is Idempotency.IDEMPOTENT
+
     def _answers_others(self, attempt: Attempt, now: float) -> bool:
+        """Whether the server has answered another request since the attempt was sent; else it may be down."""
         server = attempt.server
         if not self.endpoints.is_listed(server) or not server.endpoint.is_ready:
             return False
--- a/cache_router/decisions/origin_scheduler.py
+++ b/cache_router/decisions/origin_scheduler.py
@@ -79,7 +79,7 @@
 def _is_in_time(pending: PendingRequest, origin: Server, now: float) -> bool:
     """Whether an answer can be back in time.
 
-    An idle origin gets one request in any case: without it the router would never learn that the origin has
+    An idle origin gets one request in any case. Its answer is the only way to notice that the origin has
     become faster.
     """
     if origin.concurrency.in_flight:
--- a/cache_router/decisions/retry_policy.py
+++ b/cache_router/decisions/retry_policy.py
@@ -1,17 +1,19 @@
-"""What a request's class permits: further attempts, hedged requests, and rejection as the final answer."""
+"""What a request's class permits after the first attempt, and the budget of retries of all requests."""
 
 from dataclasses import dataclass
 
 from cache_router.decisions.events import AttemptStatus
-from cache_router.decisions.pending_request import PendingRequest
+from cache_router.decisions.pending_request import Attempt, PendingRequest
 from cache_router.decisions.server import Server
 from cache_router.endpoint import Endpoint
-from cache_router.settings import Idempotency, IdempotencyScope, Settings
+from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings
 
 RETRIES_PER_REQUEST = 0.2  # enough for the loss of a server, too few to feed an overload
 MAX_SAVED_RETRIES = 10.0  # so that the requests of a lost server can all be retried at once
-FREE_RETRY_SUCCESS_RATE = 0.3  # of attempts at caches; from here a retry after a cheap failure is free
-CHEAP_FAILURES = (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED)  # fast, and no work for any server
+# of attempts at caches; at this rate or above, the retry after a cheap failure is free
+FREE_RETRY_SUCCESS_RATE = 0.3
+# fast failures that cost no server any work
+CHEAP_FAILURES = (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED)
 
 
 def recognises_repeats(scope: IdempotencyScope, one: Endpoint, other: Endpoint) -> bool:
@@ -23,7 +25,7 @@
 
 @dataclass(slots=True)
 class RetryPolicy:
-    """Keeps the number of attempts, and the idempotency of a request's class."""
+    """Bounds the number of attempts, and prevents a second execution of what is not idempotent."""
 
     settings: Settings
 
@@ -41,15 +43,16 @@
             return True
         if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             return False
-        # the attempt may yet wait for a connection, and a repeat after the window would be carried out again
-        window_ends = min(attempt.sent_at for attempt in executed) + request_class.idempotency_window
-        if now + self.settings.connect_timeout >= window_ends:
+        if not self._is_within_window(request_class, executed, now):
             return False
         scope, endpoint = request_class.idempotency_scope, server.endpoint
         return all(recognises_repeats(scope, attempt.server.endpoint, endpoint) for attempt in executed)
 
     def permits_rejection(self, pending: PendingRequest) -> bool:
-        """Whether the client may be told to retry: harmless, or known to every server it could reach."""
+        """Whether a rejection, after which the client sends the request again, is a safe final answer.
+
+        It is safe when a second execution does no harm, or when every server recognises the repeat.
+        """
         idempotency = pending.request_class.idempotency
         if idempotency is Idempotency.IDEMPOTENT:
             return True
@@ -58,19 +61,27 @@
         scope = pending.request_class.idempotency_scope
         return idempotency is Idempotency.WITH_KEY and scope is IdempotencyScope.ALL
 
+    def _is_within_window(self, request_class: RequestClass, executed: list[Attempt], now: float) -> bool:
+        """Whether servers will still know the request's key when another attempt reaches one of them.
+
+        The attempt may wait for a connection first. A repeat after the window would be executed again.
+        """
+        window_end = min(attempt.sent_at for attempt in executed) + request_class.idempotency_window
+        return now + self.settings.connect_timeout < window_end
+
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Retries that are left: a share of the requests accepted, saved up to a bound."""
+    """A token bucket of retries: each accepted request adds a share of a token, up to a bound."""
 
     tokens: float = MAX_SAVED_RETRIES
 
     def on_request(self) -> None:
-        """An accepted request adds its share of a retry."""
+        """Add the share of a retry that an accepted request is worth."""
         self.tokens = min(MAX_SAVED_RETRIES, self.tokens + RETRIES_PER_REQUEST)
 
     def has_token(self) -> bool:
-        """Whether a whole retry is left."""
+        """Whether a complete retry is left."""
         return self.tokens >= 1
 
     def take_token(self) -> bool:
--- a/cache_router/decisions/subscription.py
+++ b/cache_router/decisions/subscription.py
@@ -35,7 +35,7 @@
         self._subscribe_unless_pushed()
 
     def on_poll_timer(self) -> None:
-        """The backoff is over: ask again, also where the host had opened the first watch by itself."""
+        """The backoff is over: call discovery again, also where updates are pushed."""
         self.actions.add(SubscribeToEndpoints())
 
     def _subscribe_unless_pushed(self) -> None:
--- a/tests/cache_router/decisions/test_hedging.py
+++ b/tests/cache_router/decisions/test_hedging.py
@@ -68,8 +68,8 @@
 
 
 def test_few_fast_answers_of_one_server_do_not_hasten_hedging() -> None:
-    """The delay follows the latency of all servers: one met once or twice may be fast by chance, and needless
-    hedged requests would be a tenth of all attempts.
+    """The delay follows the latency of all servers. One or two answers of a server may be fast at random, and
+    needless hedged requests would be a tenth of all attempts.
     """
     driver = Driver(settings())
     driver.update_endpoints(*(entry(s) for s in "abcdef"))
--- a/tests/cache_router/decisions/test_origin_queue.py
+++ b/tests/cache_router/decisions/test_origin_queue.py
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("cause", ["client disconnected", "attempt failed"])
-def test_queued_fetches_go_on_after_one_is_lost(cause: str) -> None:
+def test_queued_fetches_are_sent_after_one_is_lost(cause: str) -> None:
     driver = Driver(settings(**CACHE_ASIDE))
     driver.update_endpoints(*fleet("a", "o"))
     driver.server("o").concurrency.limit = 1.0
@@ -52,7 +52,7 @@
 
 
 def test_fetch_is_sent_only_with_twice_the_origin_latency_left() -> None:
-    """A fetch that its client gives up midway is not even stored in a cache."""
+    """A fetch that its client cancels is not even stored in a cache."""
     driver = Driver(settings(**CACHE_ASIDE))
     driver.update_endpoints(*fleet("a", "o"))
     driver.server("o").concurrency.latency = 0.4
@@ -102,7 +102,7 @@
 
 
 def test_queued_fetch_is_rejected_once_it_cannot_complete_in_time() -> None:
-    """Rather than at its latency objective, when no fetch could have been back for long."""
+    """The rejection does not wait for the latency objective, long before which a fetch has become useless."""
     driver = Driver(settings(**CACHE_ASIDE))
     driver.update_endpoints(*fleet("a", "o"))
     driver.server("o").concurrency.limit = 1.0
@@ -146,7 +146,7 @@
     ("latency", "max_retry_after", "retry_after"), [(1.1, 2.0, 1.1), (1.1, 0.5, 0.5), (1.1, 0.0, 0.0)]
 )
 def test_rejection_carries_retry_after(latency: float, max_retry_after: float, retry_after: float) -> None:
-    """Clients that retry at once would meet the overload that they were just rejected for."""
+    """Clients that retry at once would add to the overload that caused their rejection."""
     driver = Driver(settings(**CACHE_ASIDE, max_retry_after=max_retry_after))
     driver.update_endpoints(*fleet("a", "o"))
     driver.request("w0", key="k0", is_write=True)
--- a/tests/support/driver.py
+++ b/tests/support/driver.py
@@ -1,6 +1,6 @@
 """Drives one router by hand, and checks with each action the rules that every router has to keep.
 
-Rule 1: each request gets exactly one final answer, before its client gives up.
+Rule 1: each request gets exactly one final answer, before its client's timeout.
 Rule 2: a request that is not idempotent is never executed twice.
 Rule 3: nothing is sent to a server that is draining, removed or unknown.
 """
--- a/tests/support/router_scenarios.py
+++ b/tests/support/router_scenarios.py
@@ -15,7 +15,7 @@
 
 
 def fleet(*names: str) -> list[Endpoint]:
-    """Ready servers that lie by turns in two zones and cells; one named "o" is the origin."""
+    """Ready servers that alternate between two zones and cells; one named "o" is the origin."""
     kinds = {"o": "origin"}
     return [
         entry(name, zone="xy"[i % 2], cell=i % 2, kind=kinds.get(name, "std")) for i, name in enumerate(names)
@@ -30,7 +30,7 @@
 
 
 def ignore_key_popularity(driver: Driver) -> None:
-    """Let the router treat every key as seldom; it spreads a popular one over more servers."""
+    """Let the router treat every key as unpopular; it spreads a popular one over more servers."""
     driver.router.selector.popularity.count = lambda *_: 0.0  # type: ignore[method-assign]
 
 
