--- a/cache_router/decisions/origin_scheduler.py
+++ b/cache_router/decisions/origin_scheduler.py
@@ -61,7 +61,7 @@
         self._send_while_capacity_lasts(now)
         for pending in self.queue.overdue(self.endpoints.least_loaded_origin(), now):
             self.open_requests.reject_or_fail(pending)
-        self.queue.drop_ended()
+        self.queue.drop_void_entries()
 
     def _send_while_capacity_lasts(self, now: float) -> None:
         while (origin := self.endpoints.least_loaded_origin()) is not None:
--- a/cache_router/decisions/request_lifecycle.py
+++ b/cache_router/decisions/request_lifecycle.py
@@ -102,9 +102,8 @@
 
     def _advance(self, pending: PendingRequest, now: float) -> None:
         """Send the next attempt, queue the request for one, or end it."""
-        to_cache = self.endpoints.ring.size and not pending.to_origin
-        origin = None if to_cache else self.endpoints.least_loaded_origin()
-        server = self.selector.choose(pending, now) if to_cache else origin
+        to_cache = self.endpoints.ring.size > 0 and not pending.to_origin
+        server = self.selector.choose(pending, now) if to_cache else self.endpoints.least_loaded_origin()
         if now >= pending.deadline or not self._may_attempt(pending, server, now):
             self.open_requests.reject_or_fail(pending)
         elif not to_cache:
--- a/tests/cache_router/decisions/test_origin_queue.py
+++ b/tests/cache_router/decisions/test_origin_queue.py
@@ -5,11 +5,75 @@
 import pytest
 
 from cache_router.decisions.actions import Reject
-from cache_router.decisions.events import AttemptStatus
-from tests.support.driver import Driver, Outcome, settings
+from cache_router.decisions.events import AttemptStatus, Request
+from cache_router.decisions.origin_queue import (
+    FETCH_LATENCIES_LEFT,
+    WRITE_LATENCIES_LEFT,
+    OriginQueue,
+    latest_start,
+)
+from cache_router.decisions.pending_request import PendingRequest
+from cache_router.decisions.server import Server
+from cache_router.settings import RequestClass
+from tests.support.driver import KEYED, READ, Driver, Outcome, entry, settings
 from tests.support.router_scenarios import CACHE_ASIDE, fleet, request_and_miss
 
 
+def new_pending_request(
+    name: str, request_class: RequestClass = READ, deadline: float = 101.0, is_write: bool = False
+) -> PendingRequest:
+    """A request for the origin."""
+    request = Request(name, request_class.name, 1.0, is_write=is_write)
+    return PendingRequest(request, request_class, deadline, to_origin=True)
+
+
+def test_requests_leave_the_queue_by_priority_then_by_age() -> None:
+    queue = OriginQueue()
+    classes = {"r1": READ, "w1": KEYED, "r2": READ, "w2": KEYED}
+    for name, request_class in classes.items():
+        queue.push(new_pending_request(name, request_class))
+    popped = [pending for pending in (queue.pop() for _ in range(5)) if pending is not None]
+    assert [pending.request.request_id for pending in popped] == ["w1", "w2", "r1", "r2"]
+    assert not any(pending.is_queued for pending in popped)
+
+
+def test_drained_requests_are_in_order_and_no_longer_queued() -> None:
+    queue = OriginQueue()
+    requests = [new_pending_request("r1"), new_pending_request("w1", KEYED), new_pending_request("r2")]
+    for pending in requests:
+        queue.push(pending)
+    requests[0].mark_dequeued()
+    drained = queue.drain()
+    assert drained == [requests[1], requests[2]]
+    assert not any(pending.is_queued for pending in drained)
+    assert not queue
+
+
+def test_void_entries_are_neither_served_nor_overdue_nor_kept() -> None:
+    queue = OriginQueue()
+    ended, waiting = new_pending_request("r1"), new_pending_request("r2")
+    for pending in (ended, waiting):
+        queue.push(pending)
+    ended.mark_dequeued()
+    assert queue.overdue(None, now=101.0) == [waiting]
+    assert len(queue) == 2
+    queue.drop_void_entries()
+    assert len(queue) == 1
+    assert queue.pop() is waiting
+    assert queue.pop() is None
+
+
+@pytest.mark.parametrize(
+    ("is_write", "latencies"), [(False, FETCH_LATENCIES_LEFT), (True, WRITE_LATENCIES_LEFT)]
+)
+def test_latest_start_leaves_the_latency_of_the_origin(is_write: bool, latencies: float) -> None:
+    pending = new_pending_request("r", deadline=101.0, is_write=is_write)
+    origin = Server(entry("o"), is_cache=False)
+    origin.concurrency.latency = 0.2
+    assert latest_start(pending, origin) == pytest.approx(101.0 - latencies * 0.2)
+    assert latest_start(pending, None) == 101.0
+
+
 def test_reads_queued_for_the_origin_are_answered_in_time() -> None:
     driver = Driver(settings(**CACHE_ASIDE))
     driver.update_endpoints(*fleet("a", "o"))
--- a/tests/cache_router/decisions/test_retry_policy.py
+++ b/tests/cache_router/decisions/test_retry_policy.py
@@ -5,6 +5,13 @@
 import pytest
 
 from cache_router.decisions.events import AttemptStatus
+from cache_router.decisions.retry_policy import (
+    CHEAP_FAILURES,
+    FREE_RETRY_SUCCESS_RATE,
+    MAX_SAVED_RETRIES,
+    RETRIES_PER_REQUEST,
+    RetryBudget,
+)
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass
 from tests.support.driver import Driver, Outcome, entry, settings
 from tests.support.router_scenarios import fleet
@@ -55,6 +62,32 @@
         assert driver.outcomes["r"] is Outcome.FAILED
 
 
+@pytest.mark.parametrize(
+    ("tokens", "is_taken", "left"), [(2.5, True, 1.5), (1.0, True, 0.0), (0.9, False, 0.0)]
+)
+def test_token_is_taken_only_where_a_complete_one_is_left(tokens: float, is_taken: bool, left: float) -> None:
+    budget = RetryBudget(tokens)
+    assert budget.has_token() is is_taken
+    assert budget.take_token() is is_taken
+    assert budget.tokens == left
+
+
+def test_requests_add_to_the_retry_budget_up_to_its_bound() -> None:
+    budget = RetryBudget(0.0)
+    budget.on_request()
+    assert budget.tokens == pytest.approx(RETRIES_PER_REQUEST)
+    for _ in range(1000):
+        budget.on_request()
+    assert budget.tokens == MAX_SAVED_RETRIES
+
+
+@pytest.mark.parametrize("status", list(AttemptStatus))
+def test_only_cheap_failures_are_retried_without_a_token(status: AttemptStatus) -> None:
+    budget = RetryBudget(0.0)
+    assert budget.take_for_retry(status, FREE_RETRY_SUCCESS_RATE) is (status in CHEAP_FAILURES)
+    assert not budget.take_for_retry(status, FREE_RETRY_SUCCESS_RATE - 0.01)
+
+
 def test_retries_are_a_bounded_share_of_the_requests() -> None:
     """Otherwise failing servers turn every request into many attempts, which feed the overload."""
     driver = Driver(settings())
