--- a/cache_router/decisions/server.py
+++ b/cache_router/decisions/server.py
@@ -5,7 +5,7 @@
 from cache_router.decisions.concurrency_limit import ConcurrencyLimit
 from cache_router.decisions.outlier_detection import FailureHistory
 from cache_router.decisions.overload_backoff import OverloadState
-from cache_router.decisions.slow_start import SlowStartQuota
+from cache_router.decisions.slow_start_quota import SlowStartQuota
 from cache_router.endpoint import Endpoint
 
 
--- a/cache_router/decisions/slow_start.py
+++ b/cache_router/decisions/slow_start.py
@@ -8,70 +8,13 @@
 import math
 import random
 from collections.abc import Sequence
-from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
 
+from cache_router.decisions.server import Server
+from cache_router.decisions.slow_start_quota import SlowStartQuota, capacity_share
+from cache_router.decisions.warm_throughput import WarmThroughput
 from cache_router.endpoint import Endpoint
 from cache_router.settings import Settings
 
-if TYPE_CHECKING:
-    from cache_router.decisions.server import Server
-
-
-def capacity_share(settings: Settings, endpoint: Endpoint, now: float) -> float:
-    """Share of its capacity that a server has reached; it rises evenly over the slow start."""
-    if endpoint.started_at > 0:
-        progress = min(1.0, max(0.0, now - endpoint.started_at) / settings.slow_start_duration)
-    else:
-        progress = 1.0
-    return settings.slow_start_initial_share + (1 - settings.slow_start_initial_share) * progress
-
-
-@dataclass(slots=True)
-class WarmThroughput:
-    """Answers of warm servers to this router, each second and for each unit of size, in a fading memory."""
-
-    since: float  # seconds on the router's clock
-    memory: float  # seconds after which an answer counts a third
-    answers: float = 0.0
-    updated_at: float = 0.0
-
-    def add(self, now: float, warm_size: float) -> None:
-        """Count one answer of warm servers of this size in all."""
-        self.answers = self._faded(now) + 1 / warm_size
-        self.updated_at = now
-
-    def rate(self, now: float, min_age: float) -> float:
-        """Answers a second for a unit of size; 0 at first, as a new router has seen no server at work."""
-        age = max(now - self.since, min_age)
-        return self._faded(now) / (self.memory * -math.expm1(-age / self.memory))
-
-    def _faded(self, now: float) -> float:
-        return self.answers * math.exp((self.updated_at - now) / self.memory)
-
-
-@dataclass(slots=True)
-class SlowStartQuota:
-    """This router's part of what a warming server may be sent in any window, over all that it sends there."""
-
-    offset: float  # from 0 to 1, random: or a quota of less than one attempt would be the same at all routers
-    sent_at: list[float] = field(default_factory=list)
-
-    def add(self, now: float, window: float) -> None:
-        """Count an attempt sent; `window` in seconds."""
-        self.sent_at = [*(at for at in self.sent_at if now - at < window), now]
-
-    def is_used_up(self, settings: Settings, endpoint: Endpoint, warm_rate: float, now: float) -> bool:
-        """Whether one attempt more would exceed it; `warm_rate` is what a warm server answers us a second."""
-        window = settings.overload_window
-        routers = settings.router_count
-        share = capacity_share(settings, endpoint, now - window)  # the least within the window that ends now
-        expected = settings.overload_multiple * share * warm_rate * window
-        tolerance = (
-            2 * math.sqrt(expected * routers) + 2
-        ) / routers  # our part of what is put down to chance
-        return sum(now - at < window for at in self.sent_at) + self.offset > expected + tolerance
-
 
 class SlowStart:
     """Which servers are warming up, and how much of their quotas is left."""
@@ -85,7 +28,7 @@
         self._warm_size = 0.0
         self._warm_size_valid_until = -math.inf
 
-    def on_endpoint_update(self, caches: Sequence["Server"], total_size: float) -> None:
+    def on_endpoint_update(self, caches: Sequence[Server], total_size: float) -> None:
         """Take the caches that are ready now, and the sum of their sizes."""
         self._caches = caches
         self._total_size = total_size
@@ -101,7 +44,7 @@
             return 1.0
         return success_rate * capacity_share(self._settings, endpoint, now)
 
-    def is_quota_used_up(self, server: "Server", now: float) -> bool:
+    def is_quota_used_up(self, server: Server, now: float) -> bool:
         """Whether a warming server has had our part of what it may be sent; never, where nothing is warm."""
         if not self.is_warming_up(server.endpoint, now) or self._current_warm_size(now) <= 0:
             return False
@@ -110,12 +53,12 @@
         warm_rate = server.size * self._throughput.rate(now, self._settings.overload_window)
         return server.slow_start_quota.is_used_up(self._settings, server.endpoint, warm_rate, now)
 
-    def on_attempt_sent(self, server: "Server", now: float) -> None:
+    def on_attempt_sent(self, server: Server, now: float) -> None:
         """Count an attempt against the server's quota, if it has one."""
         if server.slow_start_quota is not None:
             server.slow_start_quota.add(now, self._settings.overload_window)
 
-    def on_good_answer(self, server: "Server", now: float) -> None:
+    def on_good_answer(self, server: Server, now: float) -> None:
         """Count an answer of a cache towards the throughput of warm ones."""
         if self.is_warming_up(server.endpoint, now):
             return
--- a/tests/cache_router/decisions/test_slow_start.py
+++ b/tests/cache_router/decisions/test_slow_start.py
@@ -24,7 +24,7 @@
 )
 from cache_router.decisions.router import Router
 from cache_router.decisions.server import Server
-from cache_router.decisions.slow_start import SlowStartQuota
+from cache_router.decisions.slow_start_quota import SlowStartQuota
 from tests.support.driver import Driver, entry, settings
 from tests.support.router_scenarios import primary_servers
 
