--- a/cache_router/decisions/server.py
+++ b/cache_router/decisions/server.py
@@ -11,13 +11,18 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """One incarnation of a listed server; each state object is changed only by the module that defines it."""
+    """One incarnation of a listed server. A restart under the same name is another incarnation."""
 
     endpoint: Endpoint
     is_cache: bool = True  # or a member of the origin
-    size: float = 1.0  # weight, without what current load takes off it; set by endpoints.py
+    size: float = 1.0  # relative capacity when idle; live weights fall with load, the size does not
     reported_load: float = 0.0  # requests in flight for each unit of size, of all routers, seconds ago
     concurrency: ConcurrencyLimit = field(default_factory=ConcurrencyLimit)
     failures: FailureHistory = field(default_factory=FailureHistory)
     overload: OverloadState = field(default_factory=OverloadState)
-    slow_start_quota: SlowStartQuota | None = None  # from the first time that it is asked for
+    slow_start_quota: SlowStartQuota | None = None  # None until the quota is first checked
+
+    def grant_slow_start_quota(self, offset: float) -> SlowStartQuota:
+        """Start to count attempts at this warming server; `offset` is the quota's, from 0 to 1."""
+        self.slow_start_quota = SlowStartQuota(offset)
+        return self.slow_start_quota
--- a/cache_router/decisions/slow_start.py
+++ b/cache_router/decisions/slow_start.py
@@ -1,8 +1,9 @@
-"""Slow start: what a server that is warming up may be sent, so that all routers together do not overload it.
+"""Slow start: limits what a warming server is sent, so that all routers together do not overload it.
 
-Routers share nothing. A warming server has a part of the capacity of a warm one, and no warm server answers
-more than it has capacity for: so each router grants a warming server a part of the answers that it gets
-itself from warm ones, and the sum over all routers is what it can take, however requests fall to them.
+Routers share no state. A warming server has a share of the capacity of a warm one, and no warm server gives
+more answers than it has capacity for. So each router grants a warming server the same share of the answers
+that the router itself gets from warm servers. The sum over all routers then stays within the capacity of the
+warming server, however the requests are distributed over the routers.
 """
 
 import math
@@ -10,14 +11,14 @@
 from collections.abc import Sequence
 
 from cache_router.decisions.server import Server
-from cache_router.decisions.slow_start_quota import SlowStartQuota, capacity_share
+from cache_router.decisions.slow_start_quota import capacity_share
 from cache_router.decisions.warm_throughput import WarmThroughput
 from cache_router.endpoint import Endpoint
 from cache_router.settings import Settings
 
 
 class SlowStart:
-    """Which servers are warming up, and how much of their quotas is left."""
+    """Decides which servers are warming up, and whether their quotas are used up."""
 
     def __init__(self, settings: Settings, generator: random.Random, now: float) -> None:
         self._settings = settings
@@ -39,19 +40,27 @@
         return endpoint.started_at > 0 and now - endpoint.started_at < self._settings.slow_start_duration
 
     def usable_share(self, endpoint: Endpoint, success_rate: float, now: float) -> float:
-        """Share of a server's points that count now; failures cut it, as clients' retries add to the load."""
+        """Share of a server's points on the ring that count now.
+
+        A low success rate reduces the share of a warming server, as clients' retries add to the load.
+        """
         if not self.is_warming_up(endpoint, now):
             return 1.0
         return success_rate * capacity_share(self._settings, endpoint, now)
 
     def is_quota_used_up(self, server: Server, now: float) -> bool:
-        """Whether a warming server has had our part of what it may be sent; never, where nothing is warm."""
+        """Whether one more attempt would exceed a warming server's quota.
+
+        The quota follows from the throughput of warm servers: where no cache is warm, no quota is applied.
+        """
         if not self.is_warming_up(server.endpoint, now) or self._current_warm_size(now) <= 0:
             return False
         if server.slow_start_quota is None:
-            server.slow_start_quota = SlowStartQuota(self._random.random())
+            quota = server.grant_slow_start_quota(self._random.random())
+        else:
+            quota = server.slow_start_quota
         warm_rate = server.size * self._throughput.rate(now, self._settings.overload_window)
-        return server.slow_start_quota.is_used_up(self._settings, server.endpoint, warm_rate, now)
+        return quota.is_used_up(self._settings, server.endpoint, warm_rate, now)
 
     def on_attempt_sent(self, server: Server, now: float) -> None:
         """Count an attempt against the server's quota, if it has one."""
@@ -59,7 +68,7 @@
             server.slow_start_quota.add(now, self._settings.overload_window)
 
     def on_good_answer(self, server: Server, now: float) -> None:
-        """Count an answer of a cache towards the throughput of warm ones."""
+        """Count an answer of a cache towards the throughput of warm servers, if it is warm."""
         if self.is_warming_up(server.endpoint, now):
             return
         warm_size = self._current_warm_size(now)
@@ -67,11 +76,16 @@
             self._throughput.add(now, warm_size)
 
     def _current_warm_size(self, now: float) -> float:
-        """Sum of the sizes of caches that are not warming up; counted when a slow start begins or ends."""
+        """Sum of the sizes of the caches that are not warming up; cached until the next slow start ends."""
         if now >= self._warm_size_valid_until:
-            begun_after = max(0.0, now - self._settings.slow_start_duration)
-            warming = [server for server in self._caches if server.endpoint.started_at > begun_after]
-            self._warm_size = self._total_size - sum(server.size for server in warming)
-            first_start = min((server.endpoint.started_at for server in warming), default=math.inf)
-            self._warm_size_valid_until = first_start + self._settings.slow_start_duration
+            self._update_warm_size(now)
         return self._warm_size
+
+    def _update_warm_size(self, now: float) -> None:
+        duration = self._settings.slow_start_duration
+        # a start at 0 is long ago, and never counts as warming up
+        earliest_start = max(0.0, now - duration)
+        warming = [server for server in self._caches if server.endpoint.started_at > earliest_start]
+        self._warm_size = self._total_size - sum(server.size for server in warming)
+        first_start = min((server.endpoint.started_at for server in warming), default=math.inf)
+        self._warm_size_valid_until = first_start + duration
--- a/cache_router/decisions/warm_throughput.py
+++ b/cache_router/decisions/warm_throughput.py
@@ -6,22 +6,27 @@
 
 @dataclass(slots=True)
 class WarmThroughput:
-    """Answers of warm servers to this router, each second and for each unit of size, in a fading memory."""
+    """Answers of warm servers to this router for each unit of size, with exponential decay."""
 
-    since: float  # seconds on the router's clock
-    memory: float  # seconds after which an answer counts a third
-    answers: float = 0.0
-    updated_at: float = 0.0
+    since: float  # start of the measurement, in seconds on the router's clock
+    memory: float  # time constant of the decay in seconds: an answer of that age counts 1/e
+    answers: float = 0.0  # for each unit of size, decayed to `updated_at`
+    updated_at: float = 0.0  # seconds on the router's clock
 
     def add(self, now: float, warm_size: float) -> None:
-        """Count one answer of warm servers of this size in all."""
-        self.answers = self._faded(now) + 1 / warm_size
+        """Count one answer of any warm server; `warm_size` is the sum of the sizes of all of them."""
+        self.answers = self._decayed(now) + 1 / warm_size
         self.updated_at = now
 
     def rate(self, now: float, min_age: float) -> float:
-        """Answers a second for a unit of size; 0 at first, as a new router has seen no server at work."""
+        """Answers a second for a unit of size; 0 before the first answer.
+
+        The decayed count is divided by the integral of the decay over the age of the measurement, which is
+        taken as at least `min_age` seconds.
+        """
         age = max(now - self.since, min_age)
-        return self._faded(now) / (self.memory * -math.expm1(-age / self.memory))
+        decay_integral = self.memory * -math.expm1(-age / self.memory)
+        return self._decayed(now) / decay_integral
 
-    def _faded(self, now: float) -> float:
+    def _decayed(self, now: float) -> float:
         return self.answers * math.exp((self.updated_at - now) / self.memory)
--- a/tests/cache_router/decisions/test_slow_start.py
+++ b/tests/cache_router/decisions/test_slow_start.py
@@ -24,7 +24,6 @@
 )
 from cache_router.decisions.router import Router
 from cache_router.decisions.server import Server
-from cache_router.decisions.slow_start_quota import SlowStartQuota
 from tests.support.driver import Driver, entry, settings
 from tests.support.router_scenarios import primary_servers
 
@@ -183,7 +182,7 @@
     for seed in range(3):
         simulation = make(seed, capacity, **options)
         assert simulation.run(restarts) <= 0
-        # it could serve some five times as much meanwhile
+        # it could serve some five times as much in that time
         assert len(simulation.sent_to_warming) > capacity
 
 
@@ -203,7 +202,7 @@
     driver.update_endpoints(entry("a"), entry("b", started_at=driver.now))
     warming = driver.server("b")
     warming.concurrency.latency = 0.01
-    warming.slow_start_quota = SlowStartQuota(0.01)
+    warming.grant_slow_start_quota(0.01)
     name = next(n for n in map(str, count()) if driver.request(n) == "b")
     warming.concurrency.unanswered_since = driver.now + 0.001  # it has answered others since
     driver.advance(hedging.LATENCY_FACTOR * 0.01)
