--- a/cache_router/decisions/endpoints.py
+++ b/cache_router/decisions/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: which servers there are, which are ready, and where they stand on the hash ring."""
+"""The endpoint list: which servers are listed, which of them are ready, and their points on the hash ring."""
 
 import math
 from collections.abc import Iterable
@@ -9,15 +9,15 @@
 from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.settings import Settings
 
-POINTS_PER_UNIT = 128  # virtual nodes for the unit of weight: shares of keys are even within a tenth or so
+POINTS_PER_UNIT = 128  # virtual nodes for the unit of size: shares of keys are even within about a tenth
 
 
 class EndpointList:
-    """The servers of the endpoint list; `ring` holds the caches that are ready, and never the origin."""
+    """The servers of the endpoint list; `ring` has the caches that are ready, and never the origin."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
-        self._largest_weight = 1.0
+        self._largest_size = 1.0
         self._largest_of_kind: dict[str, float] = {}
         self.servers: dict[str, Server] = {}
         self.ring: HashRing[Server] = HashRing()
@@ -53,9 +53,9 @@
     def _add_or_update(self, endpoint: Endpoint) -> Server:
         known = self.servers.get(endpoint.name)
         if known is not None and endpoint.started_at <= known.endpoint.started_at:
-            known.endpoint = endpoint
+            known.update_endpoint(endpoint)
             return known
-        self._remove(endpoint.name)  # a new process: nothing learned of the old one holds
+        self._remove(endpoint.name)  # a new incarnation: the state of the earlier one does not apply to it
         is_origin = self._settings.cache_aside and endpoint.kind == self._settings.origin_kind
         server = self.servers[endpoint.name] = Server(endpoint, not is_origin)
         return server
@@ -65,43 +65,65 @@
             self.ring.place(name, self.servers.pop(name), 0)
 
     def _place(self, changed: Iterable[Server]) -> None:
-        """Give each server that changed its points.
+        """Give each server that changed its size and its points.
 
-        The number of points follows from a server's size alone, so that others that come or go move none of
-        them, and an update costs what it changes.
+        The number of points follows from the size of a server and the unit of size alone. So servers that
+        join or leave move no points of the others, and the cost of an update depends on what it changes.
         """
+        self._update_ready_servers()
+        if self._settings.live_weights:
+            self._record_live_weights()
+        if self._update_largest_size() or self._settings.live_weights:
+            changed = self.servers.values()
+        unit = 2.0 ** math.ceil(math.log2(self._largest_size))  # a power of two seldom changes with the fleet
+        self._place_servers(changed, unit)
+        self._update_totals()
+
+    def _update_ready_servers(self) -> None:
         ready = [server for server in self.servers.values() if server.endpoint.is_ready]
         self.caches = [server for server in ready if server.is_cache]
         self.origins = [server for server in ready if not server.is_cache]
-        live_weights = self._settings.live_weights
-        if live_weights:
-            changed = self.servers.values()
-            self._learn_live_weights()
-            weights = [server.size for server in self.caches]
-        else:
-            weights = [server.endpoint.weight for server in self.caches]
-        largest = max(weights, default=0.0) or 1.0  # also what a missing weight counts as
-        if largest != self._largest_weight:
-            changed = self.servers.values()
-            self._largest_weight = largest
-        unit = 2.0 ** math.ceil(math.log2(largest))  # a power of two seldom changes with the fleet
-        for server in changed:
-            server.size = (server.size if live_weights else server.endpoint.weight) or largest
-            is_on_ring = server.is_cache and server.endpoint.is_ready
-            points = math.ceil(POINTS_PER_UNIT * server.size / unit) if is_on_ring else 0
-            self.ring.place(server.endpoint.name, server, points)
-        self.total_size = sum(server.size for server in self.caches)
-        if live_weights:
-            reported = sum(server.reported_load for server in self.caches)
-            self.mean_reported_load = reported / max(1, len(self.caches))
 
-    def _learn_live_weights(self) -> None:
-        """Take the largest weight seen of a machine's kind as its size.
+    def _record_live_weights(self) -> None:
+        """Take the largest weight seen of each type of machine as the size of its servers.
 
-        Live weights fall with load and arrive late: on the ring they would move keys with every update.
+        Live weights fall with load and arrive late. If they set the number of points, each update would move
+        keys.
         """
         for server in self.caches:
-            kind, weight = server.endpoint.kind, server.endpoint.weight
-            server.size = max(self._largest_of_kind.get(kind, 0.0), weight)
-            self._largest_of_kind[kind] = server.size
-            server.reported_load = server.size / weight - 1 if weight else 0.0
+            endpoint = server.endpoint
+            largest = max(self._largest_of_kind.get(endpoint.kind, 0.0), endpoint.weight)
+            self._largest_of_kind[endpoint.kind] = largest
+            server.record_live_weight(largest)
+
+    def _update_largest_size(self) -> bool:
+        """Update the largest size of a ready cache; True when it has changed.
+
+        A server whose weight is not known counts as one of the largest, or of 1 when no weight is known.
+        """
+        if self._settings.live_weights:
+            sizes = [server.size for server in self.caches]
+        else:
+            sizes = [server.endpoint.weight for server in self.caches]
+        largest = max(sizes, default=0.0) or 1.0
+        if largest == self._largest_size:
+            return False
+        self._largest_size = largest
+        return True
+
+    def _place_servers(self, servers: Iterable[Server], unit: float) -> None:
+        live_weights = self._settings.live_weights
+        for server in servers:
+            endpoint = server.endpoint
+            size = (server.size if live_weights else endpoint.weight) or self._largest_size
+            if size != server.size:
+                server.resize(size)
+            is_on_ring = server.is_cache and endpoint.is_ready
+            points = math.ceil(POINTS_PER_UNIT * size / unit) if is_on_ring else 0
+            self.ring.place(endpoint.name, server, points)
+
+    def _update_totals(self) -> None:
+        self.total_size = sum(server.size for server in self.caches)
+        if self._settings.live_weights:
+            reported = sum(server.reported_load for server in self.caches)
+            self.mean_reported_load = reported / max(1, len(self.caches))
--- a/cache_router/decisions/server.py
+++ b/cache_router/decisions/server.py
@@ -22,6 +22,24 @@
     overload: OverloadState = field(default_factory=OverloadState)
     slow_start_quota: SlowStartQuota | None = None  # None until the quota is first checked
 
+    def update_endpoint(self, endpoint: Endpoint) -> None:
+        """Take a later list entry of this incarnation."""
+        self.endpoint = endpoint
+
+    def resize(self, size: float) -> None:
+        """Set the relative capacity."""
+        self.size = size
+
+    def record_live_weight(self, idle_weight: float) -> None:
+        """Derive the size and the reported load from the list's live weight.
+
+        `idle_weight` is the weight of an idle machine of this type. A live weight is the idle weight divided
+        by 1 + load (requests in flight for each unit of size); 0 means that it is not known.
+        """
+        weight = self.endpoint.weight
+        self.size = idle_weight
+        self.reported_load = idle_weight / weight - 1 if weight else 0.0
+
     def grant_slow_start_quota(self, offset: float) -> SlowStartQuota:
         """Start to count attempts at this warming server; `offset` is the quota's, from 0 to 1."""
         self.slow_start_quota = SlowStartQuota(offset)
