--- a/tests/cache_router/decisions/test_hash_ring.py
+++ b/tests/cache_router/decisions/test_hash_ring.py
@@ -4,7 +4,16 @@
 
 import pytest
 
-from cache_router.decisions.hash_ring import ring_hash, virtual_nodes
+from cache_router.decisions.hash_ring import (
+    RANK_BITS,
+    RANK_MASK,
+    SLOT_MASK,
+    SUFFIX_BITS,
+    HashRing,
+    member_points,
+    ring_hash,
+    virtual_nodes,
+)
 from cache_router.endpoint import EndpointState
 from tests.support.driver import Driver, entry, settings
 from tests.support.reference_ring import primary_server, ring_positions
@@ -21,6 +30,23 @@
     assert virtual_nodes("s", 100)[:37] == virtual_nodes("s", 37)
 
 
+def test_points_hold_position_slot_and_rank() -> None:
+    points = member_points("s", slot=7, count=20)
+    assert tuple(point >> SUFFIX_BITS for point in points) == virtual_nodes("s", 20)
+    assert {point >> RANK_BITS & SLOT_MASK for point in points} == {7}
+    assert [point & RANK_MASK for point in points] == list(range(20))
+
+
+def test_walk_ranks_a_share_of_the_points_of_each_member_alike() -> None:
+    """A warming server has the points whose rank is at most its share; all routers have to agree on them."""
+    ring: HashRing[str] = HashRing()
+    ring.place("a", "a", 4)
+    ring.place("b", "b", 8)
+    walked = list(ring.walk(0))
+    assert sorted(rank for member, rank in walked if member == "a") == [0.125, 0.375, 0.625, 0.875]
+    assert sum(rank <= 0.5 for member, rank in walked if member == "b") == 4
+
+
 def test_primary_server_has_the_first_point_clockwise() -> None:
     driver = Driver(settings())
     driver.update_endpoints(entry("a", weight=2), entry("b", weight=1), entry("c", weight=1))
