--- a/cache_router/decisions/outlier_detection.py
+++ b/cache_router/decisions/outlier_detection.py
@@ -1,6 +1,6 @@
-"""Ejects a server after consecutive failures, for a time that grows with each failed trial.
+"""Outlier detection: ejects a server after consecutive failures; each failed trial doubles the ejection time.
 
-Without it, the keys of a server that fails each attempt at once would use up the retry budget.
+Without it, the keys of a server whose attempts all fail would use up the retry budget.
 """
 
 import math
@@ -10,10 +10,10 @@
 
 from cache_router.decisions.events import FAILED, AttemptStatus
 
-CONSECUTIVE_FAILURES = 3  # malformed answers come one at a time, the failures of a dead process together
+CONSECUTIVE_FAILURES = 3  # malformed answers occur singly, the failures of a dead process together
 MIN_EJECTION_TIME = 0.5  # seconds; doubled with each trial that fails
-EJECTION_JITTER = (0.5, 1.0)  # share of the ejection time, so that routers do not retry in step
-MAX_EJECTED_SHARE = 0.5  # of the caches; when more fail the cause lies elsewhere, and too few would be left
+EJECTION_JITTER = (0.5, 1.0)  # share of the ejection time, so that routers do not retry simultaneously
+MAX_EJECTED_SHARE = 0.5  # of the caches; when more fail the cause is elsewhere, and too few would remain
 
 
 @dataclass(slots=True, eq=False)
@@ -21,7 +21,7 @@
     """Consecutive failures of one server, and its ejection. Times are in seconds."""
 
     consecutive: int = 0
-    ejection_time: float = 0.0
+    ejection_time: float = 0.0  # of the latest ejection, before jitter
     ejected_until: float = -math.inf
 
     @property
@@ -33,6 +33,27 @@
         """Whether an attempt may be sent: none while ejected, and one at a time on trial."""
         return now >= self.ejected_until and not (in_flight and self.consecutive >= CONSECUTIVE_FAILURES)
 
+    def reset(self) -> None:
+        """Forget the failures; an ejection in effect lasts until its end."""
+        self.consecutive = 0
+        self.ejection_time = 0.0
+
+    def record_failure(self) -> None:
+        """Count an attempt that reached the server and failed."""
+        self.consecutive += 1
+
+    def record_failed_connect(self) -> None:
+        """Count a failed connect as enough failures for an ejection: nothing listens at the address.
+
+        In a large fleet each router connects to a server seldom, and would need long to see several failures.
+        """
+        self.consecutive += CONSECUTIVE_FAILURES
+
+    def eject(self, ejection_time: float, jitter: float, now: float) -> None:
+        """Eject the server for `ejection_time` seconds times `jitter`."""
+        self.ejection_time = ejection_time
+        self.ejected_until = now + ejection_time * jitter
+
 
 @dataclass(slots=True)
 class OutlierDetector:
@@ -50,23 +71,32 @@
         self._outliers = {history for history in ready if history.is_outlier}
 
     def record(self, history: FailureHistory, status: AttemptStatus, is_listed: bool, now: float) -> bool:
-        """Count the outcome of an attempt at a cache; True when it ejects the server."""
-        others = len(self._outliers) - (history in self._outliers)
-        is_share_used_up = others + 1 > MAX_EJECTED_SHARE * self._cache_count
+        """Count the outcome of an attempt at a cache; True when it ejects the server.
+
+        The maximum share does not protect servers that refuse connections, as they cannot serve in any case.
+        """
+        is_share_used_up = self._is_share_used_up(history)
         is_absent = status is AttemptStatus.CONNECT_FAILED
         if status not in FAILED or (is_share_used_up and not is_absent):
-            history.consecutive, history.ejection_time = 0, 0.0  # an ejection that runs ends in its own time
+            history.reset()
             self._outliers.discard(history)
             return False
-        # nothing listens there; a router that meets it once in seconds would need long to see three failures
-        history.consecutive += CONSECUTIVE_FAILURES if is_absent else 1
+        if is_absent:
+            history.record_failed_connect()
+        else:
+            history.record_failure()
         if not history.is_outlier:
             return False
         if is_listed:
             self._outliers.add(history)
         if now < history.ejected_until:
             return False
-        backoff = 0.0 if is_share_used_up else 2 * history.ejection_time
-        history.ejection_time = min(self.max_ejection_time, max(MIN_EJECTION_TIME, backoff))
-        history.ejected_until = now + history.ejection_time * self.generator.uniform(*EJECTION_JITTER)
+        doubled = 0.0 if is_share_used_up else 2 * history.ejection_time  # no growth beyond the maximum share
+        ejection_time = min(self.max_ejection_time, max(MIN_EJECTION_TIME, doubled))
+        history.eject(ejection_time, self.generator.uniform(*EJECTION_JITTER), now)
         return True
+
+    def _is_share_used_up(self, history: FailureHistory) -> bool:
+        """Whether one more outlier would exceed the maximum share; the server itself does not count."""
+        others = len(self._outliers) - (history in self._outliers)
+        return others + 1 > MAX_EJECTED_SHARE * self._cache_count
--- a/tests/cache_router/decisions/test_outlier_detection.py
+++ b/tests/cache_router/decisions/test_outlier_detection.py
@@ -1,11 +1,15 @@
-"""Servers that fail in a row or refuse connections are ejected."""
+"""Servers with consecutive failures or refused connections are ejected."""
 
 from __future__ import annotations
 
+import math
+import random
+
 import pytest
 
 from cache_router.decisions import concurrency_limit, events, outlier_detection
 from cache_router.decisions.events import AttemptStatus
+from cache_router.decisions.outlier_detection import CONSECUTIVE_FAILURES, FailureHistory, OutlierDetector
 from tests.support.driver import Driver, entry, settings
 from tests.support.router_scenarios import fleet, ignore_key_popularity, servers_clockwise
 
@@ -54,7 +58,7 @@
 
 
 def test_no_more_than_half_the_fleet_is_ejected() -> None:
-    """When all fail the cause lies elsewhere, and the rest would have no capacity for the load."""
+    """When all fail the cause is elsewhere, and the remaining ones would have no capacity for the load."""
     driver = Driver(settings())
     driver.update_endpoints(*fleet("a", "b", "c", "d"))
     for server in driver.router.endpoints.servers.values():
@@ -64,7 +68,7 @@
 
 
 def test_one_failed_connect_ejects_a_server() -> None:
-    """A router of many meets each server seldom: three failures would take it many seconds."""
+    """In a large fleet each router connects to a server seldom: three failures would take many seconds."""
     driver = Driver(settings())
     driver.update_endpoints(*(entry(s) for s in "abcdef"))
     absent = driver.request("r", key="k")
@@ -86,3 +90,87 @@
     last = driver.server("d")
     # beyond the maximum share the ejection time does not grow
     assert now < last.failures.ejected_until <= now + outlier_detection.MIN_EJECTION_TIME
+
+
+def test_history_is_an_outlier_from_the_last_of_the_consecutive_failures_on() -> None:
+    history = FailureHistory()
+    for _ in range(CONSECUTIVE_FAILURES - 1):
+        history.record_failure()
+        assert not history.is_outlier
+    history.record_failure()
+    assert history.is_outlier
+
+
+def test_one_failed_connect_makes_an_outlier() -> None:
+    history = FailureHistory()
+    history.record_failed_connect()
+    assert history.is_outlier
+
+
+def test_ejected_history_admits_one_attempt_at_a_time_after_its_end() -> None:
+    history = FailureHistory()
+    history.record_failed_connect()
+    history.eject(ejection_time=2.0, jitter=0.75, now=10.0)
+    assert (history.ejection_time, history.ejected_until) == (2.0, 11.5)
+    assert not history.admits(in_flight=0, now=11.4)
+    assert history.admits(in_flight=0, now=11.5)
+    assert not history.admits(in_flight=1, now=11.5)
+
+
+def test_reset_history_keeps_an_ejection_in_effect() -> None:
+    """An answer to an attempt sent before the ejection says nothing of the server now."""
+    history = FailureHistory()
+    history.record_failed_connect()
+    history.eject(ejection_time=2.0, jitter=1.0, now=10.0)
+    history.reset()
+    assert (history.consecutive, history.ejection_time) == (0, 0.0)
+    assert not history.admits(in_flight=0, now=11.9)
+    assert history.admits(in_flight=5, now=12.0)
+
+
+def eject_repeatedly(detector: OutlierDetector, history: FailureHistory, times: int) -> list[float]:
+    """Let each trial fail with a refused connection; the ejection times, in seconds."""
+    ejection_times = []
+    for _ in range(times):
+        now = max(0.0, history.ejected_until)
+        assert detector.record(history, AttemptStatus.CONNECT_FAILED, is_listed=True, now=now)
+        ejection_times.append(history.ejection_time)
+    return ejection_times
+
+
+def test_ejection_time_doubles_up_to_its_maximum() -> None:
+    histories = [FailureHistory() for _ in range(4)]
+    detector = OutlierDetector(3.0, random.Random(1))
+    detector.on_endpoint_update(histories)
+    assert eject_repeatedly(detector, histories[0], 5) == [0.5, 1.0, 2.0, 3.0, 3.0]
+
+
+def test_maximum_ejection_time_applies_beyond_the_maximum_share() -> None:
+    """A maximum below the minimum ejection time comes from a very short slow start."""
+    history = FailureHistory()
+    detector = OutlierDetector(0.2, random.Random(1))
+    detector.on_endpoint_update([history])
+    assert eject_repeatedly(detector, history, 2) == [0.2, 0.2]
+
+
+def test_failure_of_an_ejected_server_does_not_extend_its_ejection() -> None:
+    """Several attempts may be in flight when a server fails; their failures are one event."""
+    histories = [FailureHistory() for _ in range(4)]
+    detector = OutlierDetector(3.0, random.Random(1))
+    detector.on_endpoint_update(histories)
+    assert detector.record(histories[0], AttemptStatus.CONNECT_FAILED, is_listed=True, now=10.0)
+    end = histories[0].ejected_until
+    assert not detector.record(histories[0], AttemptStatus.CONNECT_FAILED, is_listed=True, now=10.1)
+    assert histories[0].ejected_until == end
+
+
+def test_history_of_an_unlisted_server_takes_nothing_of_the_maximum_share() -> None:
+    histories = [FailureHistory() for _ in range(2)]
+    detector = OutlierDetector(3.0, random.Random(1))
+    detector.on_endpoint_update(histories)
+    unlisted = FailureHistory()
+    detector.record(unlisted, AttemptStatus.CONNECT_FAILED, is_listed=False, now=0.0)
+    assert unlisted.is_outlier
+    for _ in range(CONSECUTIVE_FAILURES):
+        detector.record(histories[0], AttemptStatus.ERROR, is_listed=True, now=0.0)
+    assert histories[0].ejected_until > -math.inf
--- a/tests/cache_router/decisions/test_overload_backoff.py
+++ b/tests/cache_router/decisions/test_overload_backoff.py
@@ -2,9 +2,13 @@
 
 from __future__ import annotations
 
+import math
+import random
+
 import pytest
 
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, LoadReport
+from cache_router.decisions.overload_backoff import BACKOFF_JITTER, OverloadBackoff, OverloadState
 from tests.support.driver import Driver, entry, settings
 
 
@@ -17,8 +21,8 @@
     return server
 
 
-def test_overloaded_server_is_left_alone_until_its_queue_is_worked_off() -> None:
-    """Requests sent meanwhile would be answered after their deadline."""
+def test_overloaded_server_gets_no_requests_until_its_queue_has_drained() -> None:
+    """Requests sent before that would be answered after their deadline."""
     driver = Driver(settings())
     driver.update_endpoints(*(entry(s) for s in "abcdef"))
     first = report_overload(driver, "r0")
@@ -76,7 +80,7 @@
 
 @pytest.mark.parametrize("router_count", [40, 1000, 7100])
 def test_backoff_is_no_longer_than_a_slow_start(router_count: int) -> None:
-    """One service time for each of 7,100 routers would leave a server alone for minutes."""
+    """One service time for each of 7,100 routers would keep a server without requests for minutes."""
     driver = Driver(settings(router_count=router_count, slow_start_duration=9.0))
     driver.update_endpoints(*(entry(s) for s in "abcdef"))
     driver.router.overload.baseline_service_time = 0.05
@@ -89,3 +93,47 @@
     driver.update_endpoints(*(entry(s) for s in "abcdef"))
     first = report_overload(driver, "r", service_time=0.15, queue_length=12.0)  # 0.6 of the latency objective
     assert driver.request("s", key="k", finish=True) != first
+
+
+def reported(service_time: float, queue_length: float) -> AttemptCompleted:
+    """An answer with a load report."""
+    return AttemptCompleted("r", 0, AttemptStatus.OK, True, 0.01, LoadReport(service_time, queue_length))
+
+
+@pytest.mark.parametrize(
+    ("router_count", "baseline", "delay", "expected"),
+    [
+        (10, 0.05, 1.5, 1.5),  # until the queue has drained
+        (10, 0.05, 30.0, 5.0),  # half a slow start, however long the queue
+        (40, 0.05, 1.5, 2.0),  # one service time for each router
+        (1000, 0.05, 1.5, 10.0),  # a slow start, however large the fleet
+    ],
+)
+def test_backoff_is_the_longer_of_drain_time_and_service_times_of_the_fleet(
+    router_count: int, baseline: float, delay: float, expected: float
+) -> None:
+    conf = settings(router_count=router_count, slow_start_duration=10.0)
+    backoff = OverloadBackoff(conf, 1.0, random.Random(1), baseline_service_time=baseline)
+    state = OverloadState()
+    backoff.record(state, True, AttemptCompleted("r", 0, AttemptStatus.TIMEOUT, False, delay), now=100.0)
+    jitter = random.Random(1).uniform(*BACKOFF_JITTER)
+    assert state.backoff_until == 100.0 + expected * jitter
+
+
+def test_baseline_service_time_is_that_of_servers_without_a_queue() -> None:
+    """The service times of an overloaded server would lengthen the backoff from every server."""
+    backoff = OverloadBackoff(settings(), 1.0, random.Random(1))
+    state = OverloadState()
+    backoff.record(state, True, reported(0.1, 0.9), now=0.0)
+    baseline = backoff.baseline_service_time
+    assert baseline == pytest.approx(0.02)
+    backoff.record(state, True, reported(0.4, 1.0), now=0.0)
+    assert backoff.baseline_service_time == baseline
+
+
+def test_origin_gets_no_backoff() -> None:
+    """Requests for the origin wait in a queue of their own."""
+    backoff = OverloadBackoff(settings(), 1.0, random.Random(1))
+    state = OverloadState()
+    backoff.record(state, False, reported(0.5, 20.0), now=0.0)
+    assert state.backoff_until == -math.inf
