--- a/tests/cache_router/decisions/test_concurrency_limit.py
+++ b/tests/cache_router/decisions/test_concurrency_limit.py
@@ -2,14 +2,19 @@
 
 from __future__ import annotations
 
+import math
+
+import pytest
+
 from cache_router.decisions import concurrency_limit
-from cache_router.decisions.events import AttemptStatus
+from cache_router.decisions.concurrency_limit import DECREASE_FACTOR, INITIAL_LIMIT, ConcurrencyLimit
+from cache_router.decisions.events import ANSWERED, FAILED, AttemptStatus
 from tests.support.driver import Driver, Outcome, entry, settings
 from tests.support.router_scenarios import CACHE_ASIDE, fleet, request_and_miss
 
 
 def test_slow_answers_reduce_the_limit() -> None:
-    """Otherwise a server that is overloaded goes on to get as much as before."""
+    """Otherwise an overloaded server continues to get as much as before."""
     driver = Driver(settings())
     driver.update_endpoints(entry("a"))
     for n in range(40):
@@ -74,3 +79,60 @@
     driver.request("r1", key="k")
     driver.complete_attempt("r1", AttemptStatus.TIMEOUT, latency=2.0)
     assert driver.server("a").concurrency.limit >= concurrency_limit.INITIAL_LIMIT
+
+
+@pytest.mark.parametrize("status", ANSWERED)
+def test_fast_answer_raises_a_limit_in_use(status: AttemptStatus) -> None:
+    """Half of the limit was in flight, the completed attempt included."""
+    concurrency = ConcurrencyLimit(in_flight=1)
+    concurrency.adapt(status, latency=0.1, target_latency=0.5, now=1.0)
+    assert concurrency.limit == INITIAL_LIMIT + 1 / INITIAL_LIMIT
+
+
+def test_fast_answer_does_not_raise_an_unused_limit() -> None:
+    """The answers of a server that is hardly used say nothing of its capacity."""
+    concurrency = ConcurrencyLimit(in_flight=0)
+    concurrency.adapt(AttemptStatus.OK, latency=0.1, target_latency=0.5, now=1.0)
+    assert concurrency.limit == INITIAL_LIMIT
+
+
+def test_limit_decreases_once_in_a_target_latency() -> None:
+    """Attempts sent before a decrease are slow in any case; each would decrease the limit again."""
+    concurrency = ConcurrencyLimit(slowness=3.0, in_flight=4)
+    limits = []
+    for now in (1.0, 1.5, 1.6):
+        concurrency.adapt(AttemptStatus.OK, latency=2.0, target_latency=0.5, now=now)
+        limits.append(concurrency.limit)
+    decreased = INITIAL_LIMIT * DECREASE_FACTOR
+    assert limits == [decreased, decreased, decreased * DECREASE_FACTOR]
+
+
+def test_limit_is_never_below_one() -> None:
+    concurrency = ConcurrencyLimit(limit=1.0, in_flight=0)
+    concurrency.adapt(AttemptStatus.REJECTED, latency=0.01, target_latency=0.5, now=1.0)
+    assert concurrency.limit == 1.0
+
+
+@pytest.mark.parametrize("status", [*FAILED, AttemptStatus.NOT_SENT])
+def test_fast_failure_changes_no_estimate(status: AttemptStatus) -> None:
+    concurrency = ConcurrencyLimit(latency=0.2, slowness=0.5, in_flight=3)
+    concurrency.adapt(status, latency=9.0, target_latency=0.5, now=1.0)
+    assert (concurrency.latency, concurrency.slowness) == (0.2, 0.5)
+    assert concurrency.limit == INITIAL_LIMIT
+
+
+def test_rejection_does_not_count_towards_the_latency() -> None:
+    """A rejection is fast, which says nothing of how long answers take."""
+    concurrency = ConcurrencyLimit(latency=0.2, in_flight=3)
+    concurrency.adapt(AttemptStatus.REJECTED, latency=0.001, target_latency=0.5, now=1.0)
+    assert concurrency.latency == 0.2
+
+
+def test_server_is_silent_until_it_answers() -> None:
+    concurrency = ConcurrencyLimit()
+    concurrency.on_attempt_sent(1.0)
+    concurrency.on_attempt_sent(5.0)
+    assert not concurrency.is_silent(2.0, silence_timeout=1.0)
+    assert concurrency.is_silent(2.1, silence_timeout=1.0)
+    concurrency.on_answer()
+    assert not concurrency.is_silent(math.inf, silence_timeout=1.0)
--- a/tests/cache_router/decisions/test_idle_connections.py
+++ b/tests/cache_router/decisions/test_idle_connections.py
@@ -5,8 +5,9 @@
 import pytest
 
 from cache_router.decisions.actions import Action, CloseIdleConnections
+from cache_router.decisions.concurrency_limit import ConcurrencyLimit
 from cache_router.decisions.events import AttemptStatus
-from cache_router.decisions.idle_connections import KEEP_SHARE
+from cache_router.decisions.idle_connections import KEEP_SHARE, IdleConnections
 from cache_router.settings import Settings
 from tests.support.driver import Driver, settings
 from tests.support.router_scenarios import fleet
@@ -73,3 +74,44 @@
     assert driver.router.idle_connections.keep_share == KEEP_SHARE / 2
     driver.serve("r")
     assert KEEP_SHARE / 2 < driver.router.idle_connections.keep_share < KEEP_SHARE
+
+
+def idle_connections(router_count: int, connection_price: float, handshake_price: float) -> IdleConnections:
+    """The decision of a router that has had 200 requests in its 10 seconds."""
+    conf = settings(
+        router_count=router_count, connection_price=connection_price, handshake_price=handshake_price
+    )
+    return IdleConnections(conf, min_age=1.0, started_at=90.0, request_count=200)
+
+
+@pytest.mark.parametrize(
+    ("router_count", "connection_price", "handshake_price", "keep_time"),
+    [
+        # the fleet has 20 requests a second for each router; 0.5 * 0.06 / 0.03 * 100 connections at 30 caches
+        (150, 0.03, 0.06, 3000 / 3000),
+        (300, 0.03, 0.06, 3000 / 6000),
+        (300, 0.06, 0.06, 1500 / 6000),
+        # without a price 100 connections at each of 30 caches
+        (300, 0.0, 0.06, 3000 / 6000),
+    ],
+)
+def test_keep_time_follows_from_prices_and_the_request_rate(
+    router_count: int, connection_price: float, handshake_price: float, keep_time: float
+) -> None:
+    decision = idle_connections(router_count, connection_price, handshake_price)
+    concurrency = ConcurrencyLimit(last_completed_at=99.5)
+    time_left = decision.time_left(concurrency, cache_count=30, now=100.0)
+    assert time_left == pytest.approx(keep_time - 0.5)
+
+
+def test_connections_in_use_are_not_closed() -> None:
+    decision = idle_connections(300, 0.03, 0.06)
+    assert decision.time_left(ConcurrencyLimit(in_flight=1), cache_count=30, now=100.0) is None
+
+
+@pytest.mark.parametrize(("router_count", "is_kept"), [(100, True), (101, False)])
+def test_connections_without_a_price_are_kept_where_those_of_all_routers_fit(
+    router_count: int, is_kept: bool
+) -> None:
+    decision = idle_connections(router_count, 0.0, 0.06)
+    assert (decision.time_left(ConcurrencyLimit(), cache_count=30, now=100.0) is None) is is_kept
