--- a/cache_router/decisions/router.py
+++ b/cache_router/decisions/router.py
@@ -16,13 +16,14 @@
 from cache_router.decisions.fleet_health import FleetHealth
 from cache_router.decisions.hedging import Hedging
 from cache_router.decisions.idle_connections import IdleConnections
+from cache_router.decisions.key_popularity import KeyPopularity
 from cache_router.decisions.origin_queue import OriginQueue, latest_start
 from cache_router.decisions.outlier_detection import OutlierDetector
 from cache_router.decisions.overload_backoff import OverloadBackoff
 from cache_router.decisions.pending_request import Attempt, PendingRequest
 from cache_router.decisions.retry_policy import RetryBudget, RetryPolicy
 from cache_router.decisions.server import Server
-from cache_router.decisions.server_selection import KeyPopularity, ServerSelector
+from cache_router.decisions.server_selection import ServerSelector
 from cache_router.decisions.slow_start import SlowStart
 from cache_router.settings import Idempotency, RequestClass, Settings
 
