--- a/cache_router/decisions/key_popularity.py
+++ b/cache_router/decisions/key_popularity.py
@@ -1,21 +1,29 @@
-"""The popularity of keys, which decides over how many caches a key is spread."""
+"""The popularity of keys, which decides over how many caches the load of a key is spread."""
 
 
 class KeyPopularity:
-    """Shares of keys in this router's requests, in a memory that halves at intervals (seconds)."""
+    """Shares of keys in this router's requests; all counts are halved at intervals, so that old ones fade."""
 
     def __init__(self, halving_interval: float, now: float) -> None:
         self._halving_interval = halving_interval  # seconds
         self._halve_at = now
         self._counts: dict[str, int] = {}
-        self._total = 0.0
+        self._total = 0.0  # requests
 
     def count(self, key: str, cache_count: int, now: float) -> float:
-        """Count a request; the share of the key before it, as a key met twice by chance is not popular."""
+        """Count a request, and return the key's share of the requests, from 0 to 1.
+
+        The request itself is left out, so that a key's first request never counts as popular. A router with
+        fewer requests than caches divides by the number of caches, as its few counts are no estimate.
+        """
         if now > self._halve_at:
-            self._halve_at = now + self._halving_interval
-            self._counts = {known: count // 2 for known, count in self._counts.items() if count > 1}
-            self._total /= 2
+            self._halve(now)
         self._total += 1
         count = self._counts[key] = self._counts.get(key, 0) + 1
         return (count - 1) / max(self._total, cache_count)
+
+    def _halve(self, now: float) -> None:
+        """Halve all counts; a key with one request is forgotten, which bounds the memory."""
+        self._halve_at = now + self._halving_interval
+        self._counts = {key: count // 2 for key, count in self._counts.items() if count > 1}
+        self._total /= 2
--- a/cache_router/decisions/server_selection.py
+++ b/cache_router/decisions/server_selection.py
@@ -1,8 +1,8 @@
-"""Choosing the cache for a key: a walk on the hash ring with bounded loads.
+"""Server selection: a walk on the hash ring with bounded loads chooses the cache for a key.
 
-Each key goes to the first server clockwise of its hash; the walk goes on past servers whose load has reached
-(1 + epsilon) times the average ("Consistent Hashing with Bounded Loads"), and past those that may not be sent
-to now.
+Each key belongs to the first server clockwise of its hash. The walk continues past servers that may not be
+sent the request now, and past servers whose load is above a cap. The cap is (1 + epsilon) times the average
+load, as in Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with Bounded Loads" (2016).
 """
 
 import random
@@ -18,14 +18,14 @@
 from cache_router.decisions.server import Server
 from cache_router.decisions.slow_start import SlowStart
 
-EPSILON = 0.25  # a server may stand this far above the average load before the walk passes it
-MAX_POINTS_VISITED = 64  # no tour of the whole fleet for each request when all servers are loaded
-MAX_LOADED_SERVERS = 2  # further on servers lack the key, and the overflow of hits would turn into misses
+EPSILON = 0.25  # the load of a server may exceed the average by this share before the walk passes the server
+MAX_POINTS_VISITED = 64  # bounds the cost of a request when no server is eligible
+MAX_LOADED_SERVERS = 2  # servers beyond these lack the key: overflow would turn hits into misses
 
 
 @dataclass(slots=True)
 class ServerSelector:
-    """Chooses a cache by the state that the other parts keep of it."""
+    """Chooses a cache by the state that the other decisions keep of it."""
 
     endpoints: EndpointList
     slow_start: SlowStart
@@ -36,36 +36,49 @@
     generator: random.Random
 
     def choose(self, pending: PendingRequest, now: float) -> Server | None:
-        """The server for the request's next attempt, None when none may take it.
+        """The server for the request's next attempt, None when no server may take it.
 
-        A popular key's load flows clockwise, and each server keeps (1 + epsilon) fair shares of it. When all
-        are over the cap the first is as good as any, and likelier to have the key.
+        The load of a popular key is spread over as many servers clockwise as it needs. The request takes a
+        random place within that load, and with it one of these servers.
         """
         request = pending.request
         key = request.key if request.key is not None else request.request_id
+        key_share = self.popularity.count(key, len(self.endpoints.caches), now)
+        load_before = self.generator.random() * key_share
+        return self._walk(pending, ring_hash(key)[0], load_before, now)
+
+    def _walk(self, pending: PendingRequest, position: int, load_before: float, now: float) -> Server | None:
+        """The first eligible server clockwise of `position` beyond `load_before`, a share of all requests.
+
+        Each eligible server takes a part of the key's load: (1 + epsilon) times the server's share of the
+        fleet's size. When every server is above the cap the first eligible one is returned, which is the most
+        likely to have the key.
+        """
         endpoints = self.endpoints
-        flow = self.generator.random() * self.popularity.count(key, len(endpoints.caches), now)
-        cap = (1 + EPSILON) * max(1.0, endpoints.mean_reported_load)
+        success_rate = self.health.success_rate
+        load_cap = (1 + EPSILON) * max(1.0, endpoints.mean_reported_load)
         visited: set[Server] = set()
-        loaded = 0
-        first: Server | None = None
-        for server, rank in islice(endpoints.ring.walk(ring_hash(key)[0]), MAX_POINTS_VISITED):
-            share = self.slow_start.usable_share(server.endpoint, self.health.success_rate, now)
+        loaded_count = 0
+        first_eligible: Server | None = None
+        for server, rank in islice(endpoints.ring.walk(position), MAX_POINTS_VISITED):
+            if server in visited:
+                continue
+            usable_share = self.slow_start.usable_share(server.endpoint, success_rate, now)
             # all routers leave out the same points of a warming server, and no other load overflows to it
-            if rank > share or server in visited or (share < 1 and visited):
+            if rank > usable_share or (usable_share < 1 and visited):
                 continue
             visited.add(server)
             if self.is_eligible(pending, server, now):
-                first = first or server
-                flow -= (1 + EPSILON) * share * server.size / endpoints.total_size
-                # by chance, as all routers read the same late load
-                if flow <= 0 and server.reported_load * self.generator.random() <= cap:
+                first_eligible = first_eligible or server
+                load_before -= (1 + EPSILON) * usable_share * server.size / endpoints.total_size
+                # at random, as all routers read the same reported load, and late
+                if load_before <= 0 and server.reported_load * self.generator.random() <= load_cap:
                     return server
             elif self._is_loaded(server, now):
-                loaded += 1
-                if loaded >= MAX_LOADED_SERVERS:
+                loaded_count += 1
+                if loaded_count >= MAX_LOADED_SERVERS:
                     break
-        return first
+        return first_eligible
 
     def is_eligible(self, pending: PendingRequest, server: Server, now: float) -> bool:
         """Whether a server may be sent the request now."""
@@ -82,7 +95,7 @@
         return self.retry_policy.permits_attempt(pending, server, now)
 
     def _is_loaded(self, server: Server, now: float) -> bool:
-        """Whether load, and not a fault, keeps the request from a server."""
+        """Whether load, and not a fault, makes a server ineligible."""
         if now < server.overload.backoff_until:
             return True
         concurrency = server.concurrency
--- a/tests/cache_router/decisions/test_server_selection.py
+++ b/tests/cache_router/decisions/test_server_selection.py
@@ -91,7 +91,7 @@
 
 
 def test_two_requests_in_flight_do_not_split_a_key() -> None:
-    """Small counts exceed a plain cap by chance, and two servers would then cache the key."""
+    """Small counts exceed a plain cap at random, and two servers would then cache the key."""
     driver = Driver(settings())
     driver.update_endpoints(*(entry(f"s{n}") for n in range(90)))
     assert len({send_request(driver, f"r{n}", "k") for n in range(2)}) == 1
