--- a/cache_router/decisions/attempt_feedback.py
+++ b/cache_router/decisions/attempt_feedback.py
@@ -1,4 +1,4 @@
-"""What a completed attempt teaches: passes its outcome on to each part that keeps state of servers."""
+"""Feedback of completed attempts: forwards an outcome to each decision that keeps state of servers."""
 
 from dataclasses import dataclass
 
@@ -12,12 +12,16 @@
 from cache_router.decisions.server import Server
 from cache_router.decisions.slow_start import SlowStart
 
-NO_SIGN_OF_LIFE = (AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT)
+# statuses that do not show whether the server responds
+NO_RESPONSE = (AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT)
 
 
 @dataclass(slots=True)
 class AttemptFeedback:
-    """The order in which the parts learn of an attempt."""
+    """Notifies the decisions of a completed attempt, in a fixed order.
+
+    The concurrency limit adapts last, after an ejection has capped it.
+    """
 
     endpoints: EndpointList
     slow_start: SlowStart
@@ -27,27 +31,27 @@
     idle_connections: IdleConnections
 
     def on_attempt_completed(self, attempt: Attempt, event: AttemptCompleted, now: float) -> None:
-        """Learn from an attempt that has just ended."""
+        """Record the outcome of an attempt that has just ended."""
         server = attempt.server
         status = event.status
         server.concurrency.on_attempt_completed(now)
-        if status not in NO_SIGN_OF_LIFE:
+        if status not in NO_RESPONSE:
             server.concurrency.on_answer()
             if server.is_cache:
                 self.detect_outlier(server, status, now)
         self.overload.record(server.overload, server.is_cache, event, now)
         self.idle_connections.on_attempt_completed(status)
         if server.is_cache:
-            self._learn_of_caches(server, event, now)
+            self._record_cache_outcome(server, event, now)
         server.concurrency.adapt(status, event.latency, attempt.target_latency, now)
 
     def detect_outlier(self, server: Server, status: AttemptStatus, now: float) -> None:
-        """Count a status that a cache answered with, or its failure."""
+        """Count the status of an attempt at a cache, and cap the limit of a cache that this ejects."""
         is_listed = self.endpoints.is_listed(server)
         if self.outliers.record(server.failures, status, is_listed, now):
             server.concurrency.cap_at_initial()
 
-    def _learn_of_caches(self, server: Server, event: AttemptCompleted, now: float) -> None:
+    def _record_cache_outcome(self, server: Server, event: AttemptCompleted, now: float) -> None:
         is_good = event.status in ANSWERED
         self.health.record(is_good, event.latency, server.reported_load)
         if is_good:
--- a/cache_router/decisions/fleet_health.py
+++ b/cache_router/decisions/fleet_health.py
@@ -1,18 +1,23 @@
-"""How the caches answer this router as a whole: success rate and queueing latency, both smoothed."""
+"""The health of all caches together, as this router measures it: success rate and queueing latency."""
 
 from dataclasses import dataclass
 
-SMOOTHING = 0.2  # weight of the latest sample in every smoothed mean: about the last five count
+# weight of the latest sample in every exponentially weighted mean: about the last five samples count
+SMOOTHING = 0.2
 
 
 @dataclass(slots=True)
 class FleetHealth:
-    """Means over all attempts at caches."""
+    """Exponentially weighted means over all attempts at caches."""
 
     success_rate: float = 1.0  # share of attempts answered with a value or a miss
     queueing_latency: float = 0.0  # seconds for each request in flight at a unit of size, this one included
 
     def record(self, is_good: bool, latency: float, reported_load: float) -> None:
-        """Count one attempt at a cache; `latency` in seconds."""
+        """Count one attempt at a cache.
+
+        `latency` is in seconds, `reported_load` in requests in flight for each unit of size.
+        """
+        latency_per_request = latency / (1 + reported_load)
         self.success_rate += SMOOTHING * (is_good - self.success_rate)
-        self.queueing_latency += SMOOTHING * (latency / (1 + reported_load) - self.queueing_latency)
+        self.queueing_latency += SMOOTHING * (latency_per_request - self.queueing_latency)
--- a/tests/cache_router/decisions/test_slow_start_quota.py
+++ b/tests/cache_router/decisions/test_slow_start_quota.py
@@ -1,4 +1,4 @@
-"""The quota of a warming server at one router, against figures worked out by hand."""
+"""The quota of a warming server at one router, against figures computed by hand."""
 
 from __future__ import annotations
 
