--- a/cache_router/decisions/router.py
+++ b/cache_router/decisions/router.py
@@ -24,6 +24,7 @@
 from cache_router.decisions.hedging import Hedging
 from cache_router.decisions.idle_connection_closer import IdleConnectionCloser
 from cache_router.decisions.idle_connections import IdleConnections
+from cache_router.decisions.key_popularity import KeyPopularity
 from cache_router.decisions.open_requests import OpenRequests
 from cache_router.decisions.origin_queue import OriginQueue
 from cache_router.decisions.origin_scheduler import OriginScheduler
@@ -32,7 +33,7 @@
 from cache_router.decisions.pending_request import Attempt, PendingRequest
 from cache_router.decisions.request_lifecycle import RequestLifecycle
 from cache_router.decisions.retry_policy import RetryBudget, RetryPolicy
-from cache_router.decisions.server_selection import KeyPopularity, ServerSelector
+from cache_router.decisions.server_selection import ServerSelector
 from cache_router.decisions.slow_start import SlowStart
 from cache_router.decisions.subscription import EndpointSubscription
 from cache_router.settings import Settings
