--- /dev/null
+++ b/scale_experiments/emulators/cache/__init__.py
@@ -0,0 +1,1 @@
+"""Page caches and the origin behind them, as one process."""
--- /dev/null
+++ b/scale_experiments/emulators/clients/__init__.py
@@ -0,0 +1,1 @@
+"""Clients of routers, as one process."""
--- /dev/null
+++ b/scale_experiments/emulators/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Discovery, as one process."""
--- a/scale_experiments/emulators/discovery.py
+++ b/scale_experiments/emulators/discovery/emulator.py
@@ -1,55 +1,32 @@
-"""Discovery: whole lists and watches over HTTP/1.1, for many thousands of waiting polls.
-
-    python -m scale_experiments.emulators.discovery 127.0.1.1:0
-
-Several processes that get the same changes under the same indices act as one discovery, at one address each.
-Modes:
-
-- "serve": polls are answered.
-- "silent": polls are accepted, read and never answered.
-- "refuse": all connections are reset and new ones refused.
-- "busy": polls are answered by 503 after a delay.
-
-Commands: `ReplaceList`, `ChangeList`, `SetDiscoveryMode`, `ResetUnanswered` and `GetDiscoveryStats` of
-`scale_experiments.emulators.messages`.
-"""
+"""One process of discovery: its list, its connections and its counts."""
 
 from __future__ import annotations
 
 import asyncio
-import sys
 import time
 from collections import deque
 from collections.abc import Sequence
 from dataclasses import asdict
-from typing import cast, get_args
-from urllib.parse import parse_qs, urlsplit
+from typing import get_args
 
-import orjson
-
-from scale_experiments.emulators.codec import encode
-from scale_experiments.emulators.control import process_usage, serve_commands
-from scale_experiments.emulators.endpoint_registry import Entry, Registry
+from scale_experiments.emulators.control import process_usage
+from scale_experiments.emulators.discovery.endpoint_registry import Entry, Registry
+from scale_experiments.emulators.discovery.poll_connection import PollConnection
 from scale_experiments.emulators.messages.discovery import (
     ChangeList,
     ConnectionsReset,
     DiscoveryMode,
     DiscoveryStats,
     GetDiscoveryStats,
-    Listening,
     ReplaceList,
     ResetUnanswered,
     SetDiscoveryMode,
     Timestamp,
 )
 
-MAX_HEAD_BYTES = 8192  # of a poll
-MAX_WAIT_MS = 60_000
 BUCKET_SECONDS = 0.1  # of the counts of polls over time
 MAX_BUCKETS = 6000
 BACKLOG = 4096
-
-
 DiscoveryCommand = ReplaceList | ChangeList | SetDiscoveryMode | ResetUnanswered | GetDiscoveryStats
 COMMAND_TYPES: dict[str, type[DiscoveryCommand]] = {
     **{each.do: each for each in (ReplaceList, ChangeList, ResetUnanswered, GetDiscoveryStats)},
@@ -57,98 +34,6 @@
 }
 
 
-class PollError(ValueError):
-    """A poll that is not of the protocol."""
-
-
-def parse_poll(target: str) -> tuple[int | None, int]:
-    """The index and the wait in milliseconds of a poll's target; raises PollError."""
-    parts = urlsplit(target)
-    if parts.path != "/registry/instances":
-        raise PollError("no such path")
-    query = parse_qs(parts.query)
-    try:
-        after = int(query["after"][0]) if "after" in query else None
-        wait_ms = int(query["wait_ms"][0]) if "wait_ms" in query else 0
-    except ValueError as e:
-        raise PollError("not a number") from e
-    return after, min(max(0, wait_ms), MAX_WAIT_MS)
-
-
-def encode_response(status: str, body: bytes, close: bool) -> bytes:
-    """An HTTP/1.1 response."""
-    ending = b"Connection: close\r\n" if close else b""
-    head = b"HTTP/1.1 %b\r\nContent-Length: %d\r\n%b\r\n" % (status.encode(), len(body), ending)
-    return head + body
-
-
-class PollConnection(asyncio.Protocol):
-    """One connection: a poll at a time, in the order in which they come."""
-
-    __slots__ = ("after", "buffer", "close_after", "discovery", "is_unanswered", "timer", "transport")
-
-    def __init__(self, discovery: DiscoveryEmulator) -> None:
-        self.discovery = discovery
-        self.buffer = b""
-        self.after: int | None = None
-        self.close_after = False
-        self.is_unanswered = False  # a poll has no response yet
-        self.timer: asyncio.TimerHandle | None = None
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the connection."""
-        self.transport = cast(asyncio.Transport, transport)
-        self.discovery.on_connected(self)
-
-    def data_received(self, data: bytes) -> None:
-        """Read a poll, unless one has no response yet."""
-        self.discovery.bytes_in += len(data)
-        self.buffer += data
-        if len(self.buffer) > MAX_HEAD_BYTES:
-            self.transport.abort()
-        elif not self.is_unanswered:
-            self._read_poll()
-
-    def _read_poll(self) -> None:
-        head, found, self.buffer = self.buffer.partition(b"\r\n\r\n")
-        if not found:
-            self.buffer = head
-            return
-        first, _, fields = head.partition(b"\r\n")
-        self.close_after = b"connection: close" in fields.lower()
-        try:
-            method, target, _ = first.decode("ascii").split(" ")
-            if method != "GET":
-                raise PollError("not a GET")
-            self.after, wait_ms = parse_poll(target)
-        except ValueError:  # also PollError, and text that is not ASCII
-            self.close_after = True
-            self.write("400 Bad Request", b"")
-            return
-        self.is_unanswered = True
-        self.discovery.on_poll(self, wait_ms)
-
-    def write(self, status: str, body: bytes) -> None:
-        """Respond to the poll; the next one may have come meanwhile."""
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
-        self.is_unanswered = False
-        data = encode_response(status, body, self.close_after)
-        self.discovery.bytes_out += len(data)
-        self.transport.write(data)
-        if self.close_after:
-            self.transport.close()
-        elif self.buffer:
-            self._read_poll()
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection and its poll."""
-        if self.timer is not None:
-            self.timer.cancel()
-        self.discovery.on_disconnected(self)
-
-
 class DiscoveryEmulator:
     """One process of discovery: its list, its connections, its counts."""
 
@@ -279,18 +164,3 @@
                     self.busy_after_s = command.after_s
                 await self.set_mode(command.do)
         return Timestamp(time.monotonic())
-
-
-async def main(listen: str) -> None:
-    """Serve at an address until standard input ends; the first line on standard output tells the address."""
-    discovery = DiscoveryEmulator()
-    host, _, port = listen.rpartition(":")
-    discovery.address = (host, int(port))
-    await discovery.listen()
-    listening = Listening("{}:{}".format(*discovery.address))
-    print(orjson.dumps(encode(listening)).decode(), flush=True)
-    await serve_commands(discovery.handle, COMMAND_TYPES)
-
-
-if __name__ == "__main__":
-    asyncio.run(main(sys.argv[1]))
--- a/tests/scale_experiments/test_emulators.py
+++ b/tests/scale_experiments/test_emulators.py
@@ -12,7 +12,8 @@
 
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.net.discovery import Discovery
-from scale_experiments.emulators.cache import Cache, CacheCluster
+from scale_experiments.emulators.cache.cluster import CacheCluster
+from scale_experiments.emulators.cache.server import Cache
 from scale_experiments.emulators.codec import (
     Command,
     CommandError,
@@ -21,8 +22,8 @@
     encode,
     encode_command,
 )
-from scale_experiments.emulators.discovery import DiscoveryEmulator
-from scale_experiments.emulators.endpoint_registry import Registry
+from scale_experiments.emulators.discovery.emulator import DiscoveryEmulator
+from scale_experiments.emulators.discovery.endpoint_registry import Registry
 from scale_experiments.emulators.messages.caches import CacheSettings, CachesStats, SetCacheMode, StartCaches
 from scale_experiments.emulators.messages.clients import GetClientsStats, PauseClients
 from scale_experiments.emulators.messages.discovery import (
