--- a/scale_experiments/emulators/cache/__main__.py
+++ b/scale_experiments/emulators/cache/__main__.py
@@ -1,17 +1,21 @@
-"""Page caches, some hundreds in one process at an address each, and the origin behind them.
+"""Emulates page caches, each at an address of its own, and the origin behind them.
 
     python -m scale_experiments.emulators.cache
 
-A cache only stores: it reports a miss, and has the key once the origin has answered that request. The first
-request on a connection takes `handshake_s` longer, as TLS would. A connection over the limit is rejected
-at its first request. Modes of a cache:
+The process reads commands from standard input, one JSON object a line, and writes a reply to each on
+standard output. It ends with its standard input. The commands are `StartCaches`, `GetCachesStats` and
+`SetCacheMode` of `scale_experiments.emulators.messages.caches`.
+
+Caches speak the router's protocol over RESP2. A cache never fetches a key itself: it reports a miss, and
+stores the key once the origin has answered the request that missed. The first request on a connection takes
+`handshake_s` longer, as a TLS handshake would. A connection over the limit is rejected at its first request.
+
+Modes of a cache:
 
 - "serve": requests are served.
 - "drain": requests are rejected.
 - "hang": requests are read and never answered.
-- "dead": connections are reset, new ones refused, and all keys are lost.
-
-Commands: `StartCaches`, `GetCachesStats` and `SetCacheMode` of `scale_experiments.emulators.messages`.
+- "dead": connections are reset, new ones are refused, and all keys are lost.
 """
 
 from __future__ import annotations
--- a/scale_experiments/emulators/cache/connection.py
+++ b/scale_experiments/emulators/cache/connection.py
@@ -1,66 +1,108 @@
-"""A connection to a page cache."""
+"""A connection to a page cache: reads requests, and writes replies after their service time."""
 
 from __future__ import annotations
 
 import asyncio
 from collections import deque
-from typing import TYPE_CHECKING, cast
+from typing import Protocol, cast
 
 from cache_router.net.resp import INCOMPLETE, RespError, RespReader
-
-if TYPE_CHECKING:
-    from scale_experiments.emulators.cache.server import Cache
+from scale_experiments.emulators.messages.caches import CacheSettings
 
 MAX_ARRAY_LENGTH = 16  # of a request
 MAX_VALUE_BYTES = 64 * 1024
 MAX_REQUEST_BYTES = MAX_VALUE_BYTES + 8192
+PING_REPLY = b"+PONG\r\n"
+REJECTED_REPLY = b"-BUSY\r\n"
 
 
-class CacheConnection(asyncio.Protocol):
-    """One connection to a cache; answers go out in the order of the requests."""
+class ConnectionOwner(Protocol):
+    """The page cache as its connections see it."""
+
+    @property
+    def settings(self) -> CacheSettings:
+        """The settings of the cache."""
+        ...
+
+    @property
+    def is_hanging(self) -> bool:
+        """Whether requests are read and never answered."""
+        ...
+
+    def on_connected(self, connection: CacheConnection) -> bool:
+        """Add a connection; returns whether it is over the limit."""
+        ...
+
+    def on_disconnected(self, connection: CacheConnection, unsent_replies: int) -> None:
+        """Remove a connection, and drop the replies that it had queued."""
+        ...
+
+    def handle_read(self, key: bytes, request_id: bytes, *, is_over_limit: bool) -> bytes | None:
+        """Handle a read; returns its reply without the load report, or None where it is rejected."""
+        ...
+
+    def handle_write(self, request_id: bytes, *, is_over_limit: bool) -> bytes | None:
+        """Handle a write; returns its reply without the load report, or None where it is rejected."""
+        ...
 
-    def __init__(self, cache: Cache) -> None:
-        self.cache = cache
-        self.reader = RespReader(MAX_ARRAY_LENGTH, MAX_VALUE_BYTES, MAX_REQUEST_BYTES)
-        self.reply_at = 0.0  # when the latest reply goes out: a later request's does not overtake it
-        self.over_limit = False
-        self.requests = 0
-        self.idle_timer: asyncio.TimerHandle | None = None
-        self.pending_replies: deque[bytes] = deque()  # answers, a timer each
+    def on_reply_queued(self) -> None:
+        """Count a request that waits for its service time to pass."""
+        ...
+
+    def on_reply_due(self) -> None:
+        """Count a request whose service time has passed."""
+        ...
+
+    def load_report(self) -> bytes:
+        """The load report that ends a reply."""
+        ...
+
+
+class CacheConnection(asyncio.Protocol):
+    """One connection to a cache; replies are sent in the order of the requests."""
+
+    def __init__(self, cache: ConnectionOwner) -> None:
+        self._cache = cache
+        self._reader = RespReader(MAX_ARRAY_LENGTH, MAX_VALUE_BYTES, MAX_REQUEST_BYTES)
+        self._reply_at = (
+            0.0  # when the latest reply is due: the reply to a later request does not overtake it
+        )
+        self._is_over_limit = False
+        self._served_requests = 0
+        self._idle_timer: asyncio.TimerHandle | None = None
+        self._pending_replies: deque[bytes] = deque()  # without their load reports; a timer for each
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the connection, and find out whether it is over the limit."""
-        self.transport = cast(asyncio.Transport, transport)
-        cache = self.cache
-        cache.accepted += 1
-        cache.connections[self] = None
-        cache.max_open = max(cache.max_open, len(cache.connections))
-        self.over_limit = len(cache.connections) > cache.cluster.settings.max_connections
-        cache.handshakes += not self.over_limit
+        """Add the connection to the cache."""
+        self._transport = cast(asyncio.Transport, transport)
+        self._is_over_limit = self._cache.on_connected(self)
         self._restart_idle_timer()
 
+    def abort(self) -> None:
+        """Reset the connection."""
+        self._transport.abort()
+
     def _restart_idle_timer(self) -> None:
-        """The machine closes a connection that is idle for so long."""
-        if self.idle_timer is not None:
-            self.idle_timer.cancel()
-        idle_s = self.cache.cluster.settings.idle_s
-        self.idle_timer = asyncio.get_running_loop().call_later(idle_s, self._on_idle)
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+        loop = asyncio.get_running_loop()
+        self._idle_timer = loop.call_later(self._cache.settings.idle_s, self._close_if_idle)
 
-    def _on_idle(self) -> None:
-        if not self.pending_replies and self.cache.mode != "hang":
-            self.transport.close()
+    def _close_if_idle(self) -> None:
+        if not self._pending_replies and not self._cache.is_hanging:
+            self._transport.close()
 
     def data_received(self, data: bytes) -> None:
         """Handle the requests that are complete, unless the cache hangs."""
-        if self.cache.mode == "hang":
+        if self._cache.is_hanging:
             return
-        self.reader.feed(data)
+        self._reader.feed(data)
         try:
-            while (parts := self.reader.next()) is not INCOMPLETE:
+            while (parts := self._reader.next()) is not INCOMPLETE:
                 self._handle_request(parts)
         except RespError as e:
-            self.transport.write(b"-SYNTAX %b\r\n" % str(e).encode())
-            self.transport.close()
+            self._transport.write(b"-SYNTAX %b\r\n" % str(e).encode())
+            self._transport.close()
 
     def _handle_request(self, parts: object) -> None:
         """Carry out a command; raises RespError for one that is not of the protocol."""
@@ -68,58 +110,51 @@
             raise RespError("not a command")
         match [bytes(p) for p in parts]:
             case [b"PING"]:
-                self.transport.write(b"+PONG\r\n")
+                self._transport.write(PING_REPLY)
             case [b"C.GET", key, request_id, _]:
-                self._answer_request(request_id, self.cache.contains(key))
+                reply = self._cache.handle_read(key, request_id, is_over_limit=self._is_over_limit)
+                self._respond(reply)
             case [b"C.SET", _, request_id, _, _]:
-                # writes go to the origin; one that comes here is a miss
-                self._answer_request(request_id, False)
+                reply = self._cache.handle_write(request_id, is_over_limit=self._is_over_limit)
+                self._respond(reply)
             case _:
                 raise RespError("unknown command")
 
-    def _answer_request(self, request_id: bytes, is_hit: bool) -> None:
-        cache, cluster = self.cache, self.cache.cluster
-        cache.requests += 1
-        if self.over_limit or cache.mode == "drain":
-            cache.rejected += 1
-            self.transport.write(b"-BUSY\r\n")
-            if self.over_limit:
-                self.transport.close()
+    def _respond(self, reply: bytes | None) -> None:
+        """Queue a reply, or send a rejection at once; a connection over the limit is then closed."""
+        if reply is not None:
+            self._queue_reply(reply)
             return
-        self.requests += 1
-        if is_hit:
-            cache.hits += 1
-            self._queue_reply(b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n" % (len(cluster.value), cluster.value))
-        else:
-            cache.misses += 1
-            cluster.on_miss(request_id, cache)
-            self._queue_reply(b"*3\r\n$-1\r\n$4\r\nmiss\r\n")
+        self._transport.write(REJECTED_REPLY)
+        if self._is_over_limit:
+            self._transport.close()
 
     def _queue_reply(self, reply: bytes) -> None:
-        """Send a reply, without its load report, once its time of service is over."""
+        """Send a reply once its service time has passed; the first one also takes the handshake's time."""
         loop = asyncio.get_running_loop()
-        settings = self.cache.cluster.settings
-        duration_s = settings.service_s + (settings.handshake_s if self.requests == 1 else 0.0)
-        self.reply_at = max(self.reply_at, loop.time() + duration_s)
-        self.cache.waiting += 1
-        self.pending_replies.append(reply)
-        loop.call_at(self.reply_at, self._send_reply)
+        settings = self._cache.settings
+        handshake_s = settings.handshake_s if self._served_requests == 0 else 0.0
+        self._served_requests += 1
+        self._reply_at = max(self._reply_at, loop.time() + (settings.service_s + handshake_s))
+        self._cache.on_reply_queued()
+        self._pending_replies.append(reply)
+        loop.call_at(self._reply_at, self._send_reply)
 
     def _send_reply(self) -> None:
-        if not self.pending_replies:  # the connection has ended
+        if not self._pending_replies:  # the connection has ended
             return
-        reply = self.pending_replies.popleft()
-        self.cache.waiting -= 1
-        if self.cache.mode == "hang":
+        reply = self._pending_replies.popleft()
+        self._cache.on_reply_due()
+        if self._cache.is_hanging:
             return
-        report = self.cache.report()
-        self.transport.write(reply + b"$%d\r\n%b\r\n" % (len(report), report))
+        report = self._cache.load_report()
+        self._transport.write(reply + b"$%d\r\n%b\r\n" % (len(report), report))
         self._restart_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection and the replies that it waited for."""
-        if self.idle_timer is not None:
-            self.idle_timer.cancel()
-        self.cache.waiting -= len(self.pending_replies)
-        self.pending_replies.clear()
-        self.cache.connections.pop(self, None)
+        """Remove the connection from the cache, with the replies that were not sent."""
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+        unsent_replies = len(self._pending_replies)
+        self._pending_replies.clear()
+        self._cache.on_disconnected(self, unsent_replies)
--- a/scale_experiments/emulators/cache/emulator.py
+++ b/scale_experiments/emulators/cache/emulator.py
@@ -1,4 +1,4 @@
-"""The caches and the origin of a process, driven by the commands of its control channel."""
+"""The page caches and the origin of a process, and the commands of its control channel."""
 
 from __future__ import annotations
 
@@ -7,9 +7,11 @@
 from dataclasses import asdict
 from typing import get_args
 
+from cache_router.net.address import parse_address
 from scale_experiments.emulators.cache.cluster import CacheCluster
 from scale_experiments.emulators.cache.origin import Origin
-from scale_experiments.emulators.cache.server import Cache
+from scale_experiments.emulators.cache.server import CacheServer
+from scale_experiments.emulators.codec import types_by_name
 from scale_experiments.emulators.control import process_usage
 from scale_experiments.emulators.messages.caches import (
     CacheMode,
@@ -22,71 +24,68 @@
 )
 from scale_experiments.emulators.messages.common import Done
 
-SAMPLE_INTERVAL_S = 0.1  # between counts of open connections
+SAMPLE_INTERVAL_S = 0.1  # between samples of the number of open connections
 CachesCommand = StartCaches | SetCacheMode | GetCachesStats
-COMMAND_TYPES: dict[str, type[CachesCommand]] = {
-    each.do: each for each in (StartCaches, SetCacheMode, GetCachesStats)
-}
+COMMAND_TYPES = types_by_name(StartCaches, SetCacheMode, GetCachesStats)
 
 
 class CachesEmulator:
-    """All that the process emulates, driven by the commands of its control channel."""
+    """All that the process emulates."""
 
     def __init__(self) -> None:
-        self.caches: dict[str, Cache] = {}
-        self.origin: Origin | None = None
-        self.samples = 0
-        self.sampling: asyncio.Task[None] | None = None
+        self._caches: dict[str, CacheServer] = {}  # by name
+        self._origin: Origin | None = None
+        self._samples = 0
+        self._sampling: asyncio.Task[None] | None = None
 
-    async def start(self, command: StartCaches) -> CachesStarted:
-        """Start the caches and the origin; raises OSError if an address can't be used."""
+    async def handle(self, command: CachesCommand) -> object:
+        """Carry out a command of the control channel; returns the reply.
+
+        Raises:
+            OSError: An address cannot be used.
+            KeyError: There is no cache of a name.
+            ValueError: There is no such mode, or an address is not host:port.
+        """
+        match command:
+            case StartCaches():
+                return await self._start(command)
+            case GetCachesStats():
+                return self._stats()
+            case SetCacheMode():
+                await self._set_mode(command)
+        return Done()
+
+    async def _start(self, command: StartCaches) -> CachesStarted:
         cluster = CacheCluster(command)
         for name, address in command.addresses.items():
-            self.caches[name] = Cache(cluster, name, _parse_address(address))
-        caches = list(self.caches.values())
-        for cache in caches:
+            self._caches[name] = CacheServer(cluster, name, parse_address(address))
+        for cache in list(self._caches.values()):
             await cache.listen()
-        self.origin = Origin(
-            lambda key, request_id, is_write: cluster.on_fetched(key, request_id, is_write, caches),
-            cluster.value,
-            command.origin_service_s,
-            command.origin_max_concurrent,
+        self._origin = Origin(
+            cluster.on_fetched, cluster.value, command.origin_service_s, command.origin_max_concurrent
         )
-        self.sampling = asyncio.create_task(self._sample())
-        return CachesStarted("{}:{}".format(*await self.origin.listen(*_parse_address(command.origin))))
+        self._sampling = asyncio.create_task(self._sample_connections())
+        host, port = await self._origin.listen(*parse_address(command.origin))
+        return CachesStarted(f"{host}:{port}")
 
-    async def _sample(self) -> None:
+    async def _sample_connections(self) -> None:
         while True:
-            self.samples += 1
-            for cache in self.caches.values():
-                cache.open_sum += len(cache.connections)
+            self._samples += 1
+            for cache in self._caches.values():
+                cache.sample_connections()
             await asyncio.sleep(SAMPLE_INTERVAL_S)
 
-    def stats(self) -> CachesStats:
-        """Counts of each cache and the origin since the start, and what the process has used."""
+    async def _set_mode(self, command: SetCacheMode) -> None:
+        if command.mode not in get_args(CacheMode):
+            raise ValueError(f"no such mode: {command.mode}")
+        for name in command.names:
+            await self._caches[name].set_mode(command.mode)
+
+    def _stats(self) -> CachesStats:
         return CachesStats(
             time=time.time(),
-            samples=self.samples,
-            caches={cache.name: cache.counters() for cache in self.caches.values()},
-            origin=self.origin.counters() if self.origin is not None else OriginCounters(),
+            samples=self._samples,
+            caches={cache.name: cache.counters() for cache in self._caches.values()},
+            origin=self._origin.counters() if self._origin is not None else OriginCounters(),
             **asdict(process_usage()),
         )
-
-    async def handle(self, command: CachesCommand) -> object:
-        """Carry out a command of the control channel; returns the reply."""
-        match command:
-            case StartCaches():
-                return await self.start(command)
-            case GetCachesStats():
-                return self.stats()
-            case SetCacheMode():
-                if command.mode not in get_args(CacheMode):
-                    raise ValueError(f"no such mode: {command.mode}")
-                for name in command.names:
-                    await self.caches[name].set_mode(command.mode)
-        return Done()
-
-
-def _parse_address(address: str) -> tuple[str, int]:
-    host, _, port = address.rpartition(":")
-    return host, int(port)
--- a/scale_experiments/emulators/cache/origin.py
+++ b/scale_experiments/emulators/cache/origin.py
@@ -1,7 +1,4 @@
-"""The origin: slow, over HTTP/1.1, with a capacity of so many fetches at a time.
-
-It notifies the caches of what was fetched or written.
-"""
+"""The origin: answers reads and writes over HTTP/1.1 after a delay, and only so many at a time."""
 
 from __future__ import annotations
 
@@ -17,49 +14,93 @@
 MAX_HEAD_BYTES = 16 * 1024
 BACKLOG = 1024
 BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+REJECTED_STATUS = b"503 Service Unavailable\r\nNot-Started: 1"  # with a header: the request was not started
+WRITE_RECEIPT = b"receipt"
 # called with the key, the request's id and whether it was a write
 OnFetched = Callable[[bytes, bytes, bool], None]
 
 
+@dataclass(slots=True, frozen=True)
+class OriginRequest:
+    """The head of a read or a write."""
+
+    key: bytes
+    request_id: bytes
+    is_write: bool
+    body_bytes: int
+
+
 class Origin:
-    """What all connections to the origin share: seconds of a fetch, how many at a time, and the counts."""
+    """What all connections to the origin share: the requests in progress, and the counts.
+
+    Each request takes `service_s` seconds. The origin rejects a request while `max_concurrent` others are in
+    progress. `on_fetched` is called with each completed request, before its response is sent.
+    """
 
     def __init__(self, on_fetched: OnFetched, value: bytes, service_s: float, max_concurrent: int) -> None:
-        self.on_fetched = on_fetched
-        self.value = value
         self.service_s = service_s
-        self.max_concurrent = max_concurrent
-        self.concurrent = self.requests = self.rejected = self.connections = self.open = self.max_open = 0
-        self.server: asyncio.Server | None = None
+        self._on_fetched = on_fetched
+        self._value = value
+        self._max_concurrent = max_concurrent
+        self._concurrent = 0
+        self._requests = 0
+        self._rejected = 0
+        self._connections = 0
+        self._open = 0
+        self._max_open = 0
+        self._listener: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
-        """Accept connections; returns the address, whose port is a free one for 0. Raises OSError."""
+        """Accept connections; returns host and port, a free one where `port` is 0.
+
+        Raises:
+            OSError: The address cannot be used.
+        """
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: OriginConnection(self), host, port, backlog=BACKLOG)
-        address: tuple[str, int] = self.server.sockets[0].getsockname()
+        self._listener = await loop.create_server(lambda: OriginConnection(self), host, port, backlog=BACKLOG)
+        address: tuple[str, int] = self._listener.sockets[0].getsockname()
         return address
 
+    def on_connected(self) -> None:
+        """Count a new connection."""
+        self._connections += 1
+        self._open += 1
+        self._max_open = max(self._max_open, self._open)
+
+    def on_disconnected(self) -> None:
+        """Count a connection as closed."""
+        self._open -= 1
+
+    def admit(self) -> bool:
+        """Count a request; returns whether it is admitted. It is then in progress until it ends."""
+        self._requests += 1
+        if self._concurrent >= self._max_concurrent:
+            self._rejected += 1
+            return False
+        self._concurrent += 1
+        return True
+
+    def complete(self, request: OriginRequest) -> bytes:
+        """End an admitted request and notify the caches of it; returns the body of its response."""
+        self._concurrent -= 1
+        self._on_fetched(request.key, request.request_id, request.is_write)
+        return WRITE_RECEIPT if request.is_write else self._value
+
+    def on_request_lost(self) -> None:
+        """End an admitted request whose connection was closed before the response."""
+        self._concurrent -= 1
+
     def counters(self) -> OriginCounters:
         """Counts since the start."""
         return OriginCounters(
-            requests=self.requests,
-            rejected=self.rejected,
-            connections=self.connections,
-            open=self.open,
-            max_open=self.max_open,
+            requests=self._requests,
+            rejected=self._rejected,
+            connections=self._connections,
+            open=self._open,
+            max_open=self._max_open,
         )
 
 
-@dataclass(slots=True, frozen=True)
-class OriginRequest:
-    """The head of a fetch or a write."""
-
-    key: bytes
-    request_id: bytes
-    is_write: bool
-    body_bytes: int
-
-
 def _parse_head(head: bytes) -> OriginRequest | None:
     """The request of a head without its last empty line; None where it is not of the protocol."""
     first, *lines = head.split(b"\r\n")
@@ -76,68 +117,60 @@
 
 
 class OriginConnection(asyncio.Protocol):
-    """One connection to the origin, which carries a request at a time."""
+    """One connection to the origin, which carries one request at a time."""
 
     def __init__(self, origin: Origin) -> None:
-        self.origin = origin
-        self.buffer = b""
-        self.response_timer: asyncio.TimerHandle | None = None  # of the request in flight
+        self._origin = origin
+        self._buffer = b""
+        self._response_timer: asyncio.TimerHandle | None = None  # of the request in progress
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Count the connection."""
-        self.transport = cast(asyncio.Transport, transport)
-        self.origin.connections += 1
-        self.origin.open += 1
-        self.origin.max_open = max(self.origin.max_open, self.origin.open)
+        self._transport = cast(asyncio.Transport, transport)
+        self._origin.on_connected()
 
     def data_received(self, data: bytes) -> None:
-        """Read a request, unless one is in flight."""
-        self.buffer += data
-        if self.response_timer is None:
+        """Read a request, unless one is in progress."""
+        self._buffer += data
+        if self._response_timer is None:
             self._read_request()
 
     def _read_request(self) -> None:
-        """Start the next request of the buffer, if all of it is there."""
-        head, found, rest = self.buffer.partition(b"\r\n\r\n")
+        """Start the next request of the buffer, if it is complete."""
+        head, found, rest = self._buffer.partition(b"\r\n\r\n")
         if not found:
-            if len(self.buffer) > MAX_HEAD_BYTES:
-                self.transport.abort()
+            if len(self._buffer) > MAX_HEAD_BYTES:
+                self._transport.abort()
             return
         request = _parse_head(head)
         if request is None:
-            self.transport.write(BAD_REQUEST)
-            self.transport.close()
+            self._transport.write(BAD_REQUEST)
+            self._transport.close()
             return
         if len(rest) < request.body_bytes:
             return
-        self.buffer = rest[request.body_bytes :]
+        self._buffer = rest[request.body_bytes :]
         self._start(request)
 
     def _start(self, request: OriginRequest) -> None:
-        origin = self.origin
-        origin.requests += 1
-        if origin.concurrent >= origin.max_concurrent:
-            origin.rejected += 1
-            self._send_response(b"503 Service Unavailable\r\nNot-Started: 1", b"")
+        if not self._origin.admit():
+            self._send_response(REJECTED_STATUS, b"")
             return
-        origin.concurrent += 1
         loop = asyncio.get_running_loop()
-        self.response_timer = loop.call_later(origin.service_s, self._complete, request)
+        self._response_timer = loop.call_later(self._origin.service_s, self._complete, request)
 
     def _complete(self, request: OriginRequest) -> None:
-        self.response_timer = None
-        self.origin.concurrent -= 1
-        self.origin.on_fetched(request.key, request.request_id, request.is_write)
-        self._send_response(b"200 OK", b"receipt" if request.is_write else self.origin.value)
+        self._response_timer = None
+        self._send_response(b"200 OK", self._origin.complete(request))
 
     def _send_response(self, status: bytes, body: bytes) -> None:
-        self.transport.write(b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body))
-        if self.buffer:
+        self._transport.write(b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body))
+        if self._buffer:
             asyncio.get_running_loop().call_soon(self._read_request)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection and the request in flight."""
-        self.origin.open -= 1
-        if self.response_timer is not None:
-            self.response_timer.cancel()
-            self.origin.concurrent -= 1
+        """Count the connection as closed, and drop the request in progress."""
+        self._origin.on_disconnected()
+        if self._response_timer is not None:
+            self._response_timer.cancel()
+            self._origin.on_request_lost()
--- a/scale_experiments/emulators/cache/server.py
+++ b/scale_experiments/emulators/cache/server.py
@@ -1,93 +1,125 @@
-"""One page cache: its keys, its connections and its counts."""
+"""One page cache: listens at its address and decides how each request is answered."""
 
 from __future__ import annotations
 
 import asyncio
-from collections import OrderedDict
 
 from scale_experiments.emulators.cache.cluster import CacheCluster
 from scale_experiments.emulators.cache.connection import CacheConnection
-from scale_experiments.emulators.messages.caches import CacheCounters, CacheMode
+from scale_experiments.emulators.cache.statistics import CacheStatistics
+from scale_experiments.emulators.messages.caches import CacheCounters, CacheMode, CacheSettings
 
 BACKLOG = 512
+MISS_REPLY = b"*3\r\n$-1\r\n$4\r\nmiss\r\n"  # without its load report, the third element
 
 
-class Cache:
-    """One page cache: its keys, its connections and its counts."""
+class CacheServer:
+    """A page cache at `address`, with its keys, connections and counts."""
 
     def __init__(self, cluster: CacheCluster, name: str, address: tuple[str, int]) -> None:
-        self.cluster = cluster
         self.name = name
-        self.address = address
-        self.mode: CacheMode = "serve"
-        self.warm = cluster.settings.warm
-        self.keys: OrderedDict[bytes, None] = OrderedDict()  # that the cache has; if warm, that it lacks
-        self.connections: dict[CacheConnection, None] = {}
-        self.server: asyncio.Server | None = None
-        self.accepted = self.handshakes = self.requests = self.hits = self.misses = self.rejected = 0
-        self.waiting = self.max_open = 0
-        self.open_sum = 0.0
+        self._cluster = cluster
+        self._address = address
+        self._mode: CacheMode = "serve"
+        self._keys = cluster.add_cache()
+        self._connections: dict[CacheConnection, None] = {}  # in the order in which they were accepted
+        self._listener: asyncio.Server | None = None
+        self._statistics = CacheStatistics()
+        self._pending_requests = 0  # whose service time has not passed
 
-    async def listen(self) -> None:
-        """Accept connections; raises OSError if the address can't be used."""
-        loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(
-            lambda: CacheConnection(self), *self.address, backlog=BACKLOG, reuse_address=True
-        )
+    @property
+    def settings(self) -> CacheSettings:
+        """The settings, which all caches of the process share."""
+        return self._cluster.settings
 
-    def contains(self, key: bytes) -> bool:
-        """Whether the cache has a key; makes it the one used last."""
-        if self.warm:
-            return key not in self.keys
-        if key in self.keys:
-            self.keys.move_to_end(key)
-            return True
-        return False
-
-    def store(self, key: bytes) -> None:
-        """Store a key; the one used longest ago goes if there are too many."""
-        if self.warm:
-            self.keys.pop(key, None)
-        else:
-            self.keys[key] = None
-            if len(self.keys) > self.cluster.settings.max_keys:
-                self.keys.popitem(last=False)
-
-    def remove(self, key: bytes) -> None:
-        """Remove a key."""
-        if self.warm:
-            self.keys[key] = None
-        else:
-            self.keys.pop(key, None)
-
-    def report(self) -> bytes:
-        """The load report of a reply."""
-        return b"svc_ms=%.1f,pending=%d" % (self.cluster.settings.service_s * 1000, self.waiting)
+    @property
+    def is_hanging(self) -> bool:
+        """Whether requests are read and never answered."""
+        return self._mode == "hang"
 
-    def counters(self) -> CacheCounters:
-        """Counts since the start."""
-        return CacheCounters(
-            accepted=self.accepted,
-            handshakes=self.handshakes,
-            requests=self.requests,
-            hits=self.hits,
-            misses=self.misses,
-            rejected=self.rejected,
-            open_sum=self.open_sum,
-            max_open=self.max_open,
-            open=len(self.connections),
+    async def listen(self) -> None:
+        """Accept connections.
+
+        Raises:
+            OSError: The address cannot be used.
+        """
+        loop = asyncio.get_running_loop()
+        self._listener = await loop.create_server(
+            lambda: CacheConnection(self), *self._address, backlog=BACKLOG, reuse_address=True
         )
 
     async def set_mode(self, mode: CacheMode) -> None:
-        """Behave in another way from now on; raises OSError where a dead cache can't listen again."""
+        """Behave as `mode` says from now on.
+
+        Raises:
+            OSError: A dead cache cannot listen again.
+        """
         if mode == "dead":
-            if self.server is not None:
-                self.server.close()
-                self.server = None
-            for connection in list(self.connections):
-                connection.transport.abort()
-            self.keys.clear()
-            self.warm = False
-        elif self.server is None:
+            self._stop()
+        elif self._listener is None:
             await self.listen()
-        self.mode = mode
+        self._mode = mode
+
+    def _stop(self) -> None:
+        """Reset all connections, refuse new ones and lose all keys."""
+        if self._listener is not None:
+            self._listener.close()
+            self._listener = None
+        for connection in list(self._connections):
+            connection.abort()
+        self._keys.clear()
+
+    def on_connected(self, connection: CacheConnection) -> bool:
+        """Add a connection; returns whether it is over the limit."""
+        self._connections[connection] = None
+        open_connections = len(self._connections)
+        is_over_limit = open_connections > self.settings.max_connections
+        self._statistics.on_connected(open_connections, is_over_limit=is_over_limit)
+        return is_over_limit
+
+    def on_disconnected(self, connection: CacheConnection, unsent_replies: int) -> None:
+        """Remove a connection, and drop the replies that it had queued."""
+        self._pending_requests -= unsent_replies
+        self._connections.pop(connection, None)
+
+    def handle_read(self, key: bytes, request_id: bytes, *, is_over_limit: bool) -> bytes | None:
+        """Handle a read; returns its reply without the load report, or None where it is rejected."""
+        # the lookup comes first: also a rejected read makes its key the most recently used one
+        is_hit = self._keys.contains(key)
+        return self._handle(request_id, is_hit=is_hit, is_over_limit=is_over_limit)
+
+    def handle_write(self, request_id: bytes, *, is_over_limit: bool) -> bytes | None:
+        """Handle a write as a miss, because only the origin carries out writes; returns as `handle_read`."""
+        return self._handle(request_id, is_hit=False, is_over_limit=is_over_limit)
+
+    def _handle(self, request_id: bytes, *, is_hit: bool, is_over_limit: bool) -> bytes | None:
+        if is_over_limit or self._mode == "drain":
+            self._statistics.on_rejected()
+            return None
+        if is_hit:
+            self._statistics.on_hit()
+            value = self._cluster.value
+            return b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n" % (len(value), value)
+        self._statistics.on_miss()
+        self._cluster.on_miss(request_id, self._keys)
+        return MISS_REPLY
+
+    def on_reply_queued(self) -> None:
+        """Count a request that waits for its service time to pass."""
+        self._pending_requests += 1
+
+    def on_reply_due(self) -> None:
+        """Count a request whose service time has passed."""
+        self._pending_requests -= 1
+
+    def load_report(self) -> bytes:
+        """The load report that ends a reply: service time in milliseconds, and pending requests."""
+        return b"svc_ms=%.1f,pending=%d" % (self.settings.service_s * 1000, self._pending_requests)
+
+    def sample_connections(self) -> None:
+        """Add a sample of the number of open connections to the counts."""
+        self._statistics.on_sample(len(self._connections))
+
+    def counters(self) -> CacheCounters:
+        """Counts since the start."""
+        return self._statistics.counters(len(self._connections))
--- /dev/null
+++ b/scale_experiments/emulators/cache/statistics.py
@@ -0,0 +1,54 @@
+"""The counts of one page cache; no I/O."""
+
+from __future__ import annotations
+
+from scale_experiments.emulators.messages.caches import CacheCounters
+
+
+class CacheStatistics:
+    """Counts since the start of a cache, one method for each event that is counted."""
+
+    def __init__(self) -> None:
+        self._accepted = 0
+        self._handshakes = 0
+        self._hits = 0
+        self._misses = 0
+        self._rejected = 0
+        self._open_sum = 0.0
+        self._max_open = 0
+
+    def on_connected(self, open_connections: int, *, is_over_limit: bool) -> None:
+        """Count a new connection, which is one of `open_connections`; one over the limit has no handshake."""
+        self._accepted += 1
+        self._max_open = max(self._max_open, open_connections)
+        self._handshakes += not is_over_limit
+
+    def on_hit(self) -> None:
+        """Count a request whose key the cache has."""
+        self._hits += 1
+
+    def on_miss(self) -> None:
+        """Count a request whose key the cache lacks."""
+        self._misses += 1
+
+    def on_rejected(self) -> None:
+        """Count a rejected request."""
+        self._rejected += 1
+
+    def on_sample(self, open_connections: int) -> None:
+        """Add a sample of the number of open connections."""
+        self._open_sum += open_connections
+
+    def counters(self, open_connections: int) -> CacheCounters:
+        """All counts, with the number of connections that are open now."""
+        return CacheCounters(
+            accepted=self._accepted,
+            handshakes=self._handshakes,
+            requests=self._hits + self._misses + self._rejected,
+            hits=self._hits,
+            misses=self._misses,
+            rejected=self._rejected,
+            open_sum=self._open_sum,
+            max_open=self._max_open,
+            open=open_connections,
+        )
--- a/scale_experiments/emulators/codec.py
+++ b/scale_experiments/emulators/codec.py
@@ -1,12 +1,12 @@
-"""How messages of the control channel are written as JSON objects and read again."""
+"""Encodes messages of the control channel as JSON objects, and decodes them."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import MISSING, fields, is_dataclass
-from typing import Any, Protocol, TypeVar
+from typing import Any, ClassVar, Protocol, TypeVar
 
-# metadata of a field: its name in JSON, and the function that makes its value from the JSON value
+# keys of a field's metadata: its name in JSON, and the function that decodes its value
 KEY = "key"
 DECODE = "decode"
 
@@ -15,11 +15,11 @@
 
 
 class CommandError(ValueError):
-    """A command that the emulator does not know."""
+    """A command whose name the emulator does not know."""
 
 
 class Command(Protocol[ReplyT_co]):
-    """What an experiment may send to an emulator."""
+    """A message that an experiment sends to an emulator."""
 
     @property
     def do(self) -> str:
@@ -32,8 +32,19 @@
         ...
 
 
+class NamedCommand(Protocol):
+    """A class of commands that has one name in JSON."""
+
+    do: ClassVar[str]
+
+
+def types_by_name(*command_types: type[NamedCommand]) -> dict[str, type[NamedCommand]]:
+    """The classes of an emulator's commands by their names in JSON."""
+    return {command_type.do: command_type for command_type in command_types}
+
+
 def encode(message: object) -> Any:
-    """A message as JSON objects; fields that are None are left out."""
+    """A message as a JSON object; fields that are None are left out."""
     if isinstance(message, dict):
         return {key: encode(value) for key, value in message.items()}
     if not is_dataclass(message):
@@ -50,7 +61,8 @@
 def decode(message_type: type[Message], message: Mapping[str, Any]) -> Message:
     """A message from its JSON object; unknown keys are ignored.
 
-    Raises KeyError where a field has neither a value nor a default.
+    Raises:
+        KeyError: A field has neither a value nor a default.
     """
     values: dict[str, Any] = {}
     for each in fields(message_type):  # type: ignore[arg-type]
@@ -63,9 +75,11 @@
 
 
 def decode_command(command_types: Mapping[str, type[Any]], message: Mapping[str, Any]) -> Any:
-    """A command from its JSON object, by the types that an emulator knows under their names.
+    """A command from its JSON object; `command_types` has the classes of an emulator's commands by name.
 
-    Raises CommandError for an unknown name, KeyError for a field without a value.
+    Raises:
+        CommandError: The command's name is unknown.
+        KeyError: The command has no name, or a field has neither a value nor a default.
     """
     name = message["do"]
     if name not in command_types:
--- a/tests/scale_experiments/test_emulators.py
+++ b/tests/scale_experiments/test_emulators.py
@@ -3,8 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import socket
-from dataclasses import replace
 from typing import Any
 
 import orjson
@@ -12,8 +10,6 @@
 
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.net.discovery import Discovery
-from scale_experiments.emulators.cache.cluster import CacheCluster
-from scale_experiments.emulators.cache.server import Cache
 from scale_experiments.emulators.codec import (
     Command,
     CommandError,
@@ -24,7 +20,7 @@
 )
 from scale_experiments.emulators.discovery.emulator import DiscoveryEmulator
 from scale_experiments.emulators.discovery.endpoint_registry import Registry
-from scale_experiments.emulators.messages.caches import CacheSettings, CachesStats, SetCacheMode, StartCaches
+from scale_experiments.emulators.messages.caches import CachesStats, SetCacheMode, StartCaches
 from scale_experiments.emulators.messages.clients import GetClientsStats, PauseClients
 from scale_experiments.emulators.messages.discovery import (
     ChangeList,
@@ -34,7 +30,7 @@
 )
 from scale_experiments.emulators.messages.routers import GetUpdateTimes
 from tests.support.endpoint_lists import ENDPOINT_ENTRY
-from tests.support.loopback import Link, format_address, read, run
+from tests.support.loopback import Link, format_address, run
 
 
 def endpoint_entry(name: str, status: str = "in_service") -> dict[str, Any]:
@@ -122,66 +118,6 @@
     run(scenario)
 
 
-CACHE_SETTINGS = CacheSettings(
-    value_bytes=3, service_s=0.0, handshake_s=0.0, idle_s=9.0, max_connections=2, max_keys=2, warm=False
-)
-
-
-def test_cache_stores_a_missed_key_from_the_origin_response_until_a_write() -> None:
-    """The cache server of a miss stores the value; a write removes it everywhere."""
-    cluster = CacheCluster(CACHE_SETTINGS)
-    first, other = (Cache(cluster, name, ("127.0.0.1", 0)) for name in "ab")
-    cluster.on_miss(b"r1", first)
-    cluster.on_fetched(b"k1", b"r1", False, [first, other])
-    assert first.contains(b"k1")
-    assert not other.contains(b"k1")
-    assert not cluster.pending_misses
-    cluster.on_fetched(b"k1", b"w1", True, [first, other])
-    assert not first.contains(b"k1")
-    for key in (b"k1", b"k2", b"k3"):
-        first.store(key)
-    assert not first.contains(b"k1")  # no more than its capacity
-    assert first.contains(b"k3")
-
-
-def test_cache_drains_hangs_fails_and_restarts_empty() -> None:
-    """Each mode answers as a real cache server would, and a restart loses all keys."""
-
-    async def scenario() -> None:
-        with socket.create_server(("127.0.0.1", 0)) as occupied:
-            address = occupied.getsockname()
-        cache = Cache(CacheCluster(replace(CACHE_SETTINGS, warm=True)), "a", address)
-        await cache.listen()
-        links = [Link(*await asyncio.open_connection(*address)) for _ in range(3)]
-        for link, value in zip(links, (b"vvv", b"vvv", None), strict=True):
-            link.write(read("r1"))
-            response = await link.resp()
-            if value is None:  # over the limit of two
-                assert str(response) == "BUSY"
-                assert await link.closed_by_peer()
-            else:
-                assert response == [value, b"hit", b"svc_ms=0.0,pending=0"]
-        await cache.set_mode("drain")
-        links[0].write(read("r2"))
-        assert str(await links[0].resp()) == "BUSY"
-        await cache.set_mode("hang")
-        links[0].write(read("r3"))
-        await cache.set_mode("dead")
-        assert await links[0].closed_by_peer()
-        assert await links[1].closed_by_peer()
-        with pytest.raises(ConnectionRefusedError):
-            await asyncio.open_connection(*address)
-        await cache.set_mode("serve")
-        link = Link(*await asyncio.open_connection(*address))
-        link.write(read("r4"))
-        assert (await link.resp())[:2] == [None, b"miss"]
-        assert (cache.accepted, cache.handshakes, cache.hits, cache.misses, cache.rejected) == (4, 3, 2, 1, 2)
-        link.close()
-        await cache.set_mode("dead")
-
-    run(scenario)
-
-
 @pytest.mark.parametrize(
     ("command", "message"),
     [
