--- a/scale_experiments/emulators/discovery/__main__.py
+++ b/scale_experiments/emulators/discovery/__main__.py
@@ -1,17 +1,22 @@
-"""Discovery: whole lists and watches over HTTP/1.1, for many thousands of waiting polls.
+"""Emulates discovery over HTTP/1.1: whole endpoint lists, and watches that wait for the next change.
 
     python -m scale_experiments.emulators.discovery 127.0.1.1:0
 
-Several processes that get the same changes under the same indices act as one discovery, at one address each.
+The argument is the address to listen at; port 0 chooses a free one. The first line on standard output is the
+address that was chosen, as `Listening`. The process then reads commands from standard input, one JSON object
+a line, and writes a reply to each. It ends with its standard input. The commands are `ReplaceList`,
+`ChangeList`, `SetDiscoveryMode`, `ResetUnanswered` and `GetDiscoveryStats` of
+`scale_experiments.emulators.messages.discovery`.
+
+Several processes that receive the same changes under the same indices act as one discovery that has an
+address for each process.
+
 Modes:
 
 - "serve": polls are answered.
 - "silent": polls are accepted, read and never answered.
-- "refuse": all connections are reset and new ones refused.
+- "refuse": all connections are reset and new ones are refused.
 - "busy": polls are answered by 503 after a delay.
-
-Commands: `ReplaceList`, `ChangeList`, `SetDiscoveryMode`, `ResetUnanswered` and `GetDiscoveryStats` of
-`scale_experiments.emulators.messages`.
 """
 
 from __future__ import annotations
@@ -21,6 +26,7 @@
 
 import orjson
 
+from cache_router.net.address import parse_address
 from scale_experiments.emulators.codec import encode
 from scale_experiments.emulators.control import serve_commands
 from scale_experiments.emulators.discovery.emulator import COMMAND_TYPES, DiscoveryEmulator
@@ -28,10 +34,13 @@
 
 
 async def main(listen: str) -> None:
-    """Serve at an address until standard input ends; the first line on standard output tells the address."""
-    discovery = DiscoveryEmulator()
-    host, _, port = listen.rpartition(":")
-    discovery.address = (host, int(port))
+    """Serve at an address until standard input ends.
+
+    Raises:
+        AddressError: `listen` is not host:port.
+        OSError: The address cannot be used.
+    """
+    discovery = DiscoveryEmulator(parse_address(listen))
     await discovery.listen()
     listening = Listening("{}:{}".format(*discovery.address))
     print(orjson.dumps(encode(listening)).decode(), flush=True)
--- a/scale_experiments/emulators/discovery/emulator.py
+++ b/scale_experiments/emulators/discovery/emulator.py
@@ -1,17 +1,17 @@
-"""One process of discovery: its list, its connections and its counts."""
+"""Discovery: answers polls as its mode says, and carries out the commands of its control channel."""
 
 from __future__ import annotations
 
 import asyncio
 import time
-from collections import deque
 from collections.abc import Sequence
-from dataclasses import asdict
 from typing import get_args
 
+from scale_experiments.emulators.codec import NamedCommand, types_by_name
 from scale_experiments.emulators.control import process_usage
 from scale_experiments.emulators.discovery.endpoint_registry import Entry, Registry
 from scale_experiments.emulators.discovery.poll_connection import PollConnection
+from scale_experiments.emulators.discovery.statistics import DiscoveryStatistics
 from scale_experiments.emulators.messages.discovery import (
     ChangeList,
     ConnectionsReset,
@@ -24,143 +24,159 @@
     Timestamp,
 )
 
-BUCKET_SECONDS = 0.1  # of the counts of polls over time
-MAX_BUCKETS = 6000
 BACKLOG = 4096
+DEFAULT_ADDRESS = ("127.0.0.1", 0)
+DEFAULT_BUSY_DELAY_S = 2.0  # of a response in the mode "busy"
 DiscoveryCommand = ReplaceList | ChangeList | SetDiscoveryMode | ResetUnanswered | GetDiscoveryStats
-COMMAND_TYPES: dict[str, type[DiscoveryCommand]] = {
-    **{each.do: each for each in (ReplaceList, ChangeList, ResetUnanswered, GetDiscoveryStats)},
-    **dict.fromkeys(get_args(DiscoveryMode), SetDiscoveryMode),
+COMMAND_TYPES: dict[str, type[NamedCommand] | type[SetDiscoveryMode]] = {
+    **types_by_name(ReplaceList, ChangeList, ResetUnanswered, GetDiscoveryStats),
+    **dict.fromkeys(get_args(DiscoveryMode), SetDiscoveryMode),  # the mode is the command's name
 }
 
 
 class DiscoveryEmulator:
-    """One process of discovery: its list, its connections, its counts."""
-
-    def __init__(self) -> None:
-        self.registry = Registry()
-        self.mode: DiscoveryMode = "serve"
-        self.busy_after_s = 2.0
-        self.open: dict[PollConnection, None] = {}
-        self.waiting: dict[PollConnection, None] = {}
-        self.server: asyncio.Server | None = None
-        self.address = ("127.0.0.1", 0)
-        self.polls = self.connections = self.answered = self.rejected = self.bytes_in = self.bytes_out = 0
-        self.polls_over_time: deque[list[float]] = deque(maxlen=MAX_BUCKETS)  # [bucket's number, polls]
-        self.notification_s = 0.0  # from the latest change until it was written to all that waited
-        self.notified_polls = 0
+    """One process of discovery: its list, its connections and its counts."""
+
+    def __init__(self, address: tuple[str, int] = DEFAULT_ADDRESS) -> None:
+        self.address = address  # once it listens, with the port that was chosen
+        self._registry = Registry()
+        self._mode: DiscoveryMode = "serve"
+        self._busy_delay_s = DEFAULT_BUSY_DELAY_S
+        self._connections: dict[PollConnection, None] = {}
+        self._waiting: dict[PollConnection, None] = {}  # those whose poll waits for a change
+        self._listener: asyncio.Server | None = None
+        self._statistics = DiscoveryStatistics()
 
-    async def listen(self) -> None:
-        """Accept connections; the port stays the same once chosen. Raises OSError."""
-        loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(
-            lambda: PollConnection(self), *self.address, backlog=BACKLOG, reuse_address=True
-        )
-        self.address = self.server.sockets[0].getsockname()
+    async def handle(self, command: DiscoveryCommand) -> object:
+        """Carry out a command of the control channel; returns the reply.
 
-    def on_connected(self, connection: PollConnection) -> None:
-        """Count a connection as open."""
-        self.connections += 1
-        self.open[connection] = None
+        Raises:
+            OSError: Discovery cannot listen again after the mode "refuse".
+            ValueError: A change does not have the next index.
+        """
+        match command:
+            case GetDiscoveryStats():
+                return self.stats()
+            case ResetUnanswered():
+                return ConnectionsReset(time.monotonic(), self.reset_unanswered())
+            case ReplaceList():
+                self.replace_list(command.index, command.endpoints)
+            case ChangeList():
+                self.change_list(command.index, command.endpoints)
+            case SetDiscoveryMode():
+                if command.after_s is not None:
+                    self._busy_delay_s = command.after_s
+                await self.set_mode(command.do)
+        return Timestamp(time.monotonic())
 
-    def on_disconnected(self, connection: PollConnection) -> None:
-        """Forget a connection."""
-        self.open.pop(connection, None)
-        self.waiting.pop(connection, None)
+    async def listen(self) -> None:
+        """Accept connections; after the first call, the port stays the same.
 
-    def on_poll(self, connection: PollConnection, wait_ms: int) -> None:
-        """Respond to a poll, or let it wait for a change."""
-        self.polls += 1
-        bucket = time.monotonic() // BUCKET_SECONDS
-        if self.polls_over_time and self.polls_over_time[-1][0] == bucket:
-            self.polls_over_time[-1][1] += 1
-        else:
-            self.polls_over_time.append([bucket, 1])
-        if self.mode == "silent":
-            return
+        Raises:
+            OSError: The address cannot be used.
+        """
         loop = asyncio.get_running_loop()
-        if self.mode == "busy":
-            connection.timer = loop.call_later(self.busy_after_s, self._reject, connection)
-        elif wait_ms == 0 or self.registry.has_update(connection.after):
-            self._respond(connection)
-        else:
-            self.waiting[connection] = None
-            connection.timer = loop.call_later(wait_ms / 1000, self._respond, connection)
+        self._listener = await loop.create_server(
+            lambda: PollConnection(self), *self.address, backlog=BACKLOG, reuse_address=True
+        )
+        self.address = self._listener.sockets[0].getsockname()
 
-    def _respond(self, connection: PollConnection) -> None:
-        self.waiting.pop(connection, None)
-        self.answered += 1
-        connection.write("200 OK", self.registry.response_body(connection.after))
+    def replace_list(self, index: int, endpoints: Sequence[Entry]) -> None:
+        """Take a complete list; polls that wait are not answered before the next change."""
+        self._registry.replace(index, endpoints)
 
-    def _reject(self, connection: PollConnection) -> None:
-        self.rejected += 1
-        connection.write("503 Service Unavailable", b"")
+    def change_list(self, index: int, endpoints: Sequence[Entry]) -> None:
+        """Apply a change and, in the mode "serve", answer all polls that wait.
 
-    def change(self, index: int, endpoints: Sequence[Entry]) -> None:
-        """Apply a change and respond to all that wait, unless polls fail now; raises ValueError."""
+        Raises:
+            ValueError: `index` is not the next one.
+        """
         started_at = time.monotonic()
-        self.registry.change(index, endpoints)
-        if self.mode != "serve":
+        self._registry.change(index, endpoints)
+        if self._mode != "serve":
             return
-        self.notified_polls = len(self.waiting)
-        for connection in list(self.waiting):
-            self._respond(connection)
-        self.notification_s = time.monotonic() - started_at
+        self._statistics.on_change(len(self._waiting))
+        for connection in list(self._waiting):
+            self._answer(connection)
+        self._statistics.on_change_sent(time.monotonic() - started_at)
 
     async def set_mode(self, mode: DiscoveryMode) -> None:
-        """Respond to polls, or fail them in one of the ways; raises OSError."""
-        if mode == "serve" and self.mode == "refuse":
+        """Behave as `mode` says from now on.
+
+        Raises:
+            OSError: Discovery cannot listen again after the mode "refuse".
+        """
+        if mode == "serve" and self._mode == "refuse":
             await self.listen()
-        self.mode = mode
-        if mode == "refuse" and self.server is not None:
-            self.server.close()
-            for connection in list(self.open):
-                connection.transport.abort()
+        self._mode = mode
+        if mode == "refuse" and self._listener is not None:
+            self._listener.close()
+            for connection in list(self._connections):
+                connection.abort()
         if mode != "serve":
-            for connection in self.waiting:  # they never get a response
-                if connection.timer is not None:
-                    connection.timer.cancel()
-            self.waiting.clear()
+            self._drop_waiting_polls()
+
+    def _drop_waiting_polls(self) -> None:
+        """Leave all polls that wait without a response."""
+        for connection in self._waiting:
+            connection.cancel_timer()
+        self._waiting.clear()
 
     def reset_unanswered(self) -> int:
-        """Reset the connections whose polls had no response, as a machine that comes back does."""
-        unanswered = [c for c in self.open if c.is_unanswered and c not in self.waiting]
+        """Reset the connections whose polls were left without a response, as a restarted machine does.
+
+        Returns how many connections were reset.
+        """
+        unanswered = [c for c in self._connections if c.is_unanswered and c not in self._waiting]
         for connection in unanswered:
-            connection.transport.abort()
+            connection.abort()
         return len(unanswered)
 
     def stats(self) -> DiscoveryStats:
         """Counts since the start, and what the process has used."""
-        return DiscoveryStats(
-            polls=self.polls,
-            connections=self.connections,
-            answered=self.answered,
-            rejected=self.rejected,
-            bytes_in=self.bytes_in,
-            bytes_out=self.bytes_out,
-            notification_s=self.notification_s,
-            notified_polls=self.notified_polls,
-            index=self.registry.index,
-            open=len(self.open),
-            waiting=len(self.waiting),
-            bucket_s=BUCKET_SECONDS,
-            polls_over_time=list(self.polls_over_time),
-            **asdict(process_usage()),
+        return self._statistics.stats(
+            index=self._registry.index,
+            open_connections=len(self._connections),
+            waiting=len(self._waiting),
+            usage=process_usage(),
         )
 
-    async def handle(self, command: DiscoveryCommand) -> object:
-        """Carry out a command of the control channel; returns the reply."""
-        match command:
-            case GetDiscoveryStats():
-                return self.stats()
-            case ResetUnanswered():
-                return ConnectionsReset(time.monotonic(), self.reset_unanswered())
-            case ReplaceList():
-                self.registry.replace(command.index, command.endpoints)
-            case ChangeList():
-                self.change(command.index, command.endpoints)
-            case SetDiscoveryMode():
-                if command.after_s is not None:
-                    self.busy_after_s = command.after_s
-                await self.set_mode(command.do)
-        return Timestamp(time.monotonic())
+    def on_connected(self, connection: PollConnection) -> None:
+        """Add a connection."""
+        self._statistics.on_connected()
+        self._connections[connection] = None
+
+    def on_disconnected(self, connection: PollConnection) -> None:
+        """Remove a connection, with its poll."""
+        self._connections.pop(connection, None)
+        self._waiting.pop(connection, None)
+
+    def on_received(self, byte_count: int) -> None:
+        """Count received bytes."""
+        self._statistics.on_received(byte_count)
+
+    def on_sent(self, byte_count: int) -> None:
+        """Count sent bytes."""
+        self._statistics.on_sent(byte_count)
+
+    def on_poll(self, connection: PollConnection, wait_ms: int) -> None:
+        """Answer a poll, or let it wait for a change, as the mode says."""
+        self._statistics.on_poll(time.monotonic())
+        if self._mode == "silent":
+            return
+        if self._mode == "busy":
+            connection.start_timer(self._busy_delay_s, self._reject)
+        elif wait_ms == 0 or self._registry.has_update(connection.after):
+            self._answer(connection)
+        else:
+            self._waiting[connection] = None
+            connection.start_timer(wait_ms / 1000, self._answer)
+
+    def _answer(self, connection: PollConnection) -> None:
+        self._waiting.pop(connection, None)
+        self._statistics.on_answered()
+        connection.respond("200 OK", self._registry.response_body(connection.after))
+
+    def _reject(self, connection: PollConnection) -> None:
+        self._statistics.on_rejected()
+        connection.respond("503 Service Unavailable", b"")
--- a/scale_experiments/emulators/discovery/endpoint_registry.py
+++ b/scale_experiments/emulators/discovery/endpoint_registry.py
@@ -8,59 +8,74 @@
 
 import orjson
 
-CHANGE_LOG_LENGTH = 1024  # indices; a poll for an older one gets the whole list
+CHANGE_LOG_LENGTH = 1024  # changes; a poll that has an older index gets the complete list
 MAX_CACHED_BODIES = 256
-Entry = Mapping[str, Any]  # in discovery's form
+Entry = Mapping[str, Any]  # a JSON object in discovery's form
 
 
 class Registry:
-    """The list and a bounded log of its changes; no I/O."""
+    """The list under its current index, and the latest `log_length` changes."""
 
     def __init__(self, log_length: int = CHANGE_LOG_LENGTH) -> None:
-        self.index = 0
-        self.entries: dict[str, Entry] = {}
-        self.changes: deque[tuple[int, Sequence[Entry]]] = deque(maxlen=log_length)
-        self.bodies: dict[int | None, bytes] = {}  # encoded for the present index, by `after`
+        self._index = 0
+        self._entries: dict[str, Entry] = {}  # by name
+        self._changes: deque[tuple[int, Sequence[Entry]]] = deque(maxlen=log_length)  # with their indices
+        self._bodies: dict[int | None, bytes] = {}  # responses under the current index, by a poll's index
+
+    @property
+    def index(self) -> int:
+        """The current index."""
+        return self._index
 
     def replace(self, index: int, entries: Iterable[Entry]) -> None:
-        """Take a whole list; polls from before it get the whole list."""
-        self.index = index
-        self.entries = {e["name"]: e for e in entries}
-        self.changes.clear()
-        self.bodies.clear()
+        """Take a complete list; a poll that has an earlier index gets it."""
+        self._index = index
+        self._entries = {e["name"]: e for e in entries}
+        self._changes.clear()
+        self._bodies.clear()
 
     def change(self, index: int, entries: Sequence[Entry]) -> None:
-        """Take changed entries under the next index; raises ValueError for any other index."""
-        if index != self.index + 1:
-            raise ValueError(f"change {index} does not follow {self.index}")
-        self.index = index
+        """Take changed entries; those that are terminated are removed.
+
+        Raises:
+            ValueError: `index` is not the next one.
+        """
+        if index != self._index + 1:
+            raise ValueError(f"change {index} does not follow {self._index}")
+        self._index = index
         for entry in entries:
             if entry["status"] == "terminated":
-                self.entries.pop(entry["name"], None)
+                self._entries.pop(entry["name"], None)
             else:
-                self.entries[entry["name"]] = entry
-        self.changes.append((index, entries))
-        self.bodies.clear()
+                self._entries[entry["name"]] = entry
+        self._changes.append((index, entries))
+        self._bodies.clear()
 
     def has_update(self, after: int | None) -> bool:
-        """Whether the list's index is another than `after`."""
-        return after != self.index
+        """Whether the current index is another than a poll's."""
+        return after != self._index
 
     def response_body(self, after: int | None) -> bytes:
-        """The body of a response to a poll: the whole list, or the latest state of each changed entry."""
-        body = self.bodies.get(after)
+        """The response to a poll: the entries changed since its index, or the complete list.
+
+        The list is complete where the poll has no index, or one that the log of changes does not reach.
+        """
+        body = self._bodies.get(after)
         if body is None:
             body = self._encode_body(after)
-            if len(self.bodies) < MAX_CACHED_BODIES:
-                self.bodies[after] = body
+            if len(self._bodies) < MAX_CACHED_BODIES:
+                self._bodies[after] = body
         return body
 
     def _encode_body(self, after: int | None) -> bytes:
-        oldest = self.index - len(self.changes)
-        is_snapshot = after is None or not oldest <= after <= self.index
-        entries = self.entries if after is None or is_snapshot else self._changed_since(after)
-        message = {"index": self.index, "snapshot": is_snapshot, "endpoints": list(entries.values())}
+        oldest = self._index - len(self._changes)
+        is_snapshot = after is None or not oldest <= after <= self._index
+        entries = self._entries if after is None or is_snapshot else self._changed_since(after)
+        message = {"index": self._index, "snapshot": is_snapshot, "endpoints": list(entries.values())}
         return orjson.dumps(message)
 
     def _changed_since(self, after: int) -> dict[str, Entry]:
-        return {entry["name"]: entry for index, entries in self.changes if index > after for entry in entries}
+        """The latest state of each entry that changed since an index, by name."""
+        return {
+            entry["name"]: entry for index, entries in self._changes if index > after for entry in entries
+        }
--- a/scale_experiments/emulators/discovery/poll_connection.py
+++ b/scale_experiments/emulators/discovery/poll_connection.py
@@ -1,26 +1,38 @@
-"""A connection to discovery, and the polls that it carries."""
+"""A connection to discovery, and the HTTP/1.1 polls that it carries."""
 
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, cast
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol, cast
 from urllib.parse import parse_qs, urlsplit
 
-if TYPE_CHECKING:
-    from scale_experiments.emulators.discovery.emulator import DiscoveryEmulator
-
 MAX_HEAD_BYTES = 8192  # of a poll
 MAX_WAIT_MS = 60_000
+LIST_PATH = "/registry/instances"
 
 
 class PollError(ValueError):
     """A poll that is not of the protocol."""
 
 
-def parse_poll(target: str) -> tuple[int | None, int]:
-    """The index and the wait in milliseconds of a poll's target; raises PollError."""
+@dataclass(slots=True, frozen=True)
+class Poll:
+    """What a poll asks for: a list newer than index `after`, or the complete list where that is None."""
+
+    after: int | None
+    wait_ms: int
+
+
+def parse_poll(target: str) -> Poll:
+    """The poll of a request's target.
+
+    Raises:
+        PollError: The path is not the list's, or a parameter is not a number.
+    """
     parts = urlsplit(target)
-    if parts.path != "/registry/instances":
+    if parts.path != LIST_PATH:
         raise PollError("no such path")
     query = parse_qs(parts.query)
     try:
@@ -28,78 +40,115 @@
         wait_ms = int(query["wait_ms"][0]) if "wait_ms" in query else 0
     except ValueError as e:
         raise PollError("not a number") from e
-    return after, min(max(0, wait_ms), MAX_WAIT_MS)
+    return Poll(after, min(max(0, wait_ms), MAX_WAIT_MS))
 
 
 def encode_response(status: str, body: bytes, close: bool) -> bytes:
-    """An HTTP/1.1 response."""
+    """An HTTP/1.1 response; `close` announces that the connection is closed after it."""
     ending = b"Connection: close\r\n" if close else b""
     head = b"HTTP/1.1 %b\r\nContent-Length: %d\r\n%b\r\n" % (status.encode(), len(body), ending)
     return head + body
 
 
+class ConnectionOwner(Protocol):
+    """Discovery as its connections see it."""
+
+    def on_connected(self, connection: PollConnection) -> None:
+        """Add a connection."""
+        ...
+
+    def on_disconnected(self, connection: PollConnection) -> None:
+        """Remove a connection, with its poll."""
+        ...
+
+    def on_received(self, byte_count: int) -> None:
+        """Count received bytes."""
+        ...
+
+    def on_sent(self, byte_count: int) -> None:
+        """Count sent bytes."""
+        ...
+
+    def on_poll(self, connection: PollConnection, wait_ms: int) -> None:
+        """Answer a poll at once or later, by the connection's `respond`."""
+        ...
+
+
 class PollConnection(asyncio.Protocol):
-    """One connection: a poll at a time, in the order in which they come."""
+    """One connection, which carries one poll at a time, in the order of their arrival."""
 
-    __slots__ = ("after", "buffer", "close_after", "discovery", "is_unanswered", "timer", "transport")
+    # many thousands are open at a time
+    __slots__ = ("_buffer", "_close_after", "_discovery", "_timer", "_transport", "after", "is_unanswered")
 
-    def __init__(self, discovery: DiscoveryEmulator) -> None:
-        self.discovery = discovery
-        self.buffer = b""
-        self.after: int | None = None
-        self.close_after = False
+    def __init__(self, discovery: ConnectionOwner) -> None:
+        self.after: int | None = None  # the index that the latest poll has
         self.is_unanswered = False  # a poll has no response yet
-        self.timer: asyncio.TimerHandle | None = None
+        self._discovery = discovery
+        self._buffer = b""
+        self._close_after = False  # the response to the current poll
+        self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the connection."""
-        self.transport = cast(asyncio.Transport, transport)
-        self.discovery.on_connected(self)
+        """Add the connection to discovery."""
+        self._transport = cast(asyncio.Transport, transport)
+        self._discovery.on_connected(self)
+
+    def abort(self) -> None:
+        """Reset the connection."""
+        self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Read a poll, unless one has no response yet."""
-        self.discovery.bytes_in += len(data)
-        self.buffer += data
-        if len(self.buffer) > MAX_HEAD_BYTES:
-            self.transport.abort()
+        """Read a poll, unless the one before has no response yet."""
+        self._discovery.on_received(len(data))
+        self._buffer += data
+        if len(self._buffer) > MAX_HEAD_BYTES:
+            self._transport.abort()
         elif not self.is_unanswered:
             self._read_poll()
 
     def _read_poll(self) -> None:
-        head, found, self.buffer = self.buffer.partition(b"\r\n\r\n")
+        head, found, self._buffer = self._buffer.partition(b"\r\n\r\n")
         if not found:
-            self.buffer = head
+            self._buffer = head
             return
         first, _, fields = head.partition(b"\r\n")
-        self.close_after = b"connection: close" in fields.lower()
+        self._close_after = b"connection: close" in fields.lower()
         try:
             method, target, _ = first.decode("ascii").split(" ")
             if method != "GET":
                 raise PollError("not a GET")
-            self.after, wait_ms = parse_poll(target)
+            poll = parse_poll(target)
         except ValueError:  # also PollError, and text that is not ASCII
-            self.close_after = True
-            self.write("400 Bad Request", b"")
+            self._close_after = True
+            self.respond("400 Bad Request", b"")
             return
+        self.after = poll.after
         self.is_unanswered = True
-        self.discovery.on_poll(self, wait_ms)
+        self._discovery.on_poll(self, poll.wait_ms)
+
+    def start_timer(self, delay_s: float, on_expired: Callable[[PollConnection], None]) -> None:
+        """Call `on_expired` with this connection after a delay, unless the poll is answered before."""
+        self._timer = asyncio.get_running_loop().call_later(delay_s, on_expired, self)
+
+    def cancel_timer(self) -> None:
+        """Leave the poll without a response."""
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
 
-    def write(self, status: str, body: bytes) -> None:
-        """Respond to the poll; the next one may have come meanwhile."""
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
+    def respond(self, status: str, body: bytes) -> None:
+        """Respond to the poll, and read the next one if it has arrived."""
+        self.cancel_timer()
         self.is_unanswered = False
-        data = encode_response(status, body, self.close_after)
-        self.discovery.bytes_out += len(data)
-        self.transport.write(data)
-        if self.close_after:
-            self.transport.close()
-        elif self.buffer:
+        data = encode_response(status, body, self._close_after)
+        self._discovery.on_sent(len(data))
+        self._transport.write(data)
+        if self._close_after:
+            self._transport.close()
+        elif self._buffer:
             self._read_poll()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection and its poll."""
-        if self.timer is not None:
-            self.timer.cancel()
-        self.discovery.on_disconnected(self)
+        """Remove the connection from discovery, with its poll."""
+        self.cancel_timer()
+        self._discovery.on_disconnected(self)
--- /dev/null
+++ b/tests/scale_experiments/emulators/test_discovery.py
@@ -0,0 +1,213 @@
+"""The emulated discovery speaks the protocol that routers rely on, and fails as its modes say."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+import orjson
+import pytest
+
+from cache_router.decisions.events import EndpointUpdateKind
+from cache_router.net.discovery import Discovery
+from scale_experiments.emulators.discovery.emulator import DiscoveryEmulator
+from scale_experiments.emulators.discovery.endpoint_registry import Registry
+from scale_experiments.emulators.discovery.poll_connection import Poll, PollError, parse_poll
+from scale_experiments.emulators.discovery.statistics import DiscoveryStatistics
+from scale_experiments.emulators.messages.common import ProcessUsage
+from scale_experiments.emulators.messages.discovery import DiscoveryStats, SetDiscoveryMode, Timestamp
+from tests.support.endpoint_lists import ENDPOINT_ENTRY
+from tests.support.loopback import Link, format_address, run
+
+
+def endpoint_entry(name: str, status: str = "in_service") -> dict[str, Any]:
+    """Return an entry of an endpoint list."""
+    return {**ENDPOINT_ENTRY, "name": name, "status": status}
+
+
+def poll(registry: Registry, after: int | None) -> tuple[int, bool, dict[str, str]]:
+    """Poll for what is newer than an index; return index, whether a snapshot, and states by name."""
+    response = orjson.loads(registry.response_body(after))
+    states = {e["name"]: e["status"] for e in response["endpoints"]}
+    return response["index"], response["snapshot"], states
+
+
+def test_registry_sends_changes_or_a_snapshot_if_the_index_is_too_old() -> None:
+    """Changes are sent to a known index, a snapshot to one that is unknown or no longer kept."""
+    registry = Registry(log_length=2)
+    registry.replace(5, [endpoint_entry("a"), endpoint_entry("b")])
+    assert poll(registry, None) == (5, True, {"a": "in_service", "b": "in_service"})
+    assert poll(registry, 5) == (5, False, {})
+    assert poll(registry, 4)[1]  # from before the list
+    assert poll(registry, 6)[1]  # an index of another discovery
+    registry.change(6, [endpoint_entry("a", "terminating")])
+    registry.change(7, [endpoint_entry("a", "terminated"), endpoint_entry("c")])
+    assert poll(registry, 5) == (7, False, {"a": "terminated", "c": "in_service"})
+    assert poll(registry, 6) == (7, False, {"a": "terminated", "c": "in_service"})
+    registry.change(8, [])
+    assert poll(registry, 5) == (8, True, {"b": "in_service", "c": "in_service"})
+
+
+def test_watch_waits_for_updates_and_hangs_with_discovery() -> None:
+    """A poll waits until the list changes, and gets no response while discovery hangs."""
+
+    async def scenario() -> None:
+        server = DiscoveryEmulator()
+        await server.listen()
+        server.replace_list(41, [endpoint_entry("a")])
+        updates: asyncio.Queue[tuple[EndpointUpdateKind, list[str]]] = asyncio.Queue()
+        watch = Discovery(
+            format_address(server.address),
+            41,
+            lambda kind, endpoints: updates.put_nowait((kind, [e.entry.name for e in endpoints])),
+            lambda: updates.put_nowait((EndpointUpdateKind.FAILED, [])),
+        )
+        watch.subscribe()
+
+        async def wait_for_polls(count: int) -> None:
+            while server.stats().polls < count:
+                await asyncio.sleep(0.001)
+
+        await wait_for_polls(1)
+        assert server.stats().waiting == 1
+        assert updates.empty()
+        server.change_list(42, [endpoint_entry("b")])
+        assert await updates.get() == (EndpointUpdateKind.DELTA, ["b"])
+        await wait_for_polls(2)
+        await server.set_mode("silent")
+        server.change_list(43, [endpoint_entry("c")])
+        assert not server.stats().waiting
+        assert updates.empty()
+        assert server.reset_unanswered() == 1
+        assert await updates.get() == (EndpointUpdateKind.FAILED, [])
+        await server.set_mode("serve")
+        watch.subscribe()
+        assert await updates.get() == (EndpointUpdateKind.DELTA, ["c"])
+        watch.close()
+        await server.set_mode("refuse")
+
+    run(scenario)
+
+
+def test_poll_with_a_malformed_index_gets_a_bad_request() -> None:
+    """The emulator rejects what routers never send, so that a mistake in a router is not overlooked."""
+
+    async def scenario() -> None:
+        server = DiscoveryEmulator()
+        await server.listen()
+        client = Link(*await asyncio.open_connection(*server.address))
+        client.write(b"GET /registry/instances?after=x HTTP/1.1\r\n\r\n")
+        assert (await client.http())[0] == "HTTP/1.1 400 Bad Request"
+        await server.set_mode("refuse")
+
+    run(scenario)
+
+
+def test_discovery_rejects_polls_while_it_is_busy() -> None:
+    """The mode "busy" answers by 503 after the delay of its command; the connection stays open."""
+
+    async def scenario() -> None:
+        server = DiscoveryEmulator()
+        await server.listen()
+        server.replace_list(5, [endpoint_entry("a")])
+        assert isinstance(await server.handle(SetDiscoveryMode("busy", 0.02)), Timestamp)
+        client = Link(*await asyncio.open_connection(*server.address))
+        started_at = asyncio.get_running_loop().time()
+        client.write(b"GET /registry/instances HTTP/1.1\r\n\r\n")
+        assert (await client.http())[0] == "HTTP/1.1 503 Service Unavailable"
+        assert asyncio.get_running_loop().time() - started_at >= 0.02
+        await server.set_mode("serve")
+        client.write(b"GET /registry/instances HTTP/1.1\r\n\r\n")
+        assert (await client.http())[0] == "HTTP/1.1 200 OK"
+        stats = server.stats()
+        assert (stats.polls, stats.connections, stats.answered, stats.rejected) == (2, 1, 1, 1)
+        await server.set_mode("refuse")
+
+    run(scenario)
+
+
+def test_discovery_refuses_connections_until_it_serves_again_at_the_same_address() -> None:
+    async def scenario() -> None:
+        server = DiscoveryEmulator()
+        await server.listen()
+        address = server.address
+        client = Link(*await asyncio.open_connection(*address))
+        client.write(b"GET /registry/instances?after=0&wait_ms=9000 HTTP/1.1\r\n\r\n")
+        while not server.stats().waiting:
+            await asyncio.sleep(0.001)
+        await server.set_mode("refuse")
+        assert await client.closed_by_peer()
+        with pytest.raises(ConnectionRefusedError):
+            await asyncio.open_connection(*address)
+        await server.set_mode("serve")
+        assert server.address == address
+        client = Link(*await asyncio.open_connection(*address))
+        client.write(b"GET /registry/instances?after=0 HTTP/1.1\r\nConnection: close\r\n\r\n")
+        assert (await client.http())[2] == b'{"index":0,"snapshot":false,"endpoints":[]}'
+        assert await client.closed_by_peer()
+        await server.set_mode("refuse")
+
+    run(scenario)
+
+
+def test_change_that_does_not_have_the_next_index_is_rejected() -> None:
+    registry = Registry()
+    registry.replace(5, [])
+    with pytest.raises(ValueError, match="change 7 does not follow 5"):
+        registry.change(7, [endpoint_entry("a")])
+    assert poll(registry, 5) == (5, False, {})
+
+
+@pytest.mark.parametrize(
+    ("target", "expected"),
+    [
+        ("/registry/instances", Poll(None, 0)),
+        ("/registry/instances?after=7&wait_ms=3000", Poll(7, 3000)),
+        ("/registry/instances?after=7&wait_ms=-1", Poll(7, 0)),
+        ("/registry/instances?after=7&wait_ms=60001", Poll(7, 60_000)),
+    ],
+)
+def test_poll_has_an_index_and_a_bounded_wait(target: str, expected: Poll) -> None:
+    assert parse_poll(target) == expected
+
+
+@pytest.mark.parametrize("target", ["/", "/registry/instances?after=x", "/registry/instances?wait_ms=1.5"])
+def test_poll_of_another_path_or_without_numbers_is_rejected(target: str) -> None:
+    with pytest.raises(PollError):
+        parse_poll(target)
+
+
+def test_discovery_statistics_count_polls_in_buckets_of_a_tenth_of_a_second() -> None:
+    statistics = DiscoveryStatistics()
+    statistics.on_connected()
+    for now in (10.01, 10.09, 10.31):
+        statistics.on_poll(now)
+    statistics.on_received(100)
+    statistics.on_sent(40)
+    statistics.on_sent(2)
+    statistics.on_answered()
+    statistics.on_answered()
+    statistics.on_rejected()
+    statistics.on_change(2)
+    statistics.on_change_sent(0.25)
+    usage = ProcessUsage(at=1.0, cpu_s=0.5, resident_bytes=10, descriptors=3)
+    stats = statistics.stats(index=7, open_connections=4, waiting=1, usage=usage)
+    assert stats == DiscoveryStats(
+        polls=3,
+        connections=1,
+        answered=2,
+        rejected=1,
+        bytes_in=100,
+        bytes_out=42,
+        notification_s=0.25,
+        notified_polls=2,
+        index=7,
+        open=4,
+        waiting=1,
+        bucket_s=0.1,
+        polls_over_time=[[100.0, 2], [103.0, 1]],
+        at=1.0,
+        cpu_s=0.5,
+        resident_bytes=10,
+        descriptors=3,
+    )
