--- /dev/null
+++ b/scale_experiments/emulators/address.py
@@ -0,0 +1,23 @@
+"""Addresses of emulators as text of the form `host:port`.
+
+The router's own parser is not used here: importing it would load the router's decisions into the process of
+discovery, whose memory is measured.
+"""
+
+from __future__ import annotations
+
+
+def parse_address(text: str) -> tuple[str, int]:
+    """Host and port of a text that is split at its last colon.
+
+    Raises:
+        ValueError: The port is not a number.
+    """
+    host, _, port = text.rpartition(":")
+    return host, int(port)
+
+
+def format_address(address: tuple[str, int]) -> str:
+    """An address as `host:port`."""
+    host, port = address
+    return f"{host}:{port}"
--- a/scale_experiments/emulators/cache/emulator.py
+++ b/scale_experiments/emulators/cache/emulator.py
@@ -7,7 +7,7 @@
 from dataclasses import asdict
 from typing import get_args
 
-from cache_router.net.address import parse_address
+from scale_experiments.emulators.address import format_address, parse_address
 from scale_experiments.emulators.cache.cluster import CacheCluster
 from scale_experiments.emulators.cache.origin import Origin
 from scale_experiments.emulators.cache.server import CacheServer
@@ -44,7 +44,7 @@
         Raises:
             OSError: An address cannot be used.
             KeyError: There is no cache of a name.
-            ValueError: There is no such mode, or an address is not host:port.
+            ValueError: There is no such mode, or the port of an address is not a number.
         """
         match command:
             case StartCaches():
@@ -65,8 +65,8 @@
             cluster.on_fetched, cluster.value, command.origin_service_s, command.origin_max_concurrent
         )
         self._sampling = asyncio.create_task(self._sample_connections())
-        host, port = await self._origin.listen(*parse_address(command.origin))
-        return CachesStarted(f"{host}:{port}")
+        origin_address = await self._origin.listen(*parse_address(command.origin))
+        return CachesStarted(format_address(origin_address))
 
     async def _sample_connections(self) -> None:
         while True:
--- a/scale_experiments/emulators/discovery/__main__.py
+++ b/scale_experiments/emulators/discovery/__main__.py
@@ -26,7 +26,7 @@
 
 import orjson
 
-from cache_router.net.address import parse_address
+from scale_experiments.emulators.address import format_address, parse_address
 from scale_experiments.emulators.codec import encode
 from scale_experiments.emulators.control import serve_commands
 from scale_experiments.emulators.discovery.emulator import COMMAND_TYPES, DiscoveryEmulator
@@ -37,12 +37,12 @@
     """Serve at an address until standard input ends.
 
     Raises:
-        AddressError: `listen` is not host:port.
+        ValueError: The port of `listen` is not a number.
         OSError: The address cannot be used.
     """
     discovery = DiscoveryEmulator(parse_address(listen))
     await discovery.listen()
-    listening = Listening("{}:{}".format(*discovery.address))
+    listening = Listening(format_address(discovery.address))
     print(orjson.dumps(encode(listening)).decode(), flush=True)
     await serve_commands(discovery.handle, COMMAND_TYPES)
 
--- a/scale_experiments/routers/router_process.py
+++ b/scale_experiments/routers/router_process.py
@@ -14,6 +14,7 @@
 
 import orjson
 
+from scale_experiments.emulators.address import format_address, parse_address
 from scale_experiments.endpoint_lists.endpoint_entries import EndpointList
 from scale_experiments.runs.context import ExperimentContext
 
@@ -127,15 +128,15 @@
 def _free_address(host: str) -> str:
     with socket.socket() as probe:
         probe.bind((host, 0))
-        return "{}:{}".format(*probe.getsockname())
+        return format_address(probe.getsockname())
 
 
 def wait_until_ready(router: RouterProcess, timeout_s: float) -> None:
     """Wait until a router answers `+PONG`; raises RouterStartError where it ends or does not in time."""
-    host, _, port = router.address.rpartition(":")
+    host, port = parse_address(router.address)
     deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline and router.process.poll() is None:
-        if _answers_ping(host, int(port)):
+        if _answers_ping(host, port):
             return
         time.sleep(READY_POLL_INTERVAL_S)
     excerpt = router.log.read_text(errors="replace")[-LOG_EXCERPT_LENGTH:]
--- a/tests/scale_experiments/emulators/test_cache.py
+++ b/tests/scale_experiments/emulators/test_cache.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from cache_router.net.address import parse_address
+from scale_experiments.emulators.address import parse_address
 from scale_experiments.emulators.cache import cluster as cluster_module
 from scale_experiments.emulators.cache.cluster import CacheCluster
 from scale_experiments.emulators.cache.emulator import CachesEmulator
