--- a/scale_experiments/emulators/clients/connection.py
+++ b/scale_experiments/emulators/clients/connection.py
@@ -1,107 +1,143 @@
-"""A connection of a client to a router."""
+"""A connection of a client to a router, which carries one request at a time."""
 
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, cast
+from typing import Protocol, cast
 
 from cache_router.net.resp import INCOMPLETE, ErrorReply, Message, RespError, RespReader
-from scale_experiments.emulators.messages.clients import FAILED, LOST, REJECTED, RETRIES, SERVED, UNANSWERED
-
-if TYPE_CHECKING:
-    from scale_experiments.emulators.clients.load import RouterLoad
+from scale_experiments.emulators.messages.clients import FAILED, LOST, REJECTED, SERVED, UNANSWERED
 
 MAX_ARRAY_LENGTH = 16  # of a reply
 MAX_VALUE_BYTES = 64 * 1024
 MAX_REPLY_BYTES = MAX_VALUE_BYTES + 8192
-DEADLINE_GRACE_S = 0.2  # after a deadline, until its connection is given up
+DEADLINE_GRACE_S = 0.2  # from a request's deadline until its connection is reset
 
 
 class ClientRequest:
-    """One request; times are of the event loop, in seconds."""
+    """One request; its latency starts at `due_at`, when it was to be sent, in seconds of the event loop."""
 
-    __slots__ = ("completed", "data", "due_at", "is_retry", "sent_at")
+    __slots__ = ("_is_retry", "data", "due_at")
 
     def __init__(self, data: bytes, due_at: float) -> None:
         self.data = data
-        self.due_at = due_at  # when it was to be sent: its latency counts from there
-        self.sent_at = 0.0
-        self.is_retry = False  # sent once more
-        self.completed = False
+        self.due_at = due_at
+        self._is_retry = False
+
+    @property
+    def is_retry(self) -> bool:
+        """Whether the request was retried."""
+        return self._is_retry
+
+    def mark_retried(self) -> None:
+        """Record that the request is retried, which it is only once."""
+        self._is_retry = True
+
+
+class ConnectionOwner(Protocol):
+    """The load on a router as its connections see it."""
+
+    @property
+    def deadline_s(self) -> float:
+        """Seconds from when a request is due until its deadline."""
+        ...
+
+    def on_connected(self) -> None:
+        """Count a new connection."""
+        ...
+
+    def on_disconnected(self, connection: ClientConnection) -> None:
+        """Count a connection as closed, and send nothing more on it."""
+        ...
+
+    def on_idle(self, connection: ClientConnection) -> None:
+        """Use a connection for the next request."""
+        ...
+
+    def on_outcome(self, outcome: str, request: ClientRequest) -> None:
+        """Count how a request ended."""
+        ...
+
+    def retry(self, request: ClientRequest) -> None:
+        """Send a request again on another connection."""
+        ...
 
 
 class ClientConnection(asyncio.Protocol):
     """A connection that carries one request at a time."""
 
-    def __init__(self, load: RouterLoad) -> None:
-        self.load = load
-        self.reader = RespReader(MAX_ARRAY_LENGTH, MAX_VALUE_BYTES, MAX_REPLY_BYTES)
-        self.request: ClientRequest | None = None
-        self.completed_requests = 0
-        self.expiry: asyncio.TimerHandle | None = None
+    def __init__(self, load: ConnectionOwner) -> None:
+        self._load = load
+        self._reader = RespReader(MAX_ARRAY_LENGTH, MAX_VALUE_BYTES, MAX_REPLY_BYTES)
+        self._request: ClientRequest | None = None  # in flight
+        self._completed_requests = 0
+        self._expiry: asyncio.TimerHandle | None = None
+
+    @property
+    def is_closing(self) -> bool:
+        """Whether the connection is closed or being closed."""
+        return self._transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Count the connection."""
-        self.transport = cast(asyncio.Transport, transport)
-        self.load.open_connections += 1
-        self.load.connections_opened += 1
+        self._transport = cast(asyncio.Transport, transport)
+        self._load.on_connected()
 
     def send(self, request: ClientRequest) -> None:
-        """Send a request."""
-        loop = asyncio.get_running_loop()
-        self.request = request
-        request.sent_at = loop.time()
-        self.expiry = loop.call_at(request.due_at + self.load.deadline_s + DEADLINE_GRACE_S, self._time_out)
-        self.transport.write(request.data)
+        """Send a request; none may be in flight."""
+        self._request = request
+        expires_at = request.due_at + self._load.deadline_s + DEADLINE_GRACE_S
+        self._expiry = asyncio.get_running_loop().call_at(expires_at, self._expire)
+        self._transport.write(request.data)
+
+    def _end_request(self) -> ClientRequest | None:
+        """Return the request that was in flight; from now on none is."""
+        request, self._request = self._request, None
+        if self._expiry is not None:
+            self._expiry.cancel()
+        return request
 
     def _complete(self, outcome: str) -> None:
-        """Count the outcome of the request in flight, unless it was counted before."""
-        request, self.request = self.request, None
-        if self.expiry is not None:
-            self.expiry.cancel()
-        if request is not None and not request.completed:
-            request.completed = True
-            self.load.record_outcome(outcome, request)
-
-    def _time_out(self) -> None:
+        """Count the outcome of the request in flight, if there is one."""
+        request = self._end_request()
+        if request is not None:
+            self._load.on_outcome(outcome, request)
+
+    def _expire(self) -> None:
         self._complete(UNANSWERED)
-        self.transport.abort()
+        self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Complete the request in flight, if its reply is whole."""
-        self.reader.feed(data)
+        """Complete the request in flight, if its reply is complete."""
+        self._reader.feed(data)
         try:
-            reply = self.reader.next()
+            reply = self._reader.next()
         except RespError:
             self._complete(FAILED)
-            self.transport.abort()
+            self._transport.abort()
             return
         if reply is INCOMPLETE:
             return
-        self.completed_requests += 1
+        self._completed_requests += 1
         self._complete(outcome_of(reply))
-        self.load.idle.append(self)
+        self._load.on_idle(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Retry the request in flight if it crossed a close, or count it as lost."""
-        load, request = self.load, self.request
-        load.open_connections -= 1
-        if self in load.idle:
-            load.idle.remove(self)
+        self._load.on_disconnected(self)
+        request = self._request
         if request is None:
             return
-        if self.completed_requests and not request.is_retry:  # a close between requests that crossed this one
-            self.request, request.is_retry = None, True
-            if self.expiry is not None:
-                self.expiry.cancel()
-            load.counts[RETRIES] += 1
-            load.send(request)
+        # the router may close a connection between requests, before it has read the next one
+        if self._completed_requests and not request.is_retry:
+            self._end_request()
+            self._load.retry(request)
         else:
             self._complete(LOST)
 
 
 def outcome_of(reply: Message) -> str:
-    """What a reply says: that the request was served, rejected or failed."""
+    """The outcome of a request by its reply: served, rejected or failed."""
     match reply:
         case bytes() | [bytes(), *_]:
             return SERVED
--- a/scale_experiments/emulators/clients/emulator.py
+++ b/scale_experiments/emulators/clients/emulator.py
@@ -1,4 +1,4 @@
-"""The loads of a process, driven by the commands of its control channel."""
+"""The loads on all routers, and the commands of the clients' control channel."""
 
 from __future__ import annotations
 
@@ -7,13 +7,11 @@
 from collections import Counter
 from dataclasses import asdict
 
-from hdrh.histogram import HdrHistogram
-
-from scale_experiments.emulators.clients.load import MAX_LATENCY_US, RouterLoad
+from scale_experiments.emulators.clients.load import RouterLoad
+from scale_experiments.emulators.clients.statistics import build_latency_histogram
+from scale_experiments.emulators.codec import types_by_name
 from scale_experiments.emulators.control import process_usage
 from scale_experiments.emulators.messages.clients import (
-    CONNECTIONS_OPENED,
-    OPEN_CONNECTIONS,
     ClientsStats,
     GetClientsStats,
     PauseClients,
@@ -23,53 +21,52 @@
 from scale_experiments.measurement.histograms import encode_histogram
 
 ClientsCommand = StartClients | PauseClients | GetClientsStats
-COMMAND_TYPES: dict[str, type[ClientsCommand]] = {
-    each.do: each for each in (StartClients, PauseClients, GetClientsStats)
-}
+COMMAND_TYPES = types_by_name(StartClients, PauseClients, GetClientsStats)
 
 
 class ClientsEmulator:
-    """All that the process emulates, driven by the commands of its control channel."""
+    """All that the process emulates."""
 
     def __init__(self) -> None:
-        self.loads: list[RouterLoad] = []
-        self.tasks: list[asyncio.Task[None]] = []
+        self._loads: list[RouterLoad] = []
+        self._tasks: list[asyncio.Task[None]] = []
+
+    async def handle(self, command: ClientsCommand) -> object:
+        """Carry out a command of the control channel; returns the reply.
+
+        Raises:
+            ValueError: The port of a router's address is not a number.
+        """
+        match command:
+            case StartClients():
+                self._start(command)
+            case PauseClients():
+                for load in self._loads:
+                    load.pause()
+            case GetClientsStats():
+                stats = self._stats()
+                if command.restart:
+                    for load in self._loads:
+                        load.statistics.restart_latency()
+                return stats
+        return Done()
 
-    def start(self, command: StartClients) -> None:
+    def _start(self, command: StartClients) -> None:
         """Start the load on each router, with a seed of its own."""
         for number, address in enumerate(command.routers):
             load = RouterLoad(address, command, command.seed + number)
-            self.loads.append(load)
-            self.tasks.append(asyncio.create_task(load.run()))
+            self._loads.append(load)
+            self._tasks.append(asyncio.create_task(load.run()))
 
-    def stats(self) -> ClientsStats:
+    def _stats(self) -> ClientsStats:
         """Counts since the start, in sum over the routers, and what the process has used."""
         counts: Counter[str] = Counter()
-        latency = HdrHistogram(1, MAX_LATENCY_US, 2)
-        for load in self.loads:
-            counts.update(load.counts)
-            counts[OPEN_CONNECTIONS] += load.open_connections
-            counts[CONNECTIONS_OPENED] += load.connections_opened
-            latency.add(load.latency)
+        latency = build_latency_histogram()
+        for load in self._loads:
+            load.statistics.add_to(counts, latency)
         return ClientsStats(
             time=time.time(),
             counts=dict(counts),
             latency=encode_histogram(latency),
             **asdict(process_usage()),
         )
-
-    async def handle(self, command: ClientsCommand) -> object:
-        """Carry out a command of the control channel; returns the reply."""
-        match command:
-            case StartClients():
-                self.start(command)
-            case PauseClients():
-                for load in self.loads:
-                    load.paused = True
-            case GetClientsStats():
-                stats = self.stats()
-                if command.restart:
-                    for load in self.loads:
-                        load.latency.reset()
-                return stats
-        return Done()
--- a/scale_experiments/emulators/clients/load.py
+++ b/scale_experiments/emulators/clients/load.py
@@ -1,110 +1,107 @@
-"""The load of clients on one router."""
+"""The load of clients on one router: when requests are sent, and on which connections."""
 
 from __future__ import annotations
 
 import asyncio
 import math
-from collections import Counter, deque
-from collections.abc import Iterator
+from collections import deque
 
 import numpy as np
-from hdrh.histogram import HdrHistogram
 
-from cache_router.net.resp import encode_command
 from scale_experiments.emulators.address import parse_address
 from scale_experiments.emulators.clients.connection import ClientConnection, ClientRequest
-from scale_experiments.emulators.messages.clients import (
-    NOT_CONNECTED,
-    NOT_SENT,
-    REQUESTS,
-    SERVED,
-    StartClients,
-)
-
-MAX_LATENCY_US = 60_000_000
-KEYS_PER_DRAW = 4096
+from scale_experiments.emulators.clients.request_sequence import RequestSequence
+from scale_experiments.emulators.clients.statistics import LoadStatistics
+from scale_experiments.emulators.messages.clients import NOT_CONNECTED, NOT_SENT, StartClients
+
 MAX_CONNECTIONS_PER_ROUTER = 4000
 
 
 class RouterLoad:
-    """The load on one router."""
+    """The load on the router at `address` (host:port)."""
 
     def __init__(self, address: str, command: StartClients, seed: int) -> None:
-        self.address = parse_address(address)
-        self.deadline_s = command.deadline_s
-        self.rate = command.rate_per_s
-        self.write_share = command.write_share
-        self.value = b"w" * command.value_bytes
-        deadline_ms = int(self.deadline_s * 1000)
-        self.read_info = f"c={command.read_class},t=t,d={deadline_ms}".encode()
-        self.write_info = f"c={command.write_class},t=t,d={deadline_ms}".encode()
-        self.random = np.random.default_rng(seed)
-        weights = 1.0 / np.arange(1, command.keys + 1) ** float(command.zipf_exponent)
-        self.cumulative_popularity = np.cumsum(weights) / weights.sum()
-        self.seed = seed
-        self.request_count = 0
-        self.idle: deque[ClientConnection] = deque()
-        self.open_connections = self.connections_opened = 0
-        self.counts: Counter[str] = Counter()
-        self.latency = HdrHistogram(1, MAX_LATENCY_US, 2)
-        self.pending_connects: set[asyncio.Task[None]] = set()
-        self.paused = False
-
-    def requests(self) -> Iterator[bytes]:
-        """Requests without end, the same for the same seed."""
-        while True:
-            keys = np.searchsorted(self.cumulative_popularity, self.random.random(KEYS_PER_DRAW))
-            writes = self.random.random(KEYS_PER_DRAW) < self.write_share
-            for key, write in zip(keys.tolist(), writes.tolist(), strict=True):
-                self.request_count += 1
-                name = b"%08x%08x" % (self.seed, self.request_count)
-                if write:
-                    request_info = self.write_info + b",k=" + name
-                    yield encode_command([b"C.SET", b"%016x" % key, name, request_info, self.value])
-                else:
-                    yield encode_command([b"C.GET", b"%016x" % key, name, self.read_info])
+        self.statistics = LoadStatistics()
+        self._address = parse_address(address)
+        self._deadline_s = command.deadline_s
+        self._rate_per_s = command.rate_per_s
+        self._random = np.random.default_rng(seed)  # of the requests and of the times between them
+        self._requests = RequestSequence(command, seed, self._random)
+        self._idle: deque[ClientConnection] = deque()
+        self._pending_connects: set[asyncio.Task[None]] = set()
+        self._is_paused = False
+
+    @property
+    def deadline_s(self) -> float:
+        """Seconds from when a request is due until its deadline."""
+        return self._deadline_s
 
     async def run(self) -> None:
-        """Send at the rate until paused; what is late is sent at once and counts from its due time."""
+        """Send requests at random times, at the rate of the command, until paused.
+
+        A request that is late is sent at once, and its latency starts when it was due.
+        """
         loop = asyncio.get_running_loop()
         due_at = loop.time()
-        for data in self.requests():
-            due_at += -math.log(1.0 - self.random.random()) / self.rate
+        for data in self._requests:
+            due_at += -math.log(1.0 - self._random.random()) / self._rate_per_s  # exponentially distributed
             if (remaining_s := due_at - loop.time()) > 0:
                 await asyncio.sleep(remaining_s)
-            if self.paused:
+            if self._is_paused:
                 return
-            self.counts[REQUESTS] += 1
+            self.statistics.on_request()
             self.send(ClientRequest(data, due_at))
 
+    def pause(self) -> None:
+        """Send no new requests."""
+        self._is_paused = True
+
     def send(self, request: ClientRequest) -> None:
-        """Send on an idle connection, the one used last, or on a new one."""
-        while self.idle:
-            connection = self.idle.pop()
-            if not connection.transport.is_closing():
+        """Send on the idle connection that was used last, or on a new one."""
+        while self._idle:
+            connection = self._idle.pop()
+            if not connection.is_closing:
                 connection.send(request)
                 return
-        if self.open_connections + len(self.pending_connects) >= MAX_CONNECTIONS_PER_ROUTER:
-            self.record_outcome(NOT_SENT, request)
+        if self.statistics.open_connections + len(self._pending_connects) >= MAX_CONNECTIONS_PER_ROUTER:
+            self.on_outcome(NOT_SENT, request)
             return
         task = asyncio.create_task(self._connect(request))
-        self.pending_connects.add(task)
-        task.add_done_callback(self.pending_connects.discard)
+        self._pending_connects.add(task)
+        task.add_done_callback(self._pending_connects.discard)
 
     async def _connect(self, request: ClientRequest) -> None:
         try:
-            async with asyncio.timeout(self.deadline_s):
+            async with asyncio.timeout(self._deadline_s):
                 _, connection = await asyncio.get_running_loop().create_connection(
-                    lambda: ClientConnection(self), *self.address
+                    lambda: ClientConnection(self), *self._address
                 )
-        except OSError:  # also a time-out
-            self.record_outcome(NOT_CONNECTED, request)
+        except OSError:  # also TimeoutError
+            self.on_outcome(NOT_CONNECTED, request)
             return
         connection.send(request)
 
-    def record_outcome(self, outcome: str, request: ClientRequest) -> None:
+    def retry(self, request: ClientRequest) -> None:
+        """Send a request again on another connection."""
+        request.mark_retried()
+        self.statistics.on_retry()
+        self.send(request)
+
+    def on_connected(self) -> None:
+        """Count a new connection."""
+        self.statistics.on_connected()
+
+    def on_disconnected(self, connection: ClientConnection) -> None:
+        """Count a connection as closed, and send nothing more on it."""
+        self.statistics.on_disconnected()
+        if connection in self._idle:
+            self._idle.remove(connection)
+
+    def on_idle(self, connection: ClientConnection) -> None:
+        """Use a connection for the next request."""
+        self._idle.append(connection)
+
+    def on_outcome(self, outcome: str, request: ClientRequest) -> None:
         """Count how a request ended and, if it was served, its latency."""
-        self.counts[outcome] += 1
-        if outcome == SERVED:
-            latency_s = asyncio.get_running_loop().time() - request.due_at
-            self.latency.record_value(max(1, min(MAX_LATENCY_US, round(latency_s * 1e6))))
+        latency_s = asyncio.get_running_loop().time() - request.due_at
+        self.statistics.on_outcome(outcome, latency_s)
--- /dev/null
+++ b/scale_experiments/emulators/clients/statistics.py
@@ -0,0 +1,72 @@
+"""The counts and latencies of the load on one router; no I/O."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+from hdrh.histogram import HdrHistogram
+
+from scale_experiments.emulators.messages.clients import (
+    CONNECTIONS_OPENED,
+    OPEN_CONNECTIONS,
+    REQUESTS,
+    RETRIES,
+    SERVED,
+)
+
+MAX_LATENCY_US = 60_000_000
+LATENCY_DIGITS = 2  # significant ones
+
+
+def build_latency_histogram() -> HdrHistogram:
+    """A histogram of latencies in microseconds."""
+    return HdrHistogram(1, MAX_LATENCY_US, LATENCY_DIGITS)
+
+
+class LoadStatistics:
+    """Counts since the start, one method for each event that is counted."""
+
+    def __init__(self) -> None:
+        self._counts: Counter[str] = Counter()
+        self._open_connections = 0
+        self._connections_opened = 0
+        self._latency = build_latency_histogram()
+
+    @property
+    def open_connections(self) -> int:
+        """How many connections are open."""
+        return self._open_connections
+
+    def on_connected(self) -> None:
+        """Count a new connection."""
+        self._open_connections += 1
+        self._connections_opened += 1
+
+    def on_disconnected(self) -> None:
+        """Count a connection as closed."""
+        self._open_connections -= 1
+
+    def on_request(self) -> None:
+        """Count a request; its retry is not another one."""
+        self._counts[REQUESTS] += 1
+
+    def on_retry(self) -> None:
+        """Count a retry."""
+        self._counts[RETRIES] += 1
+
+    def on_outcome(self, outcome: str, latency_s: float) -> None:
+        """Count how a request ended and, if it was served, its latency."""
+        self._counts[outcome] += 1
+        if outcome == SERVED:
+            self._latency.record_value(max(1, min(MAX_LATENCY_US, round(latency_s * 1e6))))
+
+    def restart_latency(self) -> None:
+        """Drop the latencies that were recorded until now."""
+        self._latency.reset()
+
+    def add_to(self, counts: Counter[str], latency: HdrHistogram) -> None:
+        """Add all counts and latencies to those of other loads."""
+        counts.update(self._counts)
+        counts[OPEN_CONNECTIONS] += self._open_connections
+        counts[CONNECTIONS_OPENED] += self._connections_opened
+        latency.add(self._latency)
