--- /dev/null
+++ b/scale_experiments/routers/hollow/__init__.py
@@ -0,0 +1,1 @@
+"""Hollow routers, as one process."""
