--- a/scale_experiments/emulators/cache/keys.py
+++ b/scale_experiments/emulators/cache/keys.py
@@ -9,15 +9,13 @@
     """The keys of one cache.
 
     A cache that starts warm has every key, so only those that it lacks are recorded, without a limit. A cache
-    that starts cold has at most `max_keys` keys and evicts the least recently used one.
+    that starts empty has at most `max_keys` keys and evicts the least recently used one.
     """
 
     def __init__(self, *, warm: bool, max_keys: int) -> None:
         self._is_warm = warm
         self._max_keys = max_keys
-        self._keys: OrderedDict[bytes, None] = (
-            OrderedDict()
-        )  # keys that a warm cache lacks, or a cold one has
+        self._keys: OrderedDict[bytes, None] = OrderedDict()  # that a warm cache lacks, or another one has
 
     def contains(self, key: bytes) -> bool:
         """Whether the cache has a key, which becomes the most recently used one."""
@@ -45,6 +43,6 @@
             self._keys.pop(key, None)
 
     def clear(self) -> None:
-        """Lose all keys; the cache is cold from now on."""
+        """Lose all keys; from now on the cache is as one that started empty."""
         self._keys.clear()
         self._is_warm = False
--- a/scale_experiments/emulators/cache/origin.py
+++ b/scale_experiments/emulators/cache/origin.py
@@ -1,4 +1,4 @@
-"""The origin: answers reads and writes over HTTP/1.1 after a delay, and only so many at a time."""
+"""The origin: answers reads and writes over HTTP/1.1 after a delay, with a limit of concurrent requests."""
 
 from __future__ import annotations
 
--- a/scale_experiments/emulators/messages/routers.py
+++ b/scale_experiments/emulators/messages/routers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 from typing import Any, ClassVar, Literal
 
@@ -48,9 +48,12 @@
 
 @dataclass(slots=True, frozen=True)
 class UpdateTimes:
-    """When each router had an index, of the monotonic clock; None or NaN where it has not had it."""
+    """When each router had an index, of the monotonic clock.
 
-    times: list[float | None]
+    Where a router has not had it, the sender has NaN, which JSON has as null and the receiver as None.
+    """
+
+    times: Sequence[float | None]
 
 
 @dataclass(slots=True, frozen=True)
--- a/scale_experiments/routers/hollow/__main__.py
+++ b/scale_experiments/routers/hollow/__main__.py
@@ -1,18 +1,20 @@
-"""Hollow routers: hundreds in one process, each with the real watch over a real socket and no clients.
+"""Runs hollow routers: routers without their data path, each of which watches discovery over a real socket.
 
     python -m scale_experiments.routers.hollow
 
-A hollow router is a router without its data path, as a hollow node of Kubernetes is a kubelet without
-containers: discovery can't tell it from a whole one. It is the program's own `Discovery` and `Dispatcher`,
-put together as the program does it. What it does with an endpoint list depends on its mode:
+The process reads commands from standard input, one JSON object a line, and writes a reply to each on standard
+output. It ends with its standard input. The commands are `StartRouters`, `GetRoutersStats` and
+`GetUpdateTimes` of `scale_experiments.emulators.messages.routers`.
+
+The name follows the hollow node of Kubernetes, a kubelet without containers. Discovery cannot distinguish a
+hollow router from a complete one: it is the program's own `Discovery` and `Dispatcher`, connected as the
+program connects them. The mode decides what a router does with an endpoint list:
 
 - "router": the decision module handles every list.
-- "list": the dispatcher stores the list, and the decision module only learns that there was one. Its backoff
+- "list": the dispatcher stores the list, and the decision module only learns that there was one. The backoff
   after failed polls stays in force, and no ring is built.
-- "index": only the index is stored. A poll is made and read with the least work that puts the same bytes on
-  the wire, so that one machine bears the load of some thousand routers on discovery.
-
-Commands: `StartRouters`, `GetRoutersStats` and `GetUpdateTimes` of `scale_experiments.emulators.messages`.
+- "index": only the index is stored. A poll is sent and read with the least work that puts the same bytes on
+  the wire, so that one machine can run several thousand routers.
 """
 
 from __future__ import annotations
@@ -24,6 +26,6 @@
 from scale_experiments.routers.hollow.fleet import COMMAND_TYPES, HollowFleet
 
 if __name__ == "__main__":
-    # failed polls are counted; some thousand lines a second would cost more than the polls
+    # failed polls are counted; some thousand log lines a second would cost more than the polls
     logging.basicConfig(level=logging.ERROR)
     asyncio.run(serve_commands(HollowFleet().handle, COMMAND_TYPES))
--- a/scale_experiments/routers/hollow/minimal_discovery.py
+++ b/scale_experiments/routers/hollow/minimal_discovery.py
@@ -1,4 +1,4 @@
-"""A watch that makes and reads a poll with the least work."""
+"""A watch that sends and reads a poll with the least work that puts the same bytes on the wire."""
 
 from __future__ import annotations
 
@@ -15,49 +15,53 @@
 RESPONSE_HEAD = re.compile(
     rb"HTTP/1.1 (\d+) .*?\r\ncontent-length: *(\d+)\r\n.*?\r\n\r\n", re.IGNORECASE | re.DOTALL
 )
-# in place of the endpoints of a response that has any
+LIST_START = re.compile(rb'{"index":(\d+),"snapshot":(true|false),"endpoints":\[(.?)')
+# stands for the endpoints of a response that has any
 PLACEHOLDER_ENDPOINTS = [NetworkEndpoint(Endpoint("-"), "127.0.0.1:1")]
 
 
 class MinimalPoll(asyncio.Protocol):
-    """One poll and its response."""
+    """One poll; `done` gets the body of its response, or the error.
+
+    Errors are those of the connection, and EndpointListError for a response that cannot be used.
+    """
 
     def __init__(self, request: bytes, done: asyncio.Future[bytes]) -> None:
-        self.request = request
-        self.done = done
-        self.buffer = b""
+        self._request = request
+        self._done = done
+        self._buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the poll."""
-        cast(asyncio.Transport, transport).write(self.request)
+        cast(asyncio.Transport, transport).write(self._request)
 
     def data_received(self, data: bytes) -> None:
-        """Finish once the response is whole, or fail if it can't be used."""
-        self.buffer += data
-        head = RESPONSE_HEAD.match(self.buffer)
-        if head is not None and len(self.buffer) >= head.end() + int(head[2]):
+        """Finish once the response is complete, or fail if it cannot be used."""
+        self._buffer += data
+        head = RESPONSE_HEAD.match(self._buffer)
+        if head is not None and len(self._buffer) >= head.end() + int(head[2]):
             if head[1] == b"200":
-                self._finish(self.buffer[head.end() :])
+                self._finish(self._buffer[head.end() :])
             else:
                 self._fail(EndpointListError(f"answered {head[1].decode()}"))
-        elif len(self.buffer) > MAX_LIST_SIZE:
+        elif len(self._buffer) > MAX_LIST_SIZE:
             self._fail(EndpointListError("too long"))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail, unless the response was whole."""
+        """Fail, unless the response was complete."""
         self._fail(exc or ConnectionResetError("ended without an answer"))
 
     def _finish(self, body: bytes) -> None:
-        if not self.done.done():
-            self.done.set_result(body)
+        if not self._done.done():
+            self._done.set_result(body)
 
     def _fail(self, error: Exception) -> None:
-        if not self.done.done():
-            self.done.set_exception(error)
+        if not self._done.done():
+            self._done.set_exception(error)
 
 
 class MinimalDiscovery(Discovery):
-    """The real watch with a poll of its own: the same request and times, but only the index is read."""
+    """The program's watch with a poll of its own: same request, same times, but only the index is read."""
 
     async def _poll(self) -> EndpointListMessage:
         poll = self.next_poll()
@@ -72,9 +76,9 @@
                 body = await done
             finally:
                 transport.close()
-        # decoding all of a list would cost as much as storing it
-        index = re.match(rb'{"index":(\d+),"snapshot":(true|false),"endpoints":\[(.?)', body)
-        if index is None:
+        # decoding a complete list would cost as much as storing it
+        start = LIST_START.match(body)
+        if start is None:
             raise EndpointListError("no list")
-        endpoints = PLACEHOLDER_ENDPOINTS if index[3] == b"{" else []
-        return EndpointListMessage(int(index[1]), index[2] == b"true", endpoints)
+        endpoints = PLACEHOLDER_ENDPOINTS if start[3] == b"{" else []
+        return EndpointListMessage(int(start[1]), start[2] == b"true", endpoints)
--- a/scale_experiments/routers/hollow/router.py
+++ b/scale_experiments/routers/hollow/router.py
@@ -1,9 +1,8 @@
-"""One router without clients."""
+"""One hollow router: the program's own watch and dispatcher, without clients and without requests."""
 
 from __future__ import annotations
 
 import time
-from typing import TYPE_CHECKING
 
 from cache_router.decisions.events import EndpointUpdate, EndpointUpdateKind, Event
 from cache_router.net.cache_connection import CacheConnection
@@ -12,57 +11,82 @@
 from cache_router.net.dispatcher import Dispatcher
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.net.origin_connection import OriginConnection
+from cache_router.settings import Settings
+from scale_experiments.emulators.messages.routers import HollowMode
 from scale_experiments.routers.hollow.minimal_discovery import MinimalDiscovery
-
-if TYPE_CHECKING:
-    from scale_experiments.routers.hollow.fleet import HollowFleet
+from scale_experiments.routers.hollow.update_times import FleetStatistics
 
 
 class RinglessDispatcher(Dispatcher):
-    """A dispatcher that stores endpoints and leaves the decision module without a ring."""
+    """A dispatcher that stores endpoints, and from which the decision module builds no ring."""
 
     def post(self, event: Event) -> None:
-        """Post an event; of an endpoint update only its kind."""
+        """Post an event; an endpoint update is posted without its endpoints."""
         super().post(EndpointUpdate(event.kind) if isinstance(event, EndpointUpdate) else event)
 
 
 class HollowRouter:
-    """One router without clients."""
+    """The router `number` of a process, which watches discovery at `address` (host:port)."""
 
-    def __init__(self, number: int, fleet: HollowFleet, address: str, seed: int, index: int) -> None:
-        self.number = number
-        self.fleet = fleet
-        self.index = index
-        settings = fleet.settings
+    def __init__(
+        self,
+        number: int,
+        *,
+        address: str,
+        index: int,
+        mode: HollowMode,
+        seed: int,
+        settings: Settings,
+        statistics: FleetStatistics,
+    ) -> None:
+        self._number = number
+        self._index = index
+        self._mode = mode
+        self._statistics = statistics
         connect_timeout, idle_timeout = settings.connect_timeout, settings.connection_idle_timeout
         cache_pool = ConnectionPool(CacheConnection, 1, connect_timeout, idle_timeout)
         origin_pool = ConnectionPool(OriginConnection, 1, connect_timeout, idle_timeout)
-        dispatcher_type = Dispatcher if fleet.mode == "router" else RinglessDispatcher
-        self.dispatcher = dispatcher_type(settings, seed, cache_pool, origin_pool, self._subscribe)
-        self.is_automatic = not settings.must_subscribe
-        discovery_type = MinimalDiscovery if fleet.mode == "index" else Discovery
-        self.discovery = discovery_type(
-            address, index, self._on_update, self._on_failure, self.is_automatic, budget=settings.watch_budget
+        dispatcher_type = Dispatcher if mode == "router" else RinglessDispatcher
+        self._dispatcher = dispatcher_type(settings, seed, cache_pool, origin_pool, self._subscribe)
+        self._is_automatic = not settings.must_subscribe
+        discovery_type = MinimalDiscovery if mode == "index" else Discovery
+        self._discovery = discovery_type(
+            address,
+            index,
+            self._on_update,
+            self._on_failure,
+            self._is_automatic,
+            budget=settings.watch_budget,
         )
 
+    @property
+    def index(self) -> int:
+        """The highest index that the router has had."""
+        return self._index
+
+    @property
+    def endpoint_count(self) -> int:
+        """How many endpoints the dispatcher stores."""
+        return len(self._dispatcher.endpoints)
+
     def start(self, cached_list: list[NetworkEndpoint]) -> None:
         """Post the cached endpoint list and subscribe, as the program does."""
-        endpoints = [] if self.fleet.mode == "index" else cached_list
-        self.dispatcher.on_endpoint_update(EndpointUpdateKind.CACHED, endpoints)
-        if self.is_automatic:
-            self.discovery.subscribe()
+        endpoints = [] if self._mode == "index" else cached_list
+        self._dispatcher.on_endpoint_update(EndpointUpdateKind.CACHED, endpoints)
+        if self._is_automatic:
+            self._discovery.subscribe()
 
     def _subscribe(self) -> None:
-        self.discovery.subscribe()
+        self._discovery.subscribe()
 
-    def _on_update(self, kind: EndpointUpdateKind, members: list[NetworkEndpoint]) -> None:
-        self.dispatcher.on_endpoint_update(kind, members)
-        index = self.discovery.index
-        if index is not None and index > self.index:
-            self.fleet.times.record(self.number, self.index, index, time.monotonic())
-            self.index = index
-        self.fleet.updates += 1
+    def _on_update(self, kind: EndpointUpdateKind, endpoints: list[NetworkEndpoint]) -> None:
+        self._dispatcher.on_endpoint_update(kind, endpoints)
+        index = self._discovery.index
+        if index is not None and index > self._index:
+            self._statistics.on_index(self._number, self._index, index, time.monotonic())
+            self._index = index
+        self._statistics.on_update()
 
     def _on_failure(self) -> None:
-        self.fleet.failed += 1
-        self.dispatcher.on_watch_failed()
+        self._statistics.on_failure()
+        self._dispatcher.on_watch_failed()
--- a/scale_experiments/routers/hollow/update_times.py
+++ b/scale_experiments/routers/hollow/update_times.py
@@ -1,4 +1,4 @@
-"""When each hollow router had each index."""
+"""Records when each hollow router had each index, and counts updates and failed polls; no I/O."""
 
 from __future__ import annotations
 
@@ -6,21 +6,66 @@
 from array import array
 from collections import OrderedDict
 
-MAX_RECORDED_INDICES = 512  # for each router
+MAX_RECORDED_INDICES = 512
 
 
 class UpdateTimeTable:
-    """When each router first had each index: seconds of the monotonic clock, NaN where it has not."""
+    """When each router first had each index: seconds of the monotonic clock, NaN where it has not had it."""
 
     def __init__(self, routers: int) -> None:
-        self.routers = routers
-        self.by_index: OrderedDict[int, array[float]] = OrderedDict()
+        self._routers = routers
+        self._times_by_index: OrderedDict[int, array[float]] = OrderedDict()
 
     def record(self, router: int, before: int, index: int, at: float) -> None:
-        """Record that a router has `index` at a time, after `before`; older indices are dropped."""
+        """Record that a router has `index`, and so all indices after `before`, at a time.
+
+        The oldest indices are dropped where there are more than `MAX_RECORDED_INDICES`.
+        """
         for each in range(max(before + 1, index - MAX_RECORDED_INDICES + 1), index + 1):
-            if each not in self.by_index:
-                self.by_index[each] = array("d", [math.nan]) * self.routers
-                if len(self.by_index) > MAX_RECORDED_INDICES:
-                    self.by_index.popitem(last=False)
-            self.by_index[each][router] = at
+            if each not in self._times_by_index:
+                self._times_by_index[each] = self._unknown_times()
+                if len(self._times_by_index) > MAX_RECORDED_INDICES:
+                    self._times_by_index.popitem(last=False)
+            self._times_by_index[each][router] = at
+
+    def times(self, index: int) -> list[float]:
+        """When each router had an index."""
+        return list(self._times_by_index.get(index) or self._unknown_times())
+
+    def _unknown_times(self) -> array[float]:
+        return array("d", [math.nan]) * self._routers
+
+
+class FleetStatistics:
+    """Updates and failed polls of all routers of a process, and when each router had each index."""
+
+    def __init__(self, routers: int) -> None:
+        self._update_times = UpdateTimeTable(routers)
+        self._updates = 0
+        self._failed = 0
+
+    @property
+    def updates(self) -> int:
+        """How many responses of discovery the routers have received."""
+        return self._updates
+
+    @property
+    def failed(self) -> int:
+        """How many polls have failed."""
+        return self._failed
+
+    def on_update(self) -> None:
+        """Count a response of discovery."""
+        self._updates += 1
+
+    def on_failure(self) -> None:
+        """Count a failed poll."""
+        self._failed += 1
+
+    def on_index(self, router: int, before: int, index: int, now: float) -> None:
+        """Record that a router, which had the index `before`, now has `index`."""
+        self._update_times.record(router, before, index, now)
+
+    def update_times(self, index: int) -> list[float]:
+        """When each router had an index; NaN where it has not had it."""
+        return self._update_times.times(index)
--- a/tests/scale_experiments/emulators/test_cache.py
+++ b/tests/scale_experiments/emulators/test_cache.py
@@ -61,7 +61,7 @@
     assert first.contains(b"k3")
 
 
-def test_cold_cache_evicts_the_least_recently_used_key() -> None:
+def test_cache_that_started_empty_evicts_the_least_recently_used_key() -> None:
     keys = CachedKeys(warm=False, max_keys=2)
     keys.store(b"k1")
     keys.store(b"k2")
--- /dev/null
+++ b/tests/scale_experiments/routers/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the routers under test."""
