--- a/scale_experiments/emulators/control.py
+++ b/scale_experiments/emulators/control.py
@@ -1,6 +1,7 @@
-"""The control channel of an emulator: JSON objects, one a line, on standard input; as many replies on output.
+"""The control channel of an emulator: commands on its standard input, a reply to each on its standard output.
 
-The end of standard input ends the process, so that none outlives the experiment that started it.
+Commands and replies are JSON objects, one a line. The end of standard input ends the process, so that no
+emulator outlives the experiment that started it.
 """
 
 from __future__ import annotations
@@ -30,11 +31,11 @@
 
 
 class ControlError(RuntimeError):
-    """An emulator that ended, answered too late, or reported an error."""
+    """An emulator has ended, sent no reply in time, or reported an error."""
 
 
 def process_usage() -> ProcessUsage:
-    """What this process uses now."""
+    """What this process has used until now."""
     process = psutil.Process()
     return ProcessUsage(
         at=time.monotonic(),
@@ -45,7 +46,11 @@
 
 
 async def serve_commands(handle: Handler, command_types: Mapping[str, type[Any]]) -> None:
-    """Carry out commands until standard input ends; one that fails answers with `error` and ends nothing."""
+    """Carry out commands until standard input ends.
+
+    `handle` carries out a command and returns its reply; `command_types` has the classes of commands by name.
+    The reply to a command that fails has the error as text.
+    """
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -61,7 +66,10 @@
 class ControlClient:
     """The experiment's end of an emulator's control channel.
 
-    `process` was started with pipes for standard input and output; who started it ends it.
+    `process` must have been started with pipes for standard input and output. The caller ends it.
+
+    Raises:
+        ValueError: `process` has no pipe for standard input or output.
     """
 
     def __init__(self, process: subprocess.Popen[bytes], name: str, reply_timeout_s: float) -> None:
@@ -75,7 +83,11 @@
         self.output = process.stdout.fileno()
 
     def send(self, command: Command[Any]) -> None:
-        """Send a command; its reply is read by `receive`. Raises ControlError if the emulator has ended."""
+        """Send a command, whose reply `receive` returns.
+
+        Raises:
+            ControlError: The emulator has ended.
+        """
         try:
             self.input.write(orjson.dumps(encode_command(command)) + b"\n")
             self.input.flush()
@@ -83,10 +95,10 @@
             raise ControlError(f"{self.name} has ended: {e}") from e
 
     def receive(self, reply_type: type[Reply]) -> Reply:
-        """The reply to the oldest command that has none yet.
+        """The reply to the oldest command whose reply has not been received.
 
-        Raises ControlError if the emulator has ended, reports an error, or sends nothing for
-        `reply_timeout_s`.
+        Raises:
+            ControlError: The emulator has ended, reports an error, or sends no reply in `reply_timeout_s`.
         """
         message = orjson.loads(self._read_line())
         if not isinstance(message, dict) or ERROR_KEY in message:
@@ -94,7 +106,7 @@
         return decode(reply_type, message)
 
     def request(self, command: Command[Reply]) -> Reply:
-        """Send a command and wait for its reply; raises ControlError."""
+        """Send a command and wait for its reply; raises as `receive`."""
         self.send(command)
         return self.receive(command.reply_type)
 
@@ -115,7 +127,11 @@
 
 
 def request_all(clients: Sequence[ControlClient], command: Command[Reply]) -> list[Reply]:
-    """Send one command to several emulators at once, then collect their replies in order."""
+    """Send one command to several emulators, then wait for their replies; returns these in the same order.
+
+    Raises:
+        ControlError: An emulator has ended, reports an error, or sends no reply in time.
+    """
     for client in clients:
         client.send(command)
     return [client.receive(command.reply_type) for client in clients]
--- a/scale_experiments/emulators/launch.py
+++ b/scale_experiments/emulators/launch.py
@@ -1,4 +1,4 @@
-"""Starting emulators as processes of a run."""
+"""Starts emulators as processes of a run."""
 
 from __future__ import annotations
 
@@ -22,9 +22,12 @@
     *arguments: str,
     reply_timeout_s: float = DEFAULT_REPLY_TIMEOUT_S,
 ) -> ControlClient:
-    """Start a module of this package as a process, which the context ends at the latest.
+    """Start a module as a process, which ends with the context at the latest.
 
-    `name` is how errors call it. Raises OSError where the process can't be started.
+    `name` is the emulator's name in errors, `arguments` are those of its command.
+
+    Raises:
+        OSError: The process cannot be started.
     """
     process = context.spawn(
         [sys.executable, "-m", module, *arguments], stdin=subprocess.PIPE, stdout=subprocess.PIPE
--- a/scale_experiments/emulators/messages/__init__.py
+++ b/scale_experiments/emulators/messages/__init__.py
@@ -1,6 +1,7 @@
 """The messages of the control channel: an experiment's commands and an emulator's replies.
 
-A command is the JSON object `{"do": NAME, ...}`, a reply an object without `do`. A field is spelled as in its
-class, or as its metadata's `KEY` says. Times are in seconds; `at` is of the monotonic clock, which all
-processes of a machine share. Each emulator has a module of its own, so that it loads no other's messages.
+A command is the JSON object `{"do": NAME, ...}`; a reply is an object without `do`. The JSON key of a field
+is the field's name, or the `KEY` of its metadata. Times are in seconds. The time `at` is of the monotonic
+clock, which all processes of a machine share. The messages of each emulator are in a module of their own, so
+that an emulator does not load those of others.
 """
--- a/scale_experiments/emulators/messages/caches.py
+++ b/scale_experiments/emulators/messages/caches.py
@@ -14,15 +14,15 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class CacheSettings:
-    """What all caches of a process share; times in seconds."""
+    """The settings that all caches of a process share."""
 
     value_bytes: int
-    service_s: float
-    handshake_s: float
-    idle_s: float
-    max_connections: int = field(metadata={KEY: "most_connections"})
-    max_keys: int = field(metadata={KEY: "most_keys"})
-    warm: bool
+    service_s: float  # of each request
+    handshake_s: float  # more, for the first request on a connection
+    idle_s: float  # after which a connection without requests is closed
+    max_connections: int = field(metadata={KEY: "most_connections"})  # of each cache
+    max_keys: int = field(metadata={KEY: "most_keys"})  # of each cache that does not start warm
+    warm: bool  # caches have every key at the start
 
 
 @dataclass(slots=True, frozen=True)
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class StartCaches(CacheSettings):
-    """Start the caches at `addresses` (name to host:port), and the origin at `origin`."""
+    """Start the caches at `addresses` (host:port by name), and the origin at `origin` (host:port)."""
 
     do: ClassVar[str] = "start"
     reply_type: ClassVar[type[CachesStarted]] = CachesStarted
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetCacheMode:
-    """Change how some caches behave."""
+    """Change the mode of some caches, which the command's module explains."""
 
     do: ClassVar[str] = "mode"
     reply_type: ClassVar[type[Done]] = Done
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class CacheCounters:
-    """Counts of one cache since its start; `open_sum` adds up the open connections of all samples."""
+    """Counts of one cache since its start; `open_sum` is the sum of open connections over all samples."""
 
     accepted: int
     handshakes: int
@@ -94,9 +94,9 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class CachesStats(ProcessUsage):
-    """Counts of each cache and of the origin; `samples` is how often open connections were counted."""
+    """Counts of each cache and of the origin; `samples` is how many times open connections were sampled."""
 
-    time: float
+    time: float  # of the wall clock
     samples: int
     caches: dict[str, CacheCounters] = field(metadata={DECODE: decode_cache_counters})
     origin: OriginCounters = field(metadata={DECODE: decode_origin_counters})
@@ -104,7 +104,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GetCachesStats:
-    """Ask for the counts since the start."""
+    """Get the counts since the start."""
 
     do: ClassVar[str] = "stats"
     reply_type: ClassVar[type[CachesStats]] = CachesStats
--- a/scale_experiments/emulators/messages/clients.py
+++ b/scale_experiments/emulators/messages/clients.py
@@ -8,16 +8,16 @@
 from scale_experiments.emulators.codec import KEY
 from scale_experiments.emulators.messages.common import Done, ProcessUsage
 
-# outcomes of requests, by which ClientsStats counts
+# outcomes of requests: keys of ClientsStats.counts
 SERVED = "served"
 REJECTED = "refused"
 FAILED = "failed"
 UNANSWERED = "unanswered"
-LOST = "lost"  # with their connection
+LOST = "lost"  # with its connection
 NOT_CONNECTED = "not_connected"
 NOT_SENT = "not_sent"
 FAILED_OUTCOMES = (FAILED, UNANSWERED, LOST, NOT_CONNECTED, NOT_SENT)
-# what else it counts
+# other keys of ClientsStats.counts
 REQUESTS = "asked"
 RETRIES = "sent_again"
 OPEN_CONNECTIONS = "open"
@@ -26,7 +26,11 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class StartClients:
-    """Start the load on each of `routers` (host:port)."""
+    """Start the load on each of `routers` (host:port).
+
+    The keys of requests follow Zipf's law: the popularity of the key of rank r is proportional to r to the
+    power of `-zipf_exponent`.
+    """
 
     do: ClassVar[str] = "start"
     reply_type: ClassVar[type[Done]] = Done
@@ -53,16 +57,16 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class ClientsStats(ProcessUsage):
-    """Counts by name since the start, as above; `latency` is an HDR histogram in microseconds, base64."""
+    """Counts since the start, by the names above; `latency` is an encoded HDR histogram in microseconds."""
 
-    time: float
+    time: float  # of the wall clock
     counts: dict[str, int]
     latency: str
 
 
 @dataclass(slots=True, frozen=True)
 class GetClientsStats:
-    """Ask for the counts since the start; with `restart` the histogram begins anew after that."""
+    """Get the counts since the start; with `restart`, the histogram is empty after this reply."""
 
     do: ClassVar[str] = "stats"
     reply_type: ClassVar[type[ClientsStats]] = ClientsStats
--- a/scale_experiments/emulators/messages/common.py
+++ b/scale_experiments/emulators/messages/common.py
@@ -7,14 +7,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Done:
-    """A command was carried out; nothing else is said."""
+    """The reply of a command that returns nothing."""
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class ProcessUsage:
-    """What a process uses: CPU seconds (user and system), resident bytes, descriptors; and the time."""
+    """What a process has used since its start, and what it uses now."""
 
-    at: float
-    cpu_s: float
+    at: float  # when this was read, of the monotonic clock
+    cpu_s: float  # user and system
     resident_bytes: int
     descriptors: int
--- a/scale_experiments/emulators/messages/discovery.py
+++ b/scale_experiments/emulators/messages/discovery.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Listening:
-    """Where a discovery listens, as host:port; it sends this once, before any command."""
+    """Where discovery listens, as host:port. It sends this once, before it reads any command."""
 
     address: str
 
@@ -27,35 +27,39 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ReplaceList:
-    """Take a whole list, `endpoints` in discovery's form."""
+class EndpointListCommand:
+    """A list, or changes of it, under an index; `endpoints` are JSON objects in discovery's form."""
 
-    do: ClassVar[str] = "list"
     reply_type: ClassVar[type[Timestamp]] = Timestamp
 
     index: int
     endpoints: Sequence[Mapping[str, Any]]
 
 
-@dataclass(slots=True, frozen=True)
-class ChangeList:
+class ReplaceList(EndpointListCommand):
+    """Take a complete list."""
+
+    __slots__ = ()
+
+    do: ClassVar[str] = "list"
+
+
+class ChangeList(EndpointListCommand):
     """Take changed entries under the next index."""
 
-    do: ClassVar[str] = "change"
-    reply_type: ClassVar[type[Timestamp]] = Timestamp
+    __slots__ = ()
 
-    index: int
-    endpoints: Sequence[Mapping[str, Any]]
+    do: ClassVar[str] = "change"
 
 
 @dataclass(slots=True, frozen=True)
 class SetDiscoveryMode:
-    """Answer polls from now on, or fail them in one of the ways; `after_s` is the delay of `busy`."""
+    """Answer polls, or fail them in one of the ways, from now on. The mode is the command's name in JSON."""
 
     reply_type: ClassVar[type[Timestamp]] = Timestamp
 
     do: DiscoveryMode
-    after_s: float | None = None
+    after_s: float | None = None  # from a poll to its rejection, in the mode "busy"
 
 
 @dataclass(slots=True, frozen=True)
@@ -68,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResetUnanswered:
-    """Reset the connections whose polls were left without an answer."""
+    """Reset the connections whose polls were left without a response."""
 
     do: ClassVar[str] = "reset_held"
     reply_type: ClassVar[type[ConnectionsReset]] = ConnectionsReset
@@ -76,7 +80,12 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class DiscoveryStats(ProcessUsage):
-    """Counts since the start; `polls_over_time` has the number of each bucket of `bucket_s` and its polls."""
+    """Counts since the start, and the current index, open connections and waiting polls.
+
+    `notification_s` is the time from the latest change until the last response to it was written, and
+    `notified_polls` the number of these responses. `polls_over_time` has a pair for each interval of
+    `bucket_s` in which there were polls: the number of the interval on the monotonic clock, and its polls.
+    """
 
     polls: int = field(metadata={KEY: "calls"})
     connections: int
@@ -95,7 +104,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GetDiscoveryStats:
-    """Ask for the counts since the start."""
+    """Get the counts since the start."""
 
     do: ClassVar[str] = "stats"
     reply_type: ClassVar[type[DiscoveryStats]] = DiscoveryStats
--- a/scale_experiments/emulators/messages/routers.py
+++ b/scale_experiments/emulators/messages/routers.py
@@ -14,7 +14,10 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class StartRouters:
-    """Start `routers` routers within `spread_s`, over the `discovery` addresses in turn."""
+    """Start `routers` routers, spread evenly over `spread_s`.
+
+    Each router watches one of the addresses (host:port) of `discovery`, in turn.
+    """
 
     do: ClassVar[str] = "start"
     reply_type: ClassVar[type[Done]] = Done
@@ -30,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class RoutersStats(ProcessUsage):
-    """Updates and failed polls of all routers; the lowest index and fewest endpoints that any has."""
+    """Updates and failed polls of all routers, and the lowest index and fewest endpoints of any router."""
 
     updates: int = field(metadata={KEY: "told"})
     failed: int
@@ -40,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GetRoutersStats:
-    """Ask for the counts since the start."""
+    """Get the counts since the start."""
 
     do: ClassVar[str] = "stats"
     reply_type: ClassVar[type[RoutersStats]] = RoutersStats
@@ -58,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GetUpdateTimes:
-    """Ask when each router had an index."""
+    """Get when each router had an index."""
 
     do: ClassVar[str] = "had"
     reply_type: ClassVar[type[UpdateTimes]] = UpdateTimes
