--- a/scale_experiments/emulators/discovery/poll_connection.py
+++ b/scale_experiments/emulators/discovery/poll_connection.py
@@ -98,7 +98,7 @@
         self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Read a poll, unless the one before has no response yet."""
+        """Read a poll, unless the previous one has no response yet."""
         self._discovery.on_received(len(data))
         self._buffer += data
         if len(self._buffer) > MAX_HEAD_BYTES:
--- a/scale_experiments/endpoint_lists/__init__.py
+++ b/scale_experiments/endpoint_lists/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoint lists of any size, and sequences of changes of them."""
+"""Generated endpoint lists of any size, and sequences of changes."""
--- a/scale_experiments/endpoint_lists/endpoint_changes.py
+++ b/scale_experiments/endpoint_lists/endpoint_changes.py
@@ -24,7 +24,7 @@
 
 
 class ListChangeSize(BaseModel):
-    """The columns of a size of the scenarios that change lists."""
+    """The size of an experiment that changes lists."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -41,27 +41,27 @@
     """How an entry changes; the values are parts of the names of metrics."""
 
     DRAIN = "drain"
-    GONE = "gone"
-    JOIN = "join"  # what was gone is back
+    GONE = "gone"  # is removed
+    JOIN = "join"  # the entry that was removed last is back
     RESTART = "restart"
     WEIGHT = "weight"  # is halved
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointChange:
-    """One changed entry; `kind` is None where it only undoes the change before."""
+    """One changed entry; `kind` is None where the change only undoes the previous one."""
 
     kind: ChangeKind | None
     index: int
     entry: EndpointEntry
 
     def encoded(self) -> bytes:
-        """The change as discovery's JSON."""
+        """The change in discovery's JSON form."""
         return encode_list({"index": self.index, "snapshot": False, "endpoints": [self.entry]})
 
 
 def build_entries(caches: int, zones: int, weight: float, rng: np.random.Generator) -> list[EndpointEntry]:
-    """Page caches with random names in so many zones, and an origin as the last entry."""
+    """Page caches with random names, spread over `zones` zones, and an origin as the last entry."""
     names = rng.choice(2**32, size=caches + 1, replace=False)
     return [
         build_entry(
@@ -77,7 +77,7 @@
 
 
 class ChangeSequence:
-    """Changes of random entries; after a round, a change of each kind, the list is as it was."""
+    """Changes of random entries: in each round one of each kind, after which the list is as it was before."""
 
     def __init__(
         self, entries: Sequence[EndpointEntry], rng: np.random.Generator, rounds: int, first_index: int = 2
@@ -89,7 +89,7 @@
         self.restarts = 0
 
     def __iter__(self) -> Iterator[EndpointChange]:
-        """The changes in order; an index each."""
+        """The changes in order, each with an index of its own."""
         removed = None
         for _ in range(self.rounds):
             for kind in ChangeKind:
@@ -102,7 +102,7 @@
                 yield from self._change(kind, entry)
 
     def _change(self, kind: ChangeKind, entry: EndpointEntry) -> Iterator[EndpointChange]:
-        """A change of an entry and, where no later change does so, the one that undoes it."""
+        """A change of an entry and, where no later change undoes it, the one that does."""
         match kind:
             case ChangeKind.DRAIN:
                 yield self._indexed(kind, {**entry, "status": TERMINATING})
--- a/scale_experiments/endpoint_lists/endpoint_entries.py
+++ b/scale_experiments/endpoint_lists/endpoint_entries.py
@@ -1,4 +1,4 @@
-"""Entries of endpoint lists, in discovery's form."""
+"""Endpoint lists and their entries, in discovery's JSON form."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EndpointEntry(TypedDict):
-    """One server of a list."""
+    """One server of a list; `since_ms` is when it started."""
 
     name: str
     address: str  # host:port
@@ -55,7 +55,7 @@
 def build_loopback_entries(
     count: int, network: str, zones: Sequence[str], server_type: str
 ) -> list[EndpointEntry]:
-    """Page caches with a loopback address each; `network` is its first two numbers, as in 127.2."""
+    """Page caches with a loopback address each, in `network`, whose form is that of "127.2"."""
     return [
         build_entry(
             f"s-{i:08x}",
@@ -69,7 +69,7 @@
 
 
 def build_snapshot(index: int, entries: Sequence[EndpointEntry]) -> EndpointList:
-    """A whole list."""
+    """A complete list."""
     return {"index": index, "snapshot": True, "endpoints": entries}
 
 
--- a/scale_experiments/measurement/__init__.py
+++ b/scale_experiments/measurement/__init__.py
@@ -1,1 +1,1 @@
-"""What is measured, and how: processor time, histograms, errors, metrics of sockets."""
+"""Measuring: CPU time, reference work, histograms, standard errors, and metrics of real routers."""
--- a/scale_experiments/measurement/cpu.py
+++ b/scale_experiments/measurement/cpu.py
@@ -1,4 +1,4 @@
-"""CPU time of other processes, finer than the kernel's ticks of 10 ms."""
+"""CPU time of other processes, at a finer resolution than the 10 ms ticks of /proc."""
 
 from __future__ import annotations
 
@@ -10,9 +10,12 @@
 
 
 def process_cpu_s(process_id: int) -> float:
-    """CPU seconds of a process, all threads, user and system; raises OSError if there is no such process.
+    """CPU seconds of a process: all its threads, user and system.
 
-    Read by POSIX `clock_getcpuclockid`; the resolution is the scheduler's, well under a microsecond.
+    The source is the clock of POSIX `clock_getcpuclockid`, whose resolution is below a microsecond.
+
+    Raises:
+        OSError: There is no such process.
     """
     clock = ctypes.c_int()
     error = C_LIBRARY.clock_getcpuclockid(ctypes.c_int(process_id), ctypes.byref(clock))
--- a/scale_experiments/measurement/estimate.py
+++ b/scale_experiments/measurement/estimate.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-# as a share of a value: smaller differences are rounding of the arithmetic and vary from machine to machine
+# relative to a value: smaller errors come from rounding, and vary from machine to machine
 ROUNDING_TOLERANCE = 1e-9
 
 
@@ -17,9 +17,9 @@
 
     @property
     def has_error(self) -> bool:
-        """Whether the standard error is more than rounding of the arithmetic."""
+        """Whether the standard error is larger than what rounding alone causes."""
         return self.standard_error > ROUNDING_TOLERANCE * abs(self.value)
 
     def scaled(self, divisor: float) -> Estimate:
-        """The same estimate in a unit that is `divisor` times as large."""
+        """The estimate and its standard error in a unit that is `divisor` times as large."""
         return Estimate(self.value / divisor, self.standard_error / divisor)
--- a/scale_experiments/measurement/histograms.py
+++ b/scale_experiments/measurement/histograms.py
@@ -1,4 +1,4 @@
-"""The text form of HDR histograms, in kept results and on the emulators' control channel."""
+"""The text form of HDR histograms, which kept results and the emulators' control channel use."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def encode_histogram(histogram: HdrHistogram) -> str:
-    """A histogram in HDR's own encoding, as base64."""
+    """A histogram in the encoding of HdrHistogram (version 2, compressed), as base64."""
     return bytes(histogram.encode()).decode("ascii")
 
 
--- a/scale_experiments/measurement/reference_work.py
+++ b/scale_experiments/measurement/reference_work.py
@@ -1,4 +1,4 @@
-"""A fixed piece of work, by whose processor time differently busy machines can be compared."""
+"""A fixed piece of work whose CPU time tells how busy a machine is, so that results can be compared."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 def measure_reference_cpu_s() -> float:
-    """CPU seconds of a table of 100,000 numbers, filled and sorted: a busy machine makes all work slower."""
+    """CPU seconds to fill and sort a table of 100,000 numbers; a busy machine needs more."""
     numbers = [i * 2_654_435_761 % 2**32 for i in range(100_000)]
     return thread_cpu_s(lambda: sorted({number: (number, 0.5) for number in numbers}))
 
 
 def machine_metrics(references: Sequence[float]) -> dict[str, float]:
-    """`MACHINE_METRICS` now; `references` are CPU seconds of the reference work during the sample."""
+    """The values of `MACHINE_METRICS`; `references` are the CPU seconds of the reference work in a sample."""
     return {"load": os.getloadavg()[0], "reference_cpu_s": statistics.fmean(references)}
--- a/scale_experiments/measurement/socket_metrics.py
+++ b/scale_experiments/measurement/socket_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of clients, routers and page caches that talk over sockets, from their counts at two moments."""
+"""Metrics of real routers between clients and page caches, from the counts of all at two moments."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def compute_metrics(before: Usage, after: Usage, routers: list[psutil.Process]) -> dict[str, float]:
-    """Metrics of what happened between two moments."""
+    """The metrics of the time between two moments."""
     seconds = after.caches.at - before.caches.at
     counts = {
         name: count - before.clients.counts.get(name, 0) for name, count in after.clients.counts.items()
@@ -51,7 +51,7 @@
 
 
 def client_metrics(counts: Mapping[str, int], clients: ClientsStats) -> dict[str, float]:
-    """How the requests of clients ended, by the outcomes of `counts`, and the latency of those served."""
+    """Shares of requests by outcome, from `counts`, and the latency of served requests."""
     ended = max(1, sum(counts.get(outcome, 0) for outcome in (SERVED, REJECTED, *FAILED_OUTCOMES)))
 
     def share(*outcomes: str) -> float:
@@ -68,7 +68,7 @@
 
 
 def cache_metrics(before: CachesStats, after: CachesStats, requests: int, routers: int) -> dict[str, float]:
-    """What caches received between two moments, in which clients sent so many requests to so many routers."""
+    """Metrics of page caches; clients sent `requests` requests to `routers` routers in the same time."""
     seconds = after.at - before.at
     pairs = [(before.caches[name], counters) for name, counters in after.caches.items()]
     received = [now.requests - then.requests for then, now in pairs]
@@ -96,7 +96,7 @@
 def router_metrics(
     cpu_s: float, requests: int, seconds: float, routers: list[psutil.Process]
 ) -> dict[str, float]:
-    """What routers use now, and the CPU seconds that they needed for so many requests."""
+    """Metrics of routers that used `cpu_s` for `requests` requests; memory and descriptors are read now."""
     resident = [router.memory_info().rss for router in routers]
     return {
         "router_cpu_per_request_s": cpu_s / requests,
@@ -108,7 +108,7 @@
 
 
 def peak_resident_bytes(routers: list[psutil.Process]) -> float:
-    """The kernel's high-water mark of resident bytes, of the router that had the most."""
+    """The largest high-water mark of resident memory of any router, by /proc (VmHWM)."""
     marks = []
     for router in routers:
         lines = Path(f"/proc/{router.pid}/status").read_text().splitlines()
--- a/scale_experiments/routers/router_process.py
+++ b/scale_experiments/routers/router_process.py
@@ -1,4 +1,4 @@
-"""Real routers: the program built and started as `deploy/balancer.toml` says."""
+"""Builds and starts real routers as `deploy/balancer.toml` says."""
 
 from __future__ import annotations
 
@@ -27,23 +27,23 @@
 
 
 class RouterStartError(RuntimeError):
-    """A router that could not be built, or was not ready in time."""
+    """A router could not be built, or was not ready in time."""
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class RouterConfiguration:
-    """What a router's configuration file says, but for its address."""
+    """The content of a router's configuration file, without the address at which the router listens."""
 
     name: str
     discovery: str  # host:port
     seed: int
     memory_mb: int
-    descriptors: int
+    descriptors: int  # limit of open descriptors, in the file and of the process
     cached_list: EndpointList
-    settings: dict[str, Any]
+    settings: dict[str, Any]  # as the file has them
 
     def encoded(self, listen: str) -> bytes:
-        """The file's content for a router that listens at host:port."""
+        """The content of the file for a router that listens at `listen` (host:port)."""
         return orjson.dumps(
             {
                 "name": self.name,
@@ -59,17 +59,27 @@
 
 @dataclass(slots=True, frozen=True)
 class RouterProcess:
-    """A router that was started; `address` is host:port."""
+    """A router that was started."""
 
     process: subprocess.Popen[bytes]
-    address: str
+    address: str  # host:port
     log: Path
 
 
-def build_router(context: ExperimentContext) -> tuple[Path, str]:
-    """A copy of the program in the run's folder, built as deployed once a run, and the command that runs it.
+@dataclass(slots=True, frozen=True)
+class RouterBuild:
+    """A copy of the program that was built as it is deployed, and the shell command that runs it there."""
+
+    folder: Path
+    run_command: str
+
 
-    Raises RouterStartError where the build fails, subprocess.TimeoutExpired after `BUILD_TIMEOUT_S`.
+def build_router(context: ExperimentContext) -> RouterBuild:
+    """Copy the program to the run's folder and build it; a run builds it only once.
+
+    Raises:
+        RouterStartError: The build has failed.
+        subprocess.TimeoutExpired: The build has not ended within `BUILD_TIMEOUT_S`.
     """
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     folder = context.folder / "router"
@@ -77,7 +87,7 @@
         context.progress("build")
         _copy_sources(folder)
         _run_build(context, folder, deploy["build"])
-    return folder, deploy["run"]
+    return RouterBuild(folder, deploy["run"])
 
 
 def _copy_sources(folder: Path) -> None:
@@ -99,11 +109,11 @@
 
 
 def start_router(context: ExperimentContext, configuration: RouterConfiguration, host: str) -> RouterProcess:
-    """Start a router at a free port of `host`, with the limit of descriptors that it is configured with.
+    """Start a router at a free port of `host`, with the limit of descriptors of its configuration.
 
-    Raises what `build_router` raises.
+    Raises as `build_router`, and OSError where the process cannot be started.
     """
-    folder, command = build_router(context)
+    build = build_router(context)
     listen = _free_address(host)
     path = context.folder / f"router-{configuration.name}.json"
     path.write_bytes(configuration.encoded(listen))
@@ -116,8 +126,8 @@
     log = path.with_suffix(".log")
     with log.open("wb") as output:
         process = context.spawn(
-            ["/bin/sh", "-c", f"ulimit -n {configuration.descriptors}; {command}"],
-            cwd=folder,
+            ["/bin/sh", "-c", f"ulimit -n {configuration.descriptors}; {build.run_command}"],
+            cwd=build.folder,
             env={**os.environ, **variables},
             stdout=output,
             stderr=output,
@@ -132,7 +142,11 @@
 
 
 def wait_until_ready(router: RouterProcess, timeout_s: float) -> None:
-    """Wait until a router answers `+PONG`; raises RouterStartError where it ends or does not in time."""
+    """Wait until a router answers a PING.
+
+    Raises:
+        RouterStartError: The router has ended, or does not answer within `timeout_s`.
+    """
     host, port = parse_address(router.address)
     deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline and router.process.poll() is None:
--- a/scale_experiments/routers/watch_fleet.py
+++ b/scale_experiments/routers/watch_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of hollow routers that watch discovery, each a process or many to a process."""
+"""Starts discovery and the hollow routers that watch it, changes the list, and reads what they have used."""
 
 from __future__ import annotations
 
@@ -34,38 +34,44 @@
 from scale_experiments.runs.context import ExperimentContext
 
 POLL_INTERVAL_S = 0.25
-REPLY_TIMEOUT_S = 90.0  # of a process that is busy with some thousand routers
-SETTLING_S = 1.0  # after the last router's start
+REPLY_TIMEOUT_S = 90.0  # of a process that is busy with several thousand routers
+SETTLING_S = 1.0  # after the start of the last router
 CACHE_NETWORK = "127.1"
+DISCOVERY_NETWORK = "127.0.1"
 SEEDS_PER_SAMPLE = 1_000_000
 SEEDS_PER_PROCESS = 100_000
 
-SubscriptionMode = Literal["asked", "pushed"]  # lists are asked for by routers, or pushed to all
+# routers must subscribe to the list, or receive it without that
+SubscriptionMode = Literal["asked", "pushed"]
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class WatchFleetOptions:
-    """How many of what; `real_mode` is what routers with the program's own watch store of a list."""
+    """The size of a fleet, and how its routers start.
 
-    routers: int
+    Real routers are hollow routers that have the program's own watch. The others are light: they only send
+    the same polls.
+    """
+
+    routers: int  # real and light ones
     real_routers: int  # at most; all in one process
-    hollow_processes: int  # for the other routers
-    discoveries: int
-    caches: int
-    zones: int
-    real_mode: HollowMode
+    hollow_processes: int  # of light routers
+    discoveries: int  # processes, an address each
+    caches: int  # entries of the list
+    zones: int  # of the caches
+    real_mode: HollowMode  # of the real routers
     spread_s: float  # within which all routers start
     seed: int
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class FleetUsage:
-    """What each role has used at a time: counts, CPU seconds and bytes, summed over its processes.
+    """What each role has used until a moment: counts, CPU seconds and bytes, in sum over its processes.
 
-    Discovery's figures have no prefix.
+    Fields without a prefix are discovery's; `real_` and `light_` are those of the routers.
     """
 
-    at: float  # in a difference: the seconds between
+    at: float  # of the monotonic clock; in a difference, the seconds between both moments
     polls: float
     connections: float
     bytes_in: float
@@ -85,7 +91,7 @@
 
 
 def build_settings(mode: SubscriptionMode, routers: int) -> dict[str, Any]:
-    """Settings with the times of the customers' sites."""
+    """The settings of a site, as a configuration file has them; times are those of the deployed sites."""
     return {
         "classes": [{"name": "read", "aim": 0.5, "giveUp": 2.0, "effect": "free"}],
         "membershipMode": "subscribe" if mode == "asked" else "automatic",
@@ -94,20 +100,31 @@
     }
 
 
+@dataclass(slots=True, frozen=True)
+class NotificationDelays:
+    """How long it took until routers had an index."""
+
+    delays_s: list[float]  # of the routers that had it, sorted
+    missing: int  # routers that did not have it
+
+
 class WatchFleet:
-    """Discovery, and the routers that watch it; all methods raise ControlError where a process has ended."""
+    """Discovery, and the routers that watch it.
+
+    All methods raise ControlError where a process has ended or sends no reply in time.
+    """
 
     def __init__(self, options: WatchFleetOptions, context: ExperimentContext) -> None:
         self.options = options
         self.context = context
         zones = [f"z{zone}" for zone in range(options.zones)]
-        self.entries = build_loopback_entries(options.caches, CACHE_NETWORK, zones, "m2")
+        self._entries = build_loopback_entries(options.caches, CACHE_NETWORK, zones, "m2")
         self.index = 1
-        self.changed_at: dict[int, float] = {}  # of each index, at the first process of discovery
-        self.processes: list[subprocess.Popen[bytes]] = []
+        self.changed_at: dict[int, float] = {}  # of each index, at the process of discovery that had it first
+        self._processes: list[subprocess.Popen[bytes]] = []
         self.discoveries: list[ControlClient] = []
-        self.real: list[ControlClient] = []
-        self.light: list[ControlClient] = []
+        self._real: list[ControlClient] = []
+        self._light: list[ControlClient] = []
 
     @property
     def real_routers(self) -> int:
@@ -120,16 +137,16 @@
         return self.options.routers - self.real_routers
 
     def start(self, mode: SubscriptionMode) -> None:
-        """Start all, spread over the time for which a poll waits, so that their polls don't come in step."""
+        """Start discovery and the routers, spread over `spread_s` so that their polls are not in step."""
         self.discoveries = [
-            self._start_emulator("discovery", DISCOVERY_MODULE, f"127.0.1.{number + 1}:0")
+            self._start_emulator("discovery", DISCOVERY_MODULE, f"{DISCOVERY_NETWORK}.{number + 1}:0")
             for number in range(self.options.discoveries)
         ]
         addresses = [client.receive(Listening).address for client in self.discoveries]
-        request_all(self.discoveries, ReplaceList(self.index, self.entries))
+        request_all(self.discoveries, ReplaceList(self.index, self._entries))
         counts = self._routers_per_process()
         processes = [self._start_emulator("routers", HOLLOW_ROUTERS_MODULE) for _ in counts]
-        self.real, self.light = processes[:1], processes[1:]
+        self._real, self._light = processes[:1], processes[1:]
         for number, (process, routers) in enumerate(zip(processes, counts, strict=True)):
             process.send(self._start_command(number, routers, addresses, mode))
         for process in processes:
@@ -138,11 +155,11 @@
 
     def _start_emulator(self, name: str, module: str, *arguments: str) -> ControlClient:
         client = start_emulator(self.context, name, module, *arguments, reply_timeout_s=REPLY_TIMEOUT_S)
-        self.processes.append(client.process)
+        self._processes.append(client.process)
         return client
 
     def _routers_per_process(self) -> list[int]:
-        """The real routers, and the others spread evenly over their processes."""
+        """The number of real routers, and those of light routers, spread evenly over their processes."""
         processes = self.options.hollow_processes if self.light_routers else 0
         light = [
             self.light_routers // processes + (number < self.light_routers % processes)
@@ -160,41 +177,41 @@
             mode=self.options.real_mode if number == 0 else "index",
             discovery=addresses[first:] + addresses[:first],
             settings=build_settings(mode, self.options.routers),
-            cached_list=build_snapshot(self.index, self.entries),
+            cached_list=build_snapshot(self.index, self._entries),
             spread_s=self.options.spread_s,
         )
 
     def stop(self) -> None:
-        """End all, so that the next mode starts anew."""
-        for process in self.processes:
+        """End all processes."""
+        for process in self._processes:
             self.context.stop(process)
-        self.processes.clear()
+        self._processes.clear()
 
     def change(self) -> None:
-        """Change one entry: it is terminating, or in service again."""
+        """Change one entry to terminating, or back to in service, under the next index."""
         self.index += 1
-        entry = self.entries[self.index // 2 % len(self.entries)]
+        entry = self._entries[self.index // 2 % len(self._entries)]
         entry["status"] = TERMINATING if self.index % 2 else IN_SERVICE
         changed = request_all(self.discoveries, ChangeList(self.index, [entry]))
         self.changed_at[self.index] = min(reply.at for reply in changed)
 
     def wait_until_notified(self, timeout_s: float) -> None:
-        """Wait until all routers have the latest change, and no longer than that."""
+        """Wait until all routers have the latest change, but not longer than `timeout_s`."""
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline and not self.context.expired():
             if min(stats.lowest_index for stats in self._router_stats()) >= self.index:
                 return
             time.sleep(POLL_INTERVAL_S)
 
-    def notification_delays(self, index: int, since: float) -> tuple[list[float], int]:
-        """Seconds after `since` at which routers had an index, sorted; and how many did not have it."""
-        replies = request_all([*self.real, *self.light], GetUpdateTimes(index))
+    def notification_delays(self, index: int, since: float) -> NotificationDelays:
+        """The delays from `since`, a time of the monotonic clock, until routers had an index."""
+        replies = request_all([*self._real, *self._light], GetUpdateTimes(index))
         times = [each for reply in replies for each in reply.times]
-        delays = sorted(max(0.0, each - since) for each in times if each is not None)
-        return delays, len(times) - len(delays)
+        delays_s = sorted(max(0.0, each - since) for each in times if each is not None)
+        return NotificationDelays(delays_s, missing=len(times) - len(delays_s))
 
     def polls_since(self, started_at: float) -> dict[float, float]:
-        """Polls at discovery in each bucket of time, a tenth of a second, by its number."""
+        """Polls at discovery since a time of the monotonic clock, by the number of their interval."""
         counts: dict[float, float] = {}
         for stats in self.discovery_stats():
             for bucket, polls in stats.polls_over_time:
@@ -203,14 +220,14 @@
         return counts
 
     def notification_s(self) -> float:
-        """Seconds from the latest change until discovery had written it to all that waited."""
+        """Seconds from the latest change until discovery had sent it to all routers whose polls waited."""
         return max(stats.notification_s for stats in self.discovery_stats())
 
     def usage(self) -> FleetUsage:
-        """Counts and usage now."""
+        """What discovery and the routers have used until now."""
         discovery = self.discovery_stats()
-        real = request_all(self.real, GetRoutersStats())
-        light = request_all(self.light, GetRoutersStats())
+        real = request_all(self._real, GetRoutersStats())
+        light = request_all(self._light, GetRoutersStats())
         return FleetUsage(
             at=discovery[0].at,
             polls=sum(stats.polls for stats in discovery),
@@ -226,8 +243,8 @@
         )
 
     def discovery_stats(self) -> list[DiscoveryStats]:
-        """The counts of each process of discovery."""
+        """The counts of each process of discovery, in the order of their start."""
         return request_all(self.discoveries, GetDiscoveryStats())
 
     def _router_stats(self) -> Sequence[RoutersStats]:
-        return request_all([*self.real, *self.light], GetRoutersStats())
+        return request_all([*self._real, *self._light], GetRoutersStats())
--- a/scale_experiments/scenarios/watch.py
+++ b/scale_experiments/scenarios/watch.py
@@ -188,10 +188,10 @@
     spread: list[float] = []
     slowest, unnotified = 0.0, 0
     for index in range(first_index, fleet.index + 1):
-        delays, missing = fleet.notification_delays(index, fleet.changed_at[index])
-        spread += delays
-        slowest = max(slowest, delays[-1] if delays else 0.0)
-        unnotified += missing
+        notification = fleet.notification_delays(index, fleet.changed_at[index])
+        spread += notification.delays_s
+        slowest = max(slowest, notification.delays_s[-1] if notification.delays_s else 0.0)
+        unnotified += notification.missing
     spread.sort()
     metrics = {
         "spread_p50_s": quantile(spread, 0.5),
@@ -217,12 +217,13 @@
     fleet.wait_until_notified(parameters.return_most_s)
     used = fleet.usage().since(before)
     polls = fleet.polls_since(returned_at)
-    delays, missing = fleet.notification_delays(fleet.index, returned_at)
+    notification = fleet.notification_delays(fleet.index, returned_at)
+    delays = notification.delays_s
     metrics = {
         "peak_calls_per_s": peak_polls(polls, 10),
         "peak_calls_per_100ms": peak_polls(polls, 1),
         "calls_per_router": used.polls / fleet.options.routers,
-        "unheard": float(missing),
+        "unheard": float(notification.missing),
         "cpu_s": used.cpu_s,
     }
     if delays:
