--- a/scale_experiments/emulators/control.py
+++ b/scale_experiments/emulators/control.py
@@ -77,10 +77,10 @@
             raise ValueError(f"{name} must be started with pipes for standard input and output")
         self.process = process
         self.name = name
-        self.reply_timeout_s = reply_timeout_s
-        self.unread = bytearray()
-        self.input = process.stdin
-        self.output = process.stdout.fileno()
+        self._reply_timeout_s = reply_timeout_s
+        self._unread = bytearray()
+        self._input = process.stdin
+        self._output = process.stdout.fileno()
 
     def send(self, command: Command[Any]) -> None:
         """Send a command, whose reply `receive` returns.
@@ -89,8 +89,8 @@
             ControlError: The emulator has ended.
         """
         try:
-            self.input.write(orjson.dumps(encode_command(command)) + b"\n")
-            self.input.flush()
+            self._input.write(orjson.dumps(encode_command(command)) + b"\n")
+            self._input.flush()
         except OSError as e:
             raise ControlError(f"{self.name} has ended: {e}") from e
 
@@ -111,18 +111,18 @@
         return self.receive(command.reply_type)
 
     def _read_line(self) -> bytes:
-        deadline = time.monotonic() + self.reply_timeout_s
+        deadline = time.monotonic() + self._reply_timeout_s
         with selectors.DefaultSelector() as selector:
-            selector.register(self.output, selectors.EVENT_READ)
-            while (end := self.unread.find(b"\n")) < 0:
+            selector.register(self._output, selectors.EVENT_READ)
+            while (end := self._unread.find(b"\n")) < 0:
                 if not selector.select(max(0.0, deadline - time.monotonic())):
-                    raise ControlError(f"{self.name} gave no answer within {self.reply_timeout_s:g} s")
-                data = os.read(self.output, READ_BYTES)
+                    raise ControlError(f"{self.name} gave no answer within {self._reply_timeout_s:g} s")
+                data = os.read(self._output, READ_BYTES)
                 if not data:
                     raise ControlError(f"{self.name} has ended")
-                self.unread += data
-        line = bytes(self.unread[:end])
-        del self.unread[: end + 1]
+                self._unread += data
+        line = bytes(self._unread[:end])
+        del self._unread[: end + 1]
         return line
 
 
