--- a/scale_experiments/measurement/reference_work.py
+++ b/scale_experiments/measurement/reference_work.py
@@ -1,4 +1,4 @@
-"""A fixed piece of work whose CPU time tells how busy a machine is, so that results can be compared."""
+"""A fixed piece of work whose CPU time shows how busy a machine is, so that results can be compared."""
 
 from __future__ import annotations
 
--- a/scale_experiments/routers/hollow/__main__.py
+++ b/scale_experiments/routers/hollow/__main__.py
@@ -1,4 +1,4 @@
-"""Runs hollow routers: routers without their data path, each of which watches discovery over a real socket.
+"""Runs hollow routers: routers without their data path that watch discovery, each over its own sockets.
 
     python -m scale_experiments.routers.hollow
 
--- a/scale_experiments/routers/router_process.py
+++ b/scale_experiments/routers/router_process.py
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RouterBuild:
-    """A copy of the program that was built as it is deployed, and the shell command that runs it there."""
+    """A copy of the program that was built as for a deployment, and the shell command that runs it there."""
 
     folder: Path
     run_command: str
--- a/scale_experiments/routers/watch_fleet.py
+++ b/scale_experiments/routers/watch_fleet.py
@@ -41,7 +41,7 @@
 SEEDS_PER_SAMPLE = 1_000_000
 SEEDS_PER_PROCESS = 100_000
 
-# routers must subscribe to the list, or receive it without that
+# whether routers have to subscribe to the list, or it is pushed to them
 SubscriptionMode = Literal["asked", "pushed"]
 
 
--- a/tests/scale_experiments/emulators/test_clients.py
+++ b/tests/scale_experiments/emulators/test_clients.py
@@ -35,7 +35,7 @@
 )
 from scale_experiments.emulators.messages.common import Done
 from scale_experiments.measurement.histograms import decode_histogram
-from tests.support.loopback import Peer, read, run
+from tests.support.loopback import Link, Peer, read, run
 
 START = StartClients(
     routers=[],
@@ -60,7 +60,7 @@
 
 
 async def wait_for_outcome(load: RouterLoad, outcome: str, count: int = 1) -> None:
-    """Wait until so many requests ended in a way."""
+    """Wait until `count` requests ended with an outcome."""
     while counts_of(load)[outcome] < count:
         await asyncio.sleep(0.001)
 
@@ -70,6 +70,14 @@
     load.send(ClientRequest(read(request_id), asyncio.get_running_loop().time()))
 
 
+async def receive_request(load: RouterLoad, router: Peer, request_id: str) -> Link:
+    """Send a request that needs a new connection; return the router's side of it."""
+    send_request(load, request_id)
+    link = await router.link()
+    assert (await link.resp())[2] == request_id.encode()
+    return link
+
+
 def parse_requests(data: list[bytes]) -> list[list[bytes]]:
     """Return the parts of encoded requests."""
     reader = hiredis.Reader()
@@ -151,12 +159,8 @@
     async def scenario() -> None:
         async with Peer() as router:
             load = RouterLoad(router.address, START, 1)
-            send_request(load, "r1")
-            first = await router.link()
-            await first.resp()
-            send_request(load, "r2")
-            second = await router.link()
-            await second.resp()
+            first = await receive_request(load, router, "r1")
+            second = await receive_request(load, router, "r2")
             first.write(SERVED_REPLY)
             await wait_for_outcome(load, SERVED)
             send_request(load, "r3")
@@ -179,9 +183,7 @@
     async def scenario() -> None:
         async with Peer() as router:
             load = RouterLoad(router.address, START, 1)
-            send_request(load, "r1")
-            first = await router.link()
-            await first.resp()
+            first = await receive_request(load, router, "r1")
             first.write(SERVED_REPLY)
             await wait_for_outcome(load, SERVED)
             send_request(load, "r2")
@@ -201,9 +203,7 @@
     async def scenario() -> None:
         async with Peer() as router:
             load = RouterLoad(router.address, replace(START, deadline_s=0.02), 1)
-            send_request(load, "r1")
-            link = await router.link()
-            await link.resp()
+            link = await receive_request(load, router, "r1")
             await wait_for_outcome(load, UNANSWERED)
             assert await link.closed_by_peer()
         send_request(load, "r2")
--- a/tests/scale_experiments/measurement/test_socket_metrics.py
+++ b/tests/scale_experiments/measurement/test_socket_metrics.py
@@ -98,7 +98,7 @@
 
 
 def test_metrics_of_a_run_have_counts_per_request_and_the_use_of_router_processes() -> None:
-    """This process stands in for a router."""
+    """The process of the test is measured as the router."""
     routers = [psutil.Process(os.getpid())]
     before = Usage(
         caches_stats(10.0, 1, 4, a=NO_REQUESTS), clients_stats({REQUESTS: 100, CONNECTIONS_OPENED: 5}), 1.0
--- a/tests/scale_experiments/routers/test_hollow.py
+++ b/tests/scale_experiments/routers/test_hollow.py
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize(("mode", "endpoints"), [("router", 2), ("list", 2), ("index", 1)])
 def test_hollow_routers_follow_discovery(mode: HollowMode, endpoints: int) -> None:
-    """Each mode has the new index; only the mode "index" stores no endpoints but one that stands for all."""
+    """Each mode has the new index; the mode "index" stores one placeholder instead of the endpoints."""
 
     async def scenario() -> None:
         discovery = DiscoveryEmulator()
