--- /dev/null
+++ b/scale_experiments/emulators/cache/__main__.py
@@ -0,0 +1,29 @@
+"""Emulates page caches, each at an address of its own, and the origin behind them.
+
+    python -m scale_experiments.emulators.cache
+
+The process reads commands from standard input, one JSON object a line, and writes a reply to each on
+standard output. It ends with its standard input. The commands are `StartCaches`, `GetCachesStats` and
+`SetCacheMode` of `scale_experiments.emulators.messages.caches`.
+
+Caches speak the router's protocol over RESP2. A cache never fetches a key itself: it reports a miss, and
+stores the key once the origin has answered the request that missed. The first request on a connection takes
+`handshake_s` longer, as a TLS handshake would. A connection over the limit is rejected at its first request.
+
+Modes of a cache:
+
+- "serve": requests are served.
+- "drain": requests are rejected.
+- "hang": requests are read and never answered.
+- "dead": connections are reset, new ones are refused, and all keys are lost.
+"""
+
+from __future__ import annotations
+
+import asyncio
+
+from scale_experiments.emulators.cache.emulator import COMMAND_TYPES, CachesEmulator
+from scale_experiments.emulators.control import serve_commands
+
+if __name__ == "__main__":
+    asyncio.run(serve_commands(CachesEmulator().handle, COMMAND_TYPES))
--- /dev/null
+++ b/scale_experiments/emulators/cache/emulator.py
@@ -0,0 +1,91 @@
+"""The page caches and the origin of a process, and the commands of its control channel."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from dataclasses import asdict
+from typing import get_args
+
+from scale_experiments.emulators.address import format_address, parse_address
+from scale_experiments.emulators.cache.cluster import CacheCluster
+from scale_experiments.emulators.cache.origin import Origin
+from scale_experiments.emulators.cache.server import CacheServer
+from scale_experiments.emulators.codec import types_by_name
+from scale_experiments.emulators.control import process_usage
+from scale_experiments.emulators.messages.caches import (
+    CacheMode,
+    CachesStarted,
+    CachesStats,
+    GetCachesStats,
+    OriginCounters,
+    SetCacheMode,
+    StartCaches,
+)
+from scale_experiments.emulators.messages.common import Done
+
+SAMPLE_INTERVAL_S = 0.1  # between samples of the number of open connections
+CachesCommand = StartCaches | SetCacheMode | GetCachesStats
+COMMAND_TYPES = types_by_name(StartCaches, SetCacheMode, GetCachesStats)
+
+
+class CachesEmulator:
+    """All that the process emulates."""
+
+    def __init__(self) -> None:
+        self._caches: dict[str, CacheServer] = {}  # by name
+        self._origin: Origin | None = None
+        self._samples = 0
+        self._sampling: asyncio.Task[None] | None = None
+
+    async def handle(self, command: CachesCommand) -> object:
+        """Carry out a command of the control channel; returns the reply.
+
+        Raises:
+            OSError: An address cannot be used.
+            KeyError: There is no cache of a name.
+            ValueError: There is no such mode, or the port of an address is not a number.
+        """
+        match command:
+            case StartCaches():
+                return await self._start(command)
+            case GetCachesStats():
+                return self._stats()
+            case SetCacheMode():
+                await self._set_mode(command)
+        return Done()
+
+    async def _start(self, command: StartCaches) -> CachesStarted:
+        cluster = CacheCluster(command)
+        for name, address in command.addresses.items():
+            self._caches[name] = CacheServer(cluster, name, parse_address(address))
+        for cache in list(self._caches.values()):
+            await cache.listen()
+        self._origin = Origin(
+            cluster.on_fetched, cluster.value, command.origin_service_s, command.origin_max_concurrent
+        )
+        self._sampling = asyncio.create_task(self._sample_connections())
+        origin_address = await self._origin.listen(*parse_address(command.origin))
+        return CachesStarted(format_address(origin_address))
+
+    async def _sample_connections(self) -> None:
+        while True:
+            self._samples += 1
+            for cache in self._caches.values():
+                cache.sample_connections()
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
+
+    async def _set_mode(self, command: SetCacheMode) -> None:
+        if command.mode not in get_args(CacheMode):
+            raise ValueError(f"no such mode: {command.mode}")
+        for name in command.names:
+            await self._caches[name].set_mode(command.mode)
+
+    def _stats(self) -> CachesStats:
+        return CachesStats(
+            time=time.time(),
+            samples=self._samples,
+            caches={cache.name: cache.counters() for cache in self._caches.values()},
+            origin=self._origin.counters() if self._origin is not None else OriginCounters(),
+            **asdict(process_usage()),
+        )
--- /dev/null
+++ b/scale_experiments/emulators/clients/load.py
@@ -0,0 +1,107 @@
+"""The load of clients on one router: when requests are sent, and on which connections."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from collections import deque
+
+import numpy as np
+
+from scale_experiments.emulators.address import parse_address
+from scale_experiments.emulators.clients.connection import ClientConnection, ClientRequest
+from scale_experiments.emulators.clients.request_sequence import RequestSequence
+from scale_experiments.emulators.clients.statistics import LoadStatistics
+from scale_experiments.emulators.messages.clients import NOT_CONNECTED, NOT_SENT, StartClients
+
+MAX_CONNECTIONS_PER_ROUTER = 4000
+
+
+class RouterLoad:
+    """The load on the router at `address` (host:port)."""
+
+    def __init__(self, address: str, command: StartClients, seed: int) -> None:
+        self.statistics = LoadStatistics()
+        self._address = parse_address(address)
+        self._deadline_s = command.deadline_s
+        self._rate_per_s = command.rate_per_s
+        self._random = np.random.default_rng(seed)  # of the requests and of the times between them
+        self._requests = RequestSequence(command, seed, self._random)
+        self._idle: deque[ClientConnection] = deque()
+        self._pending_connects: set[asyncio.Task[None]] = set()
+        self._is_paused = False
+
+    @property
+    def deadline_s(self) -> float:
+        """Seconds from when a request is due until its deadline."""
+        return self._deadline_s
+
+    async def run(self) -> None:
+        """Send requests at random times, at the rate of the command, until paused.
+
+        A request that is late is sent at once, and its latency starts when it was due.
+        """
+        loop = asyncio.get_running_loop()
+        due_at = loop.time()
+        for data in self._requests:
+            due_at += -math.log(1.0 - self._random.random()) / self._rate_per_s  # exponentially distributed
+            if (remaining_s := due_at - loop.time()) > 0:
+                await asyncio.sleep(remaining_s)
+            if self._is_paused:
+                return
+            self.statistics.on_request()
+            self.send(ClientRequest(data, due_at))
+
+    def pause(self) -> None:
+        """Send no new requests."""
+        self._is_paused = True
+
+    def send(self, request: ClientRequest) -> None:
+        """Send on the idle connection that was used last, or on a new one."""
+        while self._idle:
+            connection = self._idle.pop()
+            if not connection.is_closing:
+                connection.send(request)
+                return
+        if self.statistics.open_connections + len(self._pending_connects) >= MAX_CONNECTIONS_PER_ROUTER:
+            self.on_outcome(NOT_SENT, request)
+            return
+        task = asyncio.create_task(self._connect(request))
+        self._pending_connects.add(task)
+        task.add_done_callback(self._pending_connects.discard)
+
+    async def _connect(self, request: ClientRequest) -> None:
+        try:
+            async with asyncio.timeout(self._deadline_s):
+                _, connection = await asyncio.get_running_loop().create_connection(
+                    lambda: ClientConnection(self), *self._address
+                )
+        except OSError:  # also TimeoutError
+            self.on_outcome(NOT_CONNECTED, request)
+            return
+        connection.send(request)
+
+    def retry(self, request: ClientRequest) -> None:
+        """Send a request again on another connection."""
+        request.mark_retried()
+        self.statistics.on_retry()
+        self.send(request)
+
+    def on_connected(self) -> None:
+        """Count a new connection."""
+        self.statistics.on_connected()
+
+    def on_disconnected(self, connection: ClientConnection) -> None:
+        """Count a connection as closed, and send nothing more on it."""
+        self.statistics.on_disconnected()
+        if connection in self._idle:
+            self._idle.remove(connection)
+
+    def on_idle(self, connection: ClientConnection) -> None:
+        """Use a connection for the next request."""
+        self._idle.append(connection)
+
+    def on_outcome(self, outcome: str, request: ClientRequest) -> None:
+        """Count how a request ended and, if it was served, its latency."""
+        latency_s = asyncio.get_running_loop().time() - request.due_at
+        self.statistics.on_outcome(outcome, latency_s)
