--- a/scale_experiments/capacity/comparison_table.py
+++ b/scale_experiments/capacity/comparison_table.py
@@ -20,7 +20,7 @@
 from scale_experiments.number_format import SIZE_DIGITS, format_number
 from scale_experiments.runs.results import Result
 
-HEADER = ("what", "size", "before", "after", "after / before", "the same by the reference")
+HEADER = ("metric", "size", "before", "after", "after / before", "after / before, by the reference")
 NOT_MEASURED_ROW = ("not measured", *[""] * (len(HEADER) - 1))
 # metrics in these units depend on how fast and how busy the machine was
 MACHINE_DEPENDENT_UNITS = ("s", "cores")
@@ -89,7 +89,7 @@
     observations = [_up_to_largest_shown(comparison, observations_of(r, metric)) for r in (before, after)]
     if all(observations):
         slopes = [_fit_growth(metric, each).describe() for each in observations]
-        yield [f"`{metric}`", "all sizes up to the last, fitted", *slopes, "-", "-"]
+        yield [f"`{metric}`", "fit up to the largest size shown", *slopes, "-", "-"]
 
 
 def _up_to_largest_shown(comparison: Comparison, observations: Sequence[Observation]) -> list[Observation]:
--- a/scale_experiments/capacity/source_tables.py
+++ b/scale_experiments/capacity/source_tables.py
@@ -12,7 +12,7 @@
 from scale_experiments.number_format import SIZE_DIGITS, format_number
 from scale_experiments.runs.results import Result
 
-PARAMETER_HEADER = ("figure", "at the target", "known by", "from", "why")
+PARAMETER_HEADER = ("parameter", "at the target", "basis", "definition", "source")
 PARAMETER_DIGITS = 5  # significant digits
 RESULT_HEADER = ("result", "started", "version", "samples", "sizes", "complete")
 REVISION_LENGTH = 40  # characters of a git revision; what follows says that files were changed
