--- a/scale_experiments/capacity/failure_table.py
+++ b/scale_experiments/capacity/failure_table.py
@@ -28,7 +28,7 @@
 
 def _measured_cells(model: CapacityModel, failure: FailureImpact) -> list[str]:
     """Cost, recovery time, sources and basis."""
-    target = model.growth_path.size(1.0)
+    target = model.growth_path.at_target()
     cost = format_estimate(model.estimate(failure, target), failure.unit)
     recovery = "-"
     if failure.recovery is not None:
--- a/scale_experiments/capacity/formatting.py
+++ b/scale_experiments/capacity/formatting.py
@@ -77,8 +77,8 @@
         return f"not within {MAX_PROGRESS:g} times the growth path"
     if progress == 0:
         return "at today's size"
-    size = growth_path.size(progress)
-    return f"{size['routers']:,.0f} / {size['caches']:,.0f}"
+    size = growth_path.at(progress).size
+    return f"{size.routers:,.0f} / {size.caches:,.0f}"
 
 
 def format_mechanism(mechanism: str) -> str:
--- a/scale_experiments/capacity/growth_path.py
+++ b/scale_experiments/capacity/growth_path.py
@@ -6,18 +6,41 @@
 
 from scale_experiments.target import HEADROOM_FACTOR, Target
 
+TODAY = 0.0  # progress along the path
+TARGET = 1.0
+
 
 @dataclass(slots=True, frozen=True)
 class FleetSize:
-    """How many routers and caches there are."""
+    """The numbers of routers and caches."""
 
     routers: float
     caches: float
 
 
+@dataclass(slots=True, frozen=True)
+class FleetPoint:
+    """A fleet size, and the progress from today's size to the target at which the fleet has it."""
+
+    progress: float
+    size: FleetSize
+
+    def variable(self, name: str) -> float | None:
+        """The value of a name that formulas use: `t`, `routers` or `caches`; None for any other name."""
+        match name:
+            case "t":
+                return self.progress
+            case "routers":
+                return self.size.routers
+            case "caches":
+                return self.size.caches
+            case _:
+                return None
+
+
 @dataclass(slots=True, frozen=True)
 class GrowthPath:
-    """The straight line from today's fleet (progress 0) to the target (progress 1), and on."""
+    """The straight line from today's fleet (progress 0) to the target (progress 1) and beyond."""
 
     today: FleetSize
     target: FleetSize
@@ -30,18 +53,23 @@
             FleetSize(float(target.target.routers), float(target.target.caches)),
         )
 
-    def size(self, progress: float) -> dict[str, float]:
-        """The size at a progress, by the names that formulas use: `t`, `routers` and `caches`."""
-        return {
-            "t": progress,
-            "routers": self.today.routers + (self.target.routers - self.today.routers) * progress,
-            "caches": self.today.caches + (self.target.caches - self.today.caches) * progress,
-        }
-
-    def size_with_headroom(self) -> dict[str, float]:
-        """HEADROOM_FACTOR times the target in both routers and caches, which is a little off the path."""
-        return {
-            "t": HEADROOM_FACTOR,
-            "routers": HEADROOM_FACTOR * self.target.routers,
-            "caches": HEADROOM_FACTOR * self.target.caches,
-        }
+    def at(self, progress: float) -> FleetPoint:
+        """The point of the path at a progress."""
+        size = FleetSize(
+            routers=self.today.routers + (self.target.routers - self.today.routers) * progress,
+            caches=self.today.caches + (self.target.caches - self.today.caches) * progress,
+        )
+        return FleetPoint(progress, size)
+
+    def at_today(self) -> FleetPoint:
+        """The point of today's fleet."""
+        return self.at(TODAY)
+
+    def at_target(self) -> FleetPoint:
+        """The point of the target."""
+        return self.at(TARGET)
+
+    def with_headroom(self) -> FleetPoint:
+        """HEADROOM_FACTOR times the target in both routers and caches, which is slightly off the path."""
+        size = FleetSize(HEADROOM_FACTOR * self.target.routers, HEADROOM_FACTOR * self.target.caches)
+        return FleetPoint(HEADROOM_FACTOR, size)
--- a/scale_experiments/capacity/provenance.py
+++ b/scale_experiments/capacity/provenance.py
@@ -28,7 +28,7 @@
 
 
 def _describe_extrapolation(model: CapacityModel, item: CapacityItem, fits: Sequence[Fit]) -> Iterator[str]:
-    factor = model.extrapolation_factor(item, model.growth_path.size(1.0))
+    factor = model.extrapolation_factor(item, model.growth_path.at_target())
     if any(fit.size_count > 1 for fit in fits):
         if factor <= 1.0 + SAME_SIZE_TOLERANCE:
             yield "measured"
--- a/scale_experiments/capacity/ranking_table.py
+++ b/scale_experiments/capacity/ranking_table.py
@@ -78,9 +78,9 @@
     return RankedDemand(
         demand,
         breaking_point=model.breaking_point(demand),
-        today=model.utilization(demand, path.size(0.0)),
-        target=model.utilization(demand, path.size(1.0)),
-        with_headroom=model.utilization(demand, path.size_with_headroom()),
+        today=model.utilization(demand, path.at_today()),
+        target=model.utilization(demand, path.at_target()),
+        with_headroom=model.utilization(demand, path.with_headroom()),
     )
 
 
@@ -101,7 +101,7 @@
     text = format_progress(model.growth_path, progress)
     if progress is None:
         return text
-    factor = model.extrapolation_factor(demand, model.growth_path.size(progress))
+    factor = model.extrapolation_factor(demand, model.growth_path.at(progress))
     if factor <= 1.0 + SAME_SIZE_TOLERANCE:
         return text
     return f"{text}, {format_number(factor, FACTOR_DIGITS)} times the largest size measured"
--- a/scale_experiments/capacity/role_table.py
+++ b/scale_experiments/capacity/role_table.py
@@ -47,13 +47,13 @@
 
 
 def _format_budget(model: CapacityModel, demand: Demand) -> str:
-    budget = model.budget(demand, model.growth_path.size(1.0))
+    budget = model.budget(demand, model.growth_path.at_target())
     return NO_BUDGET if budget is None else format_quantity(budget, demand.unit)
 
 
 def _format_demand(model: CapacityModel, demand: Demand) -> str:
     """A demand at the target, and what was measured there, if anything was."""
-    target = model.growth_path.size(1.0)
+    target = model.growth_path.at_target()
     text = format_estimate(model.estimate(demand, target), demand.unit)
     measured = model.measured_value(demand, target)
     if measured is None:
@@ -65,7 +65,7 @@
     """Utilization of the budget, breaking point, sources and basis."""
     utilization = breaking_point = "-"
     if demand.budget is not None:
-        utilization = format_number(model.utilization(demand, model.growth_path.size(1.0)))
+        utilization = format_number(model.utilization(demand, model.growth_path.at_target()))
         breaking_point = _format_breaking_point_range(model, demand)
     return [utilization, breaking_point, describe_sources(model, demand), describe_basis(model, demand)]
 
@@ -77,7 +77,7 @@
     if model.is_measured_at_one_size(demand):
         return text
     if progress == 0:
-        today = model.utilization(demand, model.growth_path.size(0.0))
+        today = model.utilization(demand, model.growth_path.at_today())
         return f"{text} ({format_number(today)} times the budget)"
     early, late = model.breaking_point(demand, 1.0), model.breaking_point(demand, -1.0)
     if progress is None or early == late:
--- a/scale_experiments/capacity/source_tables.py
+++ b/scale_experiments/capacity/source_tables.py
@@ -25,7 +25,7 @@
 
 
 def _parameter_row(model: CapacityModel, parameter: Parameter) -> list[str]:
-    value = model.parameter(parameter.name, model.growth_path.size(1.0))
+    value = model.parameter(parameter.name, model.growth_path.at_target())
     formula = parameter.formula.text if parameter.formula else ""
     return [
         f"`{parameter.name}`",
--- a/tests/scale_experiments/test_capacity.py
+++ b/tests/scale_experiments/test_capacity.py
@@ -172,7 +172,7 @@
     assert describe_basis(model, cost) == "extrapolated by a factor of 2.1"
     assert model.breaking_point(peers) is None  # 7,100 / 840 is 8.5, and never more than 6,900 / 640
     assert describe_basis(model, peers) == "given"
-    assert model.utilization(peers, path.size(1.0)) == pytest.approx(7100 / 840 / 20)
+    assert model.utilization(peers, path.at_target()) == pytest.approx(7100 / 840 / 20)
     with pytest.raises(NotMeasuredError):
         model.breaking_point(missing)
 
