--- a/scale_experiments/capacity/__init__.py
+++ b/scale_experiments/capacity/__init__.py
@@ -1,5 +1,6 @@
-"""The capacity page: what each role carries at a size of the fleet, and the size that exceeds its budget.
+"""The capacity page: the load on each role at a fleet size, and the size at which it exceeds its budget.
 
-`schema` and `reader` read capacity.toml, `model` works out its entries from kept results, `breaking_point`
-finds where one exceeds its budget, the `*_table` modules write the tables, `markers` puts them on the page.
+`schema` and `reader` read capacity.toml. `model` evaluates its entries from kept results. `breaking_point`
+finds the size at which an entry exceeds its budget. The `*_table` modules write the tables, and `markers`
+inserts them into the page.
 """
--- a/scale_experiments/capacity/breaking_point.py
+++ b/scale_experiments/capacity/breaking_point.py
@@ -4,15 +4,15 @@
 
 from collections.abc import Callable
 
-MAX_PROGRESS = 10.0  # times the way from today to the target: no breaking point is looked for beyond it
-SCAN_STEPS = 80  # points at which the path is scanned: one half up to the target, the other beyond it
+MAX_PROGRESS = 10.0  # the search ends at this multiple of the path from today to the target
+SCAN_STEPS = 80  # points of the scan: half of them up to the target, half beyond it
 BISECTION_STEPS = 60
 
 
 def first_exceeding(excess: Callable[[float], float]) -> float | None:
     """The first progress from 0 to MAX_PROGRESS at which an excess is above 0; None if there is none.
 
-    An excess that comes and goes between two neighbouring points of the scan is not seen.
+    An excess that starts and ends between two neighbouring points of the scan is not found.
     """
     if excess(0.0) > 0:
         return 0.0
@@ -26,13 +26,13 @@
 
 
 def _scan_point(step: int) -> float:
-    """Evenly spaced points up to the target (progress 1), points at even ratios beyond it."""
+    """The progress of a step: linear spacing up to the target (progress 1), geometric spacing beyond it."""
     half = SCAN_STEPS / 2
     return step / half if step <= half else MAX_PROGRESS ** ((step - half) / half)
 
 
 def _bisect(excess: Callable[[float], float], below: float, above: float) -> float:
-    """The crossing between a point without an excess and one with it."""
+    """The crossing between a point without an excess and a point with an excess."""
     for _ in range(BISECTION_STEPS):
         middle = (below + above) / 2
         if excess(middle) > 0:
--- a/scale_experiments/capacity/comparison_table.py
+++ b/scale_experiments/capacity/comparison_table.py
@@ -4,6 +4,7 @@
 
 import math
 from collections.abc import Iterator, Sequence
+from dataclasses import dataclass
 
 from scale_experiments.capacity.formatting import format_quantity, markdown_table
 from scale_experiments.capacity.kept_results import NotMeasuredError
@@ -22,14 +23,56 @@
 
 HEADER = ("metric", "size", "before", "after", "after / before", "after / before, by the reference")
 NOT_MEASURED_ROW = ("not measured", *[""] * (len(HEADER) - 1))
-# metrics in these units depend on how fast and how busy the machine was
+NO_VALUE = "-"
+FITTED_SIZES = "fit up to the largest size shown"
+# metrics in these units depend on the speed and the load of the machine
 MACHINE_DEPENDENT_UNITS = ("s", "cores")
 
 SizeKey = tuple[tuple[str, float], ...]  # the columns of a size and their values, sorted by column
 
 
+@dataclass(slots=True, frozen=True)
+class ComparedMeans:
+    """The means of a metric at one size, in both results."""
+
+    before: float
+    after: float
+
+    @property
+    def ratio(self) -> float | None:
+        """After / before; None if the mean before is 0."""
+        return self.after / self.before if self.before else None
+
+    def ratio_by_reference(self, reference: ComparedMeans | None) -> float | None:
+        """The ratio, corrected for the time of the reference task; None without a ratio or a reference."""
+        ratio = self.ratio
+        if ratio is None or reference is None:
+            return None
+        return ratio * reference.before / reference.after
+
+
+@dataclass(slots=True, frozen=True)
+class ComparedResults:
+    """The result made before a mechanism was built, and the one made after."""
+
+    before: Result
+    after: Result
+
+    def means(self, metric: str) -> dict[SizeKey, ComparedMeans]:
+        """The means of a metric at each size that both results have."""
+        before, after = _means(self.before, metric), _means(self.after, metric)
+        return {
+            size: ComparedMeans(before[size], after[size]) for size in sorted(before.keys() & after.keys())
+        }
+
+    def shown_columns(self, metric: str) -> tuple[str, ...]:
+        """The columns that describe a size: routers and caches, or all that vary if neither of them does."""
+        varying = varying_columns([o.size for o in observations_of(self.before, metric)])
+        return tuple(column for column in varying if column in PRODUCT_COLUMNS) or varying
+
+
 def comparison_table(baseline: CapacityModel, current: CapacityModel, comparison: Comparison) -> list[str]:
-    """Means at the sizes that both results hold, and how each metric grows."""
+    """The means at the sizes that both results have, and the growth of each metric."""
     try:
         before = baseline.results.load(comparison.result)
         after = current.results.load(comparison.result)
@@ -37,59 +80,59 @@
         return markdown_table(HEADER, [NOT_MEASURED_ROW])
     rows: list[Sequence[str]] = []
     if before != after:
+        results = ComparedResults(before, after)
         for metric, unit in zip(comparison.metrics, comparison.units, strict=True):
-            rows += _rows_of_means(comparison, metric, unit, before, after)
-            rows += _rows_of_growth(comparison, metric, before, after)
+            rows += _rows_of_means(comparison, metric, unit, results)
+            rows += _rows_of_growth(comparison, metric, results)
     return markdown_table(HEADER, rows or [NOT_MEASURED_ROW])
 
 
 def _rows_of_means(
-    comparison: Comparison, metric: str, unit: Unit, before: Result, after: Result
+    comparison: Comparison, metric: str, unit: Unit, results: ComparedResults
 ) -> Iterator[list[str]]:
-    """A row for each size that both results hold and that the comparison shows."""
-    columns = varying_columns([o.size for o in observations_of(before, metric)])
-    columns = tuple(c for c in columns if c in PRODUCT_COLUMNS) or columns
-    means_before, means_after = _means(before, metric), _means(after, metric)
-    speeds = _machine_speeds(comparison, metric, unit, before, after)
-    for size in sorted(means_before.keys() & means_after.keys()):
-        if any(x not in comparison.sizes.get(column, [x]) for column, x in size):
+    """One row for each size that both results have and that the comparison shows."""
+    columns = results.shown_columns(metric)
+    references = _reference_means(comparison, metric, unit, results)
+    for size, means in results.means(metric).items():
+        if not _is_shown(comparison, size):
             continue
-        mean_before, mean_after = means_before[size], means_after[size]
-        ratio = mean_after / mean_before if mean_before else None
-        by_reference = (
-            ratio * speeds[size][0] / speeds[size][1] if ratio is not None and size in speeds else None
-        )
         yield [
             f"`{metric}`",
             ", ".join(f"{c} {format_number(x, SIZE_DIGITS)}" for c, x in size if c in columns),
-            format_quantity(mean_before, unit),
-            format_quantity(mean_after, unit),
-            "-" if ratio is None else format_number(ratio),
-            "-" if by_reference is None else format_number(by_reference),
+            format_quantity(means.before, unit),
+            format_quantity(means.after, unit),
+            _format_ratio(means.ratio),
+            _format_ratio(means.ratio_by_reference(references.get(size))),
         ]
 
 
-def _machine_speeds(
-    comparison: Comparison, metric: str, unit: Unit, before: Result, after: Result
-) -> dict[SizeKey, tuple[float, float]]:
-    """The reference metric before and after at each size; empty if the metric needs no reference."""
+def _reference_means(
+    comparison: Comparison, metric: str, unit: Unit, results: ComparedResults
+) -> dict[SizeKey, ComparedMeans]:
+    """The means of the reference metric at each size; empty if the metric needs no reference."""
     reference = comparison.reference_metric
     if reference is None or metric == reference or unit not in MACHINE_DEPENDENT_UNITS:
         return {}
-    means_before, means_after = _means(before, reference), _means(after, reference)
-    return {
-        size: (means_before[size], means_after[size]) for size in means_before.keys() & means_after.keys()
-    }
+    return results.means(reference)
 
 
-def _rows_of_growth(
-    comparison: Comparison, metric: str, before: Result, after: Result
-) -> Iterator[list[str]]:
-    """One row of the fits to all sizes up to the largest that is shown, if both results hold any."""
-    observations = [_up_to_largest_shown(comparison, observations_of(r, metric)) for r in (before, after)]
+def _is_shown(comparison: Comparison, size: SizeKey) -> bool:
+    return all(x in comparison.sizes.get(column, [x]) for column, x in size)
+
+
+def _format_ratio(ratio: float | None) -> str:
+    return NO_VALUE if ratio is None else format_number(ratio)
+
+
+def _rows_of_growth(comparison: Comparison, metric: str, results: ComparedResults) -> Iterator[list[str]]:
+    """One row with the fits to all sizes up to the largest that is shown, if both results have any."""
+    observations = [
+        _up_to_largest_shown(comparison, observations_of(result, metric))
+        for result in (results.before, results.after)
+    ]
     if all(observations):
         slopes = [_fit_growth(metric, each).describe() for each in observations]
-        yield [f"`{metric}`", "fit up to the largest size shown", *slopes, "-", "-"]
+        yield [f"`{metric}`", FITTED_SIZES, *slopes, NO_VALUE, NO_VALUE]
 
 
 def _up_to_largest_shown(comparison: Comparison, observations: Sequence[Observation]) -> list[Observation]:
@@ -98,7 +141,7 @@
 
 
 def _fit_growth(metric: str, observations: Sequence[Observation]) -> Fit:
-    """How a metric grows: a power, so that both results compare, or the best form if none can be fitted."""
+    """A power, so that the exponents of both results can be compared, or else the best form."""
     try:
         return fit_form(metric, Form.POWER, observations)
     except FitError:
--- a/scale_experiments/capacity/failure_table.py
+++ b/scale_experiments/capacity/failure_table.py
@@ -1,4 +1,4 @@
-"""The table of an event: what a failure costs each role."""
+"""The table of an event: the cost of a failure to each role."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def failure_table(model: CapacityModel, event: str) -> list[str]:
-    """What an event costs each role at the target, and how long it takes to recover."""
+    """The cost of an event to each role at the target, and the recovery time."""
     return markdown_table(HEADER, [_row(model, f) for f in model.table.failures if f.event == event])
 
 
--- a/scale_experiments/capacity/kept_results.py
+++ b/scale_experiments/capacity/kept_results.py
@@ -10,21 +10,21 @@
 from scale_experiments.fitting.selection import best_fit, fit_form
 from scale_experiments.runs.results import Result, load_result
 
-BASELINE_SUFFIX = ".before"  # of a result made before the mechanism was built
+BASELINE_SUFFIX = ".before"  # in the file name of a result made before a mechanism was built
 
 
 class NotMeasuredError(Exception):
-    """A result that an entry needs is not kept, or has no sample of its metric."""
+    """A result that an entry requires is not kept, or has no sample of its metric."""
 
 
 class KeptResults:
-    """Results of a folder, loaded and fitted once each.
+    """The results of a folder; each is loaded and fitted once.
 
-    A result may have a baseline, made before the mechanism was built: `baseline` says which of them is used.
+    A result may have a baseline, made before a mechanism was built. `baseline` selects the baselines.
     """
 
     def __init__(self, folder: Path, baseline: bool) -> None:
-        """Use the results in a folder; nothing is read before it is asked for."""
+        """Use the results in a folder, which are read when they are first needed."""
         self.folder = folder
         self.baseline = baseline
         # by file name
@@ -40,7 +40,7 @@
         return self.folder / existing[-1 if self.baseline else 0]
 
     def is_only_baseline(self, name: str) -> bool:
-        """Whether the baseline stands in for a later result that is not kept."""
+        """Whether the baseline replaces a later result that is not kept."""
         return not self.baseline and self.path(name).stem.endswith(BASELINE_SUFFIX)
 
     def load(self, name: str) -> Result:
--- a/scale_experiments/capacity/markers.py
+++ b/scale_experiments/capacity/markers.py
@@ -1,4 +1,4 @@
-"""Replaces the tables of a page, which stand between markers in comments."""
+"""Replaces the tables of a page between markers in comments."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 def replace_tables(page: str, tables: Mapping[str, Sequence[str]], page_name: str) -> str:
     """The page with new lines between the markers of each table.
 
-    Raises InputError, with the page's name and the line, if a table is missing, unknown, there twice or has
-    no end.
+    Raises: InputError, with the page's name and the line, if a table is missing, unknown or duplicated, or
+    has no end marker.
     """
     lines: list[str] = []
     current: str | None = None
--- a/scale_experiments/capacity/page.py
+++ b/scale_experiments/capacity/page.py
@@ -17,7 +17,7 @@
 def page_tables(table: CapacityTable, target: Target, results_folder: Path) -> dict[str, list[str]]:
     """The lines of each table, by the name in its markers on the page.
 
-    Raises InputError, ExpressionError or FitError if the table or a result can't be used.
+    Raises: InputError, ExpressionError or FitError if the table or a result can't be used.
     """
     current = CapacityModel(table, target, results_folder)
     baseline = CapacityModel(table, target, results_folder, baseline=True)
@@ -30,6 +30,6 @@
     for comparison in table.comparisons:
         tables[f"comparison {comparison.result}"] = comparison_table(baseline, current, comparison)
     tables["figures"] = parameter_table(current)
-    # comes last, as it lists the results that the tables before it have loaded
+    # last, because it lists the results that the other tables have loaded
     tables["results"] = result_table({**baseline.results.loaded, **current.results.loaded})
     return tables
--- a/scale_experiments/capacity/provenance.py
+++ b/scale_experiments/capacity/provenance.py
@@ -1,4 +1,4 @@
-"""How an entry of the capacity table is known: its sources, and how far it is measured."""
+"""The provenance of an entry of the capacity table: its sources, and whether it was measured."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def describe_basis(model: CapacityModel, item: CapacityItem) -> str:
-    """How an item is known: measured, extrapolated and how far, given, and what is assumed."""
+    """Whether an item is measured, extrapolated or given, and the parameters that are assumed for it."""
     terms = [term for name, term in item.terms.items() if name in item.formula.names]
     fits = [model.results.fit(term) for term in terms]
     parts = [*_describe_extrapolation(model, item, fits), *_describe_single_sizes(fits)]
@@ -37,7 +37,7 @@
 
 
 def _describe_single_sizes(fits: Sequence[Fit]) -> Iterator[str]:
-    """The size of each term that was measured at one only; terms of the same size share one."""
+    """The size of each term that was measured at a single size; equal sizes are stated once."""
     single_sizes = {json.dumps(fit.fixed): fit.fixed for fit in fits if fit.size_count == 1}
     for size in single_sizes.values():
         columns = (f"{column} {format_number(x, SIZE_DIGITS)}" for column, x in size.items())
@@ -47,7 +47,7 @@
 def _assumed_parameters(
     model: CapacityModel, formula: Expression, terms: Sequence[MeasuredTerm]
 ) -> list[str]:
-    """The assumed parameters on which a formula rests, itself or through the sizes of its terms."""
+    """The assumed parameters that a formula uses, directly or through the sizes of its terms."""
     names = _all_names(model, formula)
     for term in terms:
         for column in model.results.fit(term).columns:
@@ -57,7 +57,7 @@
 
 
 def _all_names(model: CapacityModel, formula: Expression) -> set[str]:
-    """All names on which a formula rests, through the formulas of parameters."""
+    """All names that a formula uses, directly or through the formulas of parameters."""
     names, pending = set(formula.names), list(formula.names)
     while pending:
         parameter = model.parameters.get(pending.pop())
@@ -69,7 +69,7 @@
 
 
 def describe_sources(model: CapacityModel, item: CapacityItem) -> str:
-    """The slopes from which an item was worked out, each with its error and a link to its result."""
+    """The sources of an item, each with its fit and a link to its result, and the item's formula."""
     sources = [_describe_source(model, term) for term in item.terms.values()]
     return "; ".join([*sources, f"`{item.formula.text}`"])
 
--- a/scale_experiments/capacity/ranking_table.py
+++ b/scale_experiments/capacity/ranking_table.py
@@ -1,8 +1,9 @@
-"""The tables of breaking points: all demands, the smallest breaking point first."""
+"""The tables of breaking points: all demands with a budget, the smallest breaking point first."""
 
 from __future__ import annotations
 
 import math
+from collections.abc import Sequence
 from dataclasses import dataclass
 
 from scale_experiments.capacity.formatting import format_mechanism, format_progress, markdown_table
@@ -25,6 +26,8 @@
     "basis",
     "mechanism",
 )
+# breaking point, utilization at three sizes, and basis of a demand that no mechanism carries
+WITHOUT_MECHANISM_CELLS = ("at any size", "-", "-", "-", "not measured")
 EXCEEDED_WHERE_MEASURED = "exceeded where measured"
 KEPT_WHERE_MEASURED = "not exceeded where measured"
 
@@ -41,36 +44,36 @@
     with_headroom: float
 
     def sort_key(self) -> tuple[float, float]:
-        """The smallest breaking point first, and the highest utilization where several are the same."""
+        """The smallest breaking point first; for equal breaking points, the highest utilization first."""
         if self.breaking_point is None:
             return math.inf, -self.target
         return self.breaking_point, -self.today if self.breaking_point == 0 else -self.target
 
 
 def ranking_table(model: CapacityModel, contradictions: bool = False) -> list[str]:
-    """The demands that have a budget, those that break at any size first.
+    """The demands that have a budget, starting with those that exceed it at any size.
 
-    Either those whose given figures contradict each other, or all others.
+    With `contradictions`, only the demands whose given figures contradict each other; without it, all others.
     """
     demands = [
         d for d in model.table.demands if d.budget is not None and d.is_contradiction == contradictions
     ]
     ranked: list[RankedDemand] = []
-    without_mechanism: list[Demand] = []
+    rows: list[list[str]] = []
     for demand in demands:
         try:
             ranked.append(_rank(model, demand))
         except NotMeasuredError:
             if demand.mechanism == MISSING_MECHANISM:
-                without_mechanism.append(demand)
-    cells = [(demand, ["at any size", "-", "-", "-", "not measured"]) for demand in without_mechanism]
-    cells += [(r.demand, _cells(model, r)) for r in sorted(ranked, key=RankedDemand.sort_key)]
-    titles = model.table.role_titles()
-    rows = [
-        [str(rank), titles[demand.role], demand.title, *middle, format_mechanism(demand.mechanism)]
-        for rank, (demand, middle) in enumerate(cells, 1)
-    ]
-    return markdown_table(HEADER, rows)
+                rows.append(_row(model, demand, WITHOUT_MECHANISM_CELLS))
+    rows += [_row(model, r.demand, _cells(model, r)) for r in sorted(ranked, key=RankedDemand.sort_key)]
+    return markdown_table(HEADER, [[str(rank), *row] for rank, row in enumerate(rows, 1)])
+
+
+def _row(model: CapacityModel, demand: Demand, cells: Sequence[str]) -> list[str]:
+    """A row without its rank."""
+    role_title = model.table.role_titles()[demand.role]
+    return [role_title, demand.title, *cells, format_mechanism(demand.mechanism)]
 
 
 def _rank(model: CapacityModel, demand: Demand) -> RankedDemand:
@@ -95,7 +98,7 @@
 
 
 def format_breaking_point(model: CapacityModel, demand: Demand, progress: float | None) -> str:
-    """The size at which a demand breaks, and how far that lies beyond what was measured."""
+    """The size at which a demand exceeds its budget, and its ratio to the largest size measured."""
     if model.is_measured_at_one_size(demand):
         return EXCEEDED_WHERE_MEASURED if progress == 0 else KEPT_WHERE_MEASURED
     text = format_progress(model.growth_path, progress)
--- a/scale_experiments/capacity/reader.py
+++ b/scale_experiments/capacity/reader.py
@@ -1,4 +1,4 @@
-"""Reads capacity.toml and checks what its schema can't: that names refer to something, and to one thing."""
+"""Reads capacity.toml, and checks what its schema can't: that each name refers to exactly one thing."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from scale_experiments.expression import Expression
 from scale_experiments.runs.experiment import InputError, describe_validation_error, read_toml
 
-# parameters that may stand for a column of a result's size, and so need not occur in a formula
+# parameters that may be a column of a result's size, and need not occur in a formula
 COLUMN_PARAMETERS = {"changes_per_s", "requests_per_s"}
 
 
 def read_capacity(path: Path) -> CapacityTable:
-    """Read and check a capacity table; raises InputError with file and field."""
+    """Read and check a capacity table; raises InputError that names the file and the field."""
     try:
         table = CapacityTable.model_validate(read_toml(path))
     except ValidationError as e:
--- a/scale_experiments/capacity/references.py
+++ b/scale_experiments/capacity/references.py
@@ -11,9 +11,11 @@
 
 
 def resolve_in_code(reference: str, location: str) -> Any:
-    """The object at module:name; raises InputError, with the location, if there is none.
+    """The object at module:name.
 
-    The page names the code that carries a demand, so that code has to exist.
+    The page names the code that carries a demand, and that code must exist.
+
+    Raises: InputError, with the location, if there is no such object.
     """
     module, _, path = reference.partition(":")
     try:
--- a/scale_experiments/capacity/role_table.py
+++ b/scale_experiments/capacity/role_table.py
@@ -1,4 +1,4 @@
-"""The table of a role: all that it carries at the target."""
+"""The table of a role: all demands on it at the target."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def _format_demand(model: CapacityModel, demand: Demand) -> str:
-    """A demand at the target, and what was measured there, if anything was."""
+    """A demand at the target, and the value that was measured there, if there is one."""
     target = model.growth_path.at_target()
     text = format_estimate(model.estimate(demand, target), demand.unit)
     measured = model.measured_value(demand, target)
@@ -71,7 +71,7 @@
 
 
 def _format_breaking_point_range(model: CapacityModel, demand: Demand) -> str:
-    """Where a demand breaks, and where it would a standard error to either side."""
+    """The breaking point of a demand, and its range for one standard error in either direction."""
     progress = model.breaking_point(demand)
     text = format_breaking_point(model, demand, progress)
     if model.is_measured_at_one_size(demand):
--- a/scale_experiments/capacity/schema.py
+++ b/scale_experiments/capacity/schema.py
@@ -1,6 +1,6 @@
 """The schema of capacity.toml.
 
-Where a key of the file is not the code's term for it, the field's alias names the key; errors name the key.
+If a key of the file differs from the term in the code, the field's alias is the key. Errors name the key.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
     """A number that was not measured: given by the operators, set in the code, or assumed.
 
     It is a number of target.toml (`target_path`, table.name or table.name.index), a constant of the router
-    (`code_path`, module:name), or worked out from other parameters (`formula`).
+    (`code_path`, module:name), or derived from other parameters (`formula`).
     """
 
     name: str
@@ -47,7 +47,7 @@
     formula: Formula | None = Field(default=None, alias="value")
     origin: ParameterOrigin = Field(alias="kind")
     unit: Unit
-    # where it was given, or why it is assumed
+    # the origin of a given number, or the reason for an assumption
     source: str = ""
 
     @model_validator(mode="after")
@@ -62,17 +62,17 @@
 
     result: str
     metric: str
-    # the best of all forms where it is not given
+    # None for the best of all forms
     form: Form | None = None
-    # the columns of `form`; all that vary where they are not given
+    # the columns of `form`; None for all that vary
     columns: list[str] | None = Field(default=None, alias="over")
     # columns of the size that are neither `routers`, `caches` nor a parameter of the same name
     column_formulas: dict[str, Formula] = Field(default={}, alias="at")
-    # take the mean at the largest measured size, without a fit
+    # whether to use the mean at the largest measured size, without a fit
     at_largest_size: bool = Field(default=False, alias="largest_only")
-    # the smallest sizes that are fitted, by column: today's, where a slope bends below it
+    # the smallest sizes that are fitted, by column: today's, if the slope differs below it
     min_sizes: dict[str, float] = Field(default={}, alias="least")
-    # the largest sizes that are fitted, by column: beyond, the machine that measured was at its limit
+    # the largest sizes that are fitted, by column: beyond them, the measuring machine was overloaded
     max_sizes: dict[str, float] = Field(default={}, alias="most")
     # the only sizes that are fitted, by column
     only_sizes: dict[str, float] = Field(default={}, alias="where")
@@ -85,7 +85,7 @@
 
 
 class CapacityItem(StrictModel):
-    """What steady demands and failure impacts have in common."""
+    """The fields that steady demands and failure impacts have in common."""
 
     role: str
     description: str = Field(alias="what")
@@ -96,37 +96,37 @@
 
 
 class Demand(CapacityItem):
-    """What a role has to carry all day, and the budget that it may take for it."""
+    """A steady load on a role, and its budget."""
 
     resource: Resource = Field(alias="kind")
     budget: Formula | None = None
     # module:name of the code that carries it, or MISSING_MECHANISM
     mechanism: str
-    # whether the given figures contradict each other, so that no mechanism can keep the budget
+    # whether the given figures contradict each other, so that no mechanism can keep within the budget
     is_contradiction: bool = Field(default=False, alias="contradiction")
 
     @property
     def title(self) -> str:
-        """The resource and the description, as on the page."""
+        """The resource and the description, as the page shows them."""
         return f"{self.resource}: {self.description}"
 
 
 class FailureImpact(CapacityItem):
-    """What an everyday failure costs a role, and the seconds until all is as before."""
+    """The cost of an everyday failure to a role, and the recovery time in seconds."""
 
     event: str
     recovery: Formula | None = None
 
 
 class Comparison(StrictModel):
-    """Metrics of a baseline result, made before a mechanism was built, beside the same ones after."""
+    """Metrics of a baseline result, made before a mechanism was built, and of the later result."""
 
     result: str
     metrics: list[str] = Field(min_length=1)
     units: list[Unit] = Field(min_length=1)
-    # a metric of a fixed piece of work, by which seconds of differently busy machines compare
+    # a metric of a fixed task, which corrects for the different load of the machine in the two runs
     reference_metric: str | None = Field(default=None, alias="reference")
-    # the sizes that are shown, by column; all where it is empty
+    # the sizes that are shown, by column; empty for all sizes
     sizes: dict[str, list[float]] = Field(default={}, alias="at")
 
     @model_validator(mode="after")
@@ -154,7 +154,7 @@
     comparisons: list[Comparison] = []
 
     def location(self, item: CapacityItem) -> str:
-        """Where an item stands in the file, such as `lines[3]`."""
+        """The location of an item in the file, such as `lines[3]`."""
         for key, items in (("lines", self.demands), ("failures", self.failures)):
             for i, each in enumerate(items):
                 if each is item:
--- a/scale_experiments/capacity/source_tables.py
+++ b/scale_experiments/capacity/source_tables.py
@@ -1,4 +1,4 @@
-"""The tables of what the page rests on: parameters and kept results."""
+"""The tables of the sources of the page: parameters and kept results."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 PARAMETER_HEADER = ("parameter", "at the target", "basis", "definition", "source")
 PARAMETER_DIGITS = 5  # significant digits
 RESULT_HEADER = ("result", "started", "version", "samples", "sizes", "complete")
-REVISION_LENGTH = 40  # characters of a git revision; what follows says that files were changed
+REVISION_LENGTH = 40  # characters of a git revision; a suffix after them marks changed files
 SHORT_REVISION_LENGTH = 7
 
 
 def parameter_table(model: CapacityModel) -> list[str]:
-    """What was given and what is assumed."""
+    """The parameters that were given, are constants of the code, or are assumed."""
     return markdown_table(PARAMETER_HEADER, [_parameter_row(model, p) for p in model.table.parameters])
 
 
@@ -37,7 +37,7 @@
 
 
 def result_table(results: Mapping[str, Result]) -> list[str]:
-    """The kept results on which the page rests, by file, and the version that each one measured."""
+    """The kept results that the page uses, by file, and the version that each measured."""
     return markdown_table(RESULT_HEADER, [_result_row(file, r) for file, r in sorted(results.items())])
 
 
