--- a/tests/scale_experiments/test_capacity.py
+++ b/tests/scale_experiments/test_capacity.py
@@ -76,7 +76,7 @@
     assert best_fit("same_count", observations_of(result, "same_count")).form is Form.CONSTANT
 
 
-def test_a_fit_tells_a_power_and_a_product_from_a_line() -> None:
+def test_a_fit_distinguishes_a_power_and_a_product_from_a_line() -> None:
     grid = [{"routers": r, "caches": c} for r in (10.0, 20.0, 40.0) for c in (5.0, 10.0, 20.0)]
     power = best_fit("x", [Observation(s, 3 * s["routers"] ** 1.5 * s["caches"] ** -0.5) for s in grid])
     assert power.form is Form.POWER
@@ -98,13 +98,13 @@
         fit_form("x", Form.INTERPOLATED, observations[:2])
 
 
-def test_columns_that_grow_together_are_not_told_apart() -> None:
+def test_columns_that_grow_together_are_rejected() -> None:
     observations = [Observation({"routers": x, "caches": 3 * x}, x) for x in (1.0, 2.0, 3.0, 4.0)]
     with pytest.raises(FitError, match="grow together"):
         fit_form("x", Form.LINEAR, observations)
 
 
-def test_bad_results_end_with_2_and_one_line_that_names_file_and_field(
+def test_a_bad_result_exits_with_2_and_one_line_that_names_file_and_field(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = write_linear_result(tmp_path / "cost.json", 0.002)
@@ -161,7 +161,7 @@
     return read_capacity(path)
 
 
-def test_a_demand_breaks_where_the_growth_path_first_leaves_its_budget(tmp_path: Path) -> None:
+def test_the_breaking_point_is_where_a_demand_first_exceeds_its_budget(tmp_path: Path) -> None:
     write_linear_result(tmp_path / "cost.json", 0.002, most=400)
     model = CapacityModel(read_entries(tmp_path), load_target(), tmp_path)
     path = model.growth_path
@@ -185,11 +185,11 @@
     return tmp_path
 
 
-def test_the_page_is_what_the_kept_results_give(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_page_matches_the_kept_results(capsys: pytest.CaptureFixture[str]) -> None:
     assert report.main(check=True) == 0, capsys.readouterr().err
 
 
-def test_a_page_that_differs_fails_and_is_written_anew(
+def test_a_page_that_differs_fails_the_check_and_is_regenerated(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     root = copy_of_the_page(tmp_path)
@@ -223,7 +223,7 @@
         ('[[lines]]\nrole = "router"', '[[lines]]\nvalues = 1\nrole = "router"', "lines[0].values: "),
     ],
 )
-def test_a_bad_capacity_table_ends_with_2_and_names_the_field(
+def test_a_bad_capacity_table_exits_with_2_and_names_the_field(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], old: str, new: str, expected: str
 ) -> None:
     root = copy_of_the_page(tmp_path)
