--- a/tests/scale_experiments/test_capacity.py
+++ b/tests/scale_experiments/test_capacity.py
@@ -10,7 +10,9 @@
 
 import pytest
 
+from scale_experiments.capacity.comparison_table import ComparedMeans
 from scale_experiments.capacity.formatting import format_progress
+from scale_experiments.capacity.growth_path import FleetPoint, FleetSize, GrowthPath
 from scale_experiments.capacity.kept_results import NotMeasuredError
 from scale_experiments.capacity.markers import replace_tables
 from scale_experiments.capacity.model import CapacityModel
@@ -177,6 +179,29 @@
         model.breaking_point(missing)
 
 
+def test_the_growth_path_joins_todays_fleet_and_the_target() -> None:
+    path = GrowthPath(today=FleetSize(200, 100), target=FleetSize(1000, 300))
+    assert path.at_today() == FleetPoint(0.0, FleetSize(200, 100))
+    assert path.at(0.25) == FleetPoint(0.25, FleetSize(400, 150))
+    assert path.at_target() == FleetPoint(1.0, FleetSize(1000, 300))
+    assert path.with_headroom() == FleetPoint(1.5, FleetSize(1500, 450))
+
+
+def test_a_point_of_the_growth_path_has_the_variables_of_formulas() -> None:
+    point = FleetPoint(0.25, FleetSize(routers=400, caches=150))
+    assert [point.variable(name) for name in ("t", "routers", "caches", "zones")] == [0.25, 400, 150, None]
+
+
+def test_compared_means_are_corrected_by_the_reference() -> None:
+    means = ComparedMeans(before=2.0, after=3.0)
+    assert means.ratio == 1.5
+    assert means.ratio_by_reference(ComparedMeans(before=1.0, after=2.0)) == 0.75
+    assert means.ratio_by_reference(None) is None
+    from_zero = ComparedMeans(before=0.0, after=3.0)
+    assert from_zero.ratio is None
+    assert from_zero.ratio_by_reference(means) is None
+
+
 def copy_of_the_page(tmp_path: Path) -> Path:
     for part in (CAPACITY_TABLE, CAPACITY_PAGE, TARGET_FILE):
         (tmp_path / part).parent.mkdir(parents=True, exist_ok=True)
