--- a/cache_router/server.py
+++ b/cache_router/server.py
@@ -4,110 +4,26 @@
 
 import asyncio
 import logging
-import os
-import resource
 import signal
-import sys
 from contextlib import closing, suppress
-from dataclasses import dataclass
-from typing import Self
 
-from cache_router.config import CONFIG_VARIABLE, MIN_DESCRIPTORS, Config, ConfigError, load_config
+from cache_router.config import Config, ConfigError, load_config
 from cache_router.decisions.events import EndpointUpdateKind
+from cache_router.descriptor_budget import DescriptorBudget, usable_descriptors
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.discovery import Discovery
 from cache_router.net.dispatcher import Dispatcher
 from cache_router.net.listener import Listener
 from cache_router.net.origin_connection import OriginConnection
-from cache_router.settings import Settings
-
-# file descriptors for the event loop, the log, the listening socket and discovery
-RESERVED_DESCRIPTORS = 32
-# how the other descriptors are divided, in eighths: as many for clients as for all upstream connections;
-# docs/CAPACITY.md lists the counts that follow
-CACHE_EIGHTHS = 3
-ORIGIN_EIGHTHS = 1
-CLIENT_EIGHTHS = 4
+from cache_router.shutdown_schedule import ShutdownSchedule
+
 # seconds to wait for the first endpoint list before serving from the cached one: an agent on the same
 # machine answers within milliseconds or is down
 FIRST_LIST_TIMEOUT = 1.0
-# seconds after SIGTERM in which connections are still accepted: the platform goes on sending new ones for
-# 0.2 to 0.4 s, and a little longer
-ACCEPT_AFTER_SIGTERM = 0.5
-# the platform's protocol: SIGKILL comes no earlier than SIGKILL_MARGIN seconds after the longest deadline of
-# the settings, of which no more than MAX_DRAIN_DEADLINE seconds count
-MAX_DRAIN_DEADLINE = 3.0
-SIGKILL_MARGIN = 0.7
-# seconds before SIGKILL by which every request is answered, and by which the last connection is closed: other
-# processes may keep the core busy
-ANSWER_MARGIN = 0.2
-CLOSE_MARGIN = 0.1
-
-UNUSABLE_CONFIG_STATUS = 2  # exit status of the process
 log = logging.getLogger(__name__)
 
 
-def usable_descriptors(configured: int) -> int:
-    """How many of the configured file descriptors this process may open.
-
-    Planning with more than the limit of the process would let idle clients take the descriptor that the
-    connection to discovery needs: no client would be evicted for it.
-
-    Raises:
-        ConfigError: the limit of the process is too low for a router.
-    """
-    limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if limit == resource.RLIM_INFINITY or limit >= configured:
-        return configured
-    if limit < MIN_DESCRIPTORS:
-        message = f"limits.sockets: this process may open {limit}, and needs {MIN_DESCRIPTORS}"
-        raise ConfigError(message, where="limits.sockets")
-    log.warning("limits.sockets is %d, but this process may open %d", configured, limit)
-    return limit
-
-
-@dataclass(slots=True, frozen=True)
-class DescriptorBudget:
-    """How many file descriptors each kind of connection may hold."""
-
-    caches: int
-    origin: int
-    clients: int
-
-    @classmethod
-    def divide(cls, descriptors: int) -> Self:
-        """Divide what is not reserved."""
-        shared = descriptors - RESERVED_DESCRIPTORS
-        return cls(
-            caches=shared * CACHE_EIGHTHS // 8,
-            origin=shared * ORIGIN_EIGHTHS // 8,
-            clients=shared * CLIENT_EIGHTHS // 8,
-        )
-
-
-@dataclass(slots=True, frozen=True)
-class ShutdownSchedule:
-    """When the steps of a graceful shutdown end, in seconds after SIGTERM."""
-
-    accept_until: float
-    answer_until: float
-    close_until: float
-    sigkill_at: float
-
-    @classmethod
-    def from_settings(cls, settings: Settings) -> Self:
-        """The schedule before the earliest SIGKILL, which depends on the longest client timeout."""
-        longest = max(each.client_timeout for each in settings.classes.values())
-        sigkill_at = min(longest, MAX_DRAIN_DEADLINE) + SIGKILL_MARGIN
-        return cls(
-            accept_until=ACCEPT_AFTER_SIGTERM,
-            answer_until=sigkill_at - ANSWER_MARGIN,
-            close_until=sigkill_at - CLOSE_MARGIN,
-            sigkill_at=sigkill_at,
-        )
-
-
 class RouterServer:
     """A router on real sockets, from its cached endpoint list to the end of its graceful shutdown.
 
@@ -232,15 +148,3 @@
         ConfigError: the configuration does not fit this machine.
     """
     await RouterServer(config, config_path).run()
-
-
-def main() -> int:
-    """Run one router with the configuration that the environment names; returns the exit status."""
-    logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
-    config_path = os.environ.get(CONFIG_VARIABLE, "")
-    try:
-        asyncio.run(serve(load_config(config_path), config_path))
-    except ConfigError as error:
-        print(f"cache_router: {error}", file=sys.stderr)
-        return UNUSABLE_CONFIG_STATUS
-    return 0
--- a/tests/cache_router/test_server.py
+++ b/tests/cache_router/test_server.py
@@ -1,10 +1,9 @@
-"""The program: its descriptors, its signals and its start."""
+"""The program: its signals and its start."""
 
 from __future__ import annotations
 
 import asyncio
 import os
-import resource
 import signal
 import socket
 from collections.abc import AsyncIterator
@@ -16,8 +15,8 @@
 import pytest
 
 from cache_router import server
-from cache_router.config import ConfigError, read_config
-from cache_router.settings import RequestClass, Settings
+from cache_router.__main__ import main
+from cache_router.config import read_config
 from tests.cache_router.test_simulator_adapter import CONF
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
 from tests.support.loopback import HIT, TEST_TIMEOUT, Peer, format_address, http, read, read_values, run
@@ -36,7 +35,7 @@
     if config is not None:
         path.write_bytes(config)
     monkeypatch.setenv("RELAY_CONFIG", str(path))
-    return server.main()
+    return main()
 
 
 @pytest.mark.parametrize(
@@ -83,38 +82,6 @@
     assert field in line
 
 
-@pytest.mark.parametrize(
-    ("limit", "usable"), [(resource.RLIM_INFINITY, 1024), (4096, 1024), (1024, 1024), (64, 64), (63, None)]
-)
-def test_usable_descriptors_are_bounded_by_the_process_limit(
-    limit: int, usable: int | None, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """The lower of both limits counts; too low a limit is an error of the configuration."""
-    monkeypatch.setattr(resource, "getrlimit", lambda _: (limit, resource.RLIM_INFINITY))
-    if usable is None:
-        with pytest.raises(ConfigError, match=r"^limits\.sockets"):
-            server.usable_descriptors(1024)
-    else:
-        assert server.usable_descriptors(1024) == usable
-
-
-def test_descriptors_are_divided_between_the_kinds_of_connections() -> None:
-    """Clients, origins and cache servers have shares of their own."""
-    assert server.DescriptorBudget.divide(1024) == server.DescriptorBudget(372, 124, 496)
-    assert server.DescriptorBudget.divide(64) == server.DescriptorBudget(12, 4, 16)
-
-
-@pytest.mark.parametrize(("client_timeout", "sigkill_at"), [(0.6, 1.3), (3.0, 3.7), (9.0, 3.7)])
-def test_shutdown_schedule_ends_before_sigkill(client_timeout: float, sigkill_at: float) -> None:
-    """Replies are written 0.2 s before SIGKILL, and connections are closed 0.1 s before it."""
-    settings = Settings({"read": RequestClass("read", 0.3, client_timeout=client_timeout)})
-    schedule = server.ShutdownSchedule.from_settings(settings)
-    assert schedule.accept_until == 0.5
-    assert schedule.answer_until == pytest.approx(sigkill_at - 0.2)
-    assert schedule.close_until == pytest.approx(sigkill_at - 0.1)
-    assert schedule.sigkill_at == pytest.approx(sigkill_at)
-
-
 @pytest.mark.parametrize("text", [None, b"", b"{", b"[]"])
 def test_unreadable_configuration_fails_the_start_with_one_line(
     text: bytes | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
--- a/tests/scale_experiments/test_simulated_connection_pool.py
+++ b/tests/scale_experiments/test_simulated_connection_pool.py
@@ -10,13 +10,13 @@
 import pytest
 
 from cache_router.decisions.events import AttemptStatus, LoadReport
+from cache_router.descriptor_budget import DescriptorBudget
 from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.net import connection_pool, dispatcher
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.command import Command
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.upstream_connection import AttemptInFlight, UpstreamResponse
-from cache_router.server import DescriptorBudget
 from scale_experiments.simulation import network_rules
 from scale_experiments.simulation.attempt_runner import AttemptRunner
 from scale_experiments.simulation.cache_server import CacheServer
