--- a/cache_router/simulator_adapter.py
+++ b/cache_router/simulator_adapter.py
@@ -1,230 +1,31 @@
 """Runs routers for the simulator, whose wire is one JSON object a line; decides nothing itself.
 
-Each line holds the events of one moment, each answer the commands that the routers replied with. The names of
-the wire appear in this module alone: its tables and functions map them to the events and actions of the
-decisions.
+Each line holds the events of one moment, each answer the commands that the routers replied with.
 """
 
 from __future__ import annotations
 
 import sys
-from collections.abc import Callable
 from typing import Any
 
 import orjson
 
-from cache_router.decisions.actions import (
-    Action,
-    Cancel,
-    CloseIdleConnections,
-    Fail,
-    LogMessage,
-    Reject,
-    Send,
-    SetTimer,
-    SubscribeToEndpoints,
-)
-from cache_router.decisions.events import (
-    AttemptCompleted,
-    AttemptStatus,
-    ClientDisconnected,
-    EndpointUpdate,
-    EndpointUpdateKind,
-    Event,
-    Request,
-    ResponseStarted,
-    Timer,
-    TimerFired,
-    TimerKind,
-)
+from cache_router.decisions.events import Event
 from cache_router.decisions.router import Router
-from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.errors import RouterError
-from cache_router.load_report import read_load
 from cache_router.settings import SettingsError
 from cache_router.settings_reader import read_settings
+from cache_router.simulator_wire import ACTION_WRITERS, EVENT_READERS, WireObject, read_attempt_completed
 
-ENDPOINT_STATES = {
-    "active": EndpointState.READY,
-    "leaving": EndpointState.DRAINING,
-    "left": EndpointState.REMOVED,
-}
-UPDATE_KINDS = {
-    "INCREMENTAL": EndpointUpdateKind.DELTA,
-    "FULL": EndpointUpdateKind.SNAPSHOT,
-    "SAVED": EndpointUpdateKind.CACHED,
-    "FAILED": EndpointUpdateKind.FAILED,
-}
-ATTEMPT_STATUSES = {
-    "delivered": AttemptStatus.OK,
-    "app_error": AttemptStatus.ERROR,
-    "shed": AttemptStatus.REJECTED,
-    "expired": AttemptStatus.TIMEOUT,
-    "dial_failed": AttemptStatus.CONNECT_FAILED,
-    "dropped": AttemptStatus.RESET,
-    "revoked": AttemptStatus.CANCELLED,
-    "unused": AttemptStatus.NOT_SENT,
-    "empty": AttemptStatus.MISS,
-}
-TIMER_KINDS = {kind.value: kind for kind in TimerKind}
 IGNORED_EVENTS = {"Pong", "Heard"}  # replies to commands that no router here gives
 BROKEN_WIRE_STATUS = 2  # exit status of the process
 MAX_QUOTED_EVENT = 200  # characters of a malformed event that its error quotes
 
-WireObject = dict[str, Any]
-
 
 class WireError(RouterError, ValueError):
     """A line of the simulator that is malformed; `where` is its batch or the event in it."""
 
 
-# Events
-
-
-def read_endpoint(line: WireObject) -> Endpoint:
-    """One entry of an endpoint list."""
-    return Endpoint(
-        name=line["server"],
-        state=ENDPOINT_STATES[line["readiness"]],
-        kind=line.get("generationHw") or "",
-        zone=line.get("site") or "",
-        cell=line.get("stripe") or 0,
-        weight=max(0.0, line.get("weight") or 0.0),
-        started_at=line.get("since") or 0.0,
-    )
-
-
-def read_endpoint_update(message: WireObject) -> EndpointUpdate:
-    """An endpoint list, its changes, or the failure to get any."""
-    kind = UPDATE_KINDS[message["scope"]]
-    return EndpointUpdate(kind, tuple(map(read_endpoint, message.get("lines") or ())))
-
-
-def read_request(message: WireObject) -> Request:
-    """A client's request; a time budget that is absent or negative is 0."""
-    return Request(
-        request_id=message["ticket"],
-        request_class=message["priority"],
-        time_left=max(0.0, float(message.get("timeBudget") or 0.0)),
-        key=message.get("partitionKey"),
-        cost_hint=message.get("effort"),
-        is_write=bool(message.get("update")),
-    )
-
-
-def read_response_started(message: WireObject) -> ResponseStarted:
-    """The first part of an answer."""
-    return ResponseStarted(message["ticket"], message["sendNo"])
-
-
-def read_attempt_completed(message: WireObject, load_report_fields: tuple[str, ...]) -> AttemptCompleted:
-    """The end of an attempt; the values of its load report come without their names."""
-    load_report = read_load(dict(zip(load_report_fields, message.get("telemetry") or (), strict=False)))
-    status = ATTEMPT_STATUSES[message["outcome"]]
-    return AttemptCompleted(
-        request_id=message["ticket"],
-        attempt_number=message["sendNo"],
-        status=status,
-        request_closed=bool(message.get("final")),
-        latency=message.get("lag") or 0.0,
-        load_report=load_report,
-    )
-
-
-def read_client_disconnected(message: WireObject) -> ClientDisconnected:
-    """A client that left."""
-    return ClientDisconnected(message["ticket"])
-
-
-def read_timer(context: str) -> Timer | None:
-    """A timer by the context that `write_timer` gave to the wire; None for any other context."""
-    kind, _, subject = context.partition(":")
-    if kind not in TIMER_KINDS:
-        return None
-    return Timer(TIMER_KINDS[kind], subject)
-
-
-def read_timer_fired(message: WireObject) -> TimerFired | None:
-    """A timer that is due."""
-    timer = read_timer(message["ctx"])
-    return TimerFired(timer) if timer is not None else None
-
-
-# all but "Done", which needs the settings of its router as well
-EVENT_READERS: dict[str, Callable[[WireObject], Event | None]] = {
-    "Membership": read_endpoint_update,
-    "Request": read_request,
-    "Begun": read_response_started,
-    "Aborted": read_client_disconnected,
-    "Wake": read_timer_fired,
-}
-
-# Actions
-
-
-def write_send(action: Send) -> WireObject:
-    """A new attempt; the field of a timeout is left out if there is none."""
-    command = {"op": "Send", "ticket": action.request_id, "server": action.server}
-    if action.timeout is None:
-        return command
-    return {**command, "timeout": action.timeout}
-
-
-def write_reject(action: Reject) -> WireObject:
-    """A rejection, with the time to wait before a retry if there is any."""
-    command = {"op": "Reject", "ticket": action.request_id}
-    if not action.retry_after:
-        return command
-    return {**command, "coolDown": action.retry_after}
-
-
-def write_fail(action: Fail) -> WireObject:
-    """A final answer that promises nothing."""
-    return {"op": "GiveUp", "ticket": action.request_id}
-
-
-def write_cancel(action: Cancel) -> WireObject:
-    """The end of the wait for an attempt."""
-    return {"op": "Cancel", "ticket": action.request_id, "sendNo": action.attempt_number}
-
-
-def write_close_idle_connections(action: CloseIdleConnections) -> WireObject:
-    """The end of the idle connections to a server."""
-    return {"op": "LetGo", "server": action.server}
-
-
-def write_timer(timer: Timer) -> str:
-    """A timer as a context of the wire: its kind and its subject."""
-    return f"{timer.kind.value}:{timer.subject}"
-
-
-def write_set_timer(action: SetTimer) -> WireObject:
-    """A timer; its context comes back when it is due."""
-    return {"op": "Timer", "fromNow": action.delay, "ctx": write_timer(action.timer)}
-
-
-def write_subscribe(_: SubscribeToEndpoints) -> WireObject:
-    """A subscription to endpoint updates."""
-    return {"op": "Listen", "enable": True}
-
-
-def write_log_message(action: LogMessage) -> WireObject:
-    """A line for the operators."""
-    return {"op": "Record", "line": action.message}
-
-
-ACTION_WRITERS: dict[type[Action], Callable[[Any], WireObject]] = {
-    Send: write_send,
-    Reject: write_reject,
-    Fail: write_fail,
-    Cancel: write_cancel,
-    CloseIdleConnections: write_close_idle_connections,
-    SetTimer: write_set_timer,
-    SubscribeToEndpoints: write_subscribe,
-    LogMessage: write_log_message,
-}
-
-
 class SimulatorAdapter:
     """One router for each instance number; nothing is shared between them."""
 
--- a/tests/cache_router/test_config.py
+++ b/tests/cache_router/test_config.py
@@ -9,8 +9,8 @@
 
 from cache_router.config import read_config
 from cache_router.errors import RouterError
-from tests.cache_router.test_simulator_adapter import CONF
 from tests.support.router_process import VALID_CONFIG
+from tests.support.settings_json import SETTINGS_JSON
 
 
 def test_configuration_is_read() -> None:
@@ -27,7 +27,7 @@
     [
         ({"listen": "here"}, "listen"),
         ({"seed": "xyz"}, "seed"),
-        ({"settings": {**CONF, "skus": 3}}, "settings"),
+        ({"settings": {**SETTINGS_JSON, "skus": 3}}, "settings"),
         ({"limits": {"sockets": 1}}, "limits"),
         ({"known": None}, "known"),
     ],
--- a/tests/cache_router/test_server.py
+++ b/tests/cache_router/test_server.py
@@ -17,7 +17,6 @@
 from cache_router import server
 from cache_router.__main__ import main
 from cache_router.config import read_config
-from tests.cache_router.test_simulator_adapter import CONF
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
 from tests.support.loopback import HIT, TEST_TIMEOUT, Peer, format_address, http, read, read_values, run
 from tests.support.router_process import (
@@ -28,6 +27,7 @@
     listen_address,
     router_process,
 )
+from tests.support.settings_json import SETTINGS_JSON
 
 
 def exit_status(config: bytes | None, path: Path, monkeypatch: pytest.MonkeyPatch) -> int:
@@ -49,13 +49,16 @@
         ({"limits": 3}, "limits"),
         ({"listen": "127.0.0.1:\u00b2"}, "listen"),  # a digit, and no number
         ({"listen": "a" * 70 + ":6379"}, "listen"),
-        ({"settings": {**CONF, "skus": 3}}, "skus"),
-        ({"settings": {**CONF, "skus": ["std", 4]}}, "skus"),
-        ({"settings": {**CONF, "limits": {"mayCancel": "no"}}}, "limits.mayCancel"),
-        ({"settings": {**CONF, "limits": {"secondCopies": 3}}}, "limits.secondCopies"),
-        ({"settings": {**CONF, "classes": [{"name": "x", "aim": 0}]}}, "classes[x].aim"),
-        ({"settings": {**CONF, "classes": [{"name": "x", "aim": 1, "giveUp": 0}]}}, "classes[x].giveUp"),
-        ({"settings": {**CONF, "classes": [{"name": "x"}, {"name": "x"}]}}, "classes[1].name"),
+        ({"settings": {**SETTINGS_JSON, "skus": 3}}, "skus"),
+        ({"settings": {**SETTINGS_JSON, "skus": ["std", 4]}}, "skus"),
+        ({"settings": {**SETTINGS_JSON, "limits": {"mayCancel": "no"}}}, "limits.mayCancel"),
+        ({"settings": {**SETTINGS_JSON, "limits": {"secondCopies": 3}}}, "limits.secondCopies"),
+        ({"settings": {**SETTINGS_JSON, "classes": [{"name": "x", "aim": 0}]}}, "classes[x].aim"),
+        (
+            {"settings": {**SETTINGS_JSON, "classes": [{"name": "x", "aim": 1, "giveUp": 0}]}},
+            "classes[x].giveUp",
+        ),
+        ({"settings": {**SETTINGS_JSON, "classes": [{"name": "x"}, {"name": "x"}]}}, "classes[1].name"),
         (
             {"known": {**CACHED_LIST, "endpoints": [{**ENDPOINT_ENTRY, "address": "127.0.0.1:\u00b2"}]}},
             "known.endpoints[0]",
@@ -64,8 +67,8 @@
         ({"known": {**CACHED_LIST, "index": "x"}}, "known.index"),
         ({"known": {**CACHED_LIST, "endpoints": [{}]}}, "known.endpoints[0].status"),
         ({"settings": None}, "conf"),
-        ({"settings": {**CONF, "classes": []}}, "classes"),
-        ({"settings": {**CONF, "limits": {"dialTimeout": "x"}}}, "limits.dialTimeout"),
+        ({"settings": {**SETTINGS_JSON, "classes": []}}, "classes"),
+        ({"settings": {**SETTINGS_JSON, "limits": {"dialTimeout": "x"}}}, "limits.dialTimeout"),
     ],
 )
 def test_invalid_configuration_fails_the_start_with_one_line(
--- a/tests/cache_router/test_settings_reader.py
+++ b/tests/cache_router/test_settings_reader.py
@@ -6,11 +6,11 @@
 
 from cache_router.settings import Idempotency, IdempotencyScope, SettingsError
 from cache_router.settings_reader import read_settings
-from tests.cache_router.test_simulator_adapter import CONF
+from tests.support.settings_json import SETTINGS_JSON
 
 
 def test_settings_are_read() -> None:
-    conf = read_settings(CONF)
+    conf = read_settings(SETTINGS_JSON)
     pay = conf.classes["pay"]
     assert (pay.idempotency, pay.idempotency_scope, pay.idempotency_window) == (
         Idempotency.WITH_KEY,
--- a/tests/cache_router/test_simulator_adapter.py
+++ b/tests/cache_router/test_simulator_adapter.py
@@ -11,29 +11,12 @@
 
 import pytest
 
-from cache_router import simulator_adapter
-from cache_router.decisions.actions import CloseIdleConnections, LogMessage, Reject, Send
+from cache_router import simulator_wire
 from cache_router.simulator_adapter import SimulatorAdapter, WireError
+from tests.support.settings_json import SETTINGS_JSON
 
 ROOT = Path(__file__).parents[2]
 ROUTER_ID = 3
-CONF: dict[str, Any] = {
-    "classes": [
-        {"name": "read", "aim": 0.5, "giveUp": 2.0, "effect": "free", "value": 1.0},
-        {"name": "pay", "aim": 1.0, "giveUp": 3.0, "effect": "guarded", "group": "zone", "repeatWindow": 5.0},
-    ],
-    "family": "cache",
-    "familyInfo": {"mode": "aside", "originKind": 1},
-    "skus": ["std", "store"],
-    "limits": {"mostTries": 3, "mayCancel": True, "secondCopies": True},
-    "membershipMode": "subscribe",
-    "resolution": 0.01,
-    "rules": {"coldFrom": 0.2, "rampTime": 8.0, "fallMultiple": 3.0, "overloadFor": 1.5},
-    "siblings": 3,
-    "tenants": [{"name": "t", "allowancePerS": 9.0, "share": 1.0}],
-    "zone": "z",
-    "unheardOf": {"x": [1]},
-}
 
 
 def endpoint_line(server: str, kind: str = "std", **fields: Any) -> dict[str, Any]:
@@ -58,14 +41,14 @@
 def started_adapter(**changes: Any) -> SimulatorAdapter:
     """An adapter with one router, which has a cached list of one cache and the origin.
 
-    `changes` are made to `CONF`.
+    `changes` are made to `SETTINGS_JSON`.
     """
     adapter = SimulatorAdapter()
     lines = [endpoint_line("a"), endpoint_line("o", "store")]
     commands = handle_events(
         adapter,
         1.0,
-        {"op": "Born", "initSeed": 5, "conf": {**CONF, **changes}},
+        {"op": "Born", "initSeed": 5, "conf": {**SETTINGS_JSON, **changes}},
         endpoint_update("SAVED", 1, lines),
     )
     assert commands == ([{"op": "Listen", "enable": True}] if not changes else commands)
@@ -107,7 +90,7 @@
     change: dict[str, Any], field: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (error,) = handle_events(
-        SimulatorAdapter(), 1.0, {"op": "Born", "initSeed": 1, "conf": {**CONF, **change}}
+        SimulatorAdapter(), 1.0, {"op": "Born", "initSeed": 1, "conf": {**SETTINGS_JSON, **change}}
     )
     assert error["op"] == "InternalError"
     assert field in error["line"]
@@ -121,7 +104,7 @@
     assert handle_events(adapter, 1.3, completion_event("1", 1, "delivered", True)) == []
 
 
-@pytest.mark.parametrize("status", sorted(simulator_adapter.ATTEMPT_STATUSES))
+@pytest.mark.parametrize("status", sorted(simulator_wire.ATTEMPT_STATUSES))
 def test_every_attempt_status_is_accepted(status: str) -> None:
     adapter = started_adapter()
     handle_events(adapter, 1.1, request_event("1"))
@@ -184,16 +167,6 @@
     assert handle_events(adapter, 1.3, completion_event("1", 0, "delivered", True)) == []
 
 
-def test_actions_in_wire_form() -> None:
-    send = simulator_adapter.ACTION_WRITERS[Send](Send("1", "a", 0.5))
-    assert send == {"op": "Send", "ticket": "1", "server": "a", "timeout": 0.5}
-    write_close = simulator_adapter.ACTION_WRITERS[CloseIdleConnections]
-    assert write_close(CloseIdleConnections("a")) == {"op": "LetGo", "server": "a"}
-    write_reject = simulator_adapter.ACTION_WRITERS[Reject]
-    assert write_reject(Reject("1", 0.25)) == {"op": "Reject", "ticket": "1", "coolDown": 0.25}
-    assert simulator_adapter.ACTION_WRITERS[LogMessage](LogMessage("x")) == {"op": "Record", "line": "x"}
-
-
 @pytest.mark.parametrize(
     "line",
     [
@@ -232,7 +205,7 @@
 
 def test_same_actions_under_any_hash_seed() -> None:
     lines = [endpoint_line(f"s{i}") for i in range(6)] + [endpoint_line("o", "store")]
-    events = [{"op": "Born", "initSeed": 5, "conf": CONF}]
+    events = [{"op": "Born", "initSeed": 5, "conf": SETTINGS_JSON}]
     events += [endpoint_update("SAVED", 1, lines)]
     events += [request_event(f"{i:x}", partitionKey=f"k{i % 7}") for i in range(60)]
     events += [endpoint_update("INCREMENTAL", 2, [endpoint_line("s1", readiness="left")])]
@@ -243,7 +216,7 @@
 
 
 OTHER_SETTINGS: dict[str, Any] = {
-    **CONF,
+    **SETTINGS_JSON,
     "classes": [
         {"name": "read", "aim": 0.2, "giveUp": 0.4, "effect": "single_shot", "value": 9.0},
         {"name": "pay", "aim": 0.3, "giveUp": 0.5, "effect": "free"},
--- a/tests/support/driver.py
+++ b/tests/support/driver.py
@@ -26,7 +26,7 @@
 from cache_router.decisions.server import Server
 from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings
-from cache_router.simulator_adapter import read_timer, write_timer
+from cache_router.simulator_wire import read_timer, write_timer
 
 READ = RequestClass("read", latency_objective=1.0)
 KEYED = RequestClass(
--- a/tests/support/router_process.py
+++ b/tests/support/router_process.py
@@ -15,9 +15,9 @@
 import orjson
 
 from cache_router.net.address import parse_address
-from tests.cache_router.test_simulator_adapter import CONF
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, peer_entry
 from tests.support.loopback import Link, Peer
+from tests.support.settings_json import SETTINGS_JSON
 
 CACHED_LIST = {"index": 41, "snapshot": True, "endpoints": [ENDPOINT_ENTRY]}
 
@@ -29,7 +29,7 @@
     "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
     "known": CACHED_LIST,
-    "settings": CONF,
+    "settings": SETTINGS_JSON,
 }
 
 
@@ -81,7 +81,7 @@
         **VALID_CONFIG,
         "listen": "127.0.0.1:0",
         "discovery": discovery.address,
-        "settings": {**CONF, "membershipMode": mode},
+        "settings": {**SETTINGS_JSON, "membershipMode": mode},
         "known": {"index": 1, "snapshot": True, "endpoints": [peer_entry(ENDPOINT_ENTRY["name"], cache)]},
     }
 
