--- a/cache_router/simulator_adapter.py
+++ b/cache_router/simulator_adapter.py
@@ -1,12 +1,13 @@
 """Runs routers for the simulator, whose wire is one JSON object a line; decides nothing itself.
 
-Each line holds the events of one moment, each answer the commands that the routers replied with.
+Each line of the simulator holds the events of one moment; each line of the adapter holds the commands of its
+routers.
 """
 
 from __future__ import annotations
 
 import sys
-from typing import Any
+from typing import Any, NamedTuple
 
 import orjson
 
@@ -15,7 +16,8 @@
 from cache_router.errors import RouterError
 from cache_router.settings import SettingsError
 from cache_router.settings_reader import read_settings
-from cache_router.simulator_wire import ACTION_WRITERS, EVENT_READERS, WireObject, read_attempt_completed
+from cache_router.simulator_messages import BornMessage, Command, LogCommand
+from cache_router.simulator_wire import ACTION_WRITERS, EVENT_READERS, read_attempt_completed
 
 IGNORED_EVENTS = {"Pong", "Heard"}  # replies to commands that no router here gives
 BROKEN_WIRE_STATUS = 2  # exit status of the process
@@ -26,11 +28,18 @@
     """A line of the simulator that is malformed; `where` is its batch or the event in it."""
 
 
+class Batch(NamedTuple):
+    """The decoded form of one line."""
+
+    now: float  # seconds on the simulator's clock
+    messages: list[Any]  # any JSON values; each is read as a `simulator_messages.Message`
+
+
 class SimulatorAdapter:
     """One router for each instance number; nothing is shared between them."""
 
     def __init__(self) -> None:
-        """Begin without any router; the simulator starts and stops them."""
+        """Start without any router; the simulator starts and stops them."""
         self.routers: dict[int, Router] = {}
 
     def handle_line(self, line: bytes) -> bytes:
@@ -39,26 +48,21 @@
         Raises:
             WireError: the line or an event in it is malformed.
         """
-        try:
-            batch = orjson.loads(line)
-            now, messages = float(batch["t"]), batch["news"]
-            if not isinstance(messages, list):
-                raise TypeError("news is not a list")
-        except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as error:
-            raise WireError(f"not a batch: {error!r}", where="batch") from error
-        commands: list[WireObject] = []
-        for message in messages:
-            self._handle_message(now, message, commands)
+        batch = _read_batch(line)
+        commands: list[Command] = []
+        for message in batch.messages:
+            self._handle_message(batch.now, message, commands)
         return orjson.dumps({"cmds": commands}) + b"\n"
 
-    def _handle_message(self, now: float, message: Any, commands: list[WireObject]) -> None:
-        """Hand one event to its router and append what it replies."""
+    def _handle_message(self, now: float, message: Any, commands: list[Command]) -> None:
+        """Pass one event to its router and append the router's actions to the commands."""
         try:
             operation, router_id = message["op"], message["routerId"]
             event = self._read_event(now, operation, router_id, message)
         except SettingsError as error:
             print(f"cache_router: {error}", file=sys.stderr)
-            commands.append({"op": "InternalError", "routerId": router_id, "line": str(error)})
+            error_command: LogCommand = {"op": "InternalError", "routerId": router_id, "line": str(error)}
+            commands.append(error_command)
             return
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             quoted = str(message)[:MAX_QUOTED_EVENT]
@@ -73,10 +77,10 @@
             command["routerId"] = router_id
             commands.append(command)
 
-    def _read_event(self, now: float, operation: str, router_id: int, message: WireObject) -> Event | None:
+    def _read_event(self, now: float, operation: str, router_id: int, message: Any) -> Event | None:
         """The event in a message, or None where the message leaves nothing to decide."""
         if operation == "Born":
-            self.routers[router_id] = Router(read_settings(message["conf"]), message["initSeed"], now)
+            self._start_router(now, message)
             return None
         if operation == "Kill":
             self.routers.pop(router_id, None)
@@ -85,10 +89,33 @@
             return None
         router = self.routers.get(router_id)
         if operation == "Done":
-            fields = router.settings.load_report_fields if router is not None else ()
-            return read_attempt_completed(message, fields)
+            return read_attempt_completed(message, _load_report_fields(router))
         return EVENT_READERS[operation](message)
 
+    def _start_router(self, now: float, message: BornMessage) -> None:
+        self.routers[message["routerId"]] = Router(read_settings(message["conf"]), message["initSeed"], now)
+
+
+def _load_report_fields(router: Router | None) -> tuple[str, ...]:
+    """The names of the values in load reports; none for a router that was stopped."""
+    return router.settings.load_report_fields if router is not None else ()
+
+
+def _read_batch(line: bytes) -> Batch:
+    """Decode a line; its messages are read one by one.
+
+    Raises:
+        WireError: the line is no JSON object with a time and a list of messages.
+    """
+    try:
+        batch = orjson.loads(line)
+        now, messages = float(batch["t"]), batch["news"]
+        if not isinstance(messages, list):
+            raise TypeError("news is not a list")
+    except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as error:
+        raise WireError(f"not a batch: {error!r}", where="batch") from error
+    return Batch(now, messages)
+
 
 def main() -> int:
     """Answer line by line until the end of input; returns the exit status."""
--- a/cache_router/simulator_wire.py
+++ b/cache_router/simulator_wire.py
@@ -1,6 +1,6 @@
 """The simulator's wire: its JSON objects as events of the decisions, and their actions as its JSON objects.
 
-The names of the wire appear in this module alone.
+`simulator_messages.py` describes those objects. A field that is absent and one that is null mean the same.
 """
 
 from __future__ import annotations
@@ -34,6 +34,24 @@
 )
 from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.load_report import read_load
+from cache_router.simulator_messages import (
+    CancelCommand,
+    ClientDisconnectedMessage,
+    CloseIdleCommand,
+    Command,
+    CompletionMessage,
+    EndpointLine,
+    FailCommand,
+    LogCommand,
+    MembershipMessage,
+    RejectCommand,
+    RequestMessage,
+    ResponseStartedMessage,
+    SendCommand,
+    SubscribeCommand,
+    TimerCommand,
+    TimerMessage,
+)
 
 ENDPOINT_STATES = {
     "active": EndpointState.READY,
@@ -59,13 +77,11 @@
 }
 TIMER_KINDS = {kind.value: kind for kind in TimerKind}
 
-WireObject = dict[str, Any]
-
 
 # Events
 
 
-def read_endpoint(line: WireObject) -> Endpoint:
+def read_endpoint(line: EndpointLine) -> Endpoint:
     """One entry of an endpoint list."""
     return Endpoint(
         name=line["server"],
@@ -78,13 +94,13 @@
     )
 
 
-def read_endpoint_update(message: WireObject) -> EndpointUpdate:
+def read_endpoint_update(message: MembershipMessage) -> EndpointUpdate:
     """An endpoint list, its changes, or the failure to get any."""
     kind = UPDATE_KINDS[message["scope"]]
     return EndpointUpdate(kind, tuple(map(read_endpoint, message.get("lines") or ())))
 
 
-def read_request(message: WireObject) -> Request:
+def read_request(message: RequestMessage) -> Request:
     """A client's request; a time budget that is absent or negative is 0."""
     return Request(
         request_id=message["ticket"],
@@ -96,12 +112,14 @@
     )
 
 
-def read_response_started(message: WireObject) -> ResponseStarted:
+def read_response_started(message: ResponseStartedMessage) -> ResponseStarted:
     """The first part of an answer."""
     return ResponseStarted(message["ticket"], message["sendNo"])
 
 
-def read_attempt_completed(message: WireObject, load_report_fields: tuple[str, ...]) -> AttemptCompleted:
+def read_attempt_completed(
+    message: CompletionMessage, load_report_fields: tuple[str, ...]
+) -> AttemptCompleted:
     """The end of an attempt; the values of its load report come without their names."""
     load_report = read_load(dict(zip(load_report_fields, message.get("telemetry") or (), strict=False)))
     status = ATTEMPT_STATUSES[message["outcome"]]
@@ -115,8 +133,8 @@
     )
 
 
-def read_client_disconnected(message: WireObject) -> ClientDisconnected:
-    """A client that left."""
+def read_client_disconnected(message: ClientDisconnectedMessage) -> ClientDisconnected:
+    """A client that has closed its connection."""
     return ClientDisconnected(message["ticket"])
 
 
@@ -128,14 +146,14 @@
     return Timer(TIMER_KINDS[kind], subject)
 
 
-def read_timer_fired(message: WireObject) -> TimerFired | None:
+def read_timer_fired(message: TimerMessage) -> TimerFired | None:
     """A timer that is due."""
     timer = read_timer(message["ctx"])
     return TimerFired(timer) if timer is not None else None
 
 
 # all but "Done", which needs the settings of its router as well
-EVENT_READERS: dict[str, Callable[[WireObject], Event | None]] = {
+EVENT_READERS: dict[str, Callable[[Any], Event | None]] = {
     "Membership": read_endpoint_update,
     "Request": read_request,
     "Begun": read_response_started,
@@ -146,33 +164,33 @@
 # Actions
 
 
-def write_send(action: Send) -> WireObject:
+def write_send(action: Send) -> SendCommand:
     """A new attempt; the field of a timeout is left out if there is none."""
-    command = {"op": "Send", "ticket": action.request_id, "server": action.server}
-    if action.timeout is None:
-        return command
-    return {**command, "timeout": action.timeout}
+    command: SendCommand = {"op": "Send", "ticket": action.request_id, "server": action.server}
+    if action.timeout is not None:
+        command["timeout"] = action.timeout
+    return command
 
 
-def write_reject(action: Reject) -> WireObject:
+def write_reject(action: Reject) -> RejectCommand:
     """A rejection, with the time to wait before a retry if there is any."""
-    command = {"op": "Reject", "ticket": action.request_id}
-    if not action.retry_after:
-        return command
-    return {**command, "coolDown": action.retry_after}
+    command: RejectCommand = {"op": "Reject", "ticket": action.request_id}
+    if action.retry_after:
+        command["coolDown"] = action.retry_after
+    return command
 
 
-def write_fail(action: Fail) -> WireObject:
-    """A final answer that promises nothing."""
+def write_fail(action: Fail) -> FailCommand:
+    """A final answer that leaves open whether the request was carried out."""
     return {"op": "GiveUp", "ticket": action.request_id}
 
 
-def write_cancel(action: Cancel) -> WireObject:
-    """The end of the wait for an attempt."""
+def write_cancel(action: Cancel) -> CancelCommand:
+    """A cancelled attempt."""
     return {"op": "Cancel", "ticket": action.request_id, "sendNo": action.attempt_number}
 
 
-def write_close_idle_connections(action: CloseIdleConnections) -> WireObject:
+def write_close_idle_connections(action: CloseIdleConnections) -> CloseIdleCommand:
     """The end of the idle connections to a server."""
     return {"op": "LetGo", "server": action.server}
 
@@ -182,22 +200,22 @@
     return f"{timer.kind.value}:{timer.subject}"
 
 
-def write_set_timer(action: SetTimer) -> WireObject:
+def write_set_timer(action: SetTimer) -> TimerCommand:
     """A timer; its context comes back when it is due."""
     return {"op": "Timer", "fromNow": action.delay, "ctx": write_timer(action.timer)}
 
 
-def write_subscribe(_: SubscribeToEndpoints) -> WireObject:
+def write_subscribe(_: SubscribeToEndpoints) -> SubscribeCommand:
     """A subscription to endpoint updates."""
     return {"op": "Listen", "enable": True}
 
 
-def write_log_message(action: LogMessage) -> WireObject:
+def write_log_message(action: LogMessage) -> LogCommand:
     """A line for the operators."""
     return {"op": "Record", "line": action.message}
 
 
-ACTION_WRITERS: dict[type[Action], Callable[[Any], WireObject]] = {
+ACTION_WRITERS: dict[type[Action], Callable[[Any], Command]] = {
     Send: write_send,
     Reject: write_reject,
     Fail: write_fail,
