--- a/cache_router/config.py
+++ b/cache_router/config.py
@@ -14,8 +14,9 @@
 from cache_router.net.address import AddressError, parse_address
 from cache_router.net.endpoint_list_reader import EndpointListError, read_endpoint_list
 from cache_router.net.endpoint_table import NetworkEndpoint
+from cache_router.section_reader import SectionReader
 from cache_router.settings import Settings, SettingsError
-from cache_router.settings_reader import SectionReader, read_settings
+from cache_router.settings_reader import read_settings
 
 CONFIG_VARIABLE = "RELAY_CONFIG"  # of the environment: the path of the configuration's file
 DEFAULT_DESCRIPTORS = 1024  # the platform's limit for a router
