--- a/cache_router/config.py
+++ b/cache_router/config.py
@@ -2,11 +2,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+from collections.abc import Iterator, Mapping
 from contextlib import contextmanager
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 import orjson
 
@@ -18,13 +17,14 @@
 from cache_router.settings import Settings, SettingsError
 from cache_router.settings_reader import read_settings
 
-CONFIG_VARIABLE = "RELAY_CONFIG"  # of the environment: the path of the configuration's file
-DEFAULT_DESCRIPTORS = 1024  # the platform's limit for a router
-MIN_DESCRIPTORS = 64  # with fewer a router cannot serve: half of them are reserved
+CONFIG_VARIABLE = "RELAY_CONFIG"  # environment variable: the path of the configuration file
+DEFAULT_DESCRIPTORS = 1024  # the platform's limit for one router
+# with fewer a router cannot serve: `descriptor_budget.RESERVED_DESCRIPTORS` are half of them
+MIN_DESCRIPTORS = 64
 
 
 class ConfigError(RouterError, ValueError):
-    """A configuration that cannot be used; message and `where` name the field."""
+    """A configuration that cannot be used; message and `where` name the field or the environment variable."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,11 +32,11 @@
     """What the platform configures for one router."""
 
     listen: tuple[str, int]  # host and port for clients
-    discovery: str  # host:port of discovery, or of the agent that stands in for it
-    seed: int  # of the router's random choices
+    discovery: str  # host:port of discovery, or of its agent on this machine
+    seed: int  # of the random choices of the decisions
     max_descriptors: int  # file descriptors that the platform allows
-    cached_index: int  # version of the endpoint list that was known last
-    cached_endpoints: list[NetworkEndpoint]
+    cached_index: int  # index of the cached endpoint list
+    cached_endpoints: list[NetworkEndpoint]  # the endpoint list known at the start
     settings: Settings
 
 
@@ -54,10 +54,10 @@
 
 
 def read_config(text: bytes) -> Config:
-    """Check a configuration in its JSON form.
+    """Read and check a configuration in its JSON form.
 
     Raises:
-        ConfigError: it is not a JSON object, or a field cannot be used.
+        ConfigError: `text` is not a JSON object, or a field in it cannot be used.
     """
     table = _read_object(text)
     seed = _read_seed(table)
@@ -81,14 +81,14 @@
 
 @contextmanager
 def _errors_of(field: str) -> Iterator[None]:
-    """Raise errors of the readers of a field as errors of the configuration."""
+    """Convert the errors of a field's reader to errors of the configuration."""
     try:
         yield
     except (SettingsError, EndpointListError) as error:
         raise ConfigError(str(error), where=field) from error
 
 
-def _read_object(text: bytes) -> dict[str, Any]:
+def _read_object(text: bytes) -> dict[str, object]:
     try:
         table = orjson.loads(text)
     except orjson.JSONDecodeError as error:
@@ -98,8 +98,8 @@
     return table
 
 
-def _read_seed(table: dict[str, Any]) -> int:
-    """The seed, in hex digits."""
+def _read_seed(table: Mapping[str, object]) -> int:
+    """The seed, which the file has in hex digits."""
     seed = table.get("seed")
     try:
         return int(str(seed), 16)
@@ -107,7 +107,7 @@
         raise ConfigError(f"seed must be hex digits, not {seed!r}", where="seed") from None
 
 
-def _read_address(table: dict[str, Any], field: str) -> str:
+def _read_address(table: Mapping[str, object], field: str) -> str:
     """A field of the form host:port, checked."""
     value = table.get(field)
     try:
--- a/cache_router/section_reader.py
+++ b/cache_router/section_reader.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import Any, TypeVar
+from typing import TypeVar
 
 from cache_router.settings import SettingsError
 
@@ -13,23 +13,27 @@
 class SectionReader:
     """Reads the fields of one JSON object; its errors name the field with the path to it.
 
-    Fields that are absent or null take their defaults, fields that nothing reads are ignored.
+    A field that is absent or null takes its default. A field that nothing reads is ignored.
     """
 
-    __slots__ = ("path", "values")
+    __slots__ = ("_path", "_values")
 
-    def __init__(self, values: dict[str, Any], path: str = "") -> None:
-        """Read from `values`; `path` is what stands before a field's name in errors, its dot included."""
-        self.values = values
-        self.path = path
+    def __init__(self, values: Mapping[str, object], path: str = "") -> None:
+        """Read from `values`; `path` is the prefix of a field's name in errors, with a dot at its end."""
+        self._values = values
+        self._path = path
+
+    def value(self, field: str) -> object:
+        """The decoded JSON value of a field, unchecked; None if the field is absent or null."""
+        return self._values.get(field)
 
     def number(self, field: str, default: float, minimum: float = 0.0) -> float:
-        """A number, as it stands in the JSON.
+        """A number, an int or a float as in the JSON.
 
         Raises:
-            SettingsError: it is no number, or less than `minimum`.
+            SettingsError: the value is no number, or less than `minimum`.
         """
-        value = self.values.get(field)
+        value = self._values.get(field)
         if value is None:
             return default
         if isinstance(value, bool) or not isinstance(value, (int, float)) or value < minimum:
@@ -37,23 +41,23 @@
         return value
 
     def flag(self, field: str) -> bool:
-        """Whether something is allowed; not if absent.
+        """A flag, false if absent.
 
         Raises:
-            SettingsError: it is neither true nor false.
+            SettingsError: the value is neither true nor false.
         """
-        value = self.values.get(field)
+        value = self._values.get(field)
         if value not in (None, False, True):
             raise self.unusable(field, f"must be true or false, not {value!r}")
         return bool(value)
 
     def choice(self, field: str, default: str, choices: Mapping[str, Choice]) -> Choice:
-        """What one of a few words stands for.
+        """The value that `choices` has for a word; `default` is the word if the field is absent.
 
         Raises:
-            SettingsError: it is none of the words in `choices`.
+            SettingsError: the value is none of the words in `choices`.
         """
-        value = self.values.get(field)
+        value = self._values.get(field)
         word = default if value is None else value
         if not isinstance(word, str) or word not in choices:
             raise self.unusable(field, f"must be one of {', '.join(choices)}, not {word!r}")
@@ -63,9 +67,9 @@
         """A list of names, empty if absent.
 
         Raises:
-            SettingsError: it is no list, or one of its entries is no string.
+            SettingsError: the value is no list, or one of its entries is no string.
         """
-        value = self.values.get(field)
+        value = self._values.get(field)
         names = [] if value is None else value
         if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
             raise self.unusable(field, f"must be a list of names, not {names!r}")
@@ -75,21 +79,21 @@
         """A nested object, empty if absent.
 
         Raises:
-            SettingsError: it is no object.
+            SettingsError: the value is no object.
         """
-        value = self.values.get(field)
+        value = self._values.get(field)
         section = {} if value is None else value
         if not isinstance(section, dict):
             raise self.unusable(field, f"must be an object, not {section!r}")
-        return SectionReader(section, f"{self.path}{field}.")
+        return SectionReader(section, f"{self._path}{field}.")
 
     def named_sections(self, field: str) -> dict[str, SectionReader]:
         """A list of objects by their `name`s, empty if absent.
 
         Raises:
-            SettingsError: it is no list of objects, or a name is missing or repeated.
+            SettingsError: the value is no list of objects, or a name is missing or repeated.
         """
-        value = self.values.get(field)
+        value = self._values.get(field)
         rows = [] if value is None else value
         if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
             raise self.unusable(field, "must be a list of objects")
@@ -100,9 +104,9 @@
                 raise self.unusable(f"{field}[{index}].name", "is missing")
             if name in sections:
                 raise self.unusable(f"{field}[{index}].name", f"is there twice: {name!r}")
-            sections[name] = SectionReader(row, f"{self.path}{field}[{name}].")
+            sections[name] = SectionReader(row, f"{self._path}{field}[{name}].")
         return sections
 
     def unusable(self, field: str, reason: str) -> SettingsError:
         """The error of a field of this section."""
-        return SettingsError(f"settings: {self.path}{field} {reason}", where=f"{self.path}{field}")
+        return SettingsError(f"settings: {self._path}{field} {reason}", where=f"{self._path}{field}")
--- a/cache_router/settings_reader.py
+++ b/cache_router/settings_reader.py
@@ -6,12 +6,10 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from cache_router.section_reader import SectionReader
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings, SettingsError
 
-MIN_POSITIVE = 0.001  # seconds: the least value of what is divided by
+MIN_DIVISOR = 0.001  # seconds: the least value of a time by which decisions divide
 IDEMPOTENCIES = {
     "free": Idempotency.IDEMPOTENT,
     "guarded": Idempotency.WITH_KEY,
@@ -23,11 +21,11 @@
 LIVE_WEIGHTS = "live"
 
 
-def read_settings(conf: Any) -> Settings:
+def read_settings(conf: object) -> Settings:
     """The settings of a site, from their JSON object.
 
     Raises:
-        SettingsError: they are no object, name no class of requests, or have a field that cannot be used.
+        SettingsError: `conf` is no object, names no class of requests, or has a field that cannot be used.
     """
     if not isinstance(conf, dict):
         raise SettingsError("settings: conf must be an object", where="conf")
@@ -41,7 +39,7 @@
         clock_resolution=root.number("resolution", 0.005),
         cache_aside=family.choice("mode", "through", CACHE_ASIDE_MODES),
         must_subscribe=root.choice("membershipMode", "automatic", SUBSCRIPTION_MODES),
-        live_weights=root.values.get("weights") == LIVE_WEIGHTS,
+        live_weights=root.value("weights") == LIVE_WEIGHTS,
         hedging_allowed=limits.flag("secondCopies"),
         cancellation_allowed=limits.flag("mayCancel"),
         max_attempts=max(1, int(limits.number("mostTries", 1))),
@@ -53,7 +51,7 @@
         connection_price=prices.number("connection", 0.0),
         handshake_price=prices.number("handshake", 0.0),
         slow_start_initial_share=rules.number("coldFrom", 0.3),
-        slow_start_duration=max(MIN_POSITIVE, rules.number("rampTime", 10.0)),
+        slow_start_duration=max(MIN_DIVISOR, rules.number("rampTime", 10.0)),
         overload_multiple=rules.number("fallMultiple", 2.0),
         overload_window=rules.number("overloadFor", 1.0),
         drain_grace_period=rules.number("stopSendingWithin", 0.5),
@@ -61,7 +59,7 @@
 
 
 def _read_classes(root: SectionReader) -> dict[str, RequestClass]:
-    """The classes of requests by name; a site without any cannot be served."""
+    """The classes of requests by name; settings without any are rejected."""
     sections = root.named_sections("classes")
     if not sections:
         raise root.unusable("classes", "is empty")
@@ -71,11 +69,11 @@
 def _read_class(name: str, section: SectionReader) -> RequestClass:
     """One class; a latency objective or client timeout that is absent takes the value of the other."""
     objective_default = section.number("giveUp", 1.0)
-    latency_objective = section.number("aim", objective_default, MIN_POSITIVE)
+    latency_objective = section.number("aim", objective_default, MIN_DIVISOR)
     return RequestClass(
         name=name,
         latency_objective=latency_objective,
-        client_timeout=section.number("giveUp", latency_objective, MIN_POSITIVE),
+        client_timeout=section.number("giveUp", latency_objective, MIN_DIVISOR),
         idempotency=section.choice("effect", "single_shot", IDEMPOTENCIES),
         idempotency_scope=section.choice("group", "cell", IDEMPOTENCY_SCOPES),
         idempotency_window=section.number("repeatWindow", 0.0),
--- /dev/null
+++ b/tests/cache_router/test_section_reader.py
@@ -0,0 +1,64 @@
+"""The reader of a JSON object's fields: defaults, and errors that name the field by its path."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import pytest
+
+from cache_router.section_reader import SectionReader
+from cache_router.settings import SettingsError
+
+WORDS = {"yes": 1, "no": 2}
+
+
+def test_absent_and_null_fields_take_their_defaults() -> None:
+    for reader in (SectionReader({}), SectionReader({"field": None})):
+        assert reader.value("field") is None
+        assert reader.number("field", 2.5, minimum=9.0) == 2.5
+        assert reader.flag("field") is False
+        assert reader.choice("field", "no", WORDS) == 2
+        assert reader.names("field") == ()
+        assert reader.section("field").number("inner", 4.0) == 4.0
+        assert reader.named_sections("field") == {}
+
+
+def test_fields_are_read() -> None:
+    values = {"size": 3, "on": True, "word": "yes", "names": ["a", "b"], "rows": [{"name": "x", "size": 7}]}
+    reader = SectionReader(values)
+    assert (reader.value("size"), reader.number("size", 0.0)) == (3, 3)
+    assert reader.flag("on") is True
+    assert reader.choice("word", "no", WORDS) == 1
+    assert reader.names("names") == ("a", "b")
+    assert reader.named_sections("rows")["x"].number("size", 0.0) == 7
+
+
+@pytest.mark.parametrize(
+    ("value", "read"),
+    [
+        ("3", lambda reader: reader.number("field", 0.0)),
+        (True, lambda reader: reader.number("field", 0.0)),
+        (0.5, lambda reader: reader.number("field", 0.0, minimum=1.0)),
+        (2, lambda reader: reader.flag("field")),
+        ("maybe", lambda reader: reader.choice("field", "no", WORDS)),
+        (["yes"], lambda reader: reader.choice("field", "no", WORDS)),
+        (["a", 1], lambda reader: reader.names("field")),
+        ([], lambda reader: reader.section("field")),
+        ({}, lambda reader: reader.named_sections("field")),
+    ],
+)
+def test_error_names_the_field_by_its_path(value: object, read: Callable[[SectionReader], object]) -> None:
+    outer = SectionReader({"outer": {"field": value}})
+    with pytest.raises(SettingsError, match=r"^settings: outer\.field must be ") as caught:
+        read(outer.section("outer"))
+    assert caught.value.where == "outer.field"
+
+
+def test_error_in_a_list_names_the_entry() -> None:
+    rows = SectionReader({"rows": [{"name": "x", "size": "big"}]}).named_sections("rows")
+    with pytest.raises(SettingsError, match=r"^settings: rows\[x\]\.size must be a number"):
+        rows["x"].number("size", 0.0)
+    with pytest.raises(SettingsError, match=r"^settings: rows\[1\]\.name is there twice: 'x'$"):
+        SectionReader({"rows": [{"name": "x"}, {"name": "x"}]}).named_sections("rows")
+    with pytest.raises(SettingsError, match=r"^settings: rows\[0\]\.name is missing$"):
+        SectionReader({"rows": [{}]}).named_sections("rows")
