--- a/cache_router/__main__.py
+++ b/cache_router/__main__.py
@@ -7,7 +7,7 @@
 import os
 import sys
 
-from cache_router.config import CONFIG_VARIABLE, ConfigError, load_config
+from cache_router.config import ConfigError, config_path, load_config
 from cache_router.server import serve
 
 UNUSABLE_CONFIG_STATUS = 2  # exit status of the process
@@ -16,9 +16,9 @@
 def main() -> int:
     """Run one router with the configuration that the environment names; returns the exit status."""
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
-    config_path = os.environ.get(CONFIG_VARIABLE, "")
     try:
-        asyncio.run(serve(load_config(config_path), config_path))
+        path = config_path(os.environ)
+        asyncio.run(serve(load_config(path), path))
     except ConfigError as error:
         print(f"cache_router: {error}", file=sys.stderr)
         return UNUSABLE_CONFIG_STATUS
--- a/cache_router/config.py
+++ b/cache_router/config.py
@@ -40,8 +40,22 @@
     settings: Settings
 
 
+def config_path(environment: Mapping[str, str]) -> str:
+    """The path of the configuration file, from the environment of the process.
+
+    Raises:
+        ConfigError: the variable is not set, or empty.
+    """
+    path = environment.get(CONFIG_VARIABLE)
+    if not path:
+        state = "not set" if path is None else "empty"
+        message = f"{CONFIG_VARIABLE} is {state}: it names the path of the configuration file"
+        raise ConfigError(message, where=CONFIG_VARIABLE)
+    return path
+
+
 def load_config(path: str) -> Config:
-    """Read and check the configuration in a file.
+    """Read and check the configuration in a file; errors found in the file begin with its path.
 
     Raises:
         ConfigError: the file cannot be read, or a field in it cannot be used.
@@ -50,7 +64,10 @@
         text = Path(path).read_bytes()
     except OSError as error:
         raise ConfigError(f"{CONFIG_VARIABLE}: {error}", where=CONFIG_VARIABLE) from error
-    return read_config(text)
+    try:
+        return read_config(text)
+    except ConfigError as error:
+        raise ConfigError(f"{path}: {error}", where=error.where) from error
 
 
 def read_config(text: bytes) -> Config:
--- a/tests/cache_router/test_config.py
+++ b/tests/cache_router/test_config.py
@@ -2,12 +2,13 @@
 
 from __future__ import annotations
 
+from pathlib import Path
 from typing import Any
 
 import orjson
 import pytest
 
-from cache_router.config import read_config
+from cache_router.config import ConfigError, load_config, read_config
 from cache_router.errors import RouterError
 from tests.support.router_process import VALID_CONFIG
 from tests.support.settings_json import SETTINGS_JSON
@@ -38,3 +39,13 @@
         read_config(orjson.dumps({**VALID_CONFIG, **change}))
     assert isinstance(caught.value, ValueError)
     assert caught.value.where == where
+
+
+def test_error_in_a_file_names_the_file(tmp_path: Path) -> None:
+    """An operator sees which file to correct; `where` stays the field."""
+    path = tmp_path / "config.json"
+    path.write_bytes(orjson.dumps({**VALID_CONFIG, "seed": None}))
+    with pytest.raises(ConfigError) as caught:
+        load_config(str(path))
+    assert str(caught.value) == f"{path}: seed must be hex digits, not None"
+    assert caught.value.where == "seed"
--- a/tests/cache_router/test_server.py
+++ b/tests/cache_router/test_server.py
@@ -48,7 +48,6 @@
         ({"limits": {"sockets": "many"}}, "limits.sockets"),
         ({"limits": 3}, "limits"),
         ({"listen": "127.0.0.1:\u00b2"}, "listen"),  # a digit, and no number
-        ({"listen": "a" * 70 + ":6379"}, "listen"),
         ({"settings": {**SETTINGS_JSON, "skus": 3}}, "skus"),
         ({"settings": {**SETTINGS_JSON, "skus": ["std", 4]}}, "skus"),
         ({"settings": {**SETTINGS_JSON, "limits": {"mayCancel": "no"}}}, "limits.mayCancel"),
@@ -78,20 +77,47 @@
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """The line names the field that can't be used."""
+    """The line names the file, and the field in it that can't be used."""
     config = orjson.dumps({**VALID_CONFIG, **change})
-    assert exit_status(config, tmp_path / "config.json", monkeypatch) == 2
+    path = tmp_path / "config.json"
+    assert exit_status(config, path, monkeypatch) == 2
+    (line,) = capsys.readouterr().err.splitlines()
+    assert line.startswith(f"cache_router: {path}: ")
+    assert field in line.removeprefix(f"cache_router: {path}: ")
+
+
+@pytest.mark.parametrize(("value", "state"), [(None, "not set"), ("", "empty")])
+def test_missing_configuration_variable_fails_the_start_with_one_line(
+    value: str | None, state: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    """The line says what the variable is for."""
+    monkeypatch.delenv("RELAY_CONFIG", raising=False)
+    if value is not None:
+        monkeypatch.setenv("RELAY_CONFIG", value)
+    assert main() == 2
     (line,) = capsys.readouterr().err.splitlines()
-    assert field in line
+    assert line == f"cache_router: RELAY_CONFIG is {state}: it names the path of the configuration file"
 
 
 @pytest.mark.parametrize("text", [None, b"", b"{", b"[]"])
 def test_unreadable_configuration_fails_the_start_with_one_line(
     text: bytes | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """A missing or malformed file is reported without a traceback."""
-    assert exit_status(text, tmp_path / "config.json", monkeypatch) == 2
-    assert len(capsys.readouterr().err.splitlines()) == 1
+    """A missing or malformed file is reported by its path and without a traceback."""
+    path = tmp_path / "config.json"
+    assert exit_status(text, path, monkeypatch) == 2
+    (line,) = capsys.readouterr().err.splitlines()
+    assert str(path) in line
+
+
+def test_listen_host_that_cannot_be_encoded_fails_the_start_with_one_line(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    """The form of the address is right, so that only taking the address shows the error."""
+    config = orjson.dumps({**VALID_CONFIG, "listen": "a" * 70 + ":6379"})
+    assert exit_status(config, tmp_path / "config.json", monkeypatch) == 2
+    (line,) = capsys.readouterr().err.splitlines()
+    assert line.startswith("cache_router: listen: ")
 
 
 def test_listen_address_in_use_fails_the_start_with_one_line(
