--- a/cache_router/__main__.py
+++ b/cache_router/__main__.py
@@ -11,11 +11,12 @@
 from cache_router.server import serve
 
 UNUSABLE_CONFIG_STATUS = 2  # exit status of the process
+LOG_FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
 
 
 def main() -> int:
-    """Run one router with the configuration that the environment names; returns the exit status."""
-    logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
+    """Run one router with the configuration file that the environment names; returns the exit status."""
+    logging.basicConfig(level=logging.INFO, format=LOG_FORMAT)
     try:
         path = config_path(os.environ)
         asyncio.run(serve(load_config(path), path))
--- a/tests/cache_router/test_startup.py
+++ b/tests/cache_router/test_startup.py
@@ -1,9 +1,10 @@
-"""A start with a long endpoint list."""
+"""The start of the program: its log, and its work with a long endpoint list."""
 
 from __future__ import annotations
 
 import asyncio
 import os
+import re
 import sys
 import time
 from collections.abc import Callable
@@ -31,6 +32,8 @@
     router_process,
 )
 
+LOG_TIME = r"\d{4}-\d\d-\d\d \d\d:\d\d:\d\d,\d{3}"
+
 
 def cache_entries(count: int) -> list[dict[str, Any]]:
     """Entries of cache servers at addresses that nobody connects to here."""
@@ -49,7 +52,7 @@
     """What the program does with its cached endpoint list, and then with an equal first snapshot."""
 
     def __init__(self, count: int) -> None:
-        """Prepare a configuration and a snapshot with so many cache servers."""
+        """Prepare a configuration and a snapshot with `count` cache servers."""
         entries = cache_entries(count)
         self.config = {**VALID_CONFIG, "known": {"index": 1, "snapshot": True, "endpoints": entries}}
         self.encoded_config = orjson.dumps(self.config)
@@ -128,3 +131,19 @@
                 client.close()
 
     run(scenario, PROCESS_TEST_TIMEOUT)
+
+
+def test_log_line_has_time_level_logger_and_message(tmp_path: Path) -> None:
+    """The page for on-call engineers names the loggers."""
+
+    async def scenario() -> None:
+        async with Peer() as agent:
+            config = config_with_cache(agent, agent, "subscribe")
+            async with router_process(config, tmp_path / "config.json") as process:
+                assert process.stderr is not None
+                line = (await process.stderr.readline()).decode()
+                assert re.fullmatch(
+                    rf"{LOG_TIME} INFO cache_router\.server listening on 127\.0\.0\.1:\d+\n", line
+                )
+
+    run(scenario, PROCESS_TEST_TIMEOUT)
