--- a/cache_router/net/discovery.py
+++ b/cache_router/net/discovery.py
@@ -14,17 +14,18 @@
 from cache_router.net.address import parse_address
 from cache_router.net.endpoint_list_reader import EndpointListError, EndpointListMessage, read_endpoint_list
 from cache_router.net.endpoint_table import NetworkEndpoint
-from cache_router.net.http import HttpClient, HttpError
+from cache_router.net.http import HttpClient, HttpError, Response
 from cache_router.settings import WatchBudget
 
 LIST_PATH = "/registry/instances"
 MAX_LIST_SIZE = 4 * 1024 * 1024  # bytes
 READ_SIZE = 64 * 1024  # bytes
 HTTP_OK = 200
-# Seconds after an update without entries, so that an agent that never waits is not polled in a busy loop. A
-# poll more than 200 ms after the last answer would be a new watch, in turn with all others.
+# Seconds to wait after an update without entries, so that an agent that answers at once is not polled in a
+# busy loop. The pause must stay below 200 ms: after a longer one discovery takes a poll for a new watch, and
+# serves it in turn with all others.
 EMPTY_UPDATE_PAUSE = 0.05
-# what an unreachable or faulty discovery causes; anything else is a fault of this program
+# what an unreachable or faulty discovery causes; any other exception is a fault of this program
 EXPECTED_ERRORS = (OSError, HttpError, EndpointListError, orjson.JSONDecodeError)
 log = logging.getLogger(__name__)
 
@@ -34,11 +35,16 @@
     """One request to discovery."""
 
     target: str  # path and query
-    timeout: float  # seconds until it is given up
+    timeout: float  # seconds until the response must be complete
 
 
 class Discovery:
-    """Watches the endpoint list once subscribed; a poll that fails ends the watch."""
+    """Watches the endpoint list once subscribed; a poll that fails ends the watch.
+
+    Attributes that others may read:
+        address: discovery's `host:port`
+        index: the version of the list that the router has; None if it has no list of this discovery
+    """
 
     def __init__(
         self,
@@ -52,87 +58,114 @@
     ) -> None:
         """Prepare a watch.
 
-        `address` is discovery's `host:port`; `index` is the version of the list that is held already.
-        `on_update` takes what each poll brings; `on_failure` is called when a watch has ended. `pushed` is
-        whether an agent on this machine, which answers at once, stands for discovery.
+        `address` and `index` are the attributes of the class. `on_update` is called with the kind and the
+        entries of each update; `on_failure` is called when a watch has failed. `pushed` is whether the router
+        polls an agent on this machine, which answers at once, instead of discovery.
         """
         self.address = address
-        self.index = index  # None: no list is held, or one of another discovery
-        self.on_update = on_update
-        self.on_failure = on_failure
-        self.pushed = pushed
-        self.budget = budget or WatchBudget()
-        self.first_update_received = asyncio.Event()
-        self.watch_task: asyncio.Task[None] | None = None
-        # Whether the next poll of an agent asks not to wait. A discovery that all routers poll might keep a
-        # second poll waiting for its turn.
+        self.index = index
+        self._on_update = on_update
+        self._on_failure = on_failure
+        self._pushed = pushed
+        self._budget = budget or WatchBudget()
+        self._first_update_received = asyncio.Event()
+        self._watch_task: asyncio.Task[None] | None = None
+        # Whether the next poll of an agent asks not to wait. A discovery that all routers poll might let a
+        # second poll wait for its turn.
         self._poll_at_once = pushed
 
+    @property
+    def is_watching(self) -> bool:
+        """Whether a watch is running."""
+        return self._watch_task is not None
+
     def subscribe(self) -> None:
         """Start a watch, unless one is running."""
-        if self.watch_task is None:
-            self.watch_task = asyncio.create_task(self._watch())
+        if self._watch_task is None:
+            self._watch_task = asyncio.create_task(self._watch())
 
     def change_address(self, address: str) -> None:
-        """End the watch; the next one asks another discovery, with its own index, for the complete list."""
+        """End the watch; the next one requests the complete list, because indexes are per discovery."""
         self.close()
         self.address = address
         self.index = None
-        self.watch_task = None
+        self._watch_task = None
 
     def close(self) -> None:
-        """Cancel the watch, which then calls back no more."""
-        if self.watch_task is not None:
-            self.watch_task.cancel()
+        """Cancel the watch; it makes no further calls to `on_update` and `on_failure`."""
+        if self._watch_task is not None:
+            self._watch_task.cancel()
+
+    async def wait_for_first_update(self) -> None:
+        """Return once the first update has been passed to `on_update`."""
+        await self._first_update_received.wait()
 
     def next_poll(self) -> Poll:
-        """What to ask next, and for how long to wait.
+        """The next request and its timeout.
 
-        Every poll has a timeout, because a change counts as notified `budget.notification_deadline` seconds
-        after discovery has it, also when discovery has gone silent in between.
+        Every poll has a timeout: the router counts as notified of a change `budget.notification_deadline`
+        seconds after discovery has it, also if discovery has stopped answering in between.
         """
         if self.index is None:
-            return Poll(LIST_PATH, self.budget.response_timeout)
-        if self.pushed and self._poll_at_once:
-            return Poll(f"{LIST_PATH}?after={self.index}&wait_ms=0", self.budget.response_timeout)
-        wait_ms = int(self.budget.long_poll_wait * 1000)
-        return Poll(f"{LIST_PATH}?after={self.index}&wait_ms={wait_ms}", self.budget.call_timeout)
+            return Poll(LIST_PATH, self._budget.response_timeout)
+        if self._pushed and self._poll_at_once:
+            return Poll(f"{LIST_PATH}?after={self.index}&wait_ms=0", self._budget.response_timeout)
+        wait_ms = int(self._budget.long_poll_wait * 1000)
+        return Poll(f"{LIST_PATH}?after={self.index}&wait_ms={wait_ms}", self._budget.call_timeout)
 
     async def _watch(self) -> None:
         """Poll until a poll fails.
 
-        Whatever went wrong is notified: the decision module would never subscribe again otherwise. A watch
-        that is cancelled ends without a word, because another one may be running by then.
+        Every exception is reported to `on_failure`: without that call the decisions would never subscribe
+        again. A cancelled watch ends without any call, because another one may be running by then.
         """
         try:
             while True:
                 started_at = time.monotonic()
                 message = await self._poll()
-                self.index = message.index
-                self._poll_at_once = False
-                self.on_update(message.update_kind, message.endpoints)
-                self.first_update_received.set()
+                self._apply(message)
                 if not message.endpoints:
                     await asyncio.sleep(EMPTY_UPDATE_PAUSE)
         except Exception as error:
-            level = logging.WARNING if isinstance(error, EXPECTED_ERRORS) else logging.ERROR
-            waited = time.monotonic() - started_at
-            log.log(level, "discovery %s: watch ended after %.3f s: %.200r", self.address, waited, error)
-        self.watch_task = None
-        self.on_failure()
+            self._log_failure(error, time.monotonic() - started_at)
+        self._watch_task = None
+        self._on_failure()
+
+    def _apply(self, message: EndpointListMessage) -> None:
+        """Record the index of an update and pass the update on."""
+        self.index = message.index
+        self._poll_at_once = False
+        self._on_update(message.update_kind, message.endpoints)
+        self._first_update_received.set()
+
+    def _log_failure(self, error: Exception, waited: float) -> None:
+        """Log why a watch ended, `waited` seconds after the start of its last poll."""
+        level = logging.WARNING if isinstance(error, EXPECTED_ERRORS) else logging.ERROR
+        log.log(level, "discovery %s: watch ended after %.3f s: %.200r", self.address, waited, error)
 
     async def _poll(self) -> EndpointListMessage:
+        """Make the next request and read the response.
+
+        Raises:
+            OSError: discovery cannot be reached, or does not respond in time (TimeoutError).
+            HttpError, EndpointListError, orjson.JSONDecodeError: the response cannot be used.
+        """
         poll = self.next_poll()
         async with asyncio.timeout(poll.timeout):
-            reader, writer = await asyncio.open_connection(*parse_address(self.address))
-            try:
-                client = HttpClient(self.address, MAX_LIST_SIZE)
-                writer.write(client.request("GET", poll.target, [(b"Connection", b"close")]))
-                response = None
-                while response is None:
-                    response = client.receive(await reader.read(READ_SIZE))
-            finally:
-                writer.close()
+            response = await self._request(poll.target)
         if response.status != HTTP_OK:
             raise EndpointListError(f"answered {response.status}")
         return read_endpoint_list(orjson.loads(response.body))
+
+    async def _request(self, target: str) -> Response:
+        """Send one GET request on a connection of its own and return the complete response."""
+        reader, writer = await asyncio.open_connection(*parse_address(self.address))
+        try:
+            client = HttpClient(self.address, MAX_LIST_SIZE)
+            writer.write(client.request("GET", target, [(b"Connection", b"close")]))
+            response = None
+            while response is None:
+                response = client.receive(await reader.read(READ_SIZE))
+            return response
+        finally:
+            writer.close()
--- a/cache_router/net/endpoint_list_reader.py
+++ b/cache_router/net/endpoint_list_reader.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import TypeVar
 
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.endpoint import Endpoint, EndpointState
@@ -11,17 +12,19 @@
 from cache_router.net.address import AddressError, parse_address
 from cache_router.net.endpoint_table import NetworkEndpoint
 
-# discovery's words for the state of an endpoint
+# states of an endpoint, as discovery names them
 STATES = {
     "in_service": EndpointState.READY,
     "terminating": EndpointState.DRAINING,
     "terminated": EndpointState.REMOVED,
 }
-MAX_QUOTED = 40  # characters of a malformed value that an error repeats
+MAX_QUOTED = 40  # characters of a malformed value that an error quotes
+
+FieldType = TypeVar("FieldType")
 
 
 class EndpointListError(RouterError, ValueError):
-    """An endpoint list that can't be used; the message names the field."""
+    """An endpoint list that cannot be used; the message names the field."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -29,25 +32,66 @@
     """One message of discovery."""
 
     index: int  # the version of the list; each discovery counts its own
-    is_snapshot: bool  # whether the list is complete, and not just what has changed
+    is_snapshot: bool  # whether the list is complete; otherwise it has the changed entries only
     endpoints: list[NetworkEndpoint]
 
     @property
     def update_kind(self) -> EndpointUpdateKind:
-        """How the message relates to the list already held."""
+        """How the message changes the list that the router has."""
         return EndpointUpdateKind.SNAPSHOT if self.is_snapshot else EndpointUpdateKind.DELTA
 
 
-def read_field(table: dict[str, Any], name: str, kind: type | tuple[type, ...], where: str) -> Any:
-    """A field of the right type; raises `EndpointListError`, which begins with `where`."""
-    value = table.get(name)
-    # a bool is an int in Python, but not in JSON
-    if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise EndpointListError(f"{where}{name} is missing or malformed: {str(value)[:MAX_QUOTED]}")
-    return value
+def read_endpoint_list(message: object, where: str = "") -> EndpointListMessage:
+    """Read and check a decoded message; `where` is the path of the field that held it, empty if none did.
+
+    Raises:
+        EndpointListError: the message or an entry of it is malformed; the error names the path of the field.
+    """
+    if not isinstance(message, dict):
+        raise EndpointListError(f"{where or 'list'} is not an object")
+    prefix = f"{where}." if where else ""
+    entries = _read_field(message, "endpoints", list, prefix)
+    endpoints = [_read_endpoint(fields, f"{prefix}endpoints[{i}]") for i, fields in enumerate(entries)]
+    index = _read_field(message, "index", int, prefix)
+    is_snapshot = _read_field(message, "snapshot", bool, prefix)
+    return EndpointListMessage(index, is_snapshot, endpoints)
+
+
+def _read_endpoint(fields: object, where: str) -> NetworkEndpoint:
+    """One entry of a list; `where` is its path in the message."""
+    if not isinstance(fields, dict):
+        raise EndpointListError(f"{where} is not an object")
+    prefix = f"{where}."
+    state = _read_state(fields, prefix)
+    address = _read_address(fields, prefix)
+    endpoint = Endpoint(
+        name=_read_field(fields, "name", str, prefix),
+        state=state,
+        kind=_read_field(fields, "type", str, prefix),
+        zone=_read_field(fields, "zone", str, prefix),
+        cell=_read_field(fields, "group", int, prefix),
+        weight=max(0.0, _read_number(fields, "weight", prefix)),
+        # Unix time, like the router's clock
+        started_at=_read_number(fields, "since_ms", prefix) / 1000,
+    )
+    return NetworkEndpoint(endpoint, address)
+
+
+def _read_state(fields: Mapping[str, object], prefix: str) -> EndpointState:
+    status = _read_field(fields, "status", str, prefix)
+    if status not in STATES:
+        raise EndpointListError(f"{prefix}status is unknown: {status[:MAX_QUOTED]}")
+    return STATES[status]
 
 
-def is_connectable(address: str) -> bool:
+def _read_address(fields: Mapping[str, object], prefix: str) -> str:
+    address = _read_field(fields, "address", str, prefix)
+    if not _is_connectable(address):
+        raise EndpointListError(f"{prefix}address is not host:port: {address[:MAX_QUOTED]}")
+    return address
+
+
+def _is_connectable(address: str) -> bool:
     """Whether an address is `host:port` with a port that a server can listen on."""
     try:
         _, port = parse_address(address)
@@ -56,37 +100,21 @@
     return port != 0
 
 
-def read_endpoint(fields: Any, where: str) -> NetworkEndpoint:
-    """One entry of a list; `where` is its place in the message. Raises `EndpointListError`."""
-    if not isinstance(fields, dict):
-        raise EndpointListError(f"{where} is not an object")
-    where += "."
-    state = read_field(fields, "status", str, where)
-    if state not in STATES:
-        raise EndpointListError(f"{where}status is unknown: {state[:MAX_QUOTED]}")
-    address = read_field(fields, "address", str, where)
-    if not is_connectable(address):
-        raise EndpointListError(f"{where}address is not host:port: {address[:MAX_QUOTED]}")
-    endpoint = Endpoint(
-        name=read_field(fields, "name", str, where),
-        state=STATES[state],
-        kind=read_field(fields, "type", str, where),
-        zone=read_field(fields, "zone", str, where),
-        cell=read_field(fields, "group", int, where),
-        weight=max(0.0, read_field(fields, "weight", (int, float), where)),
-        # Unix time, as the router's clock
-        started_at=read_field(fields, "since_ms", (int, float), where) / 1000,
-    )
-    return NetworkEndpoint(endpoint, address)
+def _read_field(table: Mapping[str, object], name: str, kind: type[FieldType], prefix: str) -> FieldType:
+    """A field of one type; `prefix` is the path to it."""
+    value = table.get(name)
+    # a bool is an int in Python, but not in JSON
+    if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
+        raise _malformed(name, value, prefix)
+    return value
 
 
-def read_endpoint_list(message: Any, where: str = "") -> EndpointListMessage:
-    """Check a decoded message; `where` is the field that held it. Raises `EndpointListError`."""
-    if not isinstance(message, dict):
-        raise EndpointListError(f"{where or 'list'} is not an object")
-    where += "." if where else ""
-    entries = read_field(message, "endpoints", list, where)
-    endpoints = [read_endpoint(fields, f"{where}endpoints[{i}]") for i, fields in enumerate(entries)]
-    index = read_field(message, "index", int, where)
-    is_snapshot = read_field(message, "snapshot", bool, where)
-    return EndpointListMessage(index, is_snapshot, endpoints)
+def _read_number(table: Mapping[str, object], name: str, prefix: str) -> float:
+    value = table.get(name)
+    if not isinstance(value, (int, float)) or isinstance(value, bool):
+        raise _malformed(name, value, prefix)
+    return value
+
+
+def _malformed(name: str, value: object, prefix: str) -> EndpointListError:
+    return EndpointListError(f"{prefix}{name} is missing or malformed: {str(value)[:MAX_QUOTED]}")
--- a/cache_router/server.py
+++ b/cache_router/server.py
@@ -108,7 +108,7 @@
         """
         with suppress(TimeoutError):
             async with asyncio.timeout(FIRST_LIST_TIMEOUT):
-                await self.discovery.first_update_received.wait()
+                await self.discovery.wait_for_first_update()
 
     def _reload(self) -> None:
         """Read the configuration again and follow a new discovery address.
--- a/tests/cache_router/net/test_discovery.py
+++ b/tests/cache_router/net/test_discovery.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import asyncio
 from typing import Any
 
 import orjson
@@ -75,7 +76,7 @@
 
 
 def test_subscribing_during_a_watch_makes_no_second_poll() -> None:
-    """One poll is in flight at a time, whatever the decision module asks for."""
+    """One poll is in flight at a time, also when the decisions subscribe again."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -121,7 +122,7 @@
 
 
 def test_refused_connection_is_notified_as_a_failed_poll() -> None:
-    """The decision module has to schedule the next poll."""
+    """The decisions have to schedule the next poll."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -132,7 +133,7 @@
 
 
 def test_poll_of_a_silent_discovery_times_out() -> None:
-    """Its changes count as notified: a router that waited on would send to draining servers."""
+    """Its changes count as notified: a router that waited longer would send to draining servers."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -150,25 +151,24 @@
 
 
 def test_exception_in_an_update_is_notified_as_a_failed_poll() -> None:
-    """A watch that ended without a notification would leave the router with its old list for good."""
+    """A watch that ended without a notification would leave the router with its old list until a restart."""
 
     async def scenario() -> None:
         async with Peer() as peer:
-            recorder = WatchRecorder(peer)
 
             def faulty(kind: EndpointUpdateKind, endpoints: list[NetworkEndpoint]) -> None:
                 raise RuntimeError("faulty")
 
-            recorder.discovery.on_update = faulty
+            recorder = WatchRecorder(peer, on_update=faulty)
             _, link = await accept_poll(peer)
             link.write(http("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
             assert await recorder.updates.get() is None
-            assert recorder.discovery.watch_task is None
+            assert not recorder.discovery.is_watching
 
     run(scenario)
 
 
-def test_watch_of_a_new_address_starts_anew_and_the_old_one_notifies_nothing() -> None:
+def test_watch_of_a_new_address_requests_the_complete_list_and_the_old_one_notifies_nothing() -> None:
     """Indexes are those of one discovery: polled with another's index, it may send nothing."""
 
     async def scenario() -> None:
@@ -187,3 +187,24 @@
             recorder.discovery.close()
 
     run(scenario)
+
+
+def test_first_update_ends_the_wait_for_it() -> None:
+    """A start waits for the agent's list, and a failed poll is none."""
+
+    async def scenario() -> None:
+        async with Peer() as peer:
+            recorder = WatchRecorder(peer)
+            waiting = asyncio.create_task(recorder.discovery.wait_for_first_update())
+            _, link = await accept_poll(peer)
+            link.write(http("503 Busy"))
+            assert await recorder.updates.get() is None
+            assert not waiting.done()
+            recorder.discovery.subscribe()
+            _, link = await accept_poll(peer)
+            link.write(http("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
+            await waiting
+            assert not recorder.updates.empty()
+            recorder.discovery.close()
+
+    run(scenario)
--- a/tests/cache_router/net/test_watch_failures.py
+++ b/tests/cache_router/net/test_watch_failures.py
@@ -32,17 +32,19 @@
     async def scenario() -> None:
         async with Peer() as agent, Router(PUSHED) as router:
             router.watch(agent, budget=short_budget)
-            for _ in range(3):  # in a row
+            for _ in range(3):  # consecutive failures
                 link = await next_poll(agent)
                 if failure == "reset":
                     link.reset()
                 elif failure == "malformed":
                     link.write(http("200 OK", b"{"))
             link = await next_poll(agent)
-            assert router.discovery is not None
-            router.discovery.budget = PUSHED.watch_budget
             draining = peer_entry("a", router.caches["a"], status="terminating")
             link.write(http("200 OK", encode_endpoint_list(2, False, draining)))
+            await next_poll(agent)  # after the update
+            assert router.discovery is not None
+            router.discovery.close()
+            router.watch(agent, budget=PUSHED.watch_budget)
             await next_poll(agent)  # a long poll, in flight from now on
             client = await router.client()
             await read_values(client, router.caches["b"], 8)
--- a/tests/support/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable
 from typing import Any
 
 import orjson
@@ -13,6 +14,7 @@
 from cache_router.settings import WatchBudget
 from tests.support.loopback import Link, Peer
 
+UpdateCallback = Callable[[EndpointUpdateKind, list[NetworkEndpoint]], None]
 ENDPOINT_ENTRY: dict[str, Any] = {
     "name": "s-1",
     "address": "127.0.0.9:6379",
@@ -38,13 +40,15 @@
 class WatchRecorder:
     """What a watch notifies its router of, in order; a failure is None."""
 
-    def __init__(self, peer: Peer, budget: WatchBudget | None = None) -> None:
-        """Watch the list of a peer from index 41 on."""
+    def __init__(
+        self, peer: Peer, budget: WatchBudget | None = None, on_update: UpdateCallback | None = None
+    ) -> None:
+        """Watch the list of a peer from index 41 on; `on_update` is called instead of recording an update."""
         self.updates: asyncio.Queue[tuple[EndpointUpdateKind, list[NetworkEndpoint]] | None] = asyncio.Queue()
         self.discovery = Discovery(
             peer.address,
             41,
-            lambda kind, endpoints: self.updates.put_nowait((kind, endpoints)),
+            on_update or (lambda kind, endpoints: self.updates.put_nowait((kind, endpoints))),
             lambda: self.updates.put_nowait(None),
             budget=budget,
         )
