--- a/cache_router/descriptor_budget.py
+++ b/cache_router/descriptor_budget.py
@@ -12,7 +12,7 @@
 # file descriptors for the event loop, the log, the listening socket and discovery
 RESERVED_DESCRIPTORS = 32
 # how the other descriptors are divided, in eighths: as many for clients as for all upstream connections;
-# docs/CAPACITY.md lists the counts that follow
+# docs/CAPACITY.md lists the resulting counts
 CACHE_EIGHTHS = 3
 ORIGIN_EIGHTHS = 1
 CLIENT_EIGHTHS = 4
@@ -22,8 +22,8 @@
 def usable_descriptors(configured: int) -> int:
     """How many of the configured file descriptors this process may open.
 
-    Planning with more than the limit of the process would let idle clients take the descriptor that the
-    connection to discovery needs: no client would be evicted for it.
+    A budget above the limit of the process would let idle clients take the descriptor that the connection to
+    discovery needs: the router would evict no client to free it.
 
     Raises:
         ConfigError: the limit of the process is too low for a router.
@@ -42,13 +42,13 @@
 class DescriptorBudget:
     """How many file descriptors each kind of connection may hold."""
 
-    caches: int
-    origin: int
-    clients: int
+    caches: int  # connections to cache servers
+    origin: int  # connections to the origin
+    clients: int  # connections of clients
 
     @classmethod
     def divide(cls, descriptors: int) -> Self:
-        """Divide what is not reserved."""
+        """Divide the descriptors that are not reserved."""
         shared = descriptors - RESERVED_DESCRIPTORS
         return cls(
             caches=shared * CACHE_EIGHTHS // 8,
--- a/cache_router/server.py
+++ b/cache_router/server.py
@@ -18,8 +18,8 @@
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.shutdown_schedule import ShutdownSchedule
 
-# seconds to wait for the first endpoint list before serving from the cached one: an agent on the same
-# machine answers within milliseconds or is down
+# seconds to wait for the first endpoint list before serving from the cached one: an agent on the same machine
+# answers within milliseconds, or it is down
 FIRST_LIST_TIMEOUT = 1.0
 log = logging.getLogger(__name__)
 
@@ -27,38 +27,34 @@
 class RouterServer:
     """A router on real sockets, from its cached endpoint list to the end of its graceful shutdown.
 
-    Make it within a running event loop. Parts:
-        caches, origin: connection pools towards cache servers and the origin
-        dispatcher: carries events to the decisions, and their actions out
-        discovery: watches the endpoint list
-        listener: accepts clients
+    Create it within a running event loop.
     """
 
     def __init__(self, config: Config, config_path: str) -> None:
-        """Assemble the parts; nothing is opened yet.
+        """Assemble the parts; no connection is opened yet.
 
         Raises:
             ConfigError: this process may open too few file descriptors.
         """
-        self.config = config
-        self.config_path = config_path
+        self._config = config
+        self._config_path = config_path
         settings = config.settings
         budget = DescriptorBudget.divide(usable_descriptors(config.max_descriptors))
         timeouts = settings.connect_timeout, settings.connection_idle_timeout
-        self.caches = ConnectionPool(CacheConnection, budget.caches, *timeouts)
-        self.origin = ConnectionPool(OriginConnection, budget.origin, *timeouts)
-        self.dispatcher = Dispatcher(settings, config.seed, self.caches, self.origin, self._subscribe)
-        self.updates_are_pushed = not settings.must_subscribe
-        self.discovery = Discovery(
+        self._caches = ConnectionPool(CacheConnection, budget.caches, *timeouts)
+        self._origin = ConnectionPool(OriginConnection, budget.origin, *timeouts)
+        self._dispatcher = Dispatcher(settings, config.seed, self._caches, self._origin, self._subscribe)
+        self._updates_are_pushed = not settings.must_subscribe
+        self._discovery = Discovery(
             config.discovery,
             config.cached_index,
-            self.dispatcher.on_endpoint_update,
-            self.dispatcher.on_watch_failed,
-            self.updates_are_pushed,
+            self._dispatcher.on_endpoint_update,
+            self._dispatcher.on_watch_failed,
+            self._updates_are_pushed,
             budget=settings.watch_budget,
         )
-        self.listener = Listener(self.dispatcher, budget.clients)
-        self.terminated = asyncio.Event()
+        self._listener = Listener(self._dispatcher, budget.clients)
+        self._terminated = asyncio.Event()
 
     async def run(self) -> None:
         """Serve until SIGTERM or SIGINT, then shut down gracefully.
@@ -67,78 +63,82 @@
             ConfigError: the address to listen on cannot be taken.
         """
         self._bind()
-        with closing(self.origin), closing(self.caches), closing(self.discovery):
+        with closing(self._origin), closing(self._caches), closing(self._discovery):
             self._watch_endpoints()
             self._handle_signals()
-            if self.updates_are_pushed:
+            if self._updates_are_pushed:
                 await self._wait_for_first_list()
-            self.listener.start()
-            log.info("listening on %s:%d", *self.listener.socket.getsockname())
-            await self.terminated.wait()
+            self._listener.start()
+            log.info("listening on %s:%d", *self._listener.socket.getsockname())
+            await self._terminated.wait()
             await self._drain()
 
     def _subscribe(self) -> None:
-        self.discovery.subscribe()
+        """Start a watch; the dispatcher calls this when the decisions ask for one."""
+        self._discovery.subscribe()
 
     def _bind(self) -> None:
-        """Take the address before anything is asked of other machines; nobody can connect yet."""
+        """Take the address before any other machine is contacted; no client can connect yet."""
         try:
-            self.listener.bind(self.config.listen)
+            self._listener.bind(self._config.listen)
         except (OSError, ValueError) as error:  # ValueError: a host name that cannot be encoded
             raise ConfigError(f"listen: {error}", where="listen") from error
 
     def _watch_endpoints(self) -> None:
-        """Begin with the cached endpoint list, and watch for changes of it."""
-        self.dispatcher.on_endpoint_update(EndpointUpdateKind.CACHED, self.config.cached_endpoints)
-        if self.updates_are_pushed:
-            # the decisions subscribe only where they must; what is pushed is read by the same calls
+        """Apply the cached endpoint list, and watch for changes to it."""
+        self._dispatcher.on_endpoint_update(EndpointUpdateKind.CACHED, self._config.cached_endpoints)
+        if self._updates_are_pushed:
+            # the decisions subscribe only where the settings require it; a watch reads pushed updates as well
             self._subscribe()
 
     def _handle_signals(self) -> None:
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.terminated.set)
+            loop.add_signal_handler(number, self._terminated.set)
 
     async def _wait_for_first_list(self) -> None:
-        """Wait until the agent has answered, or `FIRST_LIST_TIMEOUT`.
+        """Wait until the agent has answered, for at most `FIRST_LIST_TIMEOUT`.
 
-        What the agent knows counts as known to the router from its first moment, and the cached list may
-        name servers that have drained since.
+        A router counts as knowing from its start what its agent knows, and the cached list may name servers
+        that have drained since.
         """
         with suppress(TimeoutError):
             async with asyncio.timeout(FIRST_LIST_TIMEOUT):
-                await self.discovery.wait_for_first_update()
+                await self._discovery.wait_for_first_update()
 
     def _reload(self) -> None:
-        """Read the configuration again and follow a new discovery address.
+        """Read the configuration again and change to a new discovery address.
 
-        Nothing else of it changes while a router runs. A file that is half written or wrong is not taken:
-        the router goes on as before.
+        All other fields need a restart. A file that is incomplete or malformed is rejected, and the router
+        keeps its configuration.
         """
         try:
-            address = load_config(self.config_path).discovery
+            address = load_config(self._config_path).discovery
         except ConfigError as error:
             log.error("configuration not taken, the old one stays: %s", error)
             return
-        if address == self.discovery.address:
-            return
+        if address != self._discovery.address:
+            self._change_discovery(address)
+
+    def _change_discovery(self, address: str) -> None:
+        """Watch the endpoint list of another discovery, `address`."""
         log.info("discovery is now %s", address)
-        self.discovery.change_address(address)
-        self.dispatcher.on_discovery_address_changed()
-        if self.updates_are_pushed:
+        self._discovery.change_address(address)
+        self._dispatcher.on_discovery_address_changed()
+        if self._updates_are_pushed:
             self._subscribe()
 
     async def _drain(self) -> None:
-        """Answer the requests in flight, and close each connection with its last answer."""
-        schedule = ShutdownSchedule.from_settings(self.config.settings)
+        """Answer the requests in flight, and close each client connection after its last answer."""
+        schedule = ShutdownSchedule.from_settings(self._config.settings)
         log.info(
             "draining: connections are accepted for %g s, SIGKILL may come in %g s",
             schedule.accept_until,
             schedule.sigkill_at,
         )
-        self.dispatcher.start_shutdown(schedule.answer_until)
-        await self.listener.stop(schedule.accept_until, schedule.close_until - schedule.accept_until)
+        self._dispatcher.start_shutdown(schedule.answer_until)
+        await self._listener.stop(schedule.accept_until, schedule.close_until - schedule.accept_until)
 
 
 async def serve(config: Config, config_path: str) -> None:
