--- a/cache_router/server.py
+++ b/cache_router/server.py
@@ -133,7 +133,8 @@
         """Answer the requests in flight, and close each client connection after its last answer."""
         schedule = ShutdownSchedule.from_settings(self._config.settings)
         log.info(
-            "draining: connections are accepted for %g s, SIGKILL may come in %g s",
+            "draining %s:%d: connections are accepted for %g s, SIGKILL may come in %g s",
+            *self._listener.socket.getsockname(),
             schedule.accept_until,
             schedule.sigkill_at,
         )
--- a/tests/cache_router/test_server.py
+++ b/tests/cache_router/test_server.py
@@ -149,6 +149,9 @@
             cache_link = await cache.link()
             await cache_link.resp()
             process.send_signal(signal.SIGTERM)
+            assert process.stderr is not None
+            line = await process.stderr.readline()
+            assert b" INFO cache_router.server draining " + format_address(address).encode() + b": " in line
             late = await connected_client(address)
             assert await late.closed_by_peer()
             cache_link.write(HIT)
