--- a/cache_router/__init__.py
+++ b/cache_router/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions and the network code of a router in front of a fleet of cache servers."""
+"""A router in front of a fleet of cache servers: its decisions and its network code."""
 
 from cache_router.decisions.router import Router
 
--- a/cache_router/config.py
+++ b/cache_router/config.py
@@ -105,7 +105,7 @@
         raise ConfigError(str(error), where=field) from error
 
 
-def _read_object(text: bytes) -> dict[str, object]:
+def _read_object(text: bytes) -> Mapping[str, object]:
     try:
         table = orjson.loads(text)
     except orjson.JSONDecodeError as error:
--- a/cache_router/endpoint.py
+++ b/cache_router/endpoint.py
@@ -14,21 +14,21 @@
     """The life cycle of a listed server."""
 
     READY = "ready"
-    DRAINING = "draining"  # finishes what it has, and must be sent nothing new
+    DRAINING = "draining"  # finishes its requests and must not be sent new ones
     REMOVED = "removed"
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """A listed server; `started_at` tells one incarnation from the next under the same name."""
+    """A listed server; `started_at` distinguishes the incarnations under one name."""
 
     name: str
     state: EndpointState = EndpointState.READY
     kind: str = ""  # type of machine; one of them marks the origin's members
     zone: str = ""
     cell: int = 0
-    weight: float = 0.0  # relative capacity; 0 when discovery does not know it
-    started_at: float = 0.0  # seconds on the router's clock; 0 is long ago
+    weight: float = 0.0  # relative capacity; 0 if discovery does not know it
+    started_at: float = 0.0  # seconds on the router's clock; 0 if long ago
 
     @property
     def is_ready(self) -> bool:
--- a/cache_router/load_report.py
+++ b/cache_router/load_report.py
@@ -12,7 +12,7 @@
 # the names of the values in a load report that decisions use
 SERVICE_TIME_MS = "svc_ms"
 QUEUE_LENGTH = "pending"
-MAX_LOAD_REPORT = 256  # bytes that are read; the rest is ignored
+MAX_LOAD_REPORT = 256  # bytes that are read; further ones are ignored
 
 
 def parse_load_report(text: bytes, names: tuple[str, ...]) -> LoadReport | None:
--- a/cache_router/shutdown_schedule.py
+++ b/cache_router/shutdown_schedule.py
@@ -8,7 +8,7 @@
 from cache_router.settings import Settings
 
 # seconds after SIGTERM in which connections are still accepted: the platform sends new ones for another 0.2
-# to 0.4 s, and the rest is a margin
+# to 0.4 s, and a margin is added
 ACCEPT_AFTER_SIGTERM = 0.5
 # The platform's protocol: SIGKILL comes no earlier than SIGKILL_MARGIN seconds after the longest client
 # timeout of the settings. A timeout of more than MAX_DRAIN_DEADLINE seconds counts as MAX_DRAIN_DEADLINE.
--- a/tests/cache_router/test_settings_reader.py
+++ b/tests/cache_router/test_settings_reader.py
@@ -34,7 +34,7 @@
 
 def test_settings_defaults() -> None:
     conf = read_settings({"classes": [{"name": "x"}]})
-    # what is not told is taken at its most careful: no repeats, no second copies, one attempt
+    # absent settings take the most careful value: no retries, no hedged requests, one attempt
     assert conf.classes["x"].idempotency is Idempotency.NOT_IDEMPOTENT
     assert (conf.hedging_allowed, conf.cancellation_allowed, conf.max_attempts) == (False, False, 1)
 
--- a/tests/cache_router/test_watch_budget.py
+++ b/tests/cache_router/test_watch_budget.py
@@ -41,7 +41,7 @@
 
 
 def fail_call(driver: Driver, duration: float) -> float:
-    """A call begins now and fails after some seconds; returns when the next one begins."""
+    """Start a call now and let it fail after `duration` seconds; returns when the next one starts."""
     driver.now += duration
     timers = [a for a in driver.handle(FAILED_CALL) if isinstance(a, SetTimer)]
     timers = [timer for timer in timers if timer.timer.kind is TimerKind.ENDPOINT_POLL]
@@ -55,23 +55,24 @@
 @pytest.mark.parametrize("mode", SETTINGS)
 @pytest.mark.parametrize("failure", FAILED_CALL_DURATIONS)
 @pytest.mark.parametrize("seed", range(5))
-def test_update_is_learnt_before_its_notification_deadline(mode: str, failure: str, seed: int) -> None:
-    """Discovery comes back right after a call has begun, and has a change: 6 s until that call's successor
-    is answered, after an outage of any length."""
+def test_update_is_known_before_its_notification_deadline(mode: str, failure: str, seed: int) -> None:
+    """Discovery recovers right after the start of a call, and has a change: the next call must be answered
+    within 6 s, after an outage of any length.
+    """
     conf = SETTINGS[mode]
     budget = conf.watch_budget
     driver = Driver(conf, seed)
     driver.update_endpoints(entry("a"))
-    call_began = driver.now
+    call_started = driver.now
     for n in range(40):
-        next_began = fail_call(driver, FAILED_CALL_DURATIONS[failure](n) * budget.call_timeout)
-        assert next_began - call_began + budget.response_timeout <= 6.0 - budget.scheduling_slack + 1e-6
-        call_began = next_began
+        next_started = fail_call(driver, FAILED_CALL_DURATIONS[failure](n) * budget.call_timeout)
+        assert next_started - call_started + budget.response_timeout <= 6.0 - budget.scheduling_slack + 1e-6
+        call_started = next_started
 
 
 @pytest.mark.parametrize("mode", SETTINGS)
 def test_lost_first_call_to_a_new_address_is_retried_in_time(mode: str) -> None:
-    """Updates of the new discovery server have a notification deadline of 4 s after SIGHUP."""
+    """Updates of the new discovery have a notification deadline of 4 s after SIGHUP."""
     driver = Driver(SETTINGS[mode])
     driver.update_endpoints(entry("a"))
     driver.advance(60.0)
--- a/tests/support/router_process.py
+++ b/tests/support/router_process.py
@@ -19,9 +19,8 @@
 from tests.support.loopback import Link, Peer
 from tests.support.settings_json import SETTINGS_JSON
 
+PROCESS_TEST_TIMEOUT = 60.0  # seconds for a test with a process of its own, which starts on a busy machine
 CACHED_LIST = {"index": 41, "snapshot": True, "endpoints": [ENDPOINT_ENTRY]}
-
-
 VALID_CONFIG: dict[str, Any] = {
     "name": "n3",
     "listen": "127.0.0.1:6379",
@@ -86,9 +85,6 @@
     }
 
 
-PROCESS_TEST_TIMEOUT = 60.0  # seconds for a test with a process of its own, which starts on a busy machine
-
-
 async def discard_log(log: asyncio.StreamReader | None) -> None:
     """Read a process's log to its end: once the pipe is full, the process would block."""
     while log is not None and await log.readline():
