--- /dev/null
+++ b/tests/cache_router/net/test_endpoint_list_reader.py
@@ -0,0 +1,46 @@
+"""How the messages of discovery are read."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import orjson
+import pytest
+
+from cache_router.endpoint import Endpoint, EndpointState
+from cache_router.net.endpoint_list_reader import EndpointListError, read_endpoint_list
+from tests.support.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
+
+
+def test_endpoint_entry_is_read() -> None:
+    """The fields of an entry are mapped to those of `Endpoint`; a start long ago is 0."""
+    update = read_endpoint_list(orjson.loads(encode_endpoint_list(7, True, ENDPOINT_ENTRY)))
+    (endpoint,) = update.endpoints
+    assert (update.index, update.is_snapshot, endpoint.address) == (7, True, "127.0.0.9:6379")
+    entry = Endpoint("s-1", EndpointState.READY, "m2", "a", 3, 1.5, 1_790_000_000.25)
+    assert endpoint.entry == entry  # the name as every router has it, the start on this router's clock
+    (started_long_ago,) = read_endpoint_list(
+        orjson.loads(encode_endpoint_list(7, True, {**ENDPOINT_ENTRY, "since_ms": 0}))
+    ).endpoints
+    assert started_long_ago.entry.started_at == 0
+
+
+@pytest.mark.parametrize(
+    ("change", "field"),
+    [
+        ({"name": 5}, "name"),
+        ({"address": "nowhere"}, "address"),
+        ({"address": "127.0.0.1:99999"}, "address"),
+        ({"status": "odd"}, "status"),
+        ({"weight": "big"}, "weight"),
+        ({"group": True}, "group"),
+        ({"since_ms": None}, "since_ms"),
+    ],
+)
+def test_malformed_entry_is_named_in_the_error(change: dict[str, Any], field: str) -> None:
+    """The error names the position of the entry and its field."""
+    with pytest.raises(EndpointListError, match=rf"^known\.endpoints\[1\]\.{field}"):
+        read_endpoint_list(
+            {"index": 1, "snapshot": True, "endpoints": [ENDPOINT_ENTRY, {**ENDPOINT_ENTRY, **change}]},
+            "known",
+        )
