--- a/tests/cache_router/net/test_endpoint_list_reader.py
+++ b/tests/cache_router/net/test_endpoint_list_reader.py
@@ -44,3 +44,35 @@
             {"index": 1, "snapshot": True, "endpoints": [ENDPOINT_ENTRY, {**ENDPOINT_ENTRY, **change}]},
             "known",
         )
+
+
+@pytest.mark.parametrize(
+    ("message", "error"),
+    [
+        (None, "list is not an object"),
+        ({"index": 1, "snapshot": True}, "endpoints is missing or malformed: None"),
+        ({"index": 1, "snapshot": True, "endpoints": [5]}, "endpoints[0] is not an object"),
+        ({"index": True, "snapshot": True, "endpoints": []}, "index is missing or malformed: True"),
+        ({"index": 1, "snapshot": 1, "endpoints": []}, "snapshot is missing or malformed: 1"),
+    ],
+)
+def test_malformed_message_is_named_in_the_error(message: object, error: str) -> None:
+    """A bool is no number in JSON, and a number no bool."""
+    with pytest.raises(EndpointListError) as caught:
+        read_endpoint_list(message)
+    assert str(caught.value) == error
+
+
+def test_error_quotes_the_beginning_of_a_malformed_value() -> None:
+    """An error is one line in a log, however long the value is."""
+    entry = {**ENDPOINT_ENTRY, "status": "x" * 900}
+    with pytest.raises(EndpointListError) as caught:
+        read_endpoint_list({"index": 1, "snapshot": True, "endpoints": [entry]})
+    assert str(caught.value) == "endpoints[0].status is unknown: " + "x" * 40
+
+
+def test_negative_weight_counts_as_unknown() -> None:
+    """0 is the weight of an endpoint whose capacity discovery does not know."""
+    message = {"index": 1, "snapshot": False, "endpoints": [{**ENDPOINT_ENTRY, "weight": -1.5}]}
+    (endpoint,) = read_endpoint_list(message).endpoints
+    assert endpoint.entry.weight == 0
