--- a/cache_router/net/discovery.py
+++ b/cache_router/net/discovery.py
@@ -29,6 +29,8 @@
 EXPECTED_ERRORS = (OSError, HttpError, EndpointListError, orjson.JSONDecodeError)
 log = logging.getLogger(__name__)
 
+UpdateCallback = Callable[[EndpointUpdateKind, list[NetworkEndpoint]], None]
+
 
 @dataclass(slots=True, frozen=True)
 class Poll:
@@ -50,7 +52,7 @@
         self,
         address: str,
         index: int | None,
-        on_update: Callable[[EndpointUpdateKind, list[NetworkEndpoint]], None],
+        on_update: UpdateCallback,
         on_failure: Callable[[], None],
         pushed: bool = False,
         *,
--- a/cache_router/simulator_adapter.py
+++ b/cache_router/simulator_adapter.py
@@ -16,10 +16,18 @@
 from cache_router.errors import RouterError
 from cache_router.settings import SettingsError
 from cache_router.settings_reader import read_settings
-from cache_router.simulator_messages import BornMessage, Command, LogCommand
+from cache_router.simulator_messages import (
+    ATTEMPT_COMPLETED,
+    IGNORED_MESSAGES,
+    ROUTER_KILLED,
+    ROUTER_STARTED,
+    SETTINGS_REJECTED,
+    Command,
+    LogCommand,
+    RouterStartedMessage,
+)
 from cache_router.simulator_wire import ACTION_WRITERS, EVENT_READERS, read_attempt_completed
 
-IGNORED_EVENTS = {"Pong", "Heard"}  # replies to commands that no router here gives
 BROKEN_WIRE_STATUS = 2  # exit status of the process
 MAX_QUOTED_EVENT = 200  # characters of a malformed event that its error quotes
 
@@ -61,7 +69,7 @@
             event = self._read_event(now, operation, router_id, message)
         except SettingsError as error:
             print(f"cache_router: {error}", file=sys.stderr)
-            error_command: LogCommand = {"op": "InternalError", "routerId": router_id, "line": str(error)}
+            error_command: LogCommand = {"op": SETTINGS_REJECTED, "routerId": router_id, "line": str(error)}
             commands.append(error_command)
             return
         except (KeyError, TypeError, ValueError, AttributeError) as error:
@@ -79,20 +87,20 @@
 
     def _read_event(self, now: float, operation: str, router_id: int, message: Any) -> Event | None:
         """The event in a message, or None where the message leaves nothing to decide."""
-        if operation == "Born":
+        if operation == ROUTER_STARTED:
             self._start_router(now, message)
             return None
-        if operation == "Kill":
+        if operation == ROUTER_KILLED:
             self.routers.pop(router_id, None)
             return None
-        if operation in IGNORED_EVENTS:
+        if operation in IGNORED_MESSAGES:
             return None
         router = self.routers.get(router_id)
-        if operation == "Done":
+        if operation == ATTEMPT_COMPLETED:
             return read_attempt_completed(message, _load_report_fields(router))
         return EVENT_READERS[operation](message)
 
-    def _start_router(self, now: float, message: BornMessage) -> None:
+    def _start_router(self, now: float, message: RouterStartedMessage) -> None:
         self.routers[message["routerId"]] = Router(read_settings(message["conf"]), message["initSeed"], now)
 
 
--- a/cache_router/simulator_messages.py
+++ b/cache_router/simulator_messages.py
@@ -11,6 +11,13 @@
 
 # Messages of the simulator
 
+# `op` of the messages that the adapter handles by itself, or with the settings of the router
+ROUTER_STARTED = "Born"
+ROUTER_KILLED = "Kill"
+ATTEMPT_COMPLETED = "Done"
+# `op` of replies to commands that no router here gives
+IGNORED_MESSAGES = frozenset(("Pong", "Heard"))
+
 
 class Message(TypedDict):
     """What every message has: its kind, and the router that it is for."""
@@ -19,7 +26,7 @@
     routerId: int
 
 
-class BornMessage(Message):
+class RouterStartedMessage(Message):
     """A router starts."""
 
     initSeed: int
@@ -88,6 +95,8 @@
 
 # Commands to the simulator
 
+SETTINGS_REJECTED = "InternalError"  # `op` of the command that replies to settings that cannot be used
+
 
 class Command(TypedDict):
     """What every command has; the adapter adds the router."""
--- a/cache_router/simulator_wire.py
+++ b/cache_router/simulator_wire.py
@@ -152,7 +152,7 @@
     return TimerFired(timer) if timer is not None else None
 
 
-# all but "Done", which needs the settings of its router as well
+# all but ATTEMPT_COMPLETED, whose reader needs the settings of the router as well
 EVENT_READERS: dict[str, Callable[[Any], Event | None]] = {
     "Membership": read_endpoint_update,
     "Request": read_request,
--- a/tests/support/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -3,18 +3,16 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
 from typing import Any
 
 import orjson
 
 from cache_router.decisions.events import EndpointUpdateKind
-from cache_router.net.discovery import Discovery
+from cache_router.net.discovery import Discovery, UpdateCallback
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.settings import WatchBudget
 from tests.support.loopback import Link, Peer
 
-UpdateCallback = Callable[[EndpointUpdateKind, list[NetworkEndpoint]], None]
 ENDPOINT_ENTRY: dict[str, Any] = {
     "name": "s-1",
     "address": "127.0.0.9:6379",
