--- /dev/null
+++ b/cache_router/section_reader.py
@@ -0,0 +1,112 @@
+"""Reads the fields of a JSON object, with errors that name the field by its path."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import TypeVar
+
+from cache_router.settings import SettingsError
+
+Choice = TypeVar("Choice")
+
+
+class SectionReader:
+    """Reads the fields of one JSON object; its errors name the field with the path to it.
+
+    A field that is absent or null takes its default. A field that nothing reads is ignored.
+    """
+
+    __slots__ = ("_path", "_values")
+
+    def __init__(self, values: Mapping[str, object], path: str = "") -> None:
+        """Read from `values`; `path` is the prefix of a field's name in errors, with a dot at its end."""
+        self._values = values
+        self._path = path
+
+    def value(self, field: str) -> object:
+        """The decoded JSON value of a field, unchecked; None if the field is absent or null."""
+        return self._values.get(field)
+
+    def number(self, field: str, default: float, minimum: float = 0.0) -> float:
+        """A number, an int or a float as in the JSON.
+
+        Raises:
+            SettingsError: the value is no number, or less than `minimum`.
+        """
+        value = self._values.get(field)
+        if value is None:
+            return default
+        if isinstance(value, bool) or not isinstance(value, (int, float)) or value < minimum:
+            raise self.unusable(field, f"must be a number of at least {minimum:g}, not {value!r}")
+        return value
+
+    def flag(self, field: str) -> bool:
+        """A flag, false if absent.
+
+        Raises:
+            SettingsError: the value is neither true nor false.
+        """
+        value = self._values.get(field)
+        if value not in (None, False, True):
+            raise self.unusable(field, f"must be true or false, not {value!r}")
+        return bool(value)
+
+    def choice(self, field: str, default: str, choices: Mapping[str, Choice]) -> Choice:
+        """The value that `choices` has for a word; `default` is the word if the field is absent.
+
+        Raises:
+            SettingsError: the value is none of the words in `choices`.
+        """
+        value = self._values.get(field)
+        word = default if value is None else value
+        if not isinstance(word, str) or word not in choices:
+            raise self.unusable(field, f"must be one of {', '.join(choices)}, not {word!r}")
+        return choices[word]
+
+    def names(self, field: str) -> tuple[str, ...]:
+        """A list of names, empty if absent.
+
+        Raises:
+            SettingsError: the value is no list, or one of its entries is no string.
+        """
+        value = self._values.get(field)
+        names = [] if value is None else value
+        if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
+            raise self.unusable(field, f"must be a list of names, not {names!r}")
+        return tuple(names)
+
+    def section(self, field: str) -> SectionReader:
+        """A nested object, empty if absent.
+
+        Raises:
+            SettingsError: the value is no object.
+        """
+        value = self._values.get(field)
+        section = {} if value is None else value
+        if not isinstance(section, dict):
+            raise self.unusable(field, f"must be an object, not {section!r}")
+        return SectionReader(section, f"{self._path}{field}.")
+
+    def named_sections(self, field: str) -> dict[str, SectionReader]:
+        """A list of objects by their `name`s, empty if absent.
+
+        Raises:
+            SettingsError: the value is no list of objects, or a name is missing or repeated.
+        """
+        value = self._values.get(field)
+        rows = [] if value is None else value
+        if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
+            raise self.unusable(field, "must be a list of objects")
+        sections: dict[str, SectionReader] = {}
+        for index, row in enumerate(rows):
+            name = row.get("name")
+            if not isinstance(name, str):
+                raise self.unusable(f"{field}[{index}].name", "is missing")
+            if name in sections:
+                raise self.unusable(f"{field}[{index}].name", f"is there twice: {name!r}")
+            sections[name] = SectionReader(row, f"{self._path}{field}[{name}].")
+        return sections
+
+    def unusable(self, field: str, reason: str) -> SettingsError:
+        """The error of a field of this section."""
+        return SettingsError(f"settings: {self._path}{field} {reason}", where=f"{self._path}{field}")
--- a/cache_router/simulator_adapter.py
+++ b/cache_router/simulator_adapter.py
@@ -1,235 +1,53 @@
 """Runs routers for the simulator, whose wire is one JSON object a line; decides nothing itself.
 
-Each line holds the events of one moment, each answer the commands that the routers replied with. The names of
-the wire appear in this module alone: its tables and functions map them to the events and actions of the
-decisions.
+Each line of the simulator holds the events of one moment; each line of the adapter holds the commands of its
+routers.
 """
 
 from __future__ import annotations
 
 import sys
-from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 import orjson
 
-from cache_router.decisions.actions import (
-    Action,
-    Cancel,
-    CloseIdleConnections,
-    Fail,
-    LogMessage,
-    Reject,
-    Send,
-    SetTimer,
-    SubscribeToEndpoints,
-)
-from cache_router.decisions.events import (
-    AttemptCompleted,
-    AttemptStatus,
-    ClientDisconnected,
-    EndpointUpdate,
-    EndpointUpdateKind,
-    Event,
-    Request,
-    ResponseStarted,
-    Timer,
-    TimerFired,
-    TimerKind,
-)
+from cache_router.decisions.events import Event
 from cache_router.decisions.router import Router
-from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.errors import RouterError
-from cache_router.load_report import read_load
 from cache_router.settings import SettingsError
 from cache_router.settings_reader import read_settings
+from cache_router.simulator_messages import (
+    ATTEMPT_COMPLETED,
+    IGNORED_MESSAGES,
+    ROUTER_KILLED,
+    ROUTER_STARTED,
+    SETTINGS_REJECTED,
+    Command,
+    LogCommand,
+    RouterStartedMessage,
+)
+from cache_router.simulator_wire import ACTION_WRITERS, EVENT_READERS, read_attempt_completed
 
-ENDPOINT_STATES = {
-    "active": EndpointState.READY,
-    "leaving": EndpointState.DRAINING,
-    "left": EndpointState.REMOVED,
-}
-UPDATE_KINDS = {
-    "INCREMENTAL": EndpointUpdateKind.DELTA,
-    "FULL": EndpointUpdateKind.SNAPSHOT,
-    "SAVED": EndpointUpdateKind.CACHED,
-    "FAILED": EndpointUpdateKind.FAILED,
-}
-ATTEMPT_STATUSES = {
-    "delivered": AttemptStatus.OK,
-    "app_error": AttemptStatus.ERROR,
-    "shed": AttemptStatus.REJECTED,
-    "expired": AttemptStatus.TIMEOUT,
-    "dial_failed": AttemptStatus.CONNECT_FAILED,
-    "dropped": AttemptStatus.RESET,
-    "revoked": AttemptStatus.CANCELLED,
-    "unused": AttemptStatus.NOT_SENT,
-    "empty": AttemptStatus.MISS,
-}
-TIMER_KINDS = {kind.value: kind for kind in TimerKind}
-IGNORED_EVENTS = {"Pong", "Heard"}  # replies to commands that no router here gives
 BROKEN_WIRE_STATUS = 2  # exit status of the process
 MAX_QUOTED_EVENT = 200  # characters of a malformed event that its error quotes
 
-WireObject = dict[str, Any]
-
 
 class WireError(RouterError, ValueError):
     """A line of the simulator that is malformed; `where` is its batch or the event in it."""
 
 
-# Events
-
-
-def read_endpoint(line: WireObject) -> Endpoint:
-    """One entry of an endpoint list."""
-    return Endpoint(
-        name=line["server"],
-        state=ENDPOINT_STATES[line["readiness"]],
-        kind=line.get("generationHw") or "",
-        zone=line.get("site") or "",
-        cell=line.get("stripe") or 0,
-        weight=max(0.0, line.get("weight") or 0.0),
-        started_at=line.get("since") or 0.0,
-    )
-
-
-def read_endpoint_update(message: WireObject) -> EndpointUpdate:
-    """An endpoint list, its changes, or the failure to get any."""
-    kind = UPDATE_KINDS[message["scope"]]
-    return EndpointUpdate(kind, tuple(map(read_endpoint, message.get("lines") or ())))
-
-
-def read_request(message: WireObject) -> Request:
-    """A client's request; a time budget that is absent or negative is 0."""
-    return Request(
-        request_id=message["ticket"],
-        request_class=message["priority"],
-        time_left=max(0.0, float(message.get("timeBudget") or 0.0)),
-        key=message.get("partitionKey"),
-        cost_hint=message.get("effort"),
-        is_write=bool(message.get("update")),
-    )
-
-
-def read_response_started(message: WireObject) -> ResponseStarted:
-    """The first part of an answer."""
-    return ResponseStarted(message["ticket"], message["sendNo"])
-
-
-def read_attempt_completed(message: WireObject, load_report_fields: tuple[str, ...]) -> AttemptCompleted:
-    """The end of an attempt; the values of its load report come without their names."""
-    load_report = read_load(dict(zip(load_report_fields, message.get("telemetry") or (), strict=False)))
-    status = ATTEMPT_STATUSES[message["outcome"]]
-    return AttemptCompleted(
-        request_id=message["ticket"],
-        attempt_number=message["sendNo"],
-        status=status,
-        request_closed=bool(message.get("final")),
-        latency=message.get("lag") or 0.0,
-        load_report=load_report,
-    )
-
-
-def read_client_disconnected(message: WireObject) -> ClientDisconnected:
-    """A client that left."""
-    return ClientDisconnected(message["ticket"])
-
-
-def read_timer(context: str) -> Timer | None:
-    """A timer by the context that `write_timer` gave to the wire; None for any other context."""
-    kind, _, subject = context.partition(":")
-    if kind not in TIMER_KINDS:
-        return None
-    return Timer(TIMER_KINDS[kind], subject)
-
-
-def read_timer_fired(message: WireObject) -> TimerFired | None:
-    """A timer that is due."""
-    timer = read_timer(message["ctx"])
-    return TimerFired(timer) if timer is not None else None
-
-
-# all but "Done", which needs the settings of its router as well
-EVENT_READERS: dict[str, Callable[[WireObject], Event | None]] = {
-    "Membership": read_endpoint_update,
-    "Request": read_request,
-    "Begun": read_response_started,
-    "Aborted": read_client_disconnected,
-    "Wake": read_timer_fired,
-}
-
-# Actions
-
-
-def write_send(action: Send) -> WireObject:
-    """A new attempt; the field of a timeout is left out if there is none."""
-    command = {"op": "Send", "ticket": action.request_id, "server": action.server}
-    if action.timeout is None:
-        return command
-    return {**command, "timeout": action.timeout}
+class Batch(NamedTuple):
+    """The decoded form of one line."""
 
-
-def write_reject(action: Reject) -> WireObject:
-    """A rejection, with the time to wait before a retry if there is any."""
-    command = {"op": "Reject", "ticket": action.request_id}
-    if not action.retry_after:
-        return command
-    return {**command, "coolDown": action.retry_after}
-
-
-def write_fail(action: Fail) -> WireObject:
-    """A final answer that promises nothing."""
-    return {"op": "GiveUp", "ticket": action.request_id}
-
-
-def write_cancel(action: Cancel) -> WireObject:
-    """The end of the wait for an attempt."""
-    return {"op": "Cancel", "ticket": action.request_id, "sendNo": action.attempt_number}
-
-
-def write_close_idle_connections(action: CloseIdleConnections) -> WireObject:
-    """The end of the idle connections to a server."""
-    return {"op": "LetGo", "server": action.server}
-
-
-def write_timer(timer: Timer) -> str:
-    """A timer as a context of the wire: its kind and its subject."""
-    return f"{timer.kind.value}:{timer.subject}"
-
-
-def write_set_timer(action: SetTimer) -> WireObject:
-    """A timer; its context comes back when it is due."""
-    return {"op": "Timer", "fromNow": action.delay, "ctx": write_timer(action.timer)}
-
-
-def write_subscribe(_: SubscribeToEndpoints) -> WireObject:
-    """A subscription to endpoint updates."""
-    return {"op": "Listen", "enable": True}
-
-
-def write_log_message(action: LogMessage) -> WireObject:
-    """A line for the operators."""
-    return {"op": "Record", "line": action.message}
-
-
-ACTION_WRITERS: dict[type[Action], Callable[[Any], WireObject]] = {
-    Send: write_send,
-    Reject: write_reject,
-    Fail: write_fail,
-    Cancel: write_cancel,
-    CloseIdleConnections: write_close_idle_connections,
-    SetTimer: write_set_timer,
-    SubscribeToEndpoints: write_subscribe,
-    LogMessage: write_log_message,
-}
+    now: float  # seconds on the simulator's clock
+    messages: list[Any]  # any JSON values; each is read as a `simulator_messages.Message`
 
 
 class SimulatorAdapter:
     """One router for each instance number; nothing is shared between them."""
 
     def __init__(self) -> None:
-        """Begin without any router; the simulator starts and stops them."""
+        """Start without any router; the simulator starts and stops them."""
         self.routers: dict[int, Router] = {}
 
     def handle_line(self, line: bytes) -> bytes:
@@ -238,26 +56,21 @@
         Raises:
             WireError: the line or an event in it is malformed.
         """
-        try:
-            batch = orjson.loads(line)
-            now, messages = float(batch["t"]), batch["news"]
-            if not isinstance(messages, list):
-                raise TypeError("news is not a list")
-        except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as error:
-            raise WireError(f"not a batch: {error!r}", where="batch") from error
-        commands: list[WireObject] = []
-        for message in messages:
-            self._handle_message(now, message, commands)
+        batch = _read_batch(line)
+        commands: list[Command] = []
+        for message in batch.messages:
+            self._handle_message(batch.now, message, commands)
         return orjson.dumps({"cmds": commands}) + b"\n"
 
-    def _handle_message(self, now: float, message: Any, commands: list[WireObject]) -> None:
-        """Hand one event to its router and append what it replies."""
+    def _handle_message(self, now: float, message: Any, commands: list[Command]) -> None:
+        """Pass one event to its router and append the router's actions to the commands."""
         try:
             operation, router_id = message["op"], message["routerId"]
             event = self._read_event(now, operation, router_id, message)
         except SettingsError as error:
             print(f"cache_router: {error}", file=sys.stderr)
-            commands.append({"op": "InternalError", "routerId": router_id, "line": str(error)})
+            error_command: LogCommand = {"op": SETTINGS_REJECTED, "routerId": router_id, "line": str(error)}
+            commands.append(error_command)
             return
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             quoted = str(message)[:MAX_QUOTED_EVENT]
@@ -272,22 +85,45 @@
             command["routerId"] = router_id
             commands.append(command)
 
-    def _read_event(self, now: float, operation: str, router_id: int, message: WireObject) -> Event | None:
+    def _read_event(self, now: float, operation: str, router_id: int, message: Any) -> Event | None:
         """The event in a message, or None where the message leaves nothing to decide."""
-        if operation == "Born":
-            self.routers[router_id] = Router(read_settings(message["conf"]), message["initSeed"], now)
+        if operation == ROUTER_STARTED:
+            self._start_router(now, message)
             return None
-        if operation == "Kill":
+        if operation == ROUTER_KILLED:
             self.routers.pop(router_id, None)
             return None
-        if operation in IGNORED_EVENTS:
+        if operation in IGNORED_MESSAGES:
             return None
         router = self.routers.get(router_id)
-        if operation == "Done":
-            fields = router.settings.load_report_fields if router is not None else ()
-            return read_attempt_completed(message, fields)
+        if operation == ATTEMPT_COMPLETED:
+            return read_attempt_completed(message, _load_report_fields(router))
         return EVENT_READERS[operation](message)
 
+    def _start_router(self, now: float, message: RouterStartedMessage) -> None:
+        self.routers[message["routerId"]] = Router(read_settings(message["conf"]), message["initSeed"], now)
+
+
+def _load_report_fields(router: Router | None) -> tuple[str, ...]:
+    """The names of the values in load reports; none for a router that was stopped."""
+    return router.settings.load_report_fields if router is not None else ()
+
+
+def _read_batch(line: bytes) -> Batch:
+    """Decode a line; its messages are read one by one.
+
+    Raises:
+        WireError: the line is no JSON object with a time and a list of messages.
+    """
+    try:
+        batch = orjson.loads(line)
+        now, messages = float(batch["t"]), batch["news"]
+        if not isinstance(messages, list):
+            raise TypeError("news is not a list")
+    except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as error:
+        raise WireError(f"not a batch: {error!r}", where="batch") from error
+    return Batch(now, messages)
+
 
 def main() -> int:
     """Answer line by line until the end of input; returns the exit status."""
--- a/tests/cache_router/net/test_discovery.py
+++ b/tests/cache_router/net/test_discovery.py
@@ -2,54 +2,18 @@
 
 from __future__ import annotations
 
-from typing import Any
+import asyncio
 
-import orjson
 import pytest
 
 from cache_router.decisions.events import EndpointUpdateKind
-from cache_router.endpoint import Endpoint, EndpointState
-from cache_router.net.endpoint_list_reader import EndpointListError, read_endpoint_list
+from cache_router.endpoint import EndpointState
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.settings import WatchBudget
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, WatchRecorder, accept_poll, encode_endpoint_list
 from tests.support.loopback import Peer, http, run
 
 
-def test_endpoint_entry_is_read() -> None:
-    """The fields of an entry are mapped to those of `Endpoint`; a start long ago is 0."""
-    update = read_endpoint_list(orjson.loads(encode_endpoint_list(7, True, ENDPOINT_ENTRY)))
-    (endpoint,) = update.endpoints
-    assert (update.index, update.is_snapshot, endpoint.address) == (7, True, "127.0.0.9:6379")
-    entry = Endpoint("s-1", EndpointState.READY, "m2", "a", 3, 1.5, 1_790_000_000.25)
-    assert endpoint.entry == entry  # the name as every router has it, the start on this router's clock
-    (started_long_ago,) = read_endpoint_list(
-        orjson.loads(encode_endpoint_list(7, True, {**ENDPOINT_ENTRY, "since_ms": 0}))
-    ).endpoints
-    assert started_long_ago.entry.started_at == 0
-
-
-@pytest.mark.parametrize(
-    ("change", "field"),
-    [
-        ({"name": 5}, "name"),
-        ({"address": "nowhere"}, "address"),
-        ({"address": "127.0.0.1:99999"}, "address"),
-        ({"status": "odd"}, "status"),
-        ({"weight": "big"}, "weight"),
-        ({"group": True}, "group"),
-        ({"since_ms": None}, "since_ms"),
-    ],
-)
-def test_malformed_entry_is_named_in_the_error(change: dict[str, Any], field: str) -> None:
-    """The error names the position of the entry and its field."""
-    with pytest.raises(EndpointListError, match=rf"^known\.endpoints\[1\]\.{field}"):
-        read_endpoint_list(
-            {"index": 1, "snapshot": True, "endpoints": [ENDPOINT_ENTRY, {**ENDPOINT_ENTRY, **change}]},
-            "known",
-        )
-
-
 def test_watch_continues_from_the_received_index() -> None:
     """Each poll asks for what is newer than the last update."""
 
@@ -75,7 +39,7 @@
 
 
 def test_subscribing_during_a_watch_makes_no_second_poll() -> None:
-    """One poll is in flight at a time, whatever the decision module asks for."""
+    """One poll is in flight at a time, also when the decisions subscribe again."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -121,7 +85,7 @@
 
 
 def test_refused_connection_is_notified_as_a_failed_poll() -> None:
-    """The decision module has to schedule the next poll."""
+    """The decisions have to schedule the next poll."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -132,7 +96,7 @@
 
 
 def test_poll_of_a_silent_discovery_times_out() -> None:
-    """Its changes count as notified: a router that waited on would send to draining servers."""
+    """Its changes count as notified: a router that waited longer would send to draining servers."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -150,25 +114,24 @@
 
 
 def test_exception_in_an_update_is_notified_as_a_failed_poll() -> None:
-    """A watch that ended without a notification would leave the router with its old list for good."""
+    """A watch that ended without a notification would leave the router with its old list until a restart."""
 
     async def scenario() -> None:
         async with Peer() as peer:
-            recorder = WatchRecorder(peer)
 
             def faulty(kind: EndpointUpdateKind, endpoints: list[NetworkEndpoint]) -> None:
                 raise RuntimeError("faulty")
 
-            recorder.discovery.on_update = faulty
+            recorder = WatchRecorder(peer, on_update=faulty)
             _, link = await accept_poll(peer)
             link.write(http("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
             assert await recorder.updates.get() is None
-            assert recorder.discovery.watch_task is None
+            assert not recorder.discovery.is_watching
 
     run(scenario)
 
 
-def test_watch_of_a_new_address_starts_anew_and_the_old_one_notifies_nothing() -> None:
+def test_watch_of_a_new_address_requests_the_complete_list_and_the_old_one_notifies_nothing() -> None:
     """Indexes are those of one discovery: polled with another's index, it may send nothing."""
 
     async def scenario() -> None:
@@ -187,3 +150,24 @@
             recorder.discovery.close()
 
     run(scenario)
+
+
+def test_first_update_ends_the_wait_for_it() -> None:
+    """A start waits for the agent's list, and a failed poll is none."""
+
+    async def scenario() -> None:
+        async with Peer() as peer:
+            recorder = WatchRecorder(peer)
+            waiting = asyncio.create_task(recorder.discovery.wait_for_first_update())
+            _, link = await accept_poll(peer)
+            link.write(http("503 Busy"))
+            assert await recorder.updates.get() is None
+            assert not waiting.done()
+            recorder.discovery.subscribe()
+            _, link = await accept_poll(peer)
+            link.write(http("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
+            await waiting
+            assert not recorder.updates.empty()
+            recorder.discovery.close()
+
+    run(scenario)
--- a/tests/cache_router/test_server.py
+++ b/tests/cache_router/test_server.py
@@ -1,10 +1,9 @@
-"""The program: its descriptors, its signals and its start."""
+"""The program: its signals and its start."""
 
 from __future__ import annotations
 
 import asyncio
 import os
-import resource
 import signal
 import socket
 from collections.abc import AsyncIterator
@@ -16,9 +15,8 @@
 import pytest
 
 from cache_router import server
-from cache_router.config import ConfigError, read_config
-from cache_router.settings import RequestClass, Settings
-from tests.cache_router.test_simulator_adapter import CONF
+from cache_router.__main__ import main
+from cache_router.config import read_config
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
 from tests.support.loopback import HIT, TEST_TIMEOUT, Peer, format_address, http, read, read_values, run
 from tests.support.router_process import (
@@ -29,6 +27,7 @@
     listen_address,
     router_process,
 )
+from tests.support.settings_json import SETTINGS_JSON
 
 
 def exit_status(config: bytes | None, path: Path, monkeypatch: pytest.MonkeyPatch) -> int:
@@ -36,7 +35,7 @@
     if config is not None:
         path.write_bytes(config)
     monkeypatch.setenv("RELAY_CONFIG", str(path))
-    return server.main()
+    return main()
 
 
 @pytest.mark.parametrize(
@@ -49,14 +48,16 @@
         ({"limits": {"sockets": "many"}}, "limits.sockets"),
         ({"limits": 3}, "limits"),
         ({"listen": "127.0.0.1:\u00b2"}, "listen"),  # a digit, and no number
-        ({"listen": "a" * 70 + ":6379"}, "listen"),
-        ({"settings": {**CONF, "skus": 3}}, "skus"),
-        ({"settings": {**CONF, "skus": ["std", 4]}}, "skus"),
-        ({"settings": {**CONF, "limits": {"mayCancel": "no"}}}, "limits.mayCancel"),
-        ({"settings": {**CONF, "limits": {"secondCopies": 3}}}, "limits.secondCopies"),
-        ({"settings": {**CONF, "classes": [{"name": "x", "aim": 0}]}}, "classes[x].aim"),
-        ({"settings": {**CONF, "classes": [{"name": "x", "aim": 1, "giveUp": 0}]}}, "classes[x].giveUp"),
-        ({"settings": {**CONF, "classes": [{"name": "x"}, {"name": "x"}]}}, "classes[1].name"),
+        ({"settings": {**SETTINGS_JSON, "skus": 3}}, "skus"),
+        ({"settings": {**SETTINGS_JSON, "skus": ["std", 4]}}, "skus"),
+        ({"settings": {**SETTINGS_JSON, "limits": {"mayCancel": "no"}}}, "limits.mayCancel"),
+        ({"settings": {**SETTINGS_JSON, "limits": {"secondCopies": 3}}}, "limits.secondCopies"),
+        ({"settings": {**SETTINGS_JSON, "classes": [{"name": "x", "aim": 0}]}}, "classes[x].aim"),
+        (
+            {"settings": {**SETTINGS_JSON, "classes": [{"name": "x", "aim": 1, "giveUp": 0}]}},
+            "classes[x].giveUp",
+        ),
+        ({"settings": {**SETTINGS_JSON, "classes": [{"name": "x"}, {"name": "x"}]}}, "classes[1].name"),
         (
             {"known": {**CACHED_LIST, "endpoints": [{**ENDPOINT_ENTRY, "address": "127.0.0.1:\u00b2"}]}},
             "known.endpoints[0]",
@@ -65,8 +66,8 @@
         ({"known": {**CACHED_LIST, "index": "x"}}, "known.index"),
         ({"known": {**CACHED_LIST, "endpoints": [{}]}}, "known.endpoints[0].status"),
         ({"settings": None}, "conf"),
-        ({"settings": {**CONF, "classes": []}}, "classes"),
-        ({"settings": {**CONF, "limits": {"dialTimeout": "x"}}}, "limits.dialTimeout"),
+        ({"settings": {**SETTINGS_JSON, "classes": []}}, "classes"),
+        ({"settings": {**SETTINGS_JSON, "limits": {"dialTimeout": "x"}}}, "limits.dialTimeout"),
     ],
 )
 def test_invalid_configuration_fails_the_start_with_one_line(
@@ -76,52 +77,47 @@
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """The line names the field that can't be used."""
+    """The line names the file, and the field in it that can't be used."""
     config = orjson.dumps({**VALID_CONFIG, **change})
-    assert exit_status(config, tmp_path / "config.json", monkeypatch) == 2
+    path = tmp_path / "config.json"
+    assert exit_status(config, path, monkeypatch) == 2
     (line,) = capsys.readouterr().err.splitlines()
-    assert field in line
+    assert line.startswith(f"cache_router: {path}: ")
+    assert field in line.removeprefix(f"cache_router: {path}: ")
 
 
-@pytest.mark.parametrize(
-    ("limit", "usable"), [(resource.RLIM_INFINITY, 1024), (4096, 1024), (1024, 1024), (64, 64), (63, None)]
-)
-def test_usable_descriptors_are_bounded_by_the_process_limit(
-    limit: int, usable: int | None, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("value", "state"), [(None, "not set"), ("", "empty")])
+def test_missing_configuration_variable_fails_the_start_with_one_line(
+    value: str | None, state: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """The lower of both limits counts; too low a limit is an error of the configuration."""
-    monkeypatch.setattr(resource, "getrlimit", lambda _: (limit, resource.RLIM_INFINITY))
-    if usable is None:
-        with pytest.raises(ConfigError, match=r"^limits\.sockets"):
-            server.usable_descriptors(1024)
-    else:
-        assert server.usable_descriptors(1024) == usable
-
-
-def test_descriptors_are_divided_between_the_kinds_of_connections() -> None:
-    """Clients, origins and cache servers have shares of their own."""
-    assert server.DescriptorBudget.divide(1024) == server.DescriptorBudget(372, 124, 496)
-    assert server.DescriptorBudget.divide(64) == server.DescriptorBudget(12, 4, 16)
-
-
-@pytest.mark.parametrize(("client_timeout", "sigkill_at"), [(0.6, 1.3), (3.0, 3.7), (9.0, 3.7)])
-def test_shutdown_schedule_ends_before_sigkill(client_timeout: float, sigkill_at: float) -> None:
-    """Replies are written 0.2 s before SIGKILL, and connections are closed 0.1 s before it."""
-    settings = Settings({"read": RequestClass("read", 0.3, client_timeout=client_timeout)})
-    schedule = server.ShutdownSchedule.from_settings(settings)
-    assert schedule.accept_until == 0.5
-    assert schedule.answer_until == pytest.approx(sigkill_at - 0.2)
-    assert schedule.close_until == pytest.approx(sigkill_at - 0.1)
-    assert schedule.sigkill_at == pytest.approx(sigkill_at)
+    """The line says what the variable is for."""
+    monkeypatch.delenv("RELAY_CONFIG", raising=False)
+    if value is not None:
+        monkeypatch.setenv("RELAY_CONFIG", value)
+    assert main() == 2
+    (line,) = capsys.readouterr().err.splitlines()
+    assert line == f"cache_router: RELAY_CONFIG is {state}: it names the path of the configuration file"
 
 
 @pytest.mark.parametrize("text", [None, b"", b"{", b"[]"])
 def test_unreadable_configuration_fails_the_start_with_one_line(
     text: bytes | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """A missing or malformed file is reported without a traceback."""
-    assert exit_status(text, tmp_path / "config.json", monkeypatch) == 2
-    assert len(capsys.readouterr().err.splitlines()) == 1
+    """A missing or malformed file is reported by its path and without a traceback."""
+    path = tmp_path / "config.json"
+    assert exit_status(text, path, monkeypatch) == 2
+    (line,) = capsys.readouterr().err.splitlines()
+    assert str(path) in line
+
+
+def test_listen_host_that_cannot_be_encoded_fails_the_start_with_one_line(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    """The form of the address is right, so that only taking the address shows the error."""
+    config = orjson.dumps({**VALID_CONFIG, "listen": "a" * 70 + ":6379"})
+    assert exit_status(config, tmp_path / "config.json", monkeypatch) == 2
+    (line,) = capsys.readouterr().err.splitlines()
+    assert line.startswith("cache_router: listen: ")
 
 
 def test_listen_address_in_use_fails_the_start_with_one_line(
@@ -153,6 +149,9 @@
             cache_link = await cache.link()
             await cache_link.resp()
             process.send_signal(signal.SIGTERM)
+            assert process.stderr is not None
+            line = await process.stderr.readline()
+            assert b" INFO cache_router.server draining " + format_address(address).encode() + b": " in line
             late = await connected_client(address)
             assert await late.closed_by_peer()
             cache_link.write(HIT)
--- a/tests/project/test_configuration_page.py
+++ b/tests/project/test_configuration_page.py
@@ -13,7 +13,7 @@
 import orjson
 import pytest
 
-from cache_router import server
+from cache_router import __main__ as program
 from cache_router.config import Config, ConfigError, read_config
 from cache_router.endpoint import Endpoint
 from cache_router.net.endpoint_list_reader import EndpointListMessage
@@ -169,8 +169,8 @@
     keys_read: set[str] = set()
     with monkeypatch.context() as patch:
         patch.setattr(os, "environ", RecordingDict({}, "", keys_read))
-        status = server.main()
-    assert status == server.UNUSABLE_CONFIG_STATUS
+        status = program.main()
+    assert status == program.UNUSABLE_CONFIG_STATUS
     assert keys_read == ENVIRONMENT_KEYS <= {row.key for row in ROWS}
     sources = [path.read_text() for path in (ROOT / "cache_router").rglob("*.py")]
     assert sum(len(re.findall(r"\benviron\b|\bgetenv\b", text)) for text in sources) == 1
--- a/tests/project/test_glossary.py
+++ b/tests/project/test_glossary.py
@@ -13,7 +13,9 @@
 PAGE = (ROOT / "docs" / "GLOSSARY.md").read_text()
 CONFIGURATION_PAGE = (ROOT / "docs" / "CONFIGURATION.md").read_text()
 SOURCES = {path: path.read_text() for path in (ROOT / "cache_router").rglob("*.py")}
-ADAPTER = SOURCES[ROOT / "cache_router" / "simulator_adapter.py"]
+SIMULATOR_MODULES = ("simulator_adapter", "simulator_messages", "simulator_wire")
+MESSAGES = SOURCES[ROOT / "cache_router" / "simulator_messages.py"]
+SIMULATOR = [SOURCES[ROOT / "cache_router" / f"{name}.py"] for name in SIMULATOR_MODULES]
 CODE_MARKS = re.compile(r"`([^`]+)`")
 
 
@@ -36,7 +38,11 @@
 
 def wire_nodes(node: ast.AST) -> Iterator[ast.expr | None]:
     """Yield the expressions in which the adapter spells a word of the wire, as far as they are in a node."""
-    if isinstance(node, ast.Dict):
+    if isinstance(node, ast.Assign):
+        yield node.value
+    elif isinstance(node, ast.Tuple):
+        yield from node.elts
+    elif isinstance(node, ast.Dict):
         yield from node.keys
         yield from node.values
     elif isinstance(node, ast.Set):
@@ -51,9 +57,13 @@
 
 def wire_words() -> set[str]:
     """Return the words of the simulator that the adapter reads or writes."""
-    expressions = [e for node in ast.walk(ast.parse(ADAPTER)) for e in wire_nodes(node)]
+    nodes = [node for source in SIMULATOR for node in ast.walk(ast.parse(source))]
+    message_fields = [n.target for n in ast.walk(ast.parse(MESSAGES)) if isinstance(n, ast.AnnAssign)]
+    expressions = [e for node in nodes for e in wire_nodes(node)]
     constants = {e.value for e in expressions if isinstance(e, ast.Constant) and isinstance(e.value, str)}
-    return constants - {"", "__main__"}  # the default of an absent field, and the name of the main module
+    fields = {target.id for target in message_fields if isinstance(target, ast.Name)}
+    # the default of an absent field, and the name of the main module
+    return (constants | fields) - {"", "__main__"}
 
 
 def test_glossary_has_each_key_of_the_configuration() -> None:
--- a/tests/scale_experiments/test_network_rules.py
+++ b/tests/scale_experiments/test_network_rules.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from cache_router.descriptor_budget import DescriptorBudget
 from cache_router.net import connection_pool, dispatcher
-from cache_router.server import DescriptorBudget
 from scale_experiments.simulation import network_rules
 from scale_experiments.simulation.model import FleetModel
 
--- a/tests/support/router_process.py
+++ b/tests/support/router_process.py
@@ -15,13 +15,12 @@
 import orjson
 
 from cache_router.net.address import parse_address
-from tests.cache_router.test_simulator_adapter import CONF
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, peer_entry
 from tests.support.loopback import Link, Peer
+from tests.support.settings_json import SETTINGS_JSON
 
+PROCESS_TEST_TIMEOUT = 60.0  # seconds for a test with a process of its own, which starts on a busy machine
 CACHED_LIST = {"index": 41, "snapshot": True, "endpoints": [ENDPOINT_ENTRY]}
-
-
 VALID_CONFIG: dict[str, Any] = {
     "name": "n3",
     "listen": "127.0.0.1:6379",
@@ -29,7 +28,7 @@
     "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
     "known": CACHED_LIST,
-    "settings": CONF,
+    "settings": SETTINGS_JSON,
 }
 
 
@@ -81,14 +80,11 @@
         **VALID_CONFIG,
         "listen": "127.0.0.1:0",
         "discovery": discovery.address,
-        "settings": {**CONF, "membershipMode": mode},
+        "settings": {**SETTINGS_JSON, "membershipMode": mode},
         "known": {"index": 1, "snapshot": True, "endpoints": [peer_entry(ENDPOINT_ENTRY["name"], cache)]},
     }
 
 
-PROCESS_TEST_TIMEOUT = 60.0  # seconds for a test with a process of its own, which starts on a busy machine
-
-
 async def discard_log(log: asyncio.StreamReader | None) -> None:
     """Read a process's log to its end: once the pipe is full, the process would block."""
     while log is not None and await log.readline():
