--- a/cache_router/decisions/admission_control.py
+++ b/cache_router/decisions/admission_control.py
@@ -21,17 +21,17 @@
     def must_shed(self, server: Server, time_left: float) -> bool:
         """Whether to reject a request that must be answered in `time_left` seconds, rather than send it.
 
-        The wait is drawn evenly from zero to the longest expected, so that the share of rejected requests
-        grows with the queue.
+        A random part of the expected wait is compared with the time left, so that the share of rejected
+        requests grows with the queue.
         """
-        drawn_wait = self.generator.random() * self.health.queueing_latency * self._queue_factor(server)
+        drawn_wait = self.generator.random() * self.health.queueing_latency * self._weighted_load(server)
         return drawn_wait > time_left
 
-    def _queue_factor(self, server: Server) -> float:
-        """The longest wait at a server, as a multiple of the queueing latency of all caches.
+    def _weighted_load(self, server: Server) -> float:
+        """The number of requests whose queueing latencies add up to the expected wait.
 
-        Where weights are live, the endpoint list reports each server's load. Otherwise the queues show only
-        in this router's own latencies, from which the queueing latency is smoothed.
+        Where weights are live, the endpoint list reports each server's load, whose queue may take only a share
+        of the time left. Otherwise queues show only in the router's own latencies, and the load counts as one.
         """
         if self.settings.live_weights:
             return server.reported_load / MAX_QUEUEING_SHARE
--- a/tests/cache_router/decisions/test_admission_control.py
+++ b/tests/cache_router/decisions/test_admission_control.py
@@ -2,10 +2,36 @@
 
 from __future__ import annotations
 
+import random
+
+import pytest
+
+from cache_router.decisions.admission_control import MAX_QUEUEING_SHARE, AdmissionControl
 from cache_router.decisions.events import AttemptStatus
+from cache_router.decisions.fleet_health import FleetHealth
+from cache_router.decisions.server import Server
 from tests.support.driver import Driver, Outcome, entry, settings
 
 
+class FixedRandom(random.Random):
+    """Draws one half each time."""
+
+    def random(self) -> float:
+        """The middle of the range of ordinary draws."""
+        return 0.5
+
+
+@pytest.mark.parametrize("live_weights", [True, False])
+def test_request_is_shed_when_the_drawn_wait_is_longer_than_its_time_left(live_weights: bool) -> None:
+    health = FleetHealth()
+    health.queueing_latency = 0.4
+    server = Server(entry("a"), reported_load=0.5)
+    admission = AdmissionControl(settings(live_weights=live_weights), health, FixedRandom())
+    drawn_wait = 0.5 * 0.4 * (0.5 / MAX_QUEUEING_SHARE if live_weights else 1.0)
+    assert admission.must_shed(server, drawn_wait - 0.01)
+    assert not admission.must_shed(server, drawn_wait + 0.01)
+
+
 def test_load_is_shed_by_the_reported_queues() -> None:
     """In an overload without shedding, queues grow until every answer is late."""
     driver = Driver(settings(live_weights=True, max_attempts=1))
--- a/tests/cache_router/decisions/test_router_properties.py
+++ b/tests/cache_router/decisions/test_router_properties.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import pytest
 from hypothesis import HealthCheck, Phase, given
 from hypothesis import settings as hypothesis_settings
@@ -11,8 +9,10 @@
 
 from cache_router.decisions.actions import Action, SetTimer
 from cache_router.decisions.events import AttemptStatus, EndpointUpdate, EndpointUpdateKind, Event, TimerKind
+from cache_router.decisions.pending_request import PendingRequest
 from cache_router.decisions.retry_policy import RetryPolicy
 from cache_router.decisions.router import Router
+from cache_router.decisions.server import Server
 from cache_router.endpoint import EndpointState
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings
 from tests.support.driver import Driver, entry, settings
@@ -127,11 +127,11 @@
 class PermissivePolicy(RetryPolicy):
     """Broken on purpose: permits any request to be sent again, or rejected."""
 
-    def permits_attempt(self, pending: Any, server: Any, now: float) -> bool:
+    def permits_attempt(self, pending: PendingRequest, server: Server, now: float) -> bool:
         """Permit every attempt."""
         return True
 
-    def permits_rejection(self, pending: Any) -> bool:
+    def permits_rejection(self, pending: PendingRequest) -> bool:
         """Permit every rejection."""
         return True
 
