--- a/cache_router/decisions/admission_control.py
+++ b/cache_router/decisions/admission_control.py
@@ -30,8 +30,8 @@
     def _weighted_load(self, server: Server) -> float:
         """The number of requests whose queueing latencies add up to the expected wait.
 
-        Where weights are live, the endpoint list reports each server's load, whose queue may take only a share
-        of the time left. Otherwise queues show only in the router's own latencies, and the load counts as one.
+        Where weights are live, the endpoint list reports each server's load, whose queue may take only a
+        share of the time left. Otherwise queues show only in the router's own latencies, and the load is one.
         """
         if self.settings.live_weights:
             return server.reported_load / MAX_QUEUEING_SHARE
