--- a/cache_router/decisions/outlier_detection.py
+++ b/cache_router/decisions/outlier_detection.py
@@ -31,6 +31,7 @@
 
     def admits(self, in_flight: int, now: float) -> bool:
         """Whether an attempt may be sent: none while ejected, and one at a time on trial."""
+        # compared here, as a call of is_outlier would cost on every step of the walk on the ring
         return now >= self.ejected_until and not (in_flight and self.consecutive >= CONSECUTIVE_FAILURES)
 
     def reset(self) -> None:
