--- a/cache_router/decisions/concurrency_limit.py
+++ b/cache_router/decisions/concurrency_limit.py
@@ -60,7 +60,8 @@
         is_rejected = status is AttemptStatus.REJECTED
         if not is_rejected:
             self._smooth_latency(latency)
-        self._smooth_slowness(latency / target_latency)
+        slowness = min(MAX_SAMPLE_FACTOR, latency / target_latency)
+        self.slowness += SMOOTHING * (slowness - self.slowness)
         if is_rejected or self.slowness > 1.0:
             self._decrease(is_rejected, target_latency, now)
         elif status in ANSWERED and self._is_in_use():
@@ -70,9 +71,6 @@
         sample = min(latency, MAX_SAMPLE_FACTOR * self.latency) if self.latency else latency
         self.latency += SMOOTHING * (sample - self.latency)
 
-    def _smooth_slowness(self, slowness: float) -> None:
-        self.slowness += SMOOTHING * (min(MAX_SAMPLE_FACTOR, slowness) - self.slowness)
-
     def _is_in_use(self) -> bool:
         """Whether at least half of the limit was in flight, the completed attempt included."""
         return self.in_flight + 1 >= self.limit / 2
--- a/cache_router/decisions/outlier_detection.py
+++ b/cache_router/decisions/outlier_detection.py
@@ -76,9 +76,10 @@
 
         The maximum share does not protect servers that refuse connections, as they cannot serve in any case.
         """
-        is_share_used_up = self._is_share_used_up(history)
+        is_failure = status in FAILED
         is_absent = status is AttemptStatus.CONNECT_FAILED
-        if status not in FAILED or (is_share_used_up and not is_absent):
+        is_share_used_up = is_failure and self._is_share_used_up(history)
+        if not is_failure or (is_share_used_up and not is_absent):
             history.reset()
             self._outliers.discard(history)
             return False
