--- a/cache_router/decisions/outlier_detection.py
+++ b/cache_router/decisions/outlier_detection.py
@@ -31,6 +31,7 @@
 
     def admits(self, in_flight: int, now: float) -> bool:
         """Whether an attempt may be sent: none while ejected, and one at a time on trial."""
+        # compared here, as a call of is_outlier would cost on every step of the walk on the ring
         return now >= self.ejected_until and not (in_flight and self.consecutive >= CONSECUTIVE_FAILURES)
 
     def reset(self) -> None:
@@ -75,9 +76,10 @@
 
         The maximum share does not protect servers that refuse connections, as they cannot serve in any case.
         """
-        is_share_used_up = self._is_share_used_up(history)
+        is_failure = status in FAILED
         is_absent = status is AttemptStatus.CONNECT_FAILED
-        if status not in FAILED or (is_share_used_up and not is_absent):
+        is_share_used_up = is_failure and self._is_share_used_up(history)
+        if not is_failure or (is_share_used_up and not is_absent):
             history.reset()
             self._outliers.discard(history)
             return False
