--- a/cache_router/net/attempt_runner.py
+++ b/cache_router/net/attempt_runner.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-import asyncio
 import logging
 from collections.abc import Callable
+from functools import partial
 
 from cache_router.decisions.actions import Cancel, Send
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, Event
 from cache_router.load_report import parse_load_report
 from cache_router.net.clock import Clock
 from cache_router.net.endpoint_table import EndpointTable, NetworkEndpoint
-from cache_router.net.request_table import RequestAttempt, RequestInFlight, RequestTable
-from cache_router.net.upstream_connection import UpstreamResponse
+from cache_router.net.request_table import RequestInFlight, RequestTable
+from cache_router.net.upstream_attempt import UpstreamAttempt, UpstreamResponse
 from cache_router.settings import Settings
 
 log = logging.getLogger(__name__)
@@ -47,46 +47,42 @@
             log.error("request %s: not in flight, so nothing is sent to %s", action.request_id, action.server)
             return
         now = self._clock.now()
-        attempt = RequestAttempt(request.attempts_started, now)
-        request.attempts_started += 1
-        request.attempts[attempt.number] = attempt
+        time_left = request.deadline - now
+        timeout = action.timeout if action.timeout is not None and action.timeout < time_left else None
         endpoint = self._endpoints.get(action.server)
+        number = request.attempts_started
+        attempt = UpstreamAttempt(
+            request.command,
+            time_left if timeout is None else timeout,
+            # by its number: an attempt that its own callback refers to is left to the garbage collector
+            partial(self._complete, request, number),
+            precondition=partial(self._precondition, request, endpoint),
+            number=number,
+            started_at=now,
+        )
+        request.attempts_started += 1
+        request.attempts[number] = attempt
         status = self._precondition(request, endpoint)
-        if attempt.number >= self._max_attempts:
+        if number >= self._max_attempts:
             status = AttemptStatus.NOT_SENT
         if status is not None or endpoint is None:
-            self._complete(request, attempt, UpstreamResponse(status or AttemptStatus.CONNECT_FAILED))
+            attempt.finish(UpstreamResponse(status or AttemptStatus.CONNECT_FAILED))
             return
-        time_left = request.deadline - now
-        if action.timeout is not None and action.timeout < time_left:
-            time_left = action.timeout
-            loop = asyncio.get_running_loop()
-            attempt.timeout_timer = loop.call_later(time_left, self._time_out, request, attempt)
-
-        def on_completed(response: UpstreamResponse) -> None:
-            self._complete(request, attempt, response)
-
-        attempt.upstream = self._endpoints.pool_of(endpoint).start(
-            endpoint.address,
-            request.command,
-            time_left,
-            on_completed,
-            endpoint.incarnation,
-            precondition=lambda: self._precondition(request, endpoint),
-        )
+        if timeout is not None:
+            attempt.start_timeout(timeout, partial(self._abandon, request, number, AttemptStatus.TIMEOUT))
+        self._endpoints.pool_of(endpoint).start(attempt, endpoint.address, endpoint.incarnation)
 
     def cancel(self, action: Cancel) -> None:
         """Abandon an attempt, unless it has completed."""
         request = self._requests.get(action.request_id)
-        attempt = request.attempts.get(action.attempt_number) if request is not None else None
-        if request is not None and attempt is not None:
-            self._abandon(request, attempt, AttemptStatus.CANCELLED)
+        if request is not None:
+            self._abandon(request, action.attempt_number, AttemptStatus.CANCELLED)
 
     def time_out_all(self, request: RequestInFlight) -> None:
         """Time out all attempts of a request that are in flight."""
-        # a copy: the module may answer at the first time-out, which completes the other attempts
-        for attempt in list(request.attempts.values()):
-            self._time_out(request, attempt)
+        # a copy: the decision module may answer at the first time-out, which completes the other attempts
+        for number in list(request.attempts):
+            self._abandon(request, number, AttemptStatus.TIMEOUT)
 
     def _precondition(
         self, request: RequestInFlight, endpoint: NetworkEndpoint | None
@@ -104,22 +100,18 @@
             return AttemptStatus.CONNECT_FAILED
         return None
 
-    def _time_out(self, request: RequestInFlight, attempt: RequestAttempt) -> None:
-        self._abandon(request, attempt, AttemptStatus.TIMEOUT)
+    def _abandon(self, request: RequestInFlight, number: int, status: AttemptStatus) -> None:
+        """Abandon an attempt and complete it with a status, unless it has completed."""
+        attempt = request.attempts.get(number)
+        if attempt is not None:
+            attempt.abandon()
+            self._complete(request, number, UpstreamResponse(status))
 
-    def _abandon(self, request: RequestInFlight, attempt: RequestAttempt, status: AttemptStatus) -> None:
-        if attempt.upstream is not None:
-            attempt.upstream.abandon()
-        self._complete(request, attempt, UpstreamResponse(status))
-
-    def _complete(
-        self, request: RequestInFlight, attempt: RequestAttempt, response: UpstreamResponse
-    ) -> None:
+    def _complete(self, request: RequestInFlight, number: int, response: UpstreamResponse) -> None:
         """Post the one outcome of an attempt; the value of the first that succeeds answers the client."""
-        if request.attempts.pop(attempt.number, None) is None:
+        attempt = request.attempts.pop(number, None)
+        if attempt is None:
             return
-        if attempt.timeout_timer is not None:
-            attempt.timeout_timer.cancel()
         request_id = request.command.request_id.decode()
         status, value = response.status, response.value
         if status is AttemptStatus.OK:
@@ -128,6 +120,4 @@
         latency = self._clock.now() - attempt.started_at
         report = response.load_report
         load_report = parse_load_report(report, self._load_report_fields) if report else None
-        self._post(
-            AttemptCompleted(request_id, attempt.number, status, request.is_closed, latency, load_report)
-        )
+        self._post(AttemptCompleted(request_id, number, status, request.is_closed, latency, load_report))
--- a/cache_router/net/cache_connection.py
+++ b/cache_router/net/cache_connection.py
@@ -11,7 +11,8 @@
 from cache_router.net.command import MAX_VALUE, Command
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.resp import INCOMPLETE, ErrorReply, RespError, RespReader, encode_command
-from cache_router.net.upstream_connection import MalformedResponseError, UpstreamConnection, UpstreamResponse
+from cache_router.net.upstream_attempt import UpstreamResponse
+from cache_router.net.upstream_connection import MalformedResponseError, UpstreamConnection
 
 # of a response's three, and of whatever stands in the place of its load report
 MAX_ITEMS = 16
--- a/cache_router/net/connection_pool.py
+++ b/cache_router/net/connection_pool.py
@@ -8,16 +8,9 @@
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net.address import parse_address
-from cache_router.net.command import Command
 from cache_router.net.socket_state import has_unread_bytes
-from cache_router.net.upstream_connection import (
-    AttemptInFlight,
-    Done,
-    Precondition,
-    UpstreamConnection,
-    UpstreamResponse,
-    no_precondition,
-)
+from cache_router.net.upstream_attempt import UpstreamAttempt, UpstreamResponse
+from cache_router.net.upstream_connection import UpstreamConnection
 
 # seconds before the server may close an idle connection at which the pool closes it
 IDLE_MARGIN = 0.5
@@ -61,46 +54,28 @@
         self.idle: dict[UpstreamConnection, None] = {}
         self.idle_by_address: dict[str, dict[UpstreamConnection, None]] = {}
 
-    def start(
-        self,
-        address: str,
-        command: Command,
-        time_left: float,
-        done: Done,
-        incarnation: object = None,
-        *,
-        precondition: Precondition = no_precondition,
-    ) -> AttemptInFlight:
-        """Start an attempt on a server.
-
-        Opening a connection may take long. What may have changed meanwhile is asked by `precondition` before
-        the first byte is written.
+    def start(self, attempt: UpstreamAttempt, address: str, incarnation: object = None) -> None:
+        """Start an attempt on a server. It may finish before this returns.
 
         Args:
+            attempt: What is requested, and for how long the router waits.
             address: The server's `host:port`.
-            command: What is requested.
-            time_left: Seconds for which the router waits.
-            done: Called with the end of the attempt, unless it is abandoned, possibly before this returns.
-            incarnation: Tells a server from the one before it at the same address; compared by equality.
-            precondition: Asked once a new connection is up.
+            incarnation: Differs between a server and an earlier one at the same address; compared by
+                equality.
         """
-        attempt = AttemptInFlight(command, time_left, done)
         connection = self._take_idle(address, incarnation)
         if connection is not None:
             connection.begin(attempt)
         elif self._ensure_capacity():
-            connecting = asyncio.create_task(self._connect(address, incarnation, attempt, precondition))
-            attempt.connecting = connecting
+            connecting = asyncio.create_task(self._connect(attempt, address, incarnation))
+            attempt.mark_connecting(connecting)
             self.connecting.add(connecting)
             connecting.add_done_callback(self.connecting.discard)
         else:
             # with more descriptors the pool would keep clients from connecting; the server is not at fault
             attempt.finish(UpstreamResponse(AttemptStatus.NOT_SENT))
-        return attempt
 
-    async def _connect(
-        self, address: str, incarnation: object, attempt: AttemptInFlight, precondition: Precondition
-    ) -> None:
+    async def _connect(self, attempt: UpstreamAttempt, address: str, incarnation: object) -> None:
         """Open a connection for an attempt, and begin the attempt if its precondition still holds."""
         try:
             async with asyncio.timeout(self.connect_timeout):
@@ -114,8 +89,8 @@
             attempt.finish(UpstreamResponse(failure))
             return
         connection.incarnation = incarnation
-        attempt.connecting = None
-        status = precondition()
+        attempt.mark_connected()
+        status = attempt.precondition()
         if status is None:
             connection.begin(attempt)
             return
--- a/cache_router/net/origin_connection.py
+++ b/cache_router/net/origin_connection.py
@@ -8,7 +8,8 @@
 from cache_router.net.command import MAX_VALUE, Command
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.http import HttpClient, HttpError
-from cache_router.net.upstream_connection import MalformedResponseError, UpstreamConnection, UpstreamResponse
+from cache_router.net.upstream_attempt import UpstreamResponse
+from cache_router.net.upstream_connection import MalformedResponseError, UpstreamConnection
 
 OK = 200
 SERVICE_UNAVAILABLE = 503
--- a/cache_router/net/request_table.py
+++ b/cache_router/net/request_table.py
@@ -8,23 +8,13 @@
 from dataclasses import dataclass, field
 
 from cache_router.net.command import Command
-from cache_router.net.upstream_connection import AttemptInFlight
+from cache_router.net.upstream_attempt import UpstreamAttempt
 
 # seconds for which the id of a finished request is rejected at least: another client that repeats it would be
 # served with what the first one asked for
 ID_REUSE_DELAY = 2.0
 
 
-@dataclass(slots=True, eq=False)
-class RequestAttempt:
-    """An attempt as its request sees it; `upstream` is its state at the connection pool."""
-
-    number: int
-    started_at: float  # on the dispatcher's clock
-    upstream: AttemptInFlight | None = None
-    timeout_timer: asyncio.TimerHandle | None = None
-
-
 @dataclass(slots=True, eq=False)
 class RequestInFlight:
     """A request, kept until its client is owed no answer and no attempt of it is in flight."""
@@ -37,7 +27,7 @@
     attempts_started: int = 0  # whatever became of them
     is_closed: bool = False  # answered, or its client has disconnected
     deadline_passed: bool = False
-    attempts: dict[int, RequestAttempt] = field(default_factory=dict)  # in flight, by number
+    attempts: dict[int, UpstreamAttempt] = field(default_factory=dict)  # in flight, by number
 
 
 class RequestTable(dict[str, RequestInFlight]):
--- a/cache_router/net/upstream_connection.py
+++ b/cache_router/net/upstream_connection.py
@@ -10,13 +10,12 @@
 import asyncio
 import logging
 from abc import abstractmethod
-from collections.abc import Callable
-from dataclasses import dataclass
 from typing import TYPE_CHECKING, cast
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.errors import RouterError
 from cache_router.net.command import Command
+from cache_router.net.upstream_attempt import UpstreamAttempt, UpstreamResponse
 
 if TYPE_CHECKING:
     from cache_router.net.connection_pool import ConnectionPool
@@ -27,67 +26,10 @@
 log = logging.getLogger(__name__)
 
 
-@dataclass(slots=True, frozen=True)
-class UpstreamResponse:
-    """How an attempt ended, with the value and the load report where the server sent them."""
-
-    status: AttemptStatus
-    value: bytes = b""
-    load_report: bytes = b""
-
-
-# called with the end of an attempt, once at most
-Done = Callable[[UpstreamResponse], None]
-# asked just before a request is written: the status with which the attempt ends instead, or None
-Precondition = Callable[[], AttemptStatus | None]
-
-
 class MalformedResponseError(RouterError):
     """A response that can't be used. The request that it answers may have run."""
 
 
-def no_precondition() -> AttemptStatus | None:
-    """Let every request be written as soon as its connection is up."""
-    return None
-
-
-class AttemptInFlight:
-    """One attempt. It ends once: through `done`, or by being abandoned."""
-
-    def __init__(self, command: Command, time_left: float, done: Done) -> None:
-        """Begin an attempt for which the router waits `time_left` seconds."""
-        self.command = command
-        self.deadline = asyncio.get_running_loop().time() + time_left
-        self.done = done
-        self.open = True
-        self.connecting: asyncio.Task[None] | None = None
-        self.connection: UpstreamConnection | None = None
-
-    def time_left(self) -> float:
-        """For how many seconds the router still waits: connecting may have taken much of the time."""
-        return max(0.0, self.deadline - asyncio.get_running_loop().time())
-
-    def finish(self, response: UpstreamResponse) -> None:
-        """Report how the attempt ended, unless it has ended or was abandoned."""
-        if self.open:
-            self.open = False
-            self.done(response)
-
-    def abandon(self) -> None:
-        """Stop waiting, and report nothing.
-
-        The connection is closed: that tells the server to stop working, and a late response can't be taken
-        for that of a later request.
-        """
-        if not self.open:
-            return
-        self.open = False
-        if self.connecting is not None:
-            self.connecting.cancel()
-        if self.connection is not None:
-            self.connection.abort()
-
-
 class UpstreamConnection(asyncio.Protocol):
     """A connection to one address; subclasses encode requests and decode responses."""
 
@@ -97,7 +39,7 @@
         """Prepare a connection of `pool` to `address` (`host:port`)."""
         self.pool = pool
         self.address = address
-        self.attempt: AttemptInFlight | None = None
+        self.attempt: UpstreamAttempt | None = None
         # whether the kernel has the last byte of the request
         self.request_written = False
         # of the server that it was made to: another may be started at the same address
@@ -134,9 +76,9 @@
         self.transport.set_write_buffer_limits(high=0)
         self.pool.connections.add(self)
 
-    def begin(self, attempt: AttemptInFlight) -> None:
+    def begin(self, attempt: UpstreamAttempt) -> None:
         """Write the request of an attempt. The connection must be idle."""
-        attempt.connection = self
+        attempt.mark_sent(self)
         self.attempt = attempt
         self.request_written = False
         try:
@@ -179,13 +121,13 @@
             self.abort()
         attempt.finish(response)
 
-    def _limit_completion(self, attempt: AttemptInFlight) -> None:
+    def _limit_completion(self, attempt: UpstreamAttempt) -> None:
         """Bound the time for the rest of a response: one that announces more than is sent never ends."""
         loop = asyncio.get_running_loop()
         incomplete = MalformedResponseError("begun, but not completed in time")
         self.timeout = loop.call_later(RESPONSE_COMPLETION_TIMEOUT, self._fail, attempt, incomplete)
 
-    def _fail(self, attempt: AttemptInFlight, error: Exception) -> None:
+    def _fail(self, attempt: UpstreamAttempt, error: Exception) -> None:
         """End an attempt whose request may have run; what follows on the connection can't be trusted."""
         level = logging.WARNING if isinstance(error, MalformedResponseError) else logging.ERROR
         log.log(level, "response of %s can't be used: %.200r", self.address, error)
--- a/tests/cache_router/net/test_client_disconnects.py
+++ b/tests/cache_router/net/test_client_disconnects.py
@@ -13,6 +13,7 @@
 from cache_router.net import client_connection
 from cache_router.net.client_connection import ClientConnection
 from cache_router.net.socket_state import is_hung_up
+from cache_router.net.upstream_attempt import UpstreamAttempt, UpstreamResponse
 from tests.support.event_order import (
     DelayedConnections,
     first_connection,
@@ -164,14 +165,15 @@
     """Open an idle connection to every server, by its name: an attempt there is written at once."""
     endpoints = router.dispatcher.endpoints
     links: dict[str, Link] = {}
+    responses: asyncio.Queue[UpstreamResponse] = asyncio.Queue()
     for name, endpoint in endpoints.items():
-        completed = asyncio.Event()
         pool, peer = endpoints.pool_of(endpoint), router.caches.get(name, router.origin)
-        pool.start(endpoint.address, GET, 60.0, lambda *_, event=completed: event.set(), endpoint.incarnation)
+        attempt = UpstreamAttempt(GET, 60.0, responses.put_nowait)
+        pool.start(attempt, endpoint.address, endpoint.incarnation)
         links[name] = link = await peer.link()
         await (link.http() if peer is router.origin else link.resp())
         link.write(http("200 OK", b"value") if peer is router.origin else HIT)
-        await completed.wait()
+        await responses.get()
     return links
 
 
--- a/tests/cache_router/net/test_connection_pool.py
+++ b/tests/cache_router/net/test_connection_pool.py
@@ -8,7 +8,7 @@
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net import connection_pool
 from tests.support.loopback import HIT, MISS, Peer, format_address, run
-from tests.support.upstream_attempts import GET, cache_attempts
+from tests.support.upstream_attempts import cache_attempts
 
 
 def test_longest_idle_connection_is_used_first() -> None:
@@ -41,7 +41,7 @@
             link = await attempts.start_on(peer)
             link.write(HIT)
             await attempts.outcome()
-            attempts.pool.start(peer.address, GET, 0.5, lambda response: None, incarnation="another")
+            attempts.start(peer.address, incarnation="another")
             assert await link.closed_by_peer()
             assert (await (await peer.link()).resp())[2] == b"r1"
             attempts.pool.close()
--- a/tests/cache_router/net/test_upstream_connection.py
+++ b/tests/cache_router/net/test_upstream_connection.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
-
 import pytest
 
 from cache_router.decisions.events import AttemptStatus
@@ -12,6 +10,7 @@
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.net.upstream_connection import UpstreamConnection
+from tests.support.event_order import wait_until
 from tests.support.loopback import HIT, Peer, http, run
 from tests.support.upstream_attempts import HUGE_SET, AttemptRunner, cache_attempts
 
@@ -119,9 +118,9 @@
         async with Peer() as peer:
             attempts = cache_attempts()
             attempt = attempts.start(peer.address)
+            assert attempts.pool.connecting
             attempt.abandon()
-            assert attempt.connecting is not None
-            await asyncio.wait([attempt.connecting])
+            await wait_until(lambda: not attempts.pool.connecting)
             attempts.start(peer.address)
             link = await peer.link()
             assert (await link.resp())[2] == b"r1"
--- a/tests/scale_experiments/test_simulated_connection_pool.py
+++ b/tests/scale_experiments/test_simulated_connection_pool.py
@@ -15,7 +15,7 @@
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.command import Command
 from cache_router.net.connection_pool import ConnectionPool
-from cache_router.net.upstream_connection import AttemptInFlight, UpstreamResponse
+from cache_router.net.upstream_attempt import UpstreamAttempt, UpstreamResponse
 from cache_router.server import DescriptorBudget
 from scale_experiments.simulation import network_rules
 from scale_experiments.simulation.attempt_runner import AttemptRunner
@@ -85,7 +85,7 @@
         self.peer = peer
         self.links: list[Link] = []
         self.ended: set[int] = set()
-        self.attempts: dict[int, AttemptInFlight] = {}
+        self.attempts: dict[int, UpstreamAttempt] = {}
         self.outcomes: asyncio.Queue[Outcome] = asyncio.Queue()
         self.tasks = [asyncio.create_task(self._accept())]
 
@@ -110,7 +110,8 @@
         def done(response: UpstreamResponse) -> None:
             self.outcomes.put_nowait(response.status)
 
-        attempt = self.pool.start(self.peer.address, GET, LONG, done, process, precondition=lambda: ends)
+        attempt = UpstreamAttempt(GET, LONG, done, precondition=lambda: ends)
+        self.pool.start(attempt, self.peer.address, process)
         outcome = await self._next_outcome()
         if isinstance(outcome, int):
             self.attempts[outcome] = attempt
--- a/tests/support/event_order.py
+++ b/tests/support/event_order.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from cache_router.net.upstream_connection import AttemptInFlight, UpstreamConnection
+from cache_router.net.upstream_attempt import UpstreamAttempt
+from cache_router.net.upstream_connection import UpstreamConnection
 from tests.support.loopback import Link, Peer, Router
 
 
@@ -35,7 +36,7 @@
     request_ids: list[str] = []
     begin = UpstreamConnection.begin
 
-    def recorded(connection: UpstreamConnection, attempt: AttemptInFlight) -> None:
+    def recorded(connection: UpstreamConnection, attempt: UpstreamAttempt) -> None:
         request_ids.append(attempt.command.request_id.decode())
         begin(connection, attempt)
 
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -9,7 +9,7 @@
 from cache_router.net.command import Command
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.origin_connection import OriginConnection
-from cache_router.net.upstream_connection import AttemptInFlight, UpstreamResponse
+from cache_router.net.upstream_attempt import UpstreamAttempt, UpstreamResponse
 from tests.support.loopback import Link, Peer
 
 GET = Command(b"C.GET", b"k", b"r1", {"c": "read", "d": "900"}, 900)
@@ -31,9 +31,11 @@
         assert (await link.resp())[2] == b"r1"
         return link
 
-    def start(self, address: str, command: Command = GET) -> AttemptInFlight:
-        """Start an attempt that times out after 0.5 s."""
-        return self.pool.start(address, command, 0.5, self._record)
+    def start(self, address: str, command: Command = GET, incarnation: object = None) -> UpstreamAttempt:
+        """Start an attempt for which the router waits 0.5 s, and return it."""
+        attempt = UpstreamAttempt(command, 0.5, self._record)
+        self.pool.start(attempt, address, incarnation)
+        return attempt
 
     def _record(self, response: UpstreamResponse) -> None:
         self.results.put_nowait((response.status, response.value))
