--- a/cache_router/net/attempt_runner.py
+++ b/cache_router/net/attempt_runner.py
@@ -54,14 +54,13 @@
         attempt = UpstreamAttempt(
             request.command,
             time_left if timeout is None else timeout,
-            # by its number: an attempt that its own callback refers to is left to the garbage collector
+            # with the number, not the attempt: a reference cycle would be left to the garbage collector
             partial(self._complete, request, number),
             precondition=partial(self._precondition, request, endpoint),
             number=number,
             started_at=now,
         )
-        request.attempts_started += 1
-        request.attempts[number] = attempt
+        request.add_attempt(attempt)
         status = self._precondition(request, endpoint)
         if number >= self._max_attempts:
             status = AttemptStatus.NOT_SENT
@@ -93,7 +92,7 @@
         its server may have begun to drain.
         """
         if not request.is_closed and not request.is_connected():
-            self._on_client_disconnected(request.command.request_id.decode())
+            self._on_client_disconnected(request.request_id)
         if request.is_closed or request.deadline_passed:
             return AttemptStatus.NOT_SENT
         if endpoint is None or not self._endpoints.is_sendable(endpoint):
@@ -109,15 +108,15 @@
 
     def _complete(self, request: RequestInFlight, number: int, response: UpstreamResponse) -> None:
         """Post the one outcome of an attempt; the value of the first that succeeds answers the client."""
-        attempt = request.attempts.pop(number, None)
+        attempt = self._requests.remove_attempt(request, number)
         if attempt is None:
             return
-        request_id = request.command.request_id.decode()
         status, value = response.status, response.value
         if status is AttemptStatus.OK:
-            self._requests.respond(request_id, b"$%d\r\n%b\r\n" % (len(value), value))
-        self._requests.release_candidates.append(request_id)
+            self._requests.respond(request.request_id, b"$%d\r\n%b\r\n" % (len(value), value))
         latency = self._clock.now() - attempt.started_at
         report = response.load_report
         load_report = parse_load_report(report, self._load_report_fields) if report else None
-        self._post(AttemptCompleted(request_id, number, status, request.is_closed, latency, load_report))
+        self._post(
+            AttemptCompleted(request.request_id, number, status, request.is_closed, latency, load_report)
+        )
--- a/cache_router/net/dispatcher.py
+++ b/cache_router/net/dispatcher.py
@@ -46,7 +46,7 @@
 )
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.endpoint_table import EndpointTable, NetworkEndpoint
-from cache_router.net.request_table import RequestTable
+from cache_router.net.request_table import RequestInFlight, RequestTable
 from cache_router.settings import Idempotency, Settings
 
 # Seconds before the client's deadline, which counts from its send. Measured: the way takes 1.3 ms at most in
@@ -77,7 +77,7 @@
         self.router = Router(settings, seed, self.clock.now())
         origin_kind = settings.origin_kind if settings.cache_aside else None
         self.endpoints = EndpointTable(caches, origins, origin_kind)
-        self.requests = RequestTable(self._on_deadline, self.clock.now())
+        self.requests = RequestTable(self._on_deadline, self.clock)
         self.attempts = AttemptRunner(
             settings,
             self.clock,
@@ -101,10 +101,9 @@
                     self._execute(action)
         finally:
             self.handling = False
-            # Not earlier: the module may still send for a request that it has just ended, and is then told
-            # that the attempt was not sent.
-            if self.requests.release_candidates:
-                self.requests.release_finished(self.clock.now())
+            # Not earlier: the decision module may still send for a request that it has just ended, and must
+            # be notified that this attempt was not sent.
+            self.requests.release_finished()
 
     def _execute(self, action: Action) -> None:
         match action:
@@ -165,9 +164,8 @@
         if request_class.idempotency is Idempotency.WITH_KEY and not command.info.get(IDEMPOTENCY_KEY_FIELD):
             raise CommandError("k is missing")
         time_left = max(0.0, command.deadline_ms / 1000 - DEADLINE_MARGIN)
-        now = self.clock.now()
         time_left = self.requests.add(
-            request_id, command, time_left, now, respond=respond, is_connected=is_connected
+            request_id, command, time_left, respond=respond, is_connected=is_connected
         )
         hint = command.info.get(COST_HINT_FIELD, "")
         cost_hint = int(hint) / 1e6 if hint.isdigit() and len(hint) <= MAX_COST_HINT_DIGITS else None
@@ -181,12 +179,10 @@
 
     def start_shutdown(self, seconds: float) -> None:
         """Answer every request, also those still to be accepted, within so many seconds from now."""
-        self.requests.limit_deadlines(seconds, self.clock.now())
+        self.requests.limit_deadlines(seconds)
         self.post(ShutdownStarted(seconds))
 
-    def _on_deadline(self, request_id: str) -> None:
-        request = self.requests[request_id]
-        request.deadline_passed = True
+    def _on_deadline(self, request: RequestInFlight) -> None:
         self.attempts.time_out_all(request)
 
     def _reject(self, action: Reject) -> None:
--- a/cache_router/net/request_table.py
+++ b/cache_router/net/request_table.py
@@ -4,54 +4,97 @@
 
 import asyncio
 import math
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
+from cache_router.net.clock import Clock
 from cache_router.net.command import Command
 from cache_router.net.upstream_attempt import UpstreamAttempt
 
-# seconds for which the id of a finished request is rejected at least: another client that repeats it would be
-# served with what the first one asked for
+# Seconds for which the id of a finished request is rejected at least: another client that repeats it might
+# get the value that the first client requested.
 ID_REUSE_DELAY = 2.0
 
 
 @dataclass(slots=True, eq=False)
 class RequestInFlight:
-    """A request, kept until its client is owed no answer and no attempt of it is in flight."""
+    """A request, kept until it is closed and has no attempt in flight. It changes by its methods only."""
 
+    request_id: str
     command: Command
-    deadline: float  # on the dispatcher's clock
     respond: Callable[[bytes], None]  # takes the final answer
     is_connected: Callable[[], bool]  # whether its client is, as the kernel knows it
-    deadline_timer: asyncio.TimerHandle | None = None
-    attempts_started: int = 0  # whatever became of them
+    deadline: float  # on the table's clock
+    _deadline_timer: asyncio.TimerHandle
+    attempts_started: int = 0  # including those that have ended
     is_closed: bool = False  # answered, or its client has disconnected
     deadline_passed: bool = False
     attempts: dict[int, UpstreamAttempt] = field(default_factory=dict)  # in flight, by number
 
+    def add_attempt(self, attempt: UpstreamAttempt) -> None:
+        """Add the next attempt, whose number is `attempts_started`."""
+        self.attempts_started += 1
+        self.attempts[attempt.number] = attempt
 
-class RequestTable(dict[str, RequestInFlight]):
-    """Requests in flight by id.
+    def remove_attempt(self, number: int) -> UpstreamAttempt | None:
+        """Remove an attempt that has ended, and return it; None if it was removed before."""
+        return self.attempts.pop(number, None)
 
-    A dict itself, because every action and every outcome looks up its request here. Times are seconds on the
-    clock of the caller, who passes the present one as `now`.
-    """
+    def mark_closed(self) -> None:
+        """Note that the request has been answered, or that its client has disconnected."""
+        self.is_closed = True
 
-    def __init__(self, on_deadline: Callable[[str], None], now: float) -> None:
-        """`on_deadline` is called with the id of a request whose deadline has passed."""
-        super().__init__()
-        self.release_candidates: list[str] = []  # ids, to be looked at by `release_finished`
+    def mark_deadline_passed(self) -> None:
+        """Note that the deadline has passed: no attempt may be sent any more."""
+        self.deadline_passed = True
+
+    def set_deadline(self, deadline: float, timer: asyncio.TimerHandle) -> None:
+        """Replace the deadline; `timer` runs out at that time."""
+        self.stop_deadline_timer()
+        self.deadline = deadline
+        self._deadline_timer = timer
+
+    def stop_deadline_timer(self) -> None:
+        """Stop the timer, which would otherwise run out for a request that is no longer in flight."""
+        self._deadline_timer.cancel()
+
+
+class RequestTable:
+    """Requests in flight by id. Times are in seconds, on the table's clock."""
+
+    def __init__(self, on_deadline: Callable[[RequestInFlight], None], clock: Clock) -> None:
+        """`on_deadline` is called with a request whose deadline has passed."""
         self._on_deadline = on_deadline
+        self._clock = clock
+        self._requests: dict[str, RequestInFlight] = {}
+        # ids of requests that have been closed or have lost an attempt since `release_finished` was called
+        self._release_candidates: list[str] = []
         self._latest_deadline = math.inf
         # two generations, so that ids are dropped in bulk
         self._recently_used_ids: set[str] = set()
         self._previously_used_ids: set[str] = set()
-        self._ids_rotated_at = now
+        self._ids_rotated_at = clock.now()
+
+    def __len__(self) -> int:
+        """Return how many requests are in flight."""
+        return len(self._requests)
+
+    def __iter__(self) -> Iterator[str]:
+        """Iterate over the ids of the requests in flight."""
+        return iter(self._requests)
+
+    def __contains__(self, request_id: str) -> bool:
+        """Return whether a request of this id is in flight."""
+        return request_id in self._requests
+
+    def get(self, request_id: str) -> RequestInFlight | None:
+        """Return the request of this id, if it is in flight."""
+        return self._requests.get(request_id)
 
     def is_id_used(self, request_id: str) -> bool:
-        """Whether a request of this id is in flight, or was until a few seconds ago."""
+        """Return whether a request of this id is in flight, or was until a few seconds ago."""
         return (
-            request_id in self
+            request_id in self._requests
             or request_id in self._recently_used_ids
             or request_id in self._previously_used_ids
         )
@@ -61,60 +104,79 @@
         request_id: str,
         command: Command,
         time_left: float,
-        now: float,
         *,
         respond: Callable[[bytes], None],
         is_connected: Callable[[], bool],
     ) -> float:
-        """Add a request and start its deadline timer; returns the seconds left for it."""
+        """Add a request, and return the seconds left for it: `time_left`, or fewer in a shutdown."""
+        now = self._clock.now()
         time_left = max(0.0, min(time_left, self._latest_deadline - now))
-        timer = asyncio.get_running_loop().call_later(time_left, self._on_deadline, request_id)
-        self[request_id] = RequestInFlight(command, now + time_left, respond, is_connected, timer)
+        timer = self._start_deadline_timer(request_id, time_left)
+        request = RequestInFlight(request_id, command, respond, is_connected, now + time_left, timer)
+        self._requests[request_id] = request
         return time_left
 
     def respond(self, request_id: str, answer: bytes) -> None:
         """Give a request its final answer, unless it is closed."""
-        request = self.get(request_id)
+        request = self._requests.get(request_id)
         if request is not None and not request.is_closed:
-            self._mark_closed(request_id, request)
+            self._close(request)
             request.respond(answer)
 
     def close(self, request_id: str) -> bool:
-        """Note that no answer is owed any more; returns whether one was."""
-        request = self.get(request_id)
+        """Close a request without an answer; return whether it was in flight and not closed."""
+        request = self._requests.get(request_id)
         if request is None or request.is_closed:
             return False
-        self._mark_closed(request_id, request)
+        self._close(request)
         return True
 
-    def limit_deadlines(self, seconds: float, now: float) -> None:
-        """Let no request, present or future, have a deadline later than so many seconds from now."""
-        self._latest_deadline = now + seconds
-        loop = asyncio.get_running_loop()
-        for request_id, request in self.items():
-            if request.deadline > self._latest_deadline and request.deadline_timer is not None:
-                request.deadline_timer.cancel()
-                request.deadline = self._latest_deadline
-                request.deadline_timer = loop.call_later(seconds, self._on_deadline, request_id)
-
-    def release_finished(self, now: float) -> None:
-        """Drop the candidates for which nothing is owed or in flight: a deadline may be ten minutes away."""
-        for request_id in self.release_candidates:
-            request = self.get(request_id)
+    def remove_attempt(self, request: RequestInFlight, number: int) -> UpstreamAttempt | None:
+        """Remove an attempt that has ended, and return it; None if it was removed before."""
+        attempt = request.remove_attempt(number)
+        if attempt is not None:
+            self._release_candidates.append(request.request_id)
+        return attempt
+
+    def limit_deadlines(self, seconds: float) -> None:
+        """Move later deadlines of present and future requests to so many seconds from now."""
+        self._latest_deadline = self._clock.now() + seconds
+        for request_id, request in self._requests.items():
+            if request.deadline > self._latest_deadline:
+                request.set_deadline(self._latest_deadline, self._start_deadline_timer(request_id, seconds))
+
+    def release_finished(self) -> None:
+        """Remove the requests that are closed and have no attempt in flight.
+
+        Without this they would stay in memory until their deadlines, for up to ten minutes.
+        """
+        if not self._release_candidates:
+            return
+        now = self._clock.now()
+        for request_id in self._release_candidates:
+            request = self._requests.get(request_id)
             if request is not None and request.is_closed and not request.attempts:
-                self._release(request_id, request, now)
-        self.release_candidates.clear()
+                self._release(request, now)
+        self._release_candidates.clear()
+
+    def _start_deadline_timer(self, request_id: str, seconds: float) -> asyncio.TimerHandle:
+        # with the id, not the request: a reference cycle would be left to the garbage collector
+        return asyncio.get_running_loop().call_later(seconds, self._pass_deadline, request_id)
+
+    def _pass_deadline(self, request_id: str) -> None:
+        request = self._requests[request_id]
+        request.mark_deadline_passed()
+        self._on_deadline(request)
 
-    def _mark_closed(self, request_id: str, request: RequestInFlight) -> None:
-        request.is_closed = True
-        self.release_candidates.append(request_id)
+    def _close(self, request: RequestInFlight) -> None:
+        request.mark_closed()
+        self._release_candidates.append(request.request_id)
 
-    def _release(self, request_id: str, request: RequestInFlight, now: float) -> None:
-        del self[request_id]
+    def _release(self, request: RequestInFlight, now: float) -> None:
+        del self._requests[request.request_id]
         if now - self._ids_rotated_at > ID_REUSE_DELAY:
             self._previously_used_ids = self._recently_used_ids
             self._recently_used_ids = set()
             self._ids_rotated_at = now
-        self._recently_used_ids.add(request_id)
-        if request.deadline_timer is not None:
-            request.deadline_timer.cancel()
+        self._recently_used_ids.add(request.request_id)
+        request.stop_deadline_timer()
