--- a/tests/cache_router/net/test_client_disconnects.py
+++ b/tests/cache_router/net/test_client_disconnects.py
@@ -166,7 +166,8 @@
     endpoints = router.dispatcher.endpoints
     links: dict[str, Link] = {}
     responses: asyncio.Queue[UpstreamResponse] = asyncio.Queue()
-    for name, endpoint in endpoints.items():
+    for name in endpoints:
+        endpoint = endpoints[name]
         pool, peer = endpoints.pool_of(endpoint), router.caches.get(name, router.origin)
         attempt = UpstreamAttempt(GET, 60.0, responses.put_nowait)
         pool.start(attempt, endpoint.address, endpoint.incarnation)
--- a/tests/cache_router/net/test_endpoint_table.py
+++ b/tests/cache_router/net/test_endpoint_table.py
@@ -15,39 +15,106 @@
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.dispatcher import Dispatcher
-from cache_router.net.endpoint_table import NetworkEndpoint
+from cache_router.net.endpoint_table import EndpointTable, NetworkEndpoint
 from cache_router.net.origin_connection import OriginConnection
 from tests.support.driver import entry, settings
-from tests.support.loopback import HIT, Router, run
+from tests.support.loopback import HIT, Router, format_address, network_endpoint, run
+
+ADDRESS = "127.0.0.1:1"
+A, B = network_endpoint("a", ADDRESS), network_endpoint("b", ADDRESS)
+ORIGIN = network_endpoint("o", ADDRESS, "origin")
 
 
 @pytest.mark.parametrize("change", ["removed", "draining", "restarted", "replaced"])
 def test_idle_connections_to_an_ended_process_are_closed(change: str) -> None:
-    """A machine that vanished never closes them, and another process may come to its address."""
+    """A machine that has failed never closes them, and another process may be started at its address."""
 
     async def scenario() -> None:
         async with Router() as router:
             client, cache = await router.start_read()
             cache.write(HIT)
             assert await client.resp() == b"value"
-            (connection,) = router.cache_pool.idle
-            (name,) = (n for n, e in router.dispatcher.endpoints.items() if e.address == connection.address)
-            entry = router.dispatcher.endpoints[name].entry
+            assert len(router.cache_pool.idle) == 1
+            address = format_address(cache.writer.get_extra_info("sockname"))
+            endpoints = router.dispatcher.endpoints
+            (name,) = (n for n in endpoints if endpoints[n].address == address)
+            entry = endpoints[name].entry
             updated = {
                 "removed": replace(entry, state=EndpointState.REMOVED),
                 "draining": replace(entry, state=EndpointState.DRAINING),
                 "restarted": replace(entry, started_at=9.0),
                 "replaced": replace(entry, state=EndpointState.REMOVED),
             }
-            endpoints = [NetworkEndpoint(updated[change], connection.address)]
+            changes = [NetworkEndpoint(updated[change], address)]
             if change == "replaced":
-                endpoints.append(NetworkEndpoint(replace(entry, name="new"), connection.address))
-            router.dispatcher.on_endpoint_update(EndpointUpdateKind.DELTA, endpoints)
+                changes.append(NetworkEndpoint(replace(entry, name="new"), address))
+            router.dispatcher.on_endpoint_update(EndpointUpdateKind.DELTA, changes)
             assert await cache.closed_by_peer()
 
     run(scenario)
 
 
+def make_pools() -> tuple[ConnectionPool, ConnectionPool]:
+    """Return the empty pools of connections to cache servers and to origins."""
+    return ConnectionPool(CacheConnection, 8, 1.0, 60.0), ConnectionPool(OriginConnection, 8, 1.0, 60.0)
+
+
+def test_complete_list_replaces_the_entries_and_changed_entries_are_added() -> None:
+    """A server that stays listed after its removal would be sent requests."""
+    endpoints = EndpointTable(*make_pools(), "origin")
+    endpoints.apply(EndpointUpdateKind.SNAPSHOT, [A, B])
+    assert (list(endpoints), len(endpoints)) == (["a", "b"], 2)
+    endpoints.apply(EndpointUpdateKind.SNAPSHOT, [B])
+    assert list(endpoints) == ["b"]
+    endpoints.apply(EndpointUpdateKind.DELTA, [A, ORIGIN])
+    assert list(endpoints) == ["b", "a", "o"]
+    removed = replace(B.entry, state=EndpointState.REMOVED)
+    endpoints.apply(EndpointUpdateKind.DELTA, [NetworkEndpoint(removed, ADDRESS)])
+    assert list(endpoints) == ["a", "o"]
+    assert endpoints.get("b") is None
+    assert endpoints["a"] is endpoints.get("a") is A
+
+
+@pytest.mark.parametrize(
+    ("entry", "is_sendable"),
+    [
+        (A.entry, True),
+        (replace(A.entry, weight=0.5), True),
+        (replace(A.entry, state=EndpointState.DRAINING), False),
+        (replace(A.entry, state=EndpointState.REMOVED), False),
+        (replace(A.entry, started_at=9.0), False),
+    ],
+    ids=["same", "weight", "draining", "removed", "restarted"],
+)
+def test_endpoint_is_sendable_while_the_same_incarnation_is_ready(entry: Endpoint, is_sendable: bool) -> None:
+    """An attempt was decided for one process: another at its address has other keys."""
+    endpoints = EndpointTable(*make_pools(), "origin")
+    endpoints.apply(EndpointUpdateKind.SNAPSHOT, [A])
+    endpoints.apply(EndpointUpdateKind.DELTA, [NetworkEndpoint(entry, ADDRESS)])
+    assert endpoints.is_sendable(A) is is_sendable
+
+
+def test_origins_have_a_pool_of_their_own() -> None:
+    """They speak another protocol; without an origin kind the router sends to cache servers only."""
+    caches, origins = make_pools()
+    endpoints = EndpointTable(caches, origins, "origin")
+    assert endpoints.pool_of(A) is caches
+    assert endpoints.pool_of(ORIGIN) is origins
+    assert EndpointTable(caches, origins, None).pool_of(ORIGIN) is caches
+
+
+def test_ready_cache_is_neither_draining_nor_an_origin() -> None:
+    """A router without one can serve no read, and its health check must fail."""
+    endpoints = EndpointTable(*make_pools(), "origin")
+    endpoints.apply(EndpointUpdateKind.SNAPSHOT, [ORIGIN])
+    assert not endpoints.has_ready_cache()
+    draining = replace(A.entry, state=EndpointState.DRAINING)
+    endpoints.apply(EndpointUpdateKind.DELTA, [NetworkEndpoint(draining, ADDRESS)])
+    assert not endpoints.has_ready_cache()
+    endpoints.apply(EndpointUpdateKind.DELTA, [B])
+    assert endpoints.has_ready_cache()
+
+
 def count_bytecodes(work: Callable[[], object]) -> int:
     """Count the bytecodes of Python code; unlike a time, the count is the same on a busy machine."""
     count = 0
@@ -68,9 +135,7 @@
 
 def make_dispatcher() -> Dispatcher:
     """Return a dispatcher without a listener, which knows no endpoints yet."""
-    caches = ConnectionPool(CacheConnection, 8, 1.0, 60.0)
-    origins = ConnectionPool(OriginConnection, 8, 1.0, 60.0)
-    return Dispatcher(settings(), 1, caches, origins, lambda: None)
+    return Dispatcher(settings(), 1, *make_pools(), lambda: None)
 
 
 def update_cost(change: Endpoint, size: int) -> int:
