--- a/cache_router/net/cache_connection.py
+++ b/cache_router/net/cache_connection.py
@@ -9,10 +9,9 @@
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net.command import MAX_VALUE, Command
-from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.resp import INCOMPLETE, ErrorReply, RespError, RespReader, encode_command
 from cache_router.net.upstream_attempt import UpstreamResponse
-from cache_router.net.upstream_connection import MalformedResponseError, UpstreamConnection
+from cache_router.net.upstream_connection import ConnectionOwner, MalformedResponseError, UpstreamConnection
 
 # of a response's three, and of whatever stands in the place of its load report
 MAX_ITEMS = 16
@@ -25,10 +24,10 @@
 class CacheConnection(UpstreamConnection):
     """A connection to a cache server."""
 
-    def __init__(self, pool: ConnectionPool, address: str) -> None:
-        """Prepare a connection of `pool` to `address` (`host:port`)."""
-        super().__init__(pool, address)
-        self.reader = RespReader(MAX_ITEMS, MAX_VALUE, MAX_RESPONSE)
+    def __init__(self, owner: ConnectionOwner, address: str, incarnation: object) -> None:
+        """Prepare a connection to `address` (`host:port`), whose states are reported to `owner`."""
+        super().__init__(owner, address, incarnation)
+        self._reader = RespReader(MAX_ITEMS, MAX_VALUE, MAX_RESPONSE)
 
     def encode(self, command: Command, time_left: float) -> bytes:
         """Encode a request as an array of bulk strings; `time_left` is in seconds."""
@@ -43,9 +42,9 @@
         Raises:
             MalformedResponseError: The bytes are not RESP2, are too many, or are no response to a request.
         """
-        self.reader.feed(data)
+        self._reader.feed(data)
         try:
-            reply = self.reader.next()
+            reply = self._reader.next()
         except RespError as error:
             raise MalformedResponseError(str(error)) from error
         match reply:
@@ -66,4 +65,4 @@
 
     def is_reusable(self) -> bool:
         """Whether nothing came after the response."""
-        return not self.reader.buffer
+        return not self._reader.buffer
--- a/cache_router/net/connection_pool.py
+++ b/cache_router/net/connection_pool.py
@@ -8,9 +8,9 @@
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net.address import parse_address
-from cache_router.net.socket_state import has_unread_bytes
+from cache_router.net.idle_connection_set import IdleConnectionSet
 from cache_router.net.upstream_attempt import UpstreamAttempt, UpstreamResponse
-from cache_router.net.upstream_connection import UpstreamConnection
+from cache_router.net.upstream_connection import ConnectionOwner, UpstreamConnection
 
 # seconds before the server may close an idle connection at which the pool closes it
 IDLE_MARGIN = 0.5
@@ -23,12 +23,12 @@
 class ConnectionPool:
     """The connections to servers that speak one protocol.
 
-    A connection is up or being opened (`connecting`); one that is up carries an attempt or is idle.
+    A connection is being opened or established; one that is established carries an attempt or is idle.
     """
 
     def __init__(
         self,
-        make_connection: Callable[[ConnectionPool, str], UpstreamConnection],
+        make_connection: Callable[[ConnectionOwner, str, object], UpstreamConnection],
         max_connections: int,
         connect_timeout: float,
         idle_timeout: float,
@@ -38,21 +38,34 @@
 
         Args:
             make_connection: Makes the protocol of a connection of this pool to an address.
-            max_connections: How many may be up or being opened at once, to all servers together.
+            max_connections: How many may be established or being opened at once, to all servers together.
             connect_timeout: Seconds that opening one may take.
             idle_timeout: Seconds after which servers close a connection that is idle.
             reuse_delay: Seconds after a response for which its connection is not used.
         """
-        self.make_connection = make_connection
-        self.max_connections = max_connections
-        self.connect_timeout = connect_timeout
-        self.reuse_delay = reuse_delay
-        self.idle_time = max(0.0, idle_timeout - IDLE_MARGIN)
-        self.connections: set[UpstreamConnection] = set()
-        self.connecting: set[asyncio.Task[None]] = set()
-        # ordered sets: the connection that has been idle for longest comes first
-        self.idle: dict[UpstreamConnection, None] = {}
-        self.idle_by_address: dict[str, dict[UpstreamConnection, None]] = {}
+        self._make_connection = make_connection
+        self._max_connections = max_connections
+        self._connect_timeout = connect_timeout
+        self._reuse_delay = reuse_delay
+        self._idle_time = max(0.0, idle_timeout - IDLE_MARGIN)
+        self._established: set[UpstreamConnection] = set()
+        self._connecting: set[asyncio.Task[None]] = set()
+        self._idle = IdleConnectionSet()
+
+    @property
+    def established_count(self) -> int:
+        """How many connections are established."""
+        return len(self._established)
+
+    @property
+    def connecting_count(self) -> int:
+        """How many connections are being opened."""
+        return len(self._connecting)
+
+    @property
+    def idle_count(self) -> int:
+        """How many connections are established and carry no attempt."""
+        return len(self._idle)
 
     def start(self, attempt: UpstreamAttempt, address: str, incarnation: object = None) -> None:
         """Start an attempt on a server. It may finish before this returns.
@@ -65,22 +78,22 @@
         """
         connection = self._take_idle(address, incarnation)
         if connection is not None:
-            connection.begin(attempt)
+            connection.send(attempt)
         elif self._ensure_capacity():
             connecting = asyncio.create_task(self._connect(attempt, address, incarnation))
             attempt.mark_connecting(connecting)
-            self.connecting.add(connecting)
-            connecting.add_done_callback(self.connecting.discard)
+            self._connecting.add(connecting)
+            connecting.add_done_callback(self._connecting.discard)
         else:
             # with more descriptors the pool would keep clients from connecting; the server is not at fault
             attempt.finish(UpstreamResponse(AttemptStatus.NOT_SENT))
 
     async def _connect(self, attempt: UpstreamAttempt, address: str, incarnation: object) -> None:
-        """Open a connection for an attempt, and begin the attempt if its precondition still holds."""
+        """Open a connection for an attempt, and send the attempt if its precondition still holds."""
         try:
-            async with asyncio.timeout(self.connect_timeout):
+            async with asyncio.timeout(self._connect_timeout):
                 _, connection = await asyncio.get_running_loop().create_connection(
-                    lambda: self.make_connection(self, address), *parse_address(address)
+                    lambda: self._make_connection(self, address, incarnation), *parse_address(address)
                 )
         # a time-out is an OSError, an address that can't be used a ValueError
         except (OSError, ValueError) as error:
@@ -88,78 +101,71 @@
             failure = AttemptStatus.NOT_SENT if exhausted else AttemptStatus.CONNECT_FAILED
             attempt.finish(UpstreamResponse(failure))
             return
-        connection.incarnation = incarnation
         attempt.mark_connected()
         status = attempt.precondition()
         if status is None:
-            connection.begin(attempt)
+            connection.send(attempt)
             return
         if status is AttemptStatus.NOT_SENT:
             # the request is over, not the server: the connection serves another attempt
-            self.release(connection)
+            self.on_idle(connection)
         else:
             connection.abort()
         attempt.finish(UpstreamResponse(status))
 
     def _take_idle(self, address: str, incarnation: object) -> UpstreamConnection | None:
-        """The connection to a server that has been idle for longest, past its reuse delay and still open.
+        """Return the connection to a server that has been idle for longest, if it may be used.
 
         The one used last would be more likely to carry something that follows its last response late, which
         would be taken for the response to the next request.
         """
-        idle_before = asyncio.get_running_loop().time() - self.reuse_delay
-        while (connection := next(iter(self.idle_by_address.get(address, ())), None)) is not None:
-            if connection.incarnation == incarnation and connection.idle_since > idle_before:
+        idle_before = asyncio.get_running_loop().time() - self._reuse_delay
+        while (connection := self._idle.longest_idle_to(address)) is not None:
+            same_incarnation = connection.incarnation == incarnation
+            if same_incarnation and self._idle.idle_since(connection) > idle_before:
                 # all others became idle later
                 return None
-            self._remove_idle(connection)
-            usable = connection.incarnation == incarnation and not connection.transport.is_closing()
-            # a close that arrived since the event loop last looked would lose the request
-            if usable and not has_unread_bytes(connection.transport):
+            self._idle.discard(connection)
+            if same_incarnation and connection.is_usable():
                 return connection
             connection.abort()
         return None
 
     def _ensure_capacity(self) -> bool:
-        """Whether another connection may be opened; one that is idle is closed for it if need be."""
-        if len(self.connections) + len(self.connecting) < self.max_connections:
+        """Return whether another connection may be opened; an idle one is closed for it if need be."""
+        if len(self._established) + len(self._connecting) < self._max_connections:
             return True
-        idle_longest = next(iter(self.idle), None)
-        if idle_longest is None:
+        longest_idle = self._idle.longest_idle()
+        if longest_idle is None:
             return False
-        idle_longest.abort()
+        longest_idle.abort()
         return True
 
-    def release(self, connection: UpstreamConnection) -> None:
-        """Keep a connection for the next attempt, until shortly before its server would close it."""
-        connection.idle_since = asyncio.get_running_loop().time()
-        connection.abort_after(self.idle_time)
-        self.idle[connection] = None
-        self.idle_by_address.setdefault(connection.address, {})[connection] = None
-
-    def _remove_idle(self, connection: UpstreamConnection) -> None:
-        """Take a connection from those that are idle, and stop its timer."""
-        connection.cancel_timeout()
-        if connection in self.idle:
-            del self.idle[connection]
-            same_address = self.idle_by_address[connection.address]
-            del same_address[connection]
-            if not same_address:
-                del self.idle_by_address[connection.address]
-
-    def remove(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that is closed or about to be."""
-        self.connections.discard(connection)
-        self._remove_idle(connection)
-
     def close_idle(self, address: str) -> None:
         """Close the idle connections to one address."""
-        for connection in list(self.idle_by_address.get(address, ())):
+        for connection in self._idle.all_to(address):
             connection.abort()
 
     def close(self) -> None:
-        """Close all connections and stop opening those that are not yet up."""
-        for connection in list(self.connections):
+        """Close all connections and stop opening those that are not yet established."""
+        for connection in list(self._established):
             connection.abort()
-        for connecting in self.connecting:
+        for connecting in self._connecting:
             connecting.cancel()
+
+    # Called by the connections, whose owner this is
+
+    def on_connected(self, connection: UpstreamConnection) -> None:
+        """Count a connection that is established."""
+        self._established.add(connection)
+
+    def on_idle(self, connection: UpstreamConnection) -> None:
+        """Keep a connection for the next attempt, until shortly before its server would close it."""
+        now = asyncio.get_running_loop().time()
+        connection.abort_after(self._idle_time)
+        self._idle.add(connection, now)
+
+    def on_closed(self, connection: UpstreamConnection) -> None:
+        """Remove a connection that is closed or about to be."""
+        self._established.discard(connection)
+        self._idle.discard(connection)
--- /dev/null
+++ b/cache_router/net/idle_connection_set.py
@@ -0,0 +1,53 @@
+"""The idle connections of a pool, in the order in which they became idle."""
+
+from __future__ import annotations
+
+from cache_router.net.upstream_connection import UpstreamConnection
+
+
+class IdleConnectionSet:
+    """Idle connections, the one that has been idle for longest first, altogether and for each address."""
+
+    def __init__(self) -> None:
+        """Create an empty set."""
+        # dicts, as sets have no order; a value is the time at which its connection became idle, in seconds
+        self._idle_since: dict[UpstreamConnection, float] = {}
+        self._by_address: dict[str, dict[UpstreamConnection, None]] = {}
+
+    def __len__(self) -> int:
+        """Return how many connections are idle."""
+        return len(self._idle_since)
+
+    def add(self, connection: UpstreamConnection, now: float) -> None:
+        """Add a connection that is idle from now on; `now` is in seconds."""
+        self._idle_since[connection] = now
+        self._by_address.setdefault(connection.address, {})[connection] = None
+
+    def discard(self, connection: UpstreamConnection) -> None:
+        """Remove a connection, if it is idle."""
+        if connection in self._idle_since:
+            del self._idle_since[connection]
+            same_address = self._by_address[connection.address]
+            del same_address[connection]
+            if not same_address:
+                del self._by_address[connection.address]
+
+    def idle_since(self, connection: UpstreamConnection) -> float:
+        """Return the time at which an idle connection was added, in seconds.
+
+        Raises:
+            KeyError: The connection is not idle.
+        """
+        return self._idle_since[connection]
+
+    def longest_idle(self) -> UpstreamConnection | None:
+        """Return the connection that has been idle for longest; None if none is idle."""
+        return next(iter(self._idle_since), None)
+
+    def longest_idle_to(self, address: str) -> UpstreamConnection | None:
+        """Return the connection to an address that has been idle for longest; None if none is idle."""
+        return next(iter(self._by_address.get(address, ())), None)
+
+    def all_to(self, address: str) -> list[UpstreamConnection]:
+        """Return the idle connections to an address."""
+        return list(self._by_address.get(address, ()))
--- a/cache_router/net/origin_connection.py
+++ b/cache_router/net/origin_connection.py
@@ -6,10 +6,9 @@
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net.command import MAX_VALUE, Command
-from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.http import HttpClient, HttpError
 from cache_router.net.upstream_attempt import UpstreamResponse
-from cache_router.net.upstream_connection import MalformedResponseError, UpstreamConnection
+from cache_router.net.upstream_connection import ConnectionOwner, MalformedResponseError, UpstreamConnection
 
 OK = 200
 SERVICE_UNAVAILABLE = 503
@@ -26,17 +25,17 @@
     have been cut short, and is not accepted.
     """
 
-    def __init__(self, pool: ConnectionPool, address: str) -> None:
-        """Prepare a connection of `pool` to `address` (`host:port`)."""
-        super().__init__(pool, address)
-        self.client = HttpClient(address, MAX_VALUE)
+    def __init__(self, owner: ConnectionOwner, address: str, incarnation: object) -> None:
+        """Prepare a connection to `address` (`host:port`), whose states are reported to `owner`."""
+        super().__init__(owner, address, incarnation)
+        self._client = HttpClient(address, MAX_VALUE)
 
     def encode(self, command: Command, time_left: float) -> bytes:
         """Encode a request: GET or PUT of the key's path; `time_left` is in seconds."""
         # all but unreserved letters is escaped, as a key could otherwise spell another path or a query
         target = "/" + quote_from_bytes(command.key, safe="")
         headers = [(b"Request-Id", command.request_id), (b"Request-Info", command.encode_info(time_left))]
-        return self.client.request("PUT" if command.is_write else "GET", target, headers, command.value)
+        return self._client.request("PUT" if command.is_write else "GET", target, headers, command.value)
 
     def decode(self, data: bytes) -> UpstreamResponse | None:
         """Take bytes of a response, and return the response once it is complete.
@@ -45,7 +44,7 @@
             MalformedResponseError: The bytes are not HTTP/1.1, or the response is too large.
         """
         try:
-            response = self.client.receive(data)
+            response = self._client.receive(data)
         except HttpError as error:
             raise MalformedResponseError(str(error)) from error
         if response is None:
@@ -59,8 +58,8 @@
 
     def response_started(self) -> bool:
         """Whether a part of the response has come: informational ones may long precede it."""
-        return self.client.response_started()
+        return self._client.response_started()
 
     def is_reusable(self) -> bool:
         """Whether another request may follow on this connection."""
-        return self.client.is_reusable()
+        return self._client.is_reusable()
--- a/cache_router/net/upstream_connection.py
+++ b/cache_router/net/upstream_connection.py
@@ -1,7 +1,7 @@
 """A connection to a cache server or the origin, which carries one attempt at a time.
 
 `UpstreamConnection` is what the protocols have in common: when a request counts as written, when a response
-can no longer be trusted, and whether the connection may be used again. How an attempt ends turns on one
+can no longer be trusted, and whether the connection may be used again. How an attempt ends depends on one
 question: may the server have run the request?
 """
 
@@ -10,17 +10,15 @@
 import asyncio
 import logging
 from abc import abstractmethod
-from typing import TYPE_CHECKING, cast
+from typing import Protocol, cast
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.errors import RouterError
 from cache_router.net.command import Command
+from cache_router.net.socket_state import has_unread_bytes
 from cache_router.net.upstream_attempt import UpstreamAttempt, UpstreamResponse
 
-if TYPE_CHECKING:
-    from cache_router.net.connection_pool import ConnectionPool
-
-# seconds for the rest of a response once it has begun: servers send it in one piece
+# seconds for the rest of a response after its first byte: servers send a response in one piece
 RESPONSE_COMPLETION_TIMEOUT = 0.1
 
 log = logging.getLogger(__name__)
@@ -30,24 +28,40 @@
     """A response that can't be used. The request that it answers may have run."""
 
 
+class ConnectionOwner(Protocol):
+    """Is notified of the states of its connections."""
+
+    def on_connected(self, connection: UpstreamConnection) -> None:
+        """Take note that a connection is established."""
+
+    def on_idle(self, connection: UpstreamConnection) -> None:
+        """Take note that a connection has carried an attempt and may carry another."""
+
+    def on_closed(self, connection: UpstreamConnection) -> None:
+        """Take note that a connection is closed or about to be; called again once an abort is complete."""
+
+
 class UpstreamConnection(asyncio.Protocol):
     """A connection to one address; subclasses encode requests and decode responses."""
 
-    transport: asyncio.Transport
+    _transport: asyncio.Transport
+
+    def __init__(self, owner: ConnectionOwner, address: str, incarnation: object) -> None:
+        """Prepare a connection.
 
-    def __init__(self, pool: ConnectionPool, address: str) -> None:
-        """Prepare a connection of `pool` to `address` (`host:port`)."""
-        self.pool = pool
+        Args:
+            owner: Notified of the connection's states.
+            address: `host:port` of the server.
+            incarnation: Of the server: another may be started at the same address.
+        """
         self.address = address
-        self.attempt: UpstreamAttempt | None = None
+        self.incarnation = incarnation
+        self._owner = owner
+        self._attempt: UpstreamAttempt | None = None
         # whether the kernel has the last byte of the request
-        self.request_written = False
-        # of the server that it was made to: another may be started at the same address
-        self.incarnation: object = None
-        # the event loop's time at which it became idle, in seconds
-        self.idle_since = 0.0
-        # runs out while it is idle, or while a response is incomplete
-        self.timeout: asyncio.TimerHandle | None = None
+        self._request_written = False
+        # runs out while the connection is idle, or while a response is incomplete
+        self._timeout: asyncio.TimerHandle | None = None
 
     @abstractmethod
     def encode(self, command: Command, time_left: float) -> bytes:
@@ -63,98 +77,113 @@
 
     @abstractmethod
     def is_reusable(self) -> bool:
-        """Whether another request may follow: the response was complete and nothing came after it."""
+        """Return whether another request may follow: the response is complete and nothing came after it."""
 
     def response_started(self) -> bool:
-        """Whether what has come is a part of the response, and not something that precedes it."""
+        """Return whether a part of the response has come, and not only something that precedes it."""
         return True
 
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the pool; the event loop calls this once the connection is up."""
-        self.transport = cast(asyncio.Transport, transport)
-        # so that `resume_writing` is called just when the last byte has gone to the kernel
-        self.transport.set_write_buffer_limits(high=0)
-        self.pool.connections.add(self)
+    def is_usable(self) -> bool:
+        """Return whether an idle connection may carry a request.
+
+        Bytes or a close that arrived since the event loop last looked would lose the request.
+        """
+        return not self._transport.is_closing() and not has_unread_bytes(self._transport)
 
-    def begin(self, attempt: UpstreamAttempt) -> None:
+    def send(self, attempt: UpstreamAttempt) -> None:
         """Write the request of an attempt. The connection must be idle."""
+        self._cancel_timeout()
         attempt.mark_sent(self)
-        self.attempt = attempt
-        self.request_written = False
+        self._attempt = attempt
+        self._request_written = False
         try:
             data = self.encode(attempt.command, attempt.time_left())
         except Exception:
-            # whatever is wrong with a request, its attempt must end: the router waits for that
+            # any error in a request must end its attempt: the router waits for that
             log.exception("request for %s can't be encoded", self.address)
             self.abort()
             return
-        self.transport.write(data)
+        self._transport.write(data)
         # `write` returns also when bytes are buffered or writing failed; a request that was cut off never ran
-        self.request_written = not self.transport.is_closing() and not self.transport.get_write_buffer_size()
+        buffered = self._transport.get_write_buffer_size()
+        self._request_written = not self._transport.is_closing() and not buffered
+
+    def abort_after(self, seconds: float) -> None:
+        """Close the connection after so many seconds, unless an attempt is sent on it before."""
+        self._cancel_timeout()
+        self._timeout = asyncio.get_running_loop().call_later(seconds, self.abort)
+
+    def abort(self) -> None:
+        """Close at once, without sending what is still buffered."""
+        self._cancel_timeout()
+        self._owner.on_closed(self)
+        self._transport.abort()
+
+    # Called by the event loop
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Notify the owner that the connection is established."""
+        self._transport = cast(asyncio.Transport, transport)
+        # so that `resume_writing` is called just when the last byte has gone to the kernel
+        self._transport.set_write_buffer_limits(high=0)
+        self._owner.on_connected(self)
 
     def resume_writing(self) -> None:
-        """Note that the kernel has the whole request; the event loop calls this once its buffer is empty."""
-        self.request_written = True
+        """Note that the kernel has the complete request: the write buffer is empty."""
+        self._request_written = True
 
     def data_received(self, data: bytes) -> None:
         """Take bytes of the response, and end the attempt once the response is complete."""
-        attempt = self.attempt
+        attempt = self._attempt
         if attempt is None:
-            # nobody asked for these bytes; the next response could not be told from them
+            # no request precedes these bytes; they could not be distinguished from the next response
             self.abort()
             return
         try:
             response = self.decode(data)
         except Exception as error:
-            # whatever a server sends, it costs this connection and no more
+            # no response of a server may cost more than this connection
             self._fail(attempt, error)
             return
-        if response is None:
-            if self.timeout is None and self.response_started():
-                self._limit_completion(attempt)
-            return
-        self.cancel_timeout()
-        self.attempt = None
-        if self.request_written and self.is_reusable() and not self.transport.is_closing():
-            self.pool.release(self)
+        if response is not None:
+            self._complete(attempt, response)
+        elif self._timeout is None and self.response_started():
+            self._limit_completion(attempt)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Notify the owner, and end the attempt if there is one."""
+        self._cancel_timeout()
+        self._owner.on_closed(self)
+        attempt, self._attempt = self._attempt, None
+        if attempt is not None:
+            status = AttemptStatus.RESET if self._request_written else AttemptStatus.CONNECT_FAILED
+            attempt.finish(UpstreamResponse(status))
+
+    def _complete(self, attempt: UpstreamAttempt, response: UpstreamResponse) -> None:
+        """End an attempt with a complete response, and keep the connection if another request may follow."""
+        self._cancel_timeout()
+        self._attempt = None
+        if self._request_written and self.is_reusable() and not self._transport.is_closing():
+            self._owner.on_idle(self)
         else:
             self.abort()
         attempt.finish(response)
 
     def _limit_completion(self, attempt: UpstreamAttempt) -> None:
-        """Bound the time for the rest of a response: one that announces more than is sent never ends."""
+        """Limit the time for the rest of a response: one that announces more than is sent never ends."""
         loop = asyncio.get_running_loop()
-        incomplete = MalformedResponseError("begun, but not completed in time")
-        self.timeout = loop.call_later(RESPONSE_COMPLETION_TIMEOUT, self._fail, attempt, incomplete)
+        incomplete = MalformedResponseError("started, but not completed in time")
+        self._timeout = loop.call_later(RESPONSE_COMPLETION_TIMEOUT, self._fail, attempt, incomplete)
 
     def _fail(self, attempt: UpstreamAttempt, error: Exception) -> None:
         """End an attempt whose request may have run; what follows on the connection can't be trusted."""
         level = logging.WARNING if isinstance(error, MalformedResponseError) else logging.ERROR
         log.log(level, "response of %s can't be used: %.200r", self.address, error)
-        self.attempt = None
+        self._attempt = None
         self.abort()
         attempt.finish(UpstreamResponse(AttemptStatus.ERROR))
 
-    def cancel_timeout(self) -> None:
-        """Stop the timer of an idle connection or of an incomplete response, if one runs."""
-        if self.timeout is not None:
-            self.timeout.cancel()
-            self.timeout = None
-
-    def abort_after(self, seconds: float) -> None:
-        """Close the connection after so many seconds, unless `cancel_timeout` is called before."""
-        self.cancel_timeout()
-        self.timeout = asyncio.get_running_loop().call_later(seconds, self.abort)
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        """End the attempt, if there is one; the event loop calls this when the connection is closed."""
-        self.pool.remove(self)
-        attempt, self.attempt = self.attempt, None
-        if attempt is not None:
-            status = AttemptStatus.RESET if self.request_written else AttemptStatus.CONNECT_FAILED
-            attempt.finish(UpstreamResponse(status))
-
-    def abort(self) -> None:
-        """Close at once, without sending what is still buffered."""
-        self.pool.remove(self)
-        self.transport.abort()
+    def _cancel_timeout(self) -> None:
+        if self._timeout is not None:
+            self._timeout.cancel()
+            self._timeout = None
--- a/tests/cache_router/net/test_cache_connection.py
+++ b/tests/cache_router/net/test_cache_connection.py
@@ -70,6 +70,6 @@
             link.write(response)
             assert await attempts.outcome() == (AttemptStatus.ERROR, b"")
             assert await link.closed_by_peer()
-            assert not attempts.pool.connections
+            assert attempts.pool.established_count == 0
 
     run(scenario)
--- a/tests/cache_router/net/test_client_disconnects.py
+++ b/tests/cache_router/net/test_client_disconnects.py
@@ -154,9 +154,8 @@
 async def wait_until_settled(router: Router) -> None:
     """Wait until nothing is in flight, so that no attempt can follow."""
     dispatcher = router.dispatcher
-    await wait_until(
-        lambda: not (dispatcher.requests or router.cache_pool.connecting or router.origin_pool.connecting)
-    )
+    pools = (router.cache_pool, router.origin_pool)
+    await wait_until(lambda: not dispatcher.requests and not any(pool.connecting_count for pool in pools))
     assert not dispatcher.router.pending
     assert not dispatcher.router.attempts
 
@@ -272,8 +271,9 @@
             connections = DelayedConnections(monkeypatch, *router.caches.values())
             client = blocking_client(router)
             await connection_of(router, client)
-            for idle in list(router.cache_pool.idle):
-                idle.abort()
+            for cache in router.caches.values():
+                router.cache_pool.close_idle(cache.address)
+            assert router.cache_pool.idle_count == 0
             client.sendall(read("r1"))
             await first_connection(router)
             disconnect_blocking_client(client, how)
--- a/tests/cache_router/net/test_connection_pool.py
+++ b/tests/cache_router/net/test_connection_pool.py
@@ -58,7 +58,7 @@
         attempts = cache_attempts()
         attempts.start(address)
         assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
-        assert not attempts.pool.connections
+        assert attempts.pool.established_count == 0
 
     run(scenario)
 
@@ -113,7 +113,7 @@
             link.write(HIT)
             assert await attempts.outcome() == (AttemptStatus.OK, b"value")
             assert await link.closed_by_peer()
-            assert not attempts.pool.connections
+            assert attempts.pool.established_count == 0
 
     run(scenario)
 
@@ -152,7 +152,7 @@
                 await attempts.outcome()
             attempts.start(three.address)
             assert await second.closed_by_peer()
-            assert len(attempts.pool.idle) == 1
+            assert attempts.pool.idle_count == 1
             attempts.pool.close()
 
     run(scenario)
--- a/tests/cache_router/net/test_endpoint_table.py
+++ b/tests/cache_router/net/test_endpoint_table.py
@@ -34,7 +34,7 @@
             client, cache = await router.start_read()
             cache.write(HIT)
             assert await client.resp() == b"value"
-            assert len(router.cache_pool.idle) == 1
+            assert router.cache_pool.idle_count == 1
             address = format_address(cache.writer.get_extra_info("sockname"))
             endpoints = router.dispatcher.endpoints
             (name,) = (n for n in endpoints if endpoints[n].address == address)
--- /dev/null
+++ b/tests/cache_router/net/test_idle_connection_set.py
@@ -0,0 +1,57 @@
+"""The order of idle connections, altogether and for each address."""
+
+from __future__ import annotations
+
+import pytest
+
+from cache_router.net.cache_connection import CacheConnection
+from cache_router.net.connection_pool import ConnectionPool
+from cache_router.net.idle_connection_set import IdleConnectionSet
+
+A, B = "127.0.0.1:1", "127.0.0.1:2"
+
+
+def make_connection(address: str) -> CacheConnection:
+    """Return a connection that is not established."""
+    return CacheConnection(ConnectionPool(CacheConnection, 8, 1.0, 60.0), address, None)
+
+
+def test_longest_idle_connection_comes_first() -> None:
+    """The one used last is more likely to carry a late second response."""
+    idle = IdleConnectionSet()
+    assert idle.longest_idle() is idle.longest_idle_to(A) is None
+    first, second, third = (make_connection(address) for address in (B, A, A))
+    for now, connection in enumerate((first, second, third)):
+        idle.add(connection, float(now))
+    assert len(idle) == 3
+    assert idle.longest_idle() is first
+    assert idle.longest_idle_to(A) is second
+    assert idle.all_to(A) == [second, third]
+    assert idle.idle_since(third) == 2.0
+
+
+def test_connection_that_is_used_again_is_idle_for_the_shortest_time() -> None:
+    """A connection that kept its place would be closed in place of one that is not needed."""
+    idle = IdleConnectionSet()
+    first, second = make_connection(A), make_connection(A)
+    for now, connection in enumerate((first, second)):
+        idle.add(connection, float(now))
+    idle.discard(first)
+    assert idle.all_to(A) == [second]
+    idle.add(first, 2.0)
+    assert idle.longest_idle() is idle.longest_idle_to(A) is second
+    assert idle.idle_since(first) == 2.0
+
+
+def test_discarded_connection_is_in_no_order() -> None:
+    """A connection that is closed twice is discarded twice; one that carries an attempt is not idle."""
+    idle = IdleConnectionSet()
+    connection = make_connection(A)
+    idle.add(connection, 0.0)
+    for _ in range(2):
+        idle.discard(connection)
+        assert len(idle) == 0
+        assert idle.longest_idle() is idle.longest_idle_to(A) is None
+        assert idle.all_to(A) == []
+    with pytest.raises(KeyError):
+        idle.idle_since(connection)
--- a/tests/cache_router/net/test_late_connections.py
+++ b/tests/cache_router/net/test_late_connections.py
@@ -91,7 +91,7 @@
             client.close()
             await wait_until(lambda: not router.listener.connections)
             connections.released.set()
-            await wait_until(lambda: not router.cache_pool.connecting)
+            await wait_until(lambda: not router.cache_pool.connecting_count)
             assert not written
             assert not router.dispatcher.router.pending
 
@@ -120,6 +120,6 @@
             else:
                 assert str(await client.resp()).startswith("BUSY")
                 assert router.origin.links.empty()
-                assert not router.origin_pool.connecting
+                assert router.origin_pool.connecting_count == 0
 
     run(scenario)
--- a/tests/cache_router/net/test_origin_connection.py
+++ b/tests/cache_router/net/test_origin_connection.py
@@ -93,7 +93,7 @@
             link.close()
             assert (await attempts.outcome())[0] is status
             assert await link.closed_by_peer()
-            assert not attempts.pool.idle
+            assert attempts.pool.idle_count == 0
 
     run(scenario)
 
@@ -126,6 +126,6 @@
             attempts.start(peer.address, Command(b"C.GET", b"k", b"r1", {"x": "a\r\nb", "d": "9"}, 9))
             assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
             assert await (await peer.link()).closed_by_peer()
-            assert not attempts.pool.connections
+            assert attempts.pool.established_count == 0
 
     run(scenario)
--- a/tests/cache_router/net/test_upstream_connection.py
+++ b/tests/cache_router/net/test_upstream_connection.py
@@ -2,17 +2,123 @@
 
 from __future__ import annotations
 
+import asyncio
+import socket
+
 import pytest
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net import upstream_connection
+from cache_router.net.address import parse_address
 from cache_router.net.cache_connection import CacheConnection
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.origin_connection import OriginConnection
+from cache_router.net.upstream_attempt import UpstreamAttempt, UpstreamResponse
 from cache_router.net.upstream_connection import UpstreamConnection
 from tests.support.event_order import wait_until
 from tests.support.loopback import HIT, Peer, http, run
-from tests.support.upstream_attempts import HUGE_SET, AttemptRunner, cache_attempts
+from tests.support.upstream_attempts import GET, HUGE_SET, AttemptRunner, cache_attempts
+
+
+class RecordingOwner:
+    """The owner of a connection, which records the notifications in their order."""
+
+    def __init__(self) -> None:
+        """Create an owner that was not notified yet."""
+        self.notifications: list[str] = []
+
+    def on_connected(self, connection: UpstreamConnection) -> None:
+        self.notifications.append("connected")
+
+    def on_idle(self, connection: UpstreamConnection) -> None:
+        self.notifications.append("idle")
+
+    def on_closed(self, connection: UpstreamConnection) -> None:
+        self.notifications.append("closed")
+
+
+async def connect(owner: RecordingOwner, peer: Peer) -> CacheConnection:
+    """Establish a connection of an owner to a peer."""
+    _, connection = await asyncio.get_running_loop().create_connection(
+        lambda: CacheConnection(owner, peer.address, "incarnation"), *parse_address(peer.address)
+    )
+    return connection
+
+
+def test_owner_is_notified_of_the_states_of_its_connection() -> None:
+    """A connection that its owner counts after its end would take the place of another."""
+
+    async def scenario() -> None:
+        async with Peer() as peer:
+            owner = RecordingOwner()
+            responses: asyncio.Queue[UpstreamResponse] = asyncio.Queue()
+            connection = await connect(owner, peer)
+            assert owner.notifications == ["connected"]
+            link = await peer.link()
+            for _ in range(2):
+                connection.send(UpstreamAttempt(GET, 0.5, responses.put_nowait))
+                await link.resp()
+                link.write(HIT)
+                assert (await responses.get()).status is AttemptStatus.OK
+            assert owner.notifications == ["connected", "idle", "idle"]
+            link.close()
+            await wait_until(lambda: "closed" in owner.notifications)
+            assert owner.notifications == ["connected", "idle", "idle", "closed"]
+
+    run(scenario)
+
+
+def test_aborted_connection_notifies_its_owner_at_once() -> None:
+    """Counted until the event loop has closed it, it would keep another from being opened."""
+
+    async def scenario() -> None:
+        async with Peer() as peer:
+            owner = RecordingOwner()
+            connection = await connect(owner, peer)
+            connection.abort()
+            assert owner.notifications == ["connected", "closed"]
+            assert not connection.is_usable()
+
+    run(scenario)
+
+
+@pytest.mark.parametrize("arrival", ["bytes", "close"])
+def test_idle_connection_is_not_usable_once_bytes_or_a_close_arrive(arrival: str) -> None:
+    """A request written after them would be lost, or be answered by what precedes it."""
+
+    async def scenario() -> None:
+        async with Peer() as peer:
+            connection = await connect(RecordingOwner(), peer)
+            link = await peer.link()
+            assert connection.is_usable()
+            # before the event loop of the router can see it
+            if arrival == "bytes":
+                link.write(HIT)
+            else:
+                link.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
+            assert not connection.is_usable()
+            connection.abort()
+
+    run(scenario)
+
+
+def test_sending_an_attempt_stops_the_idle_timeout() -> None:
+    """It would close the connection under the request."""
+
+    async def scenario() -> None:
+        async with Peer() as peer:
+            responses: asyncio.Queue[UpstreamResponse] = asyncio.Queue()
+            connection = await connect(RecordingOwner(), peer)
+            connection.abort_after(0.0)
+            connection.send(UpstreamAttempt(GET, 0.5, responses.put_nowait))
+            link = await peer.link()
+            await link.resp()
+            await asyncio.sleep(0.01)
+            link.write(HIT)
+            assert (await responses.get()).status is AttemptStatus.OK
+            connection.abort()
+
+    run(scenario)
 
 
 @pytest.mark.parametrize("kind", [CacheConnection, OriginConnection])
@@ -31,7 +137,7 @@
             link.write(b"*3\r\n$9\r\nvalue\r\n" if kind is CacheConnection else http("200 OK", b"value")[:-1])
             assert await attempts.outcome() == (AttemptStatus.ERROR, b"")
             assert await link.closed_by_peer()
-            assert not attempts.pool.connections
+            assert attempts.pool.established_count == 0
 
     run(scenario)
 
@@ -46,7 +152,7 @@
             link.write(HIT + HIT)
             assert await attempts.outcome() == (AttemptStatus.OK, b"value")
             assert await link.closed_by_peer()
-            assert not attempts.pool.idle
+            assert attempts.pool.idle_count == 0
 
     run(scenario)
 
@@ -118,13 +224,13 @@
         async with Peer() as peer:
             attempts = cache_attempts()
             attempt = attempts.start(peer.address)
-            assert attempts.pool.connecting
+            assert attempts.pool.connecting_count == 1
             attempt.abandon()
-            await wait_until(lambda: not attempts.pool.connecting)
+            await wait_until(lambda: not attempts.pool.connecting_count)
             attempts.start(peer.address)
             link = await peer.link()
             assert (await link.resp())[2] == b"r1"
-            assert len(attempts.pool.connections) == 1
+            assert attempts.pool.established_count == 1
             assert attempts.results.empty()
             attempts.pool.close()
 
--- a/tests/support/event_order.py
+++ b/tests/support/event_order.py
@@ -34,13 +34,13 @@
 def record_written_requests(monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """Return a list to which the id of each request is appended when the router writes it to a server."""
     request_ids: list[str] = []
-    begin = UpstreamConnection.begin
+    send = UpstreamConnection.send
 
     def recorded(connection: UpstreamConnection, attempt: UpstreamAttempt) -> None:
         request_ids.append(attempt.command.request_id.decode())
-        begin(connection, attempt)
+        send(connection, attempt)
 
-    monkeypatch.setattr(UpstreamConnection, "begin", recorded)
+    monkeypatch.setattr(UpstreamConnection, "send", recorded)
     return request_ids
 
 
