--- a/cache_router/net/attempt_runner.py
+++ b/cache_router/net/attempt_runner.py
@@ -50,7 +50,7 @@
         self._on_client_disconnected = on_client_disconnected
 
     def start(self, action: Send) -> None:
-        """Start an attempt, which completes at once where it must not be sent."""
+        """Start an attempt, which completes at once if it must not be sent."""
         request = self._requests.get(action.request_id)
         if request is None:
             log.error("request %s: not in flight, so nothing is sent to %s", action.request_id, action.server)
@@ -59,10 +59,26 @@
         time_left = request.deadline - now
         timeout = action.timeout if action.timeout is not None and action.timeout < time_left else None
         endpoint = self._endpoints.get(action.server)
+        attempt = self._add_attempt(request, endpoint, time_left if timeout is None else timeout, now)
+        status = self._precondition(request, endpoint)
+        if attempt.number >= self._max_attempts:
+            status = AttemptStatus.NOT_SENT
+        if status is not None or endpoint is None:
+            attempt.finish(UpstreamResponse(status or AttemptStatus.CONNECT_FAILED))
+            return
+        if timeout is not None:
+            time_out = partial(self._abandon, request, attempt.number, AttemptStatus.TIMEOUT)
+            attempt.start_timeout(timeout, time_out)
+        self._endpoints.pool_of(endpoint).start(attempt, endpoint.address, endpoint.incarnation)
+
+    def _add_attempt(
+        self, request: RequestInFlight, endpoint: NetworkEndpoint | None, time_left: float, now: float
+    ) -> UpstreamAttempt:
+        """Add an attempt to its request, and return it."""
         number = request.attempts_started
         attempt = UpstreamAttempt(
             request.command,
-            time_left if timeout is None else timeout,
+            time_left,
             # with the number, not the attempt: a reference cycle would be left to the garbage collector
             partial(self._complete, request, number),
             precondition=partial(self._precondition, request, endpoint),
@@ -70,15 +86,7 @@
             started_at=now,
         )
         request.add_attempt(attempt)
-        status = self._precondition(request, endpoint)
-        if number >= self._max_attempts:
-            status = AttemptStatus.NOT_SENT
-        if status is not None or endpoint is None:
-            attempt.finish(UpstreamResponse(status or AttemptStatus.CONNECT_FAILED))
-            return
-        if timeout is not None:
-            attempt.start_timeout(timeout, partial(self._abandon, request, number, AttemptStatus.TIMEOUT))
-        self._endpoints.pool_of(endpoint).start(attempt, endpoint.address, endpoint.incarnation)
+        return attempt
 
     def cancel(self, action: Cancel) -> None:
         """Abandon an attempt, unless it has completed."""
--- a/cache_router/net/request_table.py
+++ b/cache_router/net/request_table.py
@@ -139,7 +139,7 @@
         return attempt
 
     def limit_deadlines(self, seconds: float) -> None:
-        """Move later deadlines of present and future requests to so many seconds from now."""
+        """Limit the deadlines of present and future requests to `seconds` from now."""
         self._latest_deadline = self._clock.now() + seconds
         for request_id, request in self._requests.items():
             if request.deadline > self._latest_deadline:
--- a/cache_router/net/upstream_attempt.py
+++ b/cache_router/net/upstream_attempt.py
@@ -34,15 +34,21 @@
 
 
 def no_precondition() -> AttemptStatus | None:
-    """Let every request be written as soon as its connection is established."""
+    """Return None: a request may be written as soon as its connection is established."""
     return None
 
 
 class UpstreamAttempt:
     """An attempt of a request on a server, from its creation until it is finished or abandoned.
 
-    It waits for a connection to be established, or is carried by one. `number` counts the attempts of its
-    request from 0; `started_at` is the time of its creation on the clock of whoever creates it.
+    It waits for a connection to be established, or a connection carries it.
+
+    Attributes:
+        command: What is requested.
+        precondition: Called before the request is written on a new connection.
+        number: Number of the attempt among those of its request, from 0.
+        started_at: Time of its creation on the clock of its creator, in seconds.
+        is_open: Whether it is neither finished nor abandoned.
     """
 
     __slots__ = (
@@ -72,7 +78,7 @@
 
         Args:
             command: What is requested.
-            time_left: Seconds until the attempt's result is of no use.
+            time_left: Seconds for which the router waits for the response.
             on_completed: Called with the end of the attempt, unless it is abandoned.
             precondition: Called once a new connection is established, before the first byte is written:
                 opening a connection may take long, and much may have changed in that time.
@@ -83,7 +89,6 @@
         self.precondition = precondition
         self.number = number
         self.started_at = started_at
-        # whether it is neither finished nor abandoned
         self.is_open = True
         # on the event loop's clock
         self._deadline = asyncio.get_running_loop().time() + time_left
@@ -97,7 +102,7 @@
         return max(0.0, self._deadline - asyncio.get_running_loop().time())
 
     def start_timeout(self, seconds: float, on_timeout: Callable[[], None]) -> None:
-        """Call `on_timeout` after so many seconds, unless the attempt ends before."""
+        """Call `on_timeout` after this time, unless the attempt ends before."""
         self._timeout_timer = asyncio.get_running_loop().call_later(seconds, on_timeout)
 
     def mark_connecting(self, task: asyncio.Task[None]) -> None:
--- a/cache_router/net/upstream_connection.py
+++ b/cache_router/net/upstream_connection.py
@@ -109,7 +109,7 @@
         self._request_written = not self._transport.is_closing() and not buffered
 
     def abort_after(self, seconds: float) -> None:
-        """Close the connection after so many seconds, unless an attempt is sent on it before."""
+        """Close the connection after this time, unless an attempt is sent on it before."""
         self._cancel_timeout()
         self._timeout = asyncio.get_running_loop().call_later(seconds, self.abort)
 
--- a/tests/cache_router/net/test_cache_connection.py
+++ b/tests/cache_router/net/test_cache_connection.py
@@ -26,7 +26,7 @@
     ],
 )
 def test_responses_of_a_cache_server(response: bytes, status: AttemptStatus, value: bytes) -> None:
-    """Only what begins with BUSY was rejected; any other error may have run."""
+    """Only an error that starts with BUSY is a rejection; after any other error the request may have run."""
 
     async def scenario() -> None:
         async with Peer() as peer:
--- a/tests/cache_router/net/test_connection_pool.py
+++ b/tests/cache_router/net/test_connection_pool.py
@@ -33,7 +33,7 @@
 
 
 def test_connection_to_an_earlier_incarnation_is_not_used() -> None:
-    """A machine that vanished never closes it; what is written to it would wait for its deadline."""
+    """A machine that has failed never closes it; a request written to it would wait for its deadline."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -64,7 +64,7 @@
 
 
 def test_connecting_times_out() -> None:
-    """An unreachable machine sends nothing: without a timeout the request waits until its deadline."""
+    """An unreachable machine sends nothing: without a timeout the request would wait until its deadline."""
 
     async def scenario() -> None:
         with socket.socket() as full, socket.socket() as first:
--- a/tests/cache_router/net/test_dispatcher.py
+++ b/tests/cache_router/net/test_dispatcher.py
@@ -9,11 +9,30 @@
 from cache_router.decisions.actions import Action, Fail, LogMessage, Send
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, Event, Request
 from cache_router.net import dispatcher
+from cache_router.net.command import COST_HINT_FIELD, Command
 from tests.support.loopback import HIT, MISS, Router, error_text, http, keyed_write, read, run
 
 
+@pytest.mark.parametrize(
+    ("hint", "cost"),
+    [
+        ("90", 90e-6),
+        ("0", 0.0),
+        ("9" * dispatcher.MAX_COST_HINT_DIGITS, 999_999.999999),
+        ("9" * (dispatcher.MAX_COST_HINT_DIGITS + 1), None),
+        ("-1", None),
+        ("1.5", None),
+        ("", None),
+    ],
+)
+def test_cost_hint_is_a_number_of_microseconds(hint: str, cost: float | None) -> None:
+    """A hint that can't be read is no reason to reject its request."""
+    command = Command(b"C.GET", b"k", b"r1", {COST_HINT_FIELD: hint}, 900)
+    assert dispatcher.read_cost_hint(command) == cost
+
+
 def test_hit_is_returned_to_the_client() -> None:
-    """A read keeps its key, id and info fields on its way, but for the deadline."""
+    """A read is forwarded with its key, id and info fields, except for the deadline."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -83,7 +102,7 @@
 
 
 def test_attempts_of_a_disconnected_client_are_cancelled() -> None:
-    """Otherwise cache servers would go on working for a client that no longer waits."""
+    """Otherwise cache servers would continue to work for a client that no longer waits."""
 
     async def scenario() -> None:
         async with Router() as router:
--- a/tests/cache_router/net/test_origin_connection.py
+++ b/tests/cache_router/net/test_origin_connection.py
@@ -11,7 +11,7 @@
 from tests.support.loopback import Link, Peer, http, run
 from tests.support.upstream_attempts import GET, AttemptRunner, info_without_deadline, origin_attempts
 
-# the letters that RFC 3986 allows unescaped in a path
+# the characters that RFC 3986 allows unescaped in a path
 UNRESERVED = (string.ascii_letters + string.digits + "-._~").encode()
 
 
@@ -49,7 +49,7 @@
     ],
 )
 def test_responses_of_the_origin(response: bytes, status: AttemptStatus, value: bytes) -> None:
-    """Only a refusal that says so was not started; any other error may have run."""
+    """Only a rejection that says so was not started; any other request with an error may have run."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -77,7 +77,7 @@
             AttemptStatus.RESET,
         ),  # without a length nothing shows that it is complete
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nv", AttemptStatus.ERROR),
-        (b"ICY 200 OK", AttemptStatus.ERROR),  # without waiting for the rest
+        (b"ICY 200 OK", AttemptStatus.ERROR),  # without waiting for more
         (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 20000, AttemptStatus.ERROR),
         (b"", AttemptStatus.RESET),
     ],
--- a/tests/cache_router/net/test_upstream_connection.py
+++ b/tests/cache_router/net/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""One attempt on a connection: its outcome turns on whether the request may have run."""
+"""One attempt on a connection: its outcome depends on whether the request may have run."""
 
 from __future__ import annotations
 
@@ -143,7 +143,7 @@
 
 
 def test_data_after_a_response_closes_the_connection() -> None:
-    """The rest would be taken for the response to the next request."""
+    """These bytes would be taken for the response to the next request."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -202,7 +202,7 @@
 
 
 def test_abandoning_an_attempt_closes_its_connection() -> None:
-    """Left open, the server would go on working, and its late response would be taken for the next one."""
+    """Otherwise the server would continue to work, and its late response would be taken for the next one."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -218,7 +218,7 @@
 
 
 def test_abandoning_an_attempt_while_connecting_sends_nothing() -> None:
-    """Written after all, it would run for nobody, and delay the next request."""
+    """Written all the same, the request would run for nobody, and delay the next one."""
 
     async def scenario() -> None:
         async with Peer() as peer:
