--- a/tests/cache_router/net/test_origin_connection.py
+++ b/tests/cache_router/net/test_origin_connection.py
@@ -9,14 +9,14 @@
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net.command import Command
 from tests.support.loopback import Link, Peer, http, run
-from tests.support.upstream_attempts import GET, AttemptRunner, info_without_deadline, origin_attempts
+from tests.support.upstream_attempts import GET, AttemptRecorder, info_without_deadline, origin_attempts
 
 # the characters that RFC 3986 allows unescaped in a path
 UNRESERVED = (string.ascii_letters + string.digits + "-._~").encode()
 
 
 async def start_on_origin(
-    peer: Peer, attempts: AttemptRunner, command: Command = GET
+    peer: Peer, attempts: AttemptRecorder, command: Command = GET
 ) -> tuple[Link, str, dict[str, str], bytes]:
     """Start an attempt on the origin, and read its request."""
     attempts.start(peer.address, command)
--- a/tests/cache_router/net/test_upstream_connection.py
+++ b/tests/cache_router/net/test_upstream_connection.py
@@ -17,7 +17,7 @@
 from cache_router.net.upstream_connection import UpstreamConnection
 from tests.support.event_order import wait_until
 from tests.support.loopback import HIT, Peer, http, run
-from tests.support.upstream_attempts import GET, HUGE_SET, AttemptRunner, cache_attempts
+from tests.support.upstream_attempts import GET, HUGE_SET, AttemptRecorder, cache_attempts
 
 
 class RecordingOwner:
@@ -130,7 +130,7 @@
     async def scenario() -> None:
         monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_TIMEOUT", 0.02)
         async with Peer() as peer:
-            attempts = AttemptRunner(ConnectionPool(kind, 8, 1.0, 60.0, 0.0))
+            attempts = AttemptRecorder(ConnectionPool(kind, 8, 1.0, 60.0, 0.0))
             attempts.start(peer.address)
             link = await peer.link()
             await (link.resp() if kind is CacheConnection else link.http())
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -16,11 +16,11 @@
 HUGE_SET = Command(b"C.SET", b"k", b"r1", {"c": "book", "d": "900"}, 900, b"x" * 32_000_000)
 
 
-class AttemptRunner:
+class AttemptRecorder:
     """Starts attempts and collects their outcomes."""
 
     def __init__(self, pool: ConnectionPool) -> None:
-        """Run attempts over a pool."""
+        """Start attempts over a pool."""
         self.pool = pool
         self.results: asyncio.Queue[tuple[AttemptStatus, bytes]] = asyncio.Queue()
 
@@ -52,16 +52,18 @@
     return others
 
 
-def origin_attempts() -> AttemptRunner:
-    """Return a runner of attempts on an origin, over connections that may be reused at once."""
-    return AttemptRunner(ConnectionPool(OriginConnection, 8, 1.0, 60.0, 0.0))
+def origin_attempts() -> AttemptRecorder:
+    """Return a recorder of attempts on an origin, over connections that may be reused at once."""
+    return AttemptRecorder(ConnectionPool(OriginConnection, 8, 1.0, 60.0, 0.0))
 
 
 def cache_attempts(
     max_connections: int = 8, idle_timeout: float = 60.0, connect_timeout: float = 1.0
-) -> AttemptRunner:
-    """Return a runner of attempts on cache servers, over connections that may be reused at once.
+) -> AttemptRecorder:
+    """Return a recorder of attempts on cache servers, over connections that may be reused at once.
 
     Times are in seconds.
     """
-    return AttemptRunner(ConnectionPool(CacheConnection, max_connections, connect_timeout, idle_timeout, 0.0))
+    return AttemptRecorder(
+        ConnectionPool(CacheConnection, max_connections, connect_timeout, idle_timeout, 0.0)
+    )
