--- a/cache_router/net/attempt_runner.py
+++ b/cache_router/net/attempt_runner.py
@@ -1,25 +1,25 @@
-"""Runs the attempts of requests in flight: starts, cancels and times them out, and posts how each ended."""
+"""Runs the attempts of requests in flight: starts, cancels and times them out, and posts their outcomes."""
 
 from __future__ import annotations
 
-import asyncio
 import logging
 from collections.abc import Callable
+from functools import partial
 
 from cache_router.decisions.actions import Cancel, Send
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, Event
 from cache_router.load_report import parse_load_report
 from cache_router.net.clock import Clock
 from cache_router.net.endpoint_table import EndpointTable, NetworkEndpoint
-from cache_router.net.request_table import RequestAttempt, RequestInFlight, RequestTable
-from cache_router.net.upstream_connection import UpstreamResponse
+from cache_router.net.request_table import RequestInFlight, RequestTable
+from cache_router.net.upstream_attempt import UpstreamAttempt, UpstreamResponse
 from cache_router.settings import Settings
 
 log = logging.getLogger(__name__)
 
 
 class AttemptRunner:
-    """Carries out `Send` and `Cancel`; every attempt ends with exactly one `AttemptCompleted`."""
+    """Carries out `Send` and `Cancel`; posts exactly one `AttemptCompleted` for each attempt."""
 
     def __init__(
         self,
@@ -31,7 +31,16 @@
         post: Callable[[Event], None],
         on_client_disconnected: Callable[[str], None],
     ) -> None:
-        """`post` takes the events; `on_client_disconnected` the id of a request whose client has gone."""
+        """Create a runner without attempts.
+
+        Args:
+            settings: The operators' settings.
+            clock: For the latencies of attempts.
+            requests: The requests in flight.
+            endpoints: The endpoints that attempts are sent to.
+            post: Called with each `AttemptCompleted`.
+            on_client_disconnected: Called with the id of a request whose client is found disconnected.
+        """
         self._max_attempts = settings.max_attempts
         self._load_report_fields = settings.load_report_fields
         self._clock = clock
@@ -41,93 +50,90 @@
         self._on_client_disconnected = on_client_disconnected
 
     def start(self, action: Send) -> None:
-        """Start an attempt, which completes at once where it must not be sent."""
+        """Start an attempt, which completes at once if it must not be sent."""
         request = self._requests.get(action.request_id)
         if request is None:
             log.error("request %s: not in flight, so nothing is sent to %s", action.request_id, action.server)
             return
         now = self._clock.now()
-        attempt = RequestAttempt(request.attempts_started, now)
-        request.attempts_started += 1
-        request.attempts[attempt.number] = attempt
+        time_left = request.deadline - now
+        timeout = action.timeout if action.timeout is not None and action.timeout < time_left else None
         endpoint = self._endpoints.get(action.server)
+        attempt = self._add_attempt(request, endpoint, time_left if timeout is None else timeout, now)
         status = self._precondition(request, endpoint)
         if attempt.number >= self._max_attempts:
             status = AttemptStatus.NOT_SENT
         if status is not None or endpoint is None:
-            self._complete(request, attempt, UpstreamResponse(status or AttemptStatus.CONNECT_FAILED))
+            attempt.finish(UpstreamResponse(status or AttemptStatus.CONNECT_FAILED))
             return
-        time_left = request.deadline - now
-        if action.timeout is not None and action.timeout < time_left:
-            time_left = action.timeout
-            loop = asyncio.get_running_loop()
-            attempt.timeout_timer = loop.call_later(time_left, self._time_out, request, attempt)
-
-        def on_completed(response: UpstreamResponse) -> None:
-            self._complete(request, attempt, response)
-
-        attempt.upstream = self._endpoints.pool_of(endpoint).start(
-            endpoint.address,
+        if timeout is not None:
+            time_out = partial(self._abandon, request, attempt.number, AttemptStatus.TIMEOUT)
+            attempt.start_timeout(timeout, time_out)
+        self._endpoints.pool_of(endpoint).start(attempt, endpoint.address, endpoint.incarnation)
+
+    def _add_attempt(
+        self, request: RequestInFlight, endpoint: NetworkEndpoint | None, time_left: float, now: float
+    ) -> UpstreamAttempt:
+        """Add an attempt to its request, and return it."""
+        number = request.attempts_started
+        attempt = UpstreamAttempt(
             request.command,
             time_left,
-            on_completed,
-            endpoint.incarnation,
-            precondition=lambda: self._precondition(request, endpoint),
+            # with the number, not the attempt: a reference cycle would be left to the garbage collector
+            partial(self._complete, request, number),
+            precondition=partial(self._precondition, request, endpoint),
+            number=number,
+            started_at=now,
         )
+        request.add_attempt(attempt)
+        return attempt
 
     def cancel(self, action: Cancel) -> None:
         """Abandon an attempt, unless it has completed."""
         request = self._requests.get(action.request_id)
-        attempt = request.attempts.get(action.attempt_number) if request is not None else None
-        if request is not None and attempt is not None:
-            self._abandon(request, attempt, AttemptStatus.CANCELLED)
+        if request is not None:
+            self._abandon(request, action.attempt_number, AttemptStatus.CANCELLED)
 
     def time_out_all(self, request: RequestInFlight) -> None:
         """Time out all attempts of a request that are in flight."""
-        # a copy: the module may answer at the first time-out, which completes the other attempts
-        for attempt in list(request.attempts.values()):
-            self._time_out(request, attempt)
+        # a copy: the decision module may answer at the first time-out, which completes the other attempts
+        for number in list(request.attempts):
+            self._abandon(request, number, AttemptStatus.TIMEOUT)
 
     def _precondition(
         self, request: RequestInFlight, endpoint: NetworkEndpoint | None
     ) -> AttemptStatus | None:
-        """How an attempt ends that must not be written any more; None where it may be.
+        """Return the status of an attempt that must not be sent; None if it may be.
 
-        Asked at its start and again when its connection is up: meanwhile its client may have disconnected, or
-        its server may have begun to drain.
+        Checked at its start and again once a new connection is established: the client may have disconnected
+        since, or the server may be draining.
         """
         if not request.is_closed and not request.is_connected():
-            self._on_client_disconnected(request.command.request_id.decode())
+            self._on_client_disconnected(request.request_id)
         if request.is_closed or request.deadline_passed:
             return AttemptStatus.NOT_SENT
         if endpoint is None or not self._endpoints.is_sendable(endpoint):
             return AttemptStatus.CONNECT_FAILED
         return None
 
-    def _time_out(self, request: RequestInFlight, attempt: RequestAttempt) -> None:
-        self._abandon(request, attempt, AttemptStatus.TIMEOUT)
-
-    def _abandon(self, request: RequestInFlight, attempt: RequestAttempt, status: AttemptStatus) -> None:
-        if attempt.upstream is not None:
-            attempt.upstream.abandon()
-        self._complete(request, attempt, UpstreamResponse(status))
-
-    def _complete(
-        self, request: RequestInFlight, attempt: RequestAttempt, response: UpstreamResponse
-    ) -> None:
-        """Post the one outcome of an attempt; the value of the first that succeeds answers the client."""
-        if request.attempts.pop(attempt.number, None) is None:
+    def _abandon(self, request: RequestInFlight, number: int, status: AttemptStatus) -> None:
+        """Abandon an attempt and complete it with a status, unless it has completed."""
+        attempt = request.attempts.get(number)
+        if attempt is not None:
+            attempt.abandon()
+            self._complete(request, number, UpstreamResponse(status))
+
+    def _complete(self, request: RequestInFlight, number: int, response: UpstreamResponse) -> None:
+        """Post the outcome of an attempt, once; the value of the first that succeeds answers the client."""
+        attempt = self._requests.remove_attempt(request, number)
+        if attempt is None:
             return
-        if attempt.timeout_timer is not None:
-            attempt.timeout_timer.cancel()
-        request_id = request.command.request_id.decode()
         status, value = response.status, response.value
         if status is AttemptStatus.OK:
-            self._requests.respond(request_id, b"$%d\r\n%b\r\n" % (len(value), value))
-        self._requests.release_candidates.append(request_id)
+            self._requests.respond(request.request_id, b"$%d\r\n%b\r\n" % (len(value), value))
         latency = self._clock.now() - attempt.started_at
         report = response.load_report
         load_report = parse_load_report(report, self._load_report_fields) if report else None
         self._post(
-            AttemptCompleted(request_id, attempt.number, status, request.is_closed, latency, load_report)
+            AttemptCompleted(request.request_id, number, status, request.is_closed, latency, load_report)
         )
--- a/tests/cache_router/net/test_client_disconnects.py
+++ b/tests/cache_router/net/test_client_disconnects.py
@@ -13,6 +13,7 @@
 from cache_router.net import client_connection
 from cache_router.net.client_connection import ClientConnection
 from cache_router.net.socket_state import is_hung_up
+from cache_router.net.upstream_attempt import UpstreamAttempt, UpstreamResponse
 from tests.support.event_order import (
     DelayedConnections,
     first_connection,
@@ -153,9 +154,8 @@
 async def wait_until_settled(router: Router) -> None:
     """Wait until nothing is in flight, so that no attempt can follow."""
     dispatcher = router.dispatcher
-    await wait_until(
-        lambda: not (dispatcher.requests or router.cache_pool.connecting or router.origin_pool.connecting)
-    )
+    pools = (router.cache_pool, router.origin_pool)
+    await wait_until(lambda: not dispatcher.requests and not any(pool.connecting_count for pool in pools))
     assert not dispatcher.router.pending
     assert not dispatcher.router.attempts
 
@@ -164,14 +164,16 @@
     """Open an idle connection to every server, by its name: an attempt there is written at once."""
     endpoints = router.dispatcher.endpoints
     links: dict[str, Link] = {}
-    for name, endpoint in endpoints.items():
-        completed = asyncio.Event()
+    responses: asyncio.Queue[UpstreamResponse] = asyncio.Queue()
+    for name in endpoints:
+        endpoint = endpoints[name]
         pool, peer = endpoints.pool_of(endpoint), router.caches.get(name, router.origin)
-        pool.start(endpoint.address, GET, 60.0, lambda *_, event=completed: event.set(), endpoint.incarnation)
+        attempt = UpstreamAttempt(GET, 60.0, responses.put_nowait)
+        pool.start(attempt, endpoint.address, endpoint.incarnation)
         links[name] = link = await peer.link()
         await (link.http() if peer is router.origin else link.resp())
         link.write(http("200 OK", b"value") if peer is router.origin else HIT)
-        await completed.wait()
+        await responses.get()
     return links
 
 
@@ -269,8 +271,9 @@
             connections = DelayedConnections(monkeypatch, *router.caches.values())
             client = blocking_client(router)
             await connection_of(router, client)
-            for idle in list(router.cache_pool.idle):
-                idle.abort()
+            for cache in router.caches.values():
+                router.cache_pool.close_idle(cache.address)
+            assert router.cache_pool.idle_count == 0
             client.sendall(read("r1"))
             await first_connection(router)
             disconnect_blocking_client(client, how)
--- a/tests/cache_router/net/test_connection_pool.py
+++ b/tests/cache_router/net/test_connection_pool.py
@@ -8,7 +8,7 @@
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net import connection_pool
 from tests.support.loopback import HIT, MISS, Peer, format_address, run
-from tests.support.upstream_attempts import GET, cache_attempts
+from tests.support.upstream_attempts import cache_attempts
 
 
 def test_longest_idle_connection_is_used_first() -> None:
@@ -33,7 +33,7 @@
 
 
 def test_connection_to_an_earlier_incarnation_is_not_used() -> None:
-    """A machine that vanished never closes it; what is written to it would wait for its deadline."""
+    """A machine that has failed never closes it; a request written to it would wait for its deadline."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -41,7 +41,7 @@
             link = await attempts.start_on(peer)
             link.write(HIT)
             await attempts.outcome()
-            attempts.pool.start(peer.address, GET, 0.5, lambda response: None, incarnation="another")
+            attempts.start(peer.address, incarnation="another")
             assert await link.closed_by_peer()
             assert (await (await peer.link()).resp())[2] == b"r1"
             attempts.pool.close()
@@ -58,13 +58,13 @@
         attempts = cache_attempts()
         attempts.start(address)
         assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
-        assert not attempts.pool.connections
+        assert attempts.pool.established_count == 0
 
     run(scenario)
 
 
 def test_connecting_times_out() -> None:
-    """An unreachable machine sends nothing: without a timeout the request waits until its deadline."""
+    """An unreachable machine sends nothing: without a timeout the request would wait until its deadline."""
 
     async def scenario() -> None:
         with socket.socket() as full, socket.socket() as first:
@@ -113,7 +113,7 @@
             link.write(HIT)
             assert await attempts.outcome() == (AttemptStatus.OK, b"value")
             assert await link.closed_by_peer()
-            assert not attempts.pool.connections
+            assert attempts.pool.established_count == 0
 
     run(scenario)
 
@@ -152,7 +152,7 @@
                 await attempts.outcome()
             attempts.start(three.address)
             assert await second.closed_by_peer()
-            assert len(attempts.pool.idle) == 1
+            assert attempts.pool.idle_count == 1
             attempts.pool.close()
 
     run(scenario)
--- a/tests/cache_router/net/test_dispatcher.py
+++ b/tests/cache_router/net/test_dispatcher.py
@@ -9,11 +9,30 @@
 from cache_router.decisions.actions import Action, Fail, LogMessage, Send
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, Event, Request
 from cache_router.net import dispatcher
+from cache_router.net.command import COST_HINT_FIELD, Command
 from tests.support.loopback import HIT, MISS, Router, error_text, http, keyed_write, read, run
 
 
+@pytest.mark.parametrize(
+    ("hint", "cost"),
+    [
+        ("90", 90e-6),
+        ("0", 0.0),
+        ("9" * dispatcher.MAX_COST_HINT_DIGITS, 999_999.999999),
+        ("9" * (dispatcher.MAX_COST_HINT_DIGITS + 1), None),
+        ("-1", None),
+        ("1.5", None),
+        ("", None),
+    ],
+)
+def test_cost_hint_is_a_number_of_microseconds(hint: str, cost: float | None) -> None:
+    """A hint that can't be read is no reason to reject its request."""
+    command = Command(b"C.GET", b"k", b"r1", {COST_HINT_FIELD: hint}, 900)
+    assert dispatcher.read_cost_hint(command) == cost
+
+
 def test_hit_is_returned_to_the_client() -> None:
-    """A read keeps its key, id and info fields on its way, but for the deadline."""
+    """A read is forwarded with its key, id and info fields, except for the deadline."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -83,7 +102,7 @@
 
 
 def test_attempts_of_a_disconnected_client_are_cancelled() -> None:
-    """Otherwise cache servers would go on working for a client that no longer waits."""
+    """Otherwise cache servers would continue to work for a client that no longer waits."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -117,21 +136,27 @@
 
     async def scenario() -> None:
         async with Router(with_endpoints=False) as router:
-            handling: list[bool] = []  # at each event
+            events: list[Event] = []
+            is_answered: list[bool] = []  # at each event
 
             def handle(now: float, event: Event) -> list[Action]:
-                handling.append(router.dispatcher.handling)
+                events.append(event)
+                request = router.dispatcher.requests.get("r1")
+                is_answered.append(request is None or request.is_closed)
                 if isinstance(event, Request):
-                    return [Send("r1", "unheard-of"), LogMessage("after"), Fail("r1")]
-                if isinstance(event, AttemptCompleted):
-                    assert event.status is AttemptStatus.CONNECT_FAILED
-                    assert event.request_closed
+                    return [Send("r1", "unknown"), LogMessage("after"), Fail("r1")]
                 return []
 
             monkeypatch.setattr(router.dispatcher.router, "handle", handle)
             client = await router.client()
             client.write(read("r1"))
             assert error_text(await client.resp()) == "ERR failed"
-            assert len(handling) == 2
+            request, completed = events
+            assert isinstance(request, Request)
+            assert isinstance(completed, AttemptCompleted)
+            assert completed.status is AttemptStatus.CONNECT_FAILED
+            assert not completed.request_closed  # when the attempt ended, at its start
+            # though its event was handled only after the last of the actions
+            assert is_answered == [False, True]
 
     run(scenario)
--- a/tests/cache_router/net/test_origin_connection.py
+++ b/tests/cache_router/net/test_origin_connection.py
@@ -9,14 +9,14 @@
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net.command import Command
 from tests.support.loopback import Link, Peer, http, run
-from tests.support.upstream_attempts import GET, AttemptRunner, info_without_deadline, origin_attempts
+from tests.support.upstream_attempts import GET, AttemptRecorder, info_without_deadline, origin_attempts
 
-# the letters that RFC 3986 allows unescaped in a path
+# the characters that RFC 3986 allows unescaped in a path
 UNRESERVED = (string.ascii_letters + string.digits + "-._~").encode()
 
 
 async def start_on_origin(
-    peer: Peer, attempts: AttemptRunner, command: Command = GET
+    peer: Peer, attempts: AttemptRecorder, command: Command = GET
 ) -> tuple[Link, str, dict[str, str], bytes]:
     """Start an attempt on the origin, and read its request."""
     attempts.start(peer.address, command)
@@ -49,7 +49,7 @@
     ],
 )
 def test_responses_of_the_origin(response: bytes, status: AttemptStatus, value: bytes) -> None:
-    """Only a refusal that says so was not started; any other error may have run."""
+    """Only a rejection that says so was not started; any other request with an error may have run."""
 
     async def scenario() -> None:
         async with Peer() as peer:
@@ -77,7 +77,7 @@
             AttemptStatus.RESET,
         ),  # without a length nothing shows that it is complete
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nv", AttemptStatus.ERROR),
-        (b"ICY 200 OK", AttemptStatus.ERROR),  # without waiting for the rest
+        (b"ICY 200 OK", AttemptStatus.ERROR),  # without waiting for more
         (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 20000, AttemptStatus.ERROR),
         (b"", AttemptStatus.RESET),
     ],
@@ -93,7 +93,7 @@
             link.close()
             assert (await attempts.outcome())[0] is status
             assert await link.closed_by_peer()
-            assert not attempts.pool.idle
+            assert attempts.pool.idle_count == 0
 
     run(scenario)
 
@@ -126,6 +126,6 @@
             attempts.start(peer.address, Command(b"C.GET", b"k", b"r1", {"x": "a\r\nb", "d": "9"}, 9))
             assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
             assert await (await peer.link()).closed_by_peer()
-            assert not attempts.pool.connections
+            assert attempts.pool.established_count == 0
 
     run(scenario)
--- a/tests/support/event_order.py
+++ b/tests/support/event_order.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from cache_router.net.upstream_connection import AttemptInFlight, UpstreamConnection
+from cache_router.net.upstream_attempt import UpstreamAttempt
+from cache_router.net.upstream_connection import UpstreamConnection
 from tests.support.loopback import Link, Peer, Router
 
 
@@ -33,13 +34,13 @@
 def record_written_requests(monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """Return a list to which the id of each request is appended when the router writes it to a server."""
     request_ids: list[str] = []
-    begin = UpstreamConnection.begin
+    send = UpstreamConnection.send
 
-    def recorded(connection: UpstreamConnection, attempt: AttemptInFlight) -> None:
+    def recorded(connection: UpstreamConnection, attempt: UpstreamAttempt) -> None:
         request_ids.append(attempt.command.request_id.decode())
-        begin(connection, attempt)
+        send(connection, attempt)
 
-    monkeypatch.setattr(UpstreamConnection, "begin", recorded)
+    monkeypatch.setattr(UpstreamConnection, "send", recorded)
     return request_ids
 
 
