--- a/cache_router/net/cache_connection.py
+++ b/cache_router/net/cache_connection.py
@@ -65,4 +65,4 @@
 
     def is_reusable(self) -> bool:
         """Whether nothing came after the response."""
-        return not self.reader.buffer
+        return self.reader.is_empty()
--- a/cache_router/net/client_connection.py
+++ b/cache_router/net/client_connection.py
@@ -130,7 +130,7 @@
         """Notify the table of the state that the connection is in now."""
         if self.replies or self.closing or self.throttled:
             self.table.on_busy(self)
-        elif self.reader.buffer or not self.commands_received:
+        elif not self.reader.is_empty() or not self.commands_received:
             self.table.on_awaiting_command(self)
         else:
             self.table.on_idle(self)
@@ -143,14 +143,14 @@
         self.closing = True
         # What arrives while earlier replies are pending would fill memory and never be processed.
         self._update_reading()
-        self.reader.buffer.clear()
+        self.reader.clear()
         reply = PipelinedReply()
         self.replies.append(reply)
         self._complete_reply(reply, error.encode("ascii", "replace") + b"\r\n")
 
     def close_if_between_requests(self) -> None:
         """Close, unless a part of a command has arrived."""
-        if not self.reader.buffer and not self.has_unread_input():
+        if self.reader.is_empty() and not self.has_unread_input():
             self.close()
 
     def close(self) -> None:
--- a/cache_router/net/resp.py
+++ b/cache_router/net/resp.py
@@ -1,4 +1,8 @@
-"""RESP2 as bytes in and out: a strict reader, which rejects what is too large as soon as it is announced."""
+"""RESP2, the protocol of clients and cache servers: an encoder of commands and a strict reader of messages.
+
+The reader rejects a message that is too large as soon as its length is announced.
+Protocol: https://redis.io/docs/latest/develop/reference/protocol-spec/
+"""
 
 from __future__ import annotations
 
@@ -10,29 +14,26 @@
 
 from cache_router.errors import RouterError
 
-# bytes of an error line or simple string
-MAX_LINE_LENGTH = 1024
-# bytes of a number or length
-MAX_NUMBER_LENGTH = 20
-# arrays within arrays
-MAX_DEPTH = 4
+MAX_LINE_LENGTH = 1024  # bytes of an error line or simple string
+MAX_NUMBER_LENGTH = 20  # bytes of a number or length
+MAX_DEPTH = 4  # levels of nested arrays
 INTEGER = re.compile(rb"-?[0-9]{1,19}")
 LENGTH = re.compile(rb"-1|[0-9]{1,10}")
 LINE_END = b"\r\n"
-# first bytes of messages
+# the first byte of a message gives its type
 SIMPLE_STRING, ERROR, NUMBER, BULK_STRING, ARRAY = b"+-:$*"
 
 
 class RespError(RouterError, ValueError):
-    """Bytes that are not RESP2, or announce more than is accepted: what follows them can't be read."""
+    """Bytes that are not RESP2, or announce more than is accepted; what follows them can't be read."""
 
 
 class _IncompleteMessageError(Exception):
-    """The end of the message has not come yet."""
+    """The end of the message has not arrived yet."""
 
 
 class Incompleteness(Enum):
-    """The type of `INCOMPLETE`, which no message is equal to."""
+    """The type of `INCOMPLETE`, which is equal to no message."""
 
     INCOMPLETE = auto()
 
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ErrorReply:
-    """A reply that begins with `-`; its text is decoded as Latin-1, which accepts all bytes."""
+    """An error line, which starts with `-`; its text is decoded as Latin-1, which accepts all bytes."""
 
     text: str
 
@@ -56,105 +57,122 @@
 
 
 class RespReader:
-    """Takes bytes as they come and gives complete messages: bulk strings as bytes, simple strings as text."""
+    """Takes bytes as they arrive and returns complete messages.
+
+    Bulk strings are returned as bytes, simple strings as text. Each `_read_` method reads the part of a
+    message that starts at `_position`, and advances `_position` past it; it raises `_IncompleteMessageError`
+    if the part has not arrived completely, and `RespError` if it is not accepted.
+    """
+
+    __slots__ = ("_buffer", "_max_bulk", "_max_items", "_max_message", "_position")
 
     def __init__(self, max_items: int, max_bulk: int, max_message: int) -> None:
-        """Create a reader that accepts no more than these.
+        """Create a reader with limits.
 
         Args:
             max_items: Items of an array.
             max_bulk: Bytes of a bulk string.
             max_message: Bytes of a message, up to the end of its last bulk string.
         """
-        self.max_items = max_items
-        self.max_bulk = max_bulk
-        self.max_message = max_message
-        self.buffer = bytearray()
+        self._max_items = max_items
+        self._max_bulk = max_bulk
+        self._max_message = max_message
+        self._buffer = bytearray()  # from the first byte of the next message
+        self._position = 0  # index in the buffer
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Add bytes to those that wait to be read."""
-        self.buffer += data
+        """Append received bytes to the buffer."""
+        self._buffer += data
+
+    def is_empty(self) -> bool:
+        """Return whether no byte of a further message is buffered."""
+        return not self._buffer
+
+    def clear(self) -> None:
+        """Discard the buffered bytes."""
+        self._buffer.clear()
 
     def next(self) -> Message | Literal[Incompleteness.INCOMPLETE]:
-        """The next message, or `INCOMPLETE` if its end has not come yet.
+        """Return the next message, or `INCOMPLETE` if its end has not arrived yet.
 
-        Each call reads a message from its start, as nearly all come in one piece.
+        Each call reads the message from its first byte, because nearly all messages arrive in one piece.
 
         Raises:
-            RespError: The bytes are not RESP2, or announce more than is accepted. What follows can't be read.
+            RespError: The bytes are not RESP2, or announce more than is accepted.
         """
-        if not self.buffer:
+        if not self._buffer:
             return INCOMPLETE
+        self._position = 0
         try:
-            message, end = self._read_message(0, 0)
+            message = self._read_message(depth=0)
         except _IncompleteMessageError:
             return INCOMPLETE
-        del self.buffer[:end]
+        del self._buffer[: self._position]
         return message
 
-    # Each of the methods below reads what begins at `start`, and returns it with the index of what follows.
-    # They raise _IncompleteMessageError or RespError.
-
-    def _read_message(self, start: int, depth: int) -> tuple[Message, int]:
+    def _read_message(self, depth: int) -> Message:
         try:
-            first_byte = self.buffer[start]
+            first_byte = self._buffer[self._position]
         except IndexError:
             raise _IncompleteMessageError from None
-        start += 1
+        self._position += 1
         if first_byte == BULK_STRING:
-            return self._read_bulk_string(start)
+            return self._read_bulk_string()
         if first_byte == ARRAY:
-            return self._read_array(start, depth)
+            return self._read_array(depth)
         if first_byte == NUMBER:
-            return self._read_number(INTEGER, start)
+            return self._read_number(INTEGER)
         if first_byte not in (SIMPLE_STRING, ERROR):
             raise RespError("not RESP")
-        line, end = self._read_line(start, MAX_LINE_LENGTH)
+        text = self._read_text()
+        return ErrorReply(text) if first_byte == ERROR else text
+
+    def _read_text(self) -> str:
+        line = self._read_line(MAX_LINE_LENGTH)
         if b"\n" in line or b"\r" in line:
             raise RespError("line end within a line")
-        text = line.decode("latin-1")
-        return (ErrorReply(text) if first_byte == ERROR else text), end
+        return line.decode("latin-1")
 
-    def _read_line(self, start: int, max_length: int) -> tuple[bytes, int]:
-        end = self.buffer.find(LINE_END, start, start + max_length + len(LINE_END))
+    def _read_line(self, max_length: int) -> bytes:
+        buffer, start = self._buffer, self._position
+        end = buffer.find(LINE_END, start, start + max_length + len(LINE_END))
         if end < 0:
-            # the last byte may be the first of the line's end
-            if len(self.buffer) - start > max_length + 1:
+            # the last byte may be the first one of the line's end
+            if len(buffer) - start > max_length + 1:
                 raise RespError("line is too long")
             raise _IncompleteMessageError
-        return bytes(self.buffer[start:end]), end + len(LINE_END)
+        self._position = end + len(LINE_END)
+        return bytes(buffer[start:end])
 
-    def _read_number(self, pattern: re.Pattern[bytes], start: int) -> tuple[int, int]:
-        line, end = self._read_line(start, MAX_NUMBER_LENGTH)
+    def _read_number(self, pattern: re.Pattern[bytes]) -> int:
+        line = self._read_line(MAX_NUMBER_LENGTH)
         if not pattern.fullmatch(line):
             raise RespError("number can't be read")
-        return int(line), end
+        return int(line)
 
-    def _read_bulk_string(self, start: int) -> tuple[bytes | None, int]:
-        length, start = self._read_number(LENGTH, start)
+    def _read_bulk_string(self) -> bytes | None:
+        length = self._read_number(LENGTH)
         if length < 0:
-            return None, start
+            return None
+        buffer, start = self._buffer, self._position
         end = start + length
-        # decided by the announced length, so that no memory is held for what is rejected in the end
-        if length > self.max_bulk or end > self.max_message:
+        # the announced length decides, so that no memory is held for a string that is rejected in the end
+        if length > self._max_bulk or end > self._max_message:
             raise RespError("string is too long")
-        terminator = self.buffer[end : end + len(LINE_END)]
-        # with a length that does not fit, the value would be wrong and what follows it meaningless
+        terminator = buffer[end : end + len(LINE_END)]
+        # a wrong length would give a wrong value, and what follows it could not be read
         if terminator != LINE_END[: len(terminator)]:
             raise RespError("length does not fit")
         if len(terminator) < len(LINE_END):
             raise _IncompleteMessageError
-        return bytes(self.buffer[start:end]), end + len(LINE_END)
+        self._position = end + len(LINE_END)
+        return bytes(buffer[start:end])
 
-    def _read_array(self, start: int, depth: int) -> tuple[list[Message] | None, int]:
-        count, start = self._read_number(LENGTH, start)
+    def _read_array(self, depth: int) -> list[Message] | None:
+        count = self._read_number(LENGTH)
         if count < 0:
-            return None, start
-        # arrays may be announced that never come: they must cost neither memory nor stack
-        if count > self.max_items or depth >= MAX_DEPTH:
+            return None
+        # announced arrays may never arrive: they must cost neither memory nor stack
+        if count > self._max_items or depth >= MAX_DEPTH:
             raise RespError("array is too long or too deep")
-        items: list[Message] = []
-        for _ in range(count):
-            item, start = self._read_message(start, depth + 1)
-            items.append(item)
-        return items, start
+        return [self._read_message(depth + 1) for _ in range(count)]
--- a/tests/cache_router/net/test_client_connection.py
+++ b/tests/cache_router/net/test_client_connection.py
@@ -115,7 +115,7 @@
             (connection,) = router.listener.connections
             await wait_until(lambda: connection.closing)
             assert not connection.transport.is_reading()
-            assert not connection.reader.buffer
+            assert connection.reader.is_empty()
             cache.write(HIT)
             assert await client.resp() == b"value"
             assert error_text(await client.resp()).startswith("ERR")
--- a/tests/cache_router/net/test_resp.py
+++ b/tests/cache_router/net/test_resp.py
@@ -30,7 +30,7 @@
         while (message := resp_reader.next()) is not INCOMPLETE:
             read.append(message)
     assert read == [m[1] for m in MESSAGES]
-    assert not resp_reader.buffer
+    assert resp_reader.is_empty()
 
 
 def test_encoded_command_is_read() -> None:
@@ -40,6 +40,18 @@
     assert resp_reader.next() == [b"C.GET", b"", b"\r\n"]
 
 
+def test_cleared_reader_continues_with_the_next_bytes() -> None:
+    """A part of a message that was discarded must not be joined to what arrives after it."""
+    resp_reader = make_reader()
+    resp_reader.feed(b"*2\r\n$1\r\na\r\n$5")
+    assert resp_reader.next() is INCOMPLETE
+    assert not resp_reader.is_empty()
+    resp_reader.clear()
+    assert resp_reader.is_empty()
+    resp_reader.feed(b":1\r\n")
+    assert resp_reader.next() == 1
+
+
 @pytest.mark.parametrize(
     "data",
     [
