--- a/cache_router/net/address.py
+++ b/cache_router/net/address.py
@@ -2,21 +2,32 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from cache_router.errors import RouterError
 
 MAX_PORT = 65535
 MAX_PORT_DIGITS = len(str(MAX_PORT))
 
 
+class Address(NamedTuple):
+    """A host and its TCP port, of the form that sockets take; `str` returns `host:port`."""
+
+    host: str
+    port: int
+
+    def __str__(self) -> str:
+        return f"{self.host}:{self.port}"
+
+
 class AddressError(RouterError, ValueError):
     """A text that is not `host:port`."""
 
 
-def parse_address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> Address:
     """Split `host:port` at its last colon.
 
-    The host is taken as it stands and may not be empty. Port 0 is accepted: for a listener the kernel then
-    chooses one.
+    The host is not checked further. Port 0 is accepted: the kernel then chooses the port of a listener.
 
     Raises:
         AddressError: The host is empty, or the port is not a number of up to five ASCII digits below 65536.
@@ -24,9 +35,9 @@
     host, _, port = text.rpartition(":")
     if not host or not _is_port(port):
         raise AddressError(f"not host:port: {text[:40]!r}")
-    return host, int(port)
+    return Address(host, int(port))
 
 
 def _is_port(text: str) -> bool:
-    """Whether a text is a port's number, without a sign, spaces or digits of other scripts."""
+    """Return whether a text is a port number, without a sign, spaces or digits of other scripts."""
     return text.isascii() and text.isdigit() and len(text) <= MAX_PORT_DIGITS and int(text) <= MAX_PORT
--- a/cache_router/net/clock.py
+++ b/cache_router/net/clock.py
@@ -1,4 +1,4 @@
-"""The clock of the real router."""
+"""The clock of a running router, which supplies the times that the decisions receive."""
 
 from __future__ import annotations
 
@@ -6,12 +6,16 @@
 
 
 class Clock:
-    """Unix time in seconds, read from the system once; from then on it never jumps."""
+    """Unix time in seconds.
+
+    The system's time is read once, when the clock is created. After that the clock follows the monotonic
+    clock, so that a correction of the system's time does not make it jump.
+    """
 
     def __init__(self) -> None:
         """Read the system's time."""
-        self.offset = time.time() - time.monotonic()
+        self._offset = time.time() - time.monotonic()
 
     def now(self) -> float:
-        """The present time, in seconds."""
-        return self.offset + time.monotonic()
+        """Return the current time, in seconds."""
+        return self._offset + time.monotonic()
--- a/cache_router/net/socket_state.py
+++ b/cache_router/net/socket_state.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a socket, and the event loop may not have seen yet."""
+"""The state of a socket in the kernel, which the event loop may not have read yet."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 def has_unread_bytes(transport: asyncio.BaseTransport) -> bool:
-    """Whether bytes, or the end of the stream, wait to be read."""
-    return bool(poll_events(transport, select.POLLIN))
+    """Return whether bytes, or the end of the stream, can be read."""
+    return bool(_poll_events(transport, select.POLLIN))
 
 
 def is_hung_up(transport: asyncio.BaseTransport) -> bool:
-    """Whether the peer has closed or reset the connection, also if bytes that it sent before are unread."""
+    """Return whether the peer has closed or reset the connection, also if earlier bytes are unread."""
     hung_up = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-    return bool(poll_events(transport, select.POLLRDHUP) & hung_up)
+    return bool(_poll_events(transport, select.POLLRDHUP) & hung_up)
 
 
-def poll_events(transport: asyncio.BaseTransport, events: int) -> int:
-    """The poll(2) events that hold for a transport's socket now, of those asked for and of errors.
+def _poll_events(transport: asyncio.BaseTransport, events: int) -> int:
+    """Return the requested poll(2) events, and errors, that hold for a transport's socket now.
 
-    A socket that is closed already counts as hung up.
+    A socket that is already closed counts as hung up.
     """
     descriptor = transport.get_extra_info("socket").fileno()
     if descriptor < 0:
--- a/tests/cache_router/net/test_address.py
+++ b/tests/cache_router/net/test_address.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cache_router.net.address import AddressError, parse_address
+from cache_router.net.address import Address, AddressError, parse_address
 
 
 @pytest.mark.parametrize(
@@ -24,6 +24,12 @@
     assert parse_address(text) == address
 
 
+def test_address_is_written_as_host_and_port() -> None:
+    """Log lines name addresses in the form of the configuration."""
+    assert str(Address("127.0.0.1", 6379)) == "127.0.0.1:6379"
+    assert f"{parse_address('h:00080')}" == "h:80"
+
+
 @pytest.mark.parametrize(
     "text",
     [
