--- a/cache_router/net/client_connection.py
+++ b/cache_router/net/client_connection.py
@@ -7,9 +7,9 @@
 from collections import deque
 from dataclasses import dataclass
 from functools import partial
-from typing import cast
+from typing import Protocol, cast
 
-from cache_router.net.client_connection_table import ClientConnectionTable
+from cache_router.net.address import Address
 from cache_router.net.command import MAX_INFO, MAX_KEY, MAX_VALUE, CommandError, parse_command
 from cache_router.net.dispatcher import Dispatcher
 from cache_router.net.resp import INCOMPLETE, Message, RespError, RespReader
@@ -27,190 +27,279 @@
 
 @dataclass(slots=True, eq=False)
 class PipelinedReply:
-    """The place of a command's reply among those of its connection, which go out in order."""
+    """The place of a command's reply among the replies of its connection, which are written in order."""
 
-    request_id: str | None = None  # of a request that the dispatcher has accepted
+    request_id: str | None = None  # of a request that was passed to the dispatcher
     data: bytes | None = None  # None while the reply is pending
 
+    def start_request(self, request_id: str) -> None:
+        """Note that the dispatcher is to answer a request with this reply."""
+        self.request_id = request_id
+
+    def reject_request(self) -> None:
+        """Note that the dispatcher has no request for this reply."""
+        self.request_id = None
+
+    def complete(self, data: bytes) -> None:
+        """Set the bytes of the reply."""
+        self.data = data
+
+
+class ClientConnectionOwner(Protocol):
+    """What connections share, and report their states to; `ClientConnectionTable` describes the reports."""
+
+    @property
+    def draining(self) -> bool:
+        """Whether connections close as soon as no reply is pending on them."""
+
+    @property
+    def read_buffer(self) -> memoryview:
+        """The buffer into which the event loop reads for each connection."""
+
+    def on_accepted(self, connection: ClientConnection) -> None:
+        """Handle a new connection."""
+
+    def on_data_received(self, connection: ClientConnection) -> None:
+        """Handle that `read_buffer` has bytes of a connection."""
+
+    def on_busy(self, connection: ClientConnection) -> None:
+        """Handle that a connection has a reply pending, is throttled or is closing."""
+
+    def on_awaiting_command(self, connection: ClientConnection) -> None:
+        """Handle that a connection awaits its first command, or the rest of one."""
+
+    def on_idle(self, connection: ClientConnection) -> None:
+        """Handle that a connection is between two commands."""
+
+    def on_closed(self, connection: ClientConnection) -> None:
+        """Handle that a connection is closed; may be called twice."""
+
 
 class ClientConnection(asyncio.BufferedProtocol):
     """One client's connection: reads commands, and writes their replies in order."""
 
-    def __init__(self, dispatcher: Dispatcher, table: ClientConnectionTable) -> None:
-        """Create a connection that sends requests to a dispatcher and notifies a table of its state."""
-        self.dispatcher = dispatcher
-        self.table = table
-        self.reader = RespReader(MAX_COMMAND_PARTS, MAX_VALUE, MAX_COMMAND_SIZE)
-        self.replies: deque[PipelinedReply] = deque()
-        self.commands_received = 0  # complete ones
-        self.reading = True
-        self.writable = True
-        self.throttled = False  # after an error
-        self.closing = False  # no command is read any more
+    def __init__(self, dispatcher: Dispatcher, owner: ClientConnectionOwner) -> None:
+        """Create a connection that sends requests to a dispatcher and reports its state to an owner."""
+        self._dispatcher = dispatcher
+        self._owner = owner
+        self._reader = RespReader(MAX_COMMAND_PARTS, MAX_VALUE, MAX_COMMAND_SIZE)
+        self._replies: deque[PipelinedReply] = deque()
+        self._commands_received = 0  # complete ones
+        self._reading_enabled = True
+        self._writing_enabled = True
+        self._throttled = False  # after an error
+        self._closing_after_error = False  # no further command is processed
+
+    # Called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Enter the table, to await the first command."""
-        self.transport = cast(asyncio.Transport, transport)
-        self.table.on_accepted(self)
+        """Report the new connection, which awaits its first command."""
+        self._transport = cast(asyncio.Transport, transport)
+        self._owner.on_accepted(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Return the buffer that all connections share."""
-        return self.table.read_buffer
+        return self._owner.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Process what has been read."""
-        self.table.on_data_received(self)
-        self.reader.feed(self.table.read_buffer[:nbytes])
+        """Process the bytes that were read."""
+        self._owner.on_data_received(self)
+        self._reader.feed(self._owner.read_buffer[:nbytes])
         self._process_input()
 
+    def pause_writing(self) -> None:
+        """Process no more commands while the client does not read its replies."""
+        self._writing_enabled = False
+        self._update_reading()
+
+    def resume_writing(self) -> None:
+        """Continue with the commands that have arrived since `pause_writing`."""
+        self._writing_enabled = True
+        self._process_input()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Report the closed connection, and notify the dispatcher for each request in flight."""
+        self._owner.on_closed(self)
+        for reply in self._replies:
+            if reply.data is None and reply.request_id is not None:
+                self._dispatcher.on_client_disconnected(reply.request_id)
+        self._replies.clear()
+
+    # Commands
+
     def _process_input(self) -> None:
         try:
             self._process_commands()
         except Exception:
-            # A fault here ends this connection alone: closing it settles its requests, others go on.
-            log.exception("connection of client %s", self.transport.get_extra_info("peername"))
-            self.transport.abort()
+            # A fault here ends only this connection: its requests end with it, and other clients are served.
+            log.exception("connection of client %s", self.client_address)
+            self._transport.abort()
 
     def _process_commands(self) -> None:
-        # A closing connection processes nothing more: nobody would be notified that its client has left.
-        while self._accepts_commands() and not self.transport.is_closing():
+        # A closing connection processes no command: its client's disconnect would be reported to nobody.
+        while self._accepts_commands() and not self._transport.is_closing():
             try:
-                parts = self.reader.next()
+                parts = self._reader.next()
             except RespError as e:
                 self.close_with_error(f"-ERR {e}")
                 return
             if parts is INCOMPLETE:
                 break
-            self.commands_received += 1
+            self._commands_received += 1
             self._handle_command(parts)
         self._update_reading()
-        self._notify_state()
+        self._report_state()
 
     def _handle_command(self, parts: Message) -> None:
         reply = PipelinedReply()
-        self.replies.append(reply)
+        self._replies.append(reply)
         complete = partial(self._complete_reply, reply)
         if isinstance(parts, list) and len(parts) == 1 and parts[0] in (b"PING", b"ping"):
-            complete(PONG_REPLY if self.dispatcher.has_ready_cache() else NOT_READY_REPLY)
+            complete(PONG_REPLY if self._dispatcher.has_ready_cache() else NOT_READY_REPLY)
             return
         try:
             command = parse_command(parts)
-            reply.request_id = command.request_id.decode()
-            self.dispatcher.accept(command, complete, self.is_connected)
+            reply.start_request(command.request_id.decode())
+            self._dispatcher.accept(command, complete, self.is_connected)
         except CommandError as e:
-            reply.request_id = None
+            reply.reject_request()
             self._throttle()
             complete(b"-ERR %b\r\n" % str(e).encode("ascii", "replace"))
 
+    def _accepts_commands(self) -> bool:
+        blocked = self._closing_after_error or self._throttled or not self._writing_enabled
+        return not blocked and len(self._replies) < MAX_PIPELINED_COMMANDS
+
+    def _update_reading(self) -> None:
+        """Pause or resume reading: not reading while commands aren't accepted bounds a client's memory."""
+        reading = self._accepts_commands()
+        if reading != self._reading_enabled and not self._transport.is_closing():
+            self._reading_enabled = reading
+            (self._transport.resume_reading if reading else self._transport.pause_reading)()
+
     def _throttle(self) -> None:
         """Stop reading for a while: a client that sends errors at full speed would take the whole core."""
-        self.throttled = True
+        self._throttled = True
         asyncio.get_running_loop().call_later(ERROR_THROTTLE_TIME, self._end_throttling)
 
     def _end_throttling(self) -> None:
-        self.throttled = False
+        self._throttled = False
         self._process_input()
 
+    # Replies
+
     def _complete_reply(self, reply: PipelinedReply, data: bytes) -> None:
-        """Write a reply once all before it have been written."""
-        reply.data = data
-        while self.replies and self.replies[0].data is not None:
-            self.transport.write(self.replies.popleft().data or b"")
-        if not self.replies:
-            self._notify_state()
-        if self.closing and not self.replies:
-            self.close()
-        elif self.table.draining and not self.replies and self.writable:
+        """Write a reply once all replies before it have been written."""
+        reply.complete(data)
+        while self._replies and (complete_data := self._replies[0].data) is not None:
+            self._replies.popleft()
+            self._transport.write(complete_data)
+        if not self._replies:
+            self._report_state()
+        if self._closing_after_error and not self._replies:
+            self._close()
+        elif self._owner.draining and not self._replies and self._writing_enabled:
             # at once, before the client sends its next request
             self.close_if_between_requests()
-        elif not self.reading and not self.closing:
+        elif not self._reading_enabled and not self._closing_after_error:
             asyncio.get_running_loop().call_soon(self._process_input)
 
-    def _notify_state(self) -> None:
-        """Notify the table of the state that the connection is in now."""
-        if self.replies or self.closing or self.throttled:
-            self.table.on_busy(self)
-        elif not self.reader.is_empty() or not self.commands_received:
-            self.table.on_awaiting_command(self)
+    def _report_state(self) -> None:
+        if self._replies or self._closing_after_error or self._throttled:
+            self._owner.on_busy(self)
+        elif not self._reader.is_empty() or not self._commands_received:
+            self._owner.on_awaiting_command(self)
         else:
-            self.table.on_idle(self)
+            self._owner.on_idle(self)
+
+    # Closing
 
     def close_with_error(self, error: str) -> None:
-        """Reply with an error line behind the pending replies, and close.
+        """Reply with an error line after the pending replies, and close; a closing connection is left alone.
 
-        For a stream in which the start of the next command can't be told, or does not arrive.
+        For a stream in which the start of the next command is unknown, or does not arrive.
         """
-        self.closing = True
+        if self._transport.is_closing():
+            return
+        self._closing_after_error = True
         # What arrives while earlier replies are pending would fill memory and never be processed.
         self._update_reading()
-        self.reader.clear()
+        self._reader.clear()
         reply = PipelinedReply()
-        self.replies.append(reply)
+        self._replies.append(reply)
         self._complete_reply(reply, error.encode("ascii", "replace") + b"\r\n")
 
     def close_if_between_requests(self) -> None:
         """Close, unless a part of a command has arrived."""
-        if self.reader.is_empty() and not self.has_unread_input():
-            self.close()
+        if self._reader.is_empty() and not self.has_unread_input():
+            self._close()
 
-    def close(self) -> None:
-        """Close once what was written has gone out, and after CLOSE_TIMEOUT at the latest."""
-        self.transport.close()
-        if self.transport.get_write_buffer_size():
-            # A client that does not read its replies would hold the descriptor for good.
-            asyncio.get_running_loop().call_later(CLOSE_TIMEOUT, self.transport.abort)
+    def _close(self) -> None:
+        """Close once the written replies have been sent, and after CLOSE_TIMEOUT at the latest."""
+        self._transport.close()
+        if self.has_unsent_output():
+            # A client that does not read its replies would hold the descriptor until its process ends.
+            asyncio.get_running_loop().call_later(CLOSE_TIMEOUT, self._transport.abort)
 
-    def _accepts_commands(self) -> bool:
-        blocked = self.closing or self.throttled or not self.writable
-        return not blocked and len(self.replies) < MAX_PIPELINED_COMMANDS
+    def abort(self) -> None:
+        """Close at once, without sending what is buffered, and report that to the owner.
 
-    def _update_reading(self) -> None:
-        """Pause or resume reading: not reading while commands aren't accepted bounds a client's memory."""
-        reading = self._accepts_commands()
-        if reading != self.reading and not self.transport.is_closing():
-            self.reading = reading
-            (self.transport.resume_reading if reading else self.transport.pause_reading)()
+        The event loop calls `connection_lost` only later; until then the connection would be counted as open.
+        """
+        self._transport.abort()
+        self._owner.on_closed(self)
 
-    def pause_writing(self) -> None:
-        """Process no more commands while the client does not read its replies."""
-        self.writable = False
-        self._update_reading()
+    # Queries
 
-    def resume_writing(self) -> None:
-        """Go on with the commands that have arrived meanwhile."""
-        self.writable = True
-        self._process_input()
+    @property
+    def client_address(self) -> Address | None:
+        """The address of the client, or None if it had disconnected before its connection was accepted."""
+        address = self._transport.get_extra_info("peername")
+        return Address(*address) if address else None
 
-    def is_connected(self) -> bool:
-        """Return whether the client has not disconnected, and start closing the connection if it has.
+    @property
+    def pending_replies(self) -> int:
+        """The number of commands whose replies have not been written."""
+        return len(self._replies)
 
-        The kernel is asked, as the end of the stream comes behind all input: the event loop reads it late, or
-        never while reading is paused.
-        """
-        if not self.transport.is_closing() and is_hung_up(self.transport):
-            self.close()
-        return not self.transport.is_closing()
+    def has_sent_single_command(self) -> bool:
+        """Return whether exactly one complete command has arrived."""
+        return self._commands_received == 1
+
+    def has_buffered_input(self) -> bool:
+        """Return whether a command, or a part of one, has been read and not processed."""
+        return not self._reader.is_empty()
 
     def has_unread_input(self) -> bool:
         """Return whether a command may wait in the socket."""
-        return has_unread_bytes(self.transport)
+        return has_unread_bytes(self._transport)
 
     def has_unsent_output(self) -> bool:
-        """Return whether a part of a reply has not gone out."""
-        return bool(self.transport.get_write_buffer_size())
+        """Return whether a part of a reply is still buffered."""
+        return bool(self._transport.get_write_buffer_size())
 
     def has_pending_io(self) -> bool:
-        """Return whether a part of a reply is unsent, or a new command may wait in the socket."""
+        """Return whether a part of a reply is buffered, or a new command may wait in the socket."""
         return self.has_unsent_output() or self.has_unread_input()
 
+    def is_reading(self) -> bool:
+        """Return whether the event loop reads from the socket."""
+        return self._transport.is_reading()
+
     def is_throttled_only(self) -> bool:
         """Return whether the connection is throttled, has no reply pending and is not closing."""
-        return self.throttled and not self.replies and not self.closing
+        return self._throttled and not self._replies and not self._closing_after_error
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        """Leave the table, and notify the dispatcher for each request in flight."""
-        self.table.on_closed(self)
-        for reply in self.replies:
-            if reply.data is None and reply.request_id is not None:
-                self.dispatcher.on_client_disconnected(reply.request_id)
-        self.replies.clear()
+    def is_hung_up(self) -> bool:
+        """Return whether the client has closed or reset the connection, or the router has closed it.
+
+        The kernel is asked: the end of the stream follows all input, so the event loop reads it late, or
+        never while reading is paused.
+        """
+        return is_hung_up(self._transport)
+
+    def is_connected(self) -> bool:
+        """Return whether the client is still connected, and start closing the connection if it is not."""
+        if not self._transport.is_closing() and self.is_hung_up():
+            self._close()
+        return not self._transport.is_closing()
--- a/cache_router/net/client_connection_table.py
+++ b/cache_router/net/client_connection_table.py
@@ -1,105 +1,141 @@
-"""The open connections of clients and which of them are between requests."""
+"""The open connections of clients, and which of them are between commands."""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Iterator
+from collections.abc import Iterator, Mapping
 from contextlib import suppress
-from typing import TYPE_CHECKING
-
-if TYPE_CHECKING:
-    from cache_router.net.client_connection import ClientConnection
+from typing import Protocol
 
 READ_BUFFER_SIZE = 64 * 1024  # bytes
 # seconds that a new client has to send its first command, however many connections there are
 FIRST_COMMAND_GRACE = 0.05
 
 
+class OpenConnection(Protocol):
+    """What the listener and the evictor need of a client's connection in the table."""
+
+    def has_sent_single_command(self) -> bool:
+        """Return whether exactly one complete command has arrived."""
+
+    def has_unread_input(self) -> bool:
+        """Return whether a command may wait in the socket."""
+
+    def has_unsent_output(self) -> bool:
+        """Return whether a part of a reply is still buffered."""
+
+    def has_pending_io(self) -> bool:
+        """Return whether a part of a reply is buffered, or a new command may wait in the socket."""
+
+    def is_throttled_only(self) -> bool:
+        """Return whether the connection is throttled, has no reply pending and is not closing."""
+
+    def close_if_between_requests(self) -> None:
+        """Close, unless a part of a command has arrived."""
+
+    def close_with_error(self, error: str) -> None:
+        """Reply with an error line after the pending replies, and close."""
+
+    def abort(self) -> None:
+        """Close at once and leave the table, without sending what is buffered."""
+
+
 class ClientConnectionTable:
-    """Every open connection of a client, and since when it owes the next command.
+    """The open connections of clients, and the times since which they are idle or await a command.
 
-    Connections notify the table of each change of their state; the listener and the evictor read it.
-    `awaiting_command` and `idle` map a connection to the event loop's time, in seconds, at which it entered
-    that state, the earliest first. One on which a reply is pending, or that is closing, is in neither.
+    Connections report each change of their state to the table; the listener and the evictor read it. A
+    connection on which a reply is pending, or that is throttled or closing, is neither idle nor awaiting a
+    command. Times are those of the event loop, in seconds.
     """
 
     def __init__(self) -> None:
         """Create an empty table; an event loop need not run yet."""
-        self.awaiting_command: dict[ClientConnection, float] = {}  # a first command, or the rest of one
-        self.idle: dict[ClientConnection, float] = {}
-        self.draining = False  # connections close as soon as no reply is pending on them
+        self.draining = False  # whether connections close as soon as no reply is pending on them
         # shared by all connections: each takes out what was read before another one reads
         self.read_buffer = memoryview(bytearray(READ_BUFFER_SIZE))
-        self._open: dict[ClientConnection, None] = {}  # in order of acceptance
-        self._changed = asyncio.Event()  # a connection has closed, or begun to await a command
+        self._open: dict[OpenConnection, None] = {}  # in order of acceptance
+        self._awaiting_command_since: dict[OpenConnection, float] = {}
+        self._idle_since: dict[OpenConnection, float] = {}
+        self._changed = asyncio.Event()  # see `wait_for_change`
 
     def __len__(self) -> int:
         """Return the number of open connections."""
         return len(self._open)
 
-    def __iter__(self) -> Iterator[ClientConnection]:
+    def __iter__(self) -> Iterator[OpenConnection]:
         """Iterate over the open connections in order of acceptance."""
         return iter(self._open)
 
-    def __contains__(self, connection: ClientConnection) -> bool:
-        """Return whether a connection is open."""
-        return connection in self._open
+    @property
+    def awaiting_command_since(self) -> Mapping[OpenConnection, float]:
+        """When each connection started to await its first command, or the rest of one; the earliest first."""
+        return self._awaiting_command_since
+
+    @property
+    def idle_since(self) -> Mapping[OpenConnection, float]:
+        """When each idle connection became idle; the earliest first."""
+        return self._idle_since
 
-    def on_accepted(self, connection: ClientConnection) -> None:
+    def awaiting_beyond_grace(self) -> Iterator[OpenConnection]:
+        """Iterate over the connections that have awaited a command for longer than FIRST_COMMAND_GRACE."""
+        now = asyncio.get_running_loop().time()
+        return (c for c, since in self._awaiting_command_since.items() if now - since > FIRST_COMMAND_GRACE)
+
+    # Reports of connections
+
+    def on_accepted(self, connection: OpenConnection) -> None:
         """Add a new connection, which awaits its first command."""
         self._open[connection] = None
         self.on_awaiting_command(connection)
 
-    def on_data_received(self, connection: ClientConnection) -> None:
-        """Note that a connection is not idle; if it is again after this data, its idle time starts anew."""
-        self.idle.pop(connection, None)
+    def on_data_received(self, connection: OpenConnection) -> None:
+        """Note that a connection is not idle; if it is idle after this data, its idle time starts again."""
+        self._idle_since.pop(connection, None)
 
-    def on_busy(self, connection: ClientConnection) -> None:
+    def on_busy(self, connection: OpenConnection) -> None:
         """Note that a connection has a reply pending, is throttled or is closing."""
-        self.awaiting_command.pop(connection, None)
-        self.idle.pop(connection, None)
-
-    def on_awaiting_command(self, connection: ClientConnection) -> None:
-        """Note that no command has come yet on a connection, or only a part of the next one."""
-        self.idle.pop(connection, None)
-        self._enter(self.awaiting_command, connection)
-
-    def on_idle(self, connection: ClientConnection) -> None:
-        """Note that all commands of a connection are answered and that no part of another has come."""
-        self.awaiting_command.pop(connection, None)
-        self._enter(self.idle, connection)
-
-    def _enter(self, state: dict[ClientConnection, float], connection: ClientConnection) -> None:
-        # A timer or a late reply may notify of a connection that has closed. It has no socket any more, so
-        # entering it again would break the evictor's look at its socket.
-        if connection in self._open and connection not in state:
-            state[connection] = asyncio.get_running_loop().time()
-            self._changed.set()
+        self._awaiting_command_since.pop(connection, None)
+        self._idle_since.pop(connection, None)
+
+    def on_awaiting_command(self, connection: OpenConnection) -> None:
+        """Note that no command has arrived yet on a connection, or only a part of the next one."""
+        self._idle_since.pop(connection, None)
+        self._enter(self._awaiting_command_since, connection)
+
+    def on_idle(self, connection: OpenConnection) -> None:
+        """Note that all commands of a connection are answered and that no part of another has arrived."""
+        self._awaiting_command_since.pop(connection, None)
+        self._enter(self._idle_since, connection)
 
-    def on_closed(self, connection: ClientConnection) -> None:
+    def on_closed(self, connection: OpenConnection) -> None:
         """Remove a connection; one that was removed before is ignored."""
         self._open.pop(connection, None)
-        self.awaiting_command.pop(connection, None)
-        self.idle.pop(connection, None)
-        self.notify()
+        self._awaiting_command_since.pop(connection, None)
+        self._idle_since.pop(connection, None)
+        self.notify_change()
+
+    def _enter(self, state: dict[OpenConnection, float], connection: OpenConnection) -> None:
+        # A timer or a late reply may report the state of a connection that has closed. If it entered the
+        # table again, it would stay there, and the evictor would examine a socket that is closed.
+        if connection in self._open and connection not in state:
+            state[connection] = asyncio.get_running_loop().time()
+            self.notify_change()
+
+    # Changes of the table
 
     def start_draining(self) -> None:
-        """Let every connection, also one accepted later, close once no reply is pending on it."""
+        """Make every connection, also one accepted later, close once no reply is pending on it."""
         self.draining = True
 
-    def awaiting_beyond_grace(self) -> Iterator[ClientConnection]:
-        """Iterate over the connections that have owed a command for longer than FIRST_COMMAND_GRACE."""
-        now = asyncio.get_running_loop().time()
-        return (c for c, since in self.awaiting_command.items() if now - since > FIRST_COMMAND_GRACE)
-
-    def notify(self) -> None:
-        """Wake whoever waits for a change."""
+    def notify_change(self) -> None:
+        """Wake the caller of `wait_for_change`."""
         self._changed.set()
 
     async def wait_for_change(self) -> None:
-        """Wait until a connection closes or begins to await a command, for FIRST_COMMAND_GRACE at most.
+        """Wait until a connection closes, becomes idle or starts to await a command.
 
-        After that time the newest connections, if they are silent, are past their grace.
+        Returns after FIRST_COMMAND_GRACE at the latest: by then the newest connections that have sent nothing
+        are beyond their grace.
         """
         self._changed.clear()
         with suppress(TimeoutError):
--- a/cache_router/net/eviction.py
+++ b/cache_router/net/eviction.py
@@ -1,68 +1,72 @@
-"""Eviction of clients' connections: within the budget of descriptors, and of those that are overdue."""
+"""Eviction of clients' connections, to keep within the descriptor budget and to close overdue ones."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Iterator
 
-from cache_router.net.client_connection import ClientConnection
-from cache_router.net.client_connection_table import ClientConnectionTable
+from cache_router.net.client_connection_table import ClientConnectionTable, OpenConnection
 
-# seconds for a whole command to arrive; a client is owed an answer within 3 s
+# seconds for a complete command to arrive; clients expect a reply within 3 s
 COMMAND_TIMEOUT = 2.0
 # seconds after which an idle connection may be closed while more than half of the budget is in use
 IDLE_TIMEOUT = 2.0
-# the same for one that has sent a single command
+# the same for a connection that has sent a single command
 SINGLE_COMMAND_IDLE_TIMEOUT = 0.1
 # seconds between checks for overdue connections
 OVERDUE_CHECK_INTERVAL = 0.1
+INCOMPLETE_COMMAND_REPLY = "-ERR no whole command came"
 
 
 class Evictor:
-    """Closes connections of clients that are over the budget or overdue."""
+    """Closes connections of clients that exceed the budget or are overdue."""
 
     def __init__(
         self, connections: ClientConnectionTable, max_connections: int, longest_client_timeout: float
     ) -> None:
-        """Evict from a table.
+        """Create an evictor for the connections of a table.
 
-        `max_connections` is the share of the process's descriptors that clients may use, and
-        `longest_client_timeout` the time in seconds after which no client waits for its answer any more.
+        Args:
+            connections: The open connections.
+            max_connections: How many of the process's descriptors clients may use.
+            longest_client_timeout: Seconds after which no client waits for its reply any more.
         """
-        self.connections = connections
-        self.max_connections = max_connections
-        self.longest_client_timeout = longest_client_timeout
+        self._connections = connections
+        self._max_connections = max_connections
+        self._longest_client_timeout = longest_client_timeout
 
     async def evict_excess(self) -> None:
-        """Evict until the budget holds; wait while every connection has a request in flight.
+        """Evict until the budget is kept; wait while every connection has a request in flight.
 
-        The process would run out of descriptors for cache servers and discovery otherwise. While this
+        Otherwise the process would run out of descriptors for cache servers and discovery. While this method
         waits, nothing is accepted and further clients wait in the backlog.
         """
-        while len(self.connections) > self.max_connections:
+        while len(self._connections) > self._max_connections:
             candidate = next(self._candidates(), None)
             if candidate is not None:
-                self._evict(candidate)
+                candidate.abort()
             else:
-                await self.connections.wait_for_change()
+                await self._connections.wait_for_change()
 
-    def _candidates(self) -> Iterator[ClientConnection]:
-        """The connections that may be evicted, in the order in which they are to go.
+    def _candidates(self) -> Iterator[OpenConnection]:
+        """Iterate over the connections that may be evicted, in the order of eviction.
 
-        One that has just sent an error goes first, whatever it has sent behind it: it is never idle, as the
-        next error follows the last. Then go those that owe a command, and then idle ones, of which clients
-        that have sent a single command come before regular ones.
+        1. Connections that have just sent an error, also with unread input: they are never idle, because the
+           next error follows the last one.
+        2. Connections that have awaited a command for too long.
+        3. Idle connections that have sent a single command.
+        4. Other idle connections, whose clients are the ones that reuse their connections.
         """
-        for connection in self.connections:
+        for connection in self._connections:
             if connection.is_throttled_only():
                 yield connection
-        for connection in self.connections.awaiting_beyond_grace():
+        for connection in self._connections.awaiting_beyond_grace():
             if not connection.has_unread_input():
                 yield connection
-        for connection in self.connections.idle:
-            if connection.commands_received == 1 and not connection.has_pending_io():
+        for connection in self._connections.idle_since:
+            if connection.has_sent_single_command() and not connection.has_pending_io():
                 yield connection
-        for connection in self.connections.idle:
+        for connection in self._connections.idle_since:
             if not connection.has_pending_io():
                 yield connection
 
@@ -77,30 +81,24 @@
 
     def _reject_incomplete_commands(self, now: float) -> None:
         """Close connections that have sent nothing, or a part of a command, for too long."""
-        for connection, since in list(self.connections.awaiting_command.items()):
+        for connection, since in list(self._connections.awaiting_command_since.items()):
             if now - since < COMMAND_TIMEOUT:
                 break
-            if not connection.transport.is_closing():
-                connection.close_with_error("-ERR no whole command came")
+            connection.close_with_error(INCOMPLETE_COMMAND_REPLY)
 
     def _evict_unread_replies(self, now: float) -> None:
         """Evict connections whose client has not read its last reply and can't be waiting for it any more."""
-        for connection, since in list(self.connections.idle.items()):
-            if now - since > self.longest_client_timeout and connection.has_unsent_output():
-                self._evict(connection)
+        for connection, since in list(self._connections.idle_since.items()):
+            if now - since > self._longest_client_timeout and connection.has_unsent_output():
+                connection.abort()
 
     def _evict_surplus_idle(self, now: float) -> None:
         """Evict idle connections, the longest idle first, down to half of the budget."""
-        surplus = len(self.connections) - self.max_connections // 2
-        for connection, since in list(self.connections.idle.items()):
+        surplus = len(self._connections) - self._max_connections // 2
+        for connection, since in list(self._connections.idle_since.items()):
             if surplus <= 0:
                 break
-            timeout = IDLE_TIMEOUT if connection.commands_received > 1 else SINGLE_COMMAND_IDLE_TIMEOUT
+            timeout = SINGLE_COMMAND_IDLE_TIMEOUT if connection.has_sent_single_command() else IDLE_TIMEOUT
             if now - since > timeout and not connection.has_pending_io():
-                self._evict(connection)
+                connection.abort()
                 surplus -= 1
-
-    def _evict(self, connection: ClientConnection) -> None:
-        connection.transport.abort()
-        # now: the event loop reports an aborted connection as lost only later
-        self.connections.on_closed(connection)
--- a/cache_router/net/listener.py
+++ b/cache_router/net/listener.py
@@ -7,8 +7,9 @@
 import socket
 from contextlib import suppress
 
+from cache_router.net.address import Address
 from cache_router.net.client_connection import ClientConnection
-from cache_router.net.client_connection_table import ClientConnectionTable
+from cache_router.net.client_connection_table import ClientConnectionTable, OpenConnection
 from cache_router.net.dispatcher import Dispatcher
 from cache_router.net.eviction import Evictor
 
@@ -23,91 +24,116 @@
 
     def __init__(self, dispatcher: Dispatcher, max_connections: int) -> None:
         """Create a listener that is not bound yet; clients may use `max_connections` descriptors."""
-        self.dispatcher = dispatcher
-        self.connections = ClientConnectionTable()
+        self._dispatcher = dispatcher
+        self._connections = ClientConnectionTable()
         longest_client_timeout = max(c.client_timeout for c in dispatcher.settings.classes.values())
-        self.evictor = Evictor(self.connections, max_connections, longest_client_timeout)
-        self.socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self._connection_pending = asyncio.Event()  # or draining has started
+        self._evictor = Evictor(self._connections, max_connections, longest_client_timeout)
+        self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        self._connection_pending = asyncio.Event()  # also set when draining starts
         self._accept_task: asyncio.Task[None]
         self._overdue_task: asyncio.Task[None]
 
+    @property
+    def address(self) -> Address:
+        """The bound address.
+
+        Raises:
+            OSError: The listening socket is closed.
+        """
+        return Address(*self._socket.getsockname())
+
+    @property
+    def is_closed(self) -> bool:
+        """Whether the listening socket is closed, so that the kernel refuses further clients."""
+        return self._socket.fileno() < 0
+
+    @property
+    def is_draining(self) -> bool:
+        """Whether connections close as soon as no reply is pending on them."""
+        return self._connections.draining
+
+    def open_connections(self) -> list[OpenConnection]:
+        """Return the open connections in order of acceptance."""
+        return list(self._connections)
+
     def bind(self, address: tuple[str, int]) -> None:
         """Bind the address; connections are refused until `start`.
 
-        Raises OSError if the address can't be bound, and ValueError if its host can't be encoded.
+        Raises:
+            OSError: The address can't be bound.
+            ValueError: The host can't be encoded.
         """
-        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.socket.setblocking(False)
-        self.socket.bind(address)
+        self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self._socket.setblocking(False)
+        self._socket.bind(address)
 
     def start(self) -> None:
-        """Listen and accept; an event loop has to run."""
-        self.socket.listen(ACCEPT_BACKLOG)
+        """Listen and accept; an event loop must be running."""
+        self._socket.listen(ACCEPT_BACKLOG)
         self._accept_task = asyncio.create_task(self._accept_clients())
-        self._overdue_task = asyncio.create_task(self.evictor.close_overdue_periodically())
+        self._overdue_task = asyncio.create_task(self._evictor.close_overdue_periodically())
 
     async def _accept_clients(self) -> None:
-        """Accept until draining starts, and then what the kernel had accepted by itself before that."""
+        """Accept until draining starts, and then the clients that are still in the kernel's backlog."""
         while True:
             try:
-                client, _ = self.socket.accept()
+                client, client_address = self._socket.accept()
             except (BlockingIOError, InterruptedError):
-                if self.connections.draining:
+                if self._connections.draining:
                     break
                 await self._wait_for_pending_connection()
                 continue
             except OSError as e:
-                log.warning("accept: %s", e)
+                log.warning("accept on %s: %s", self.address, e)
                 await asyncio.sleep(ACCEPT_RETRY_DELAY)
                 continue
-            await self._open_connection(client)
-            await self.evictor.evict_excess()
-        # at once: what the kernel accepts from here on would be reset together with its request
-        self.socket.close()
-        self.connections.notify()
-
-    async def _open_connection(self, client: socket.socket) -> None:
-        """Hand an accepted socket to a connection of its own."""
+            await self._open_connection(client, Address(*client_address))
+            await self._evictor.evict_excess()
+        # at once: a connection that the kernel accepts later would be reset together with its request
+        self._socket.close()
+        self._connections.notify_change()
+
+    async def _open_connection(self, client: socket.socket, address: Address) -> None:
+        """Create the connection of an accepted socket."""
         client.setblocking(False)
         try:
             await asyncio.get_running_loop().connect_accepted_socket(
-                lambda: ClientConnection(self.dispatcher, self.connections), client
+                lambda: ClientConnection(self._dispatcher, self._connections), client
             )
         except OSError as e:
-            log.warning("accept: %s", e)
+            log.warning("accept of client %s: %s", address, e)
             client.close()
 
     async def _wait_for_pending_connection(self) -> None:
         """Wait until a client connects or draining starts."""
         loop = asyncio.get_running_loop()
-        loop.add_reader(self.socket, self._connection_pending.set)
+        loop.add_reader(self._socket, self._connection_pending.set)
         try:
             await self._connection_pending.wait()
             self._connection_pending.clear()
         finally:
-            loop.remove_reader(self.socket)
+            loop.remove_reader(self._socket)
 
     async def stop(self, accept_time: float, drain_timeout: float) -> None:
-        """Shut down gracefully: accept for `accept_time` seconds more, then drain.
+        """Shut down gracefully: accept for `accept_time` more seconds, then drain.
 
         Returns when every connection has closed, or `drain_timeout` seconds after draining started. `start`
         must have been called.
         """
         await asyncio.sleep(accept_time)
-        self.connections.start_draining()
+        self._connections.start_draining()
         self._connection_pending.set()
         with suppress(TimeoutError):
             async with asyncio.timeout(drain_timeout):
                 await self._drain()
         self._accept_task.cancel()
         self._overdue_task.cancel()
-        self.socket.close()
+        self._socket.close()
 
     async def _drain(self) -> None:
-        """Close connections as they fall idle, until all are closed and none is accepted any more."""
-        connections = self.connections
+        """Close connections as they become idle, until all are closed and no more clients are accepted."""
+        connections = self._connections
         while connections or not self._accept_task.done():
-            for connection in [*connections.idle, *connections.awaiting_beyond_grace()]:
+            for connection in [*connections.idle_since, *connections.awaiting_beyond_grace()]:
                 connection.close_if_between_requests()
             await connections.wait_for_change()
--- a/cache_router/server.py
+++ b/cache_router/server.py
@@ -157,7 +157,7 @@
             if self.updates_are_pushed:
                 await self._wait_for_first_list()
             self.listener.start()
-            log.info("listening on %s:%d", *self.listener.socket.getsockname())
+            log.info("listening on %s", self.listener.address)
             await self.terminated.wait()
             await self._drain()
 
--- a/tests/cache_router/net/test_client_connection.py
+++ b/tests/cache_router/net/test_client_connection.py
@@ -3,11 +3,13 @@
 from __future__ import annotations
 
 import asyncio
+import socket
 
 import pytest
 
 from cache_router.net import client_connection
 from cache_router.net.client_connection import MAX_PIPELINED_COMMANDS, ClientConnection
+from cache_router.net.client_connection_table import ClientConnectionTable
 from tests.support.event_order import wait_until
 from tests.support.loopback import HIT, Link, Router, command, error_text, read, run
 
@@ -112,10 +114,10 @@
         async with Router() as router:
             client, cache = await router.start_read()
             client.write(b"noise\r\n" + b"x" * 100_000)
-            (connection,) = router.listener.connections
-            await wait_until(lambda: connection.closing)
-            assert not connection.transport.is_reading()
-            assert connection.reader.is_empty()
+            (connection,) = router.client_connections()
+            await wait_until(lambda: connection.pending_replies == 2)  # the last one is the error
+            assert not connection.is_reading()
+            assert not connection.has_buffered_input()
             cache.write(HIT)
             assert await client.resp() == b"value"
             assert error_text(await client.resp()).startswith("ERR")
@@ -162,9 +164,9 @@
     """Return a client that has sent twice the commands that may be pipelined, and the router's side of it."""
     client = await router.client()
     client.write(b"".join(read(f"r{n}") for n in range(2 * MAX_PIPELINED_COMMANDS)))
-    await wait_until(lambda: router.listener.connections)
-    (connection,) = router.listener.connections
-    await wait_until(lambda: len(connection.replies) >= MAX_PIPELINED_COMMANDS)
+    await wait_until(router.client_connections)
+    (connection,) = router.client_connections()
+    await wait_until(lambda: connection.pending_replies >= MAX_PIPELINED_COMMANDS)
     return client, connection
 
 
@@ -174,8 +176,8 @@
     async def scenario() -> None:
         async with Router() as router:
             _client, connection = await client_with_full_pipeline(router)
-            assert len(connection.replies) == MAX_PIPELINED_COMMANDS
-            assert not connection.transport.is_reading()
+            assert connection.pending_replies == MAX_PIPELINED_COMMANDS
+            assert not connection.is_reading()
 
     run(scenario)
 
@@ -186,9 +188,9 @@
     async def scenario() -> None:
         async with Router() as router:
             _client, connection = await client_with_full_pipeline(router)
-            connection.transport.abort()
+            connection.abort()
             router.dispatcher.requests.respond("r0", b"-ERR failed\r\n")
-            await wait_until(lambda: not router.listener.connections)
+            await wait_until(lambda: not connection.pending_replies)
             await asyncio.sleep(0)
             # the decision module was not notified of the reply above, and has not removed it
             assert set(router.dispatcher.requests) == {"r0"}
@@ -228,20 +230,54 @@
     run(scenario)
 
 
-def test_closed_connection_is_removed_from_the_table() -> None:
+async def accepted_connection(router: Router, table: ClientConnectionTable) -> tuple[Link, ClientConnection]:
+    """Return a client, and the router's side of its connection, which reports to a table of the test."""
+    client_socket, accepted_socket = socket.socketpair()
+    accepted_socket.setblocking(False)
+    _transport, connection = await asyncio.get_running_loop().connect_accepted_socket(
+        lambda: ClientConnection(router.dispatcher, table), accepted_socket
+    )
+    return Link(*await asyncio.open_connection(sock=client_socket)), connection
+
+
+@pytest.mark.parametrize("cause", ["abort", "reset"])
+def test_closed_connection_is_removed_from_the_table(cause: str) -> None:
     """A closed connection has no socket: examining it stopped the listener, and nobody could connect."""
 
     async def scenario() -> None:
         async with Router() as router:
-            client, other = await router.client(), await router.client()
+            table = ClientConnectionTable()
+            client, connection = await accepted_connection(router, table)
+            other, remaining = await accepted_connection(router, table)
             client.write(read("r1", info="c=unheard-of,d=900"))
             error_text(await client.resp())
-            next(iter(router.listener.connections)).transport.abort()
+            if cause == "abort":
+                connection.abort()
+                assert list(table) == [remaining]
+            else:
+                client.reset()
+                await wait_until(lambda: list(table) == [remaining])
             await asyncio.sleep(2 * client_connection.ERROR_THROTTLE_TIME)
             await other.ping()
-            connections = router.listener.connections
-            (remaining,) = connections
-            assert list(connections.idle) == [remaining]
-            assert not connections.awaiting_command
+            assert list(table) == list(table.idle_since) == [remaining]
+            assert not table.awaiting_command_since
+            remaining.abort()
+
+    run(scenario)
+
+
+def test_clients_are_accepted_after_a_throttled_connection_has_closed() -> None:
+    """The end of throttling must not bring the connection back, also not at the connection limit."""
+
+    async def scenario() -> None:
+        async with Router(max_clients=1) as router:
+            client = await router.client()
+            client.write(read("r1", info="c=unheard-of,d=900"))
+            error_text(await client.resp())
+            client.reset()
+            await wait_until(lambda: not router.client_connections())
+            await asyncio.sleep(2 * client_connection.ERROR_THROTTLE_TIME)
+            for _ in range(2):
+                await (await router.client()).ping()
 
     run(scenario)
--- a/tests/cache_router/net/test_disconnect_races.py
+++ b/tests/cache_router/net/test_disconnect_races.py
@@ -27,7 +27,7 @@
 
 def blocking_client(router: Router) -> socket.socket:
     """Return a client on a blocking socket, which can act before the router's event loop runs again."""
-    return socket.create_connection(router.listener.socket.getsockname())
+    return socket.create_connection(router.listener.address)
 
 
 def disconnect_blocking_client(client: socket.socket, how: str) -> None:
@@ -45,7 +45,7 @@
     address = client.getsockname()
 
     def found() -> list[ClientConnection]:
-        return [c for c in router.listener.connections if c.transport.get_extra_info("peername") == address]
+        return [c for c in router.client_connections() if c.client_address == address]
 
     await wait_until(found)
     return found()[0]
@@ -123,7 +123,6 @@
     cause: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The end of the stream comes after the request, and may be read only long after it."""
-    monkeypatch.setattr(client_connection, "ERROR_THROTTLE_TIME", 600.0)
 
     async def scenario() -> None:
         async with Router() as router:
@@ -138,18 +137,16 @@
                 assert (await cache.resp())[2] == b"r0"
             elif cause == "error":
                 client.sendall(command("GET", "k"))
-                await wait_until(lambda: connection.throttled)
+                await wait_until(connection.is_throttled_only)
             elif cause == "slow":
                 connection.pause_writing()
             client.sendall(read("r1"))
             disconnect_blocking_client(client, how)
             if cause == "pipeline":
                 cache.write(HIT)
-            elif cause == "error":
-                connection._end_throttling()
             elif cause == "slow":
                 connection.resume_writing()
-            await wait_until(lambda: connection not in router.listener.connections)
+            await wait_until(lambda: connection not in router.client_connections())
             client.close()
             await wait_until_settled(router)
             assert "r1" not in written
--- a/tests/cache_router/net/test_eviction.py
+++ b/tests/cache_router/net/test_eviction.py
@@ -5,12 +5,13 @@
 import asyncio
 import socket
 from contextlib import suppress
+from dataclasses import replace
 
 import pytest
 
 from cache_router.net import client_connection_table, eviction
 from tests.support.event_order import wait_until
-from tests.support.loopback import HIT, Link, Router, command, error_text, read, run
+from tests.support.loopback import HIT, READ, SETTINGS, Link, Router, command, error_text, read, run
 
 
 def test_incomplete_command_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -140,38 +141,46 @@
             regular = [await client_after_pings(router, 2) for _ in range(3)]
             single = await client_after_pings(router, 1)
             assert await single.closed_by_peer()
-            assert len(router.listener.connections) == 3
+            assert len(router.client_connections()) == 3
             assert await regular[0].closed_by_peer()
             await regular[2].ping()
 
     run(scenario)
 
 
-async def client_with_unread_reply(router: Router, value: bytes) -> Link:
+async def client_with_unread_reply(router: Router, value: bytes, monkeypatch: pytest.MonkeyPatch) -> Link:
     """Return a client that has not read its reply, a part of which the router still buffers."""
+    accept = socket.socket.accept
+
+    def accept_with_small_buffer(listening: socket.socket) -> tuple[socket.socket, object]:
+        accepted, address = accept(listening)
+        accepted.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        return accepted, address
+
     small_buffer = socket.socket()
     small_buffer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    small_buffer.connect(router.listener.socket.getsockname())
-    client = Link(*await asyncio.open_connection(sock=small_buffer, limit=1024))
+    small_buffer.connect(router.listener.address)
+    with monkeypatch.context() as patch:
+        patch.setattr(socket.socket, "accept", accept_with_small_buffer)
+        client = Link(*await asyncio.open_connection(sock=small_buffer, limit=1024))
+        await wait_until(router.client_connections)
     client.write(read("r1"))
     cache = await router.cache()
     await cache.resp()
-    (connection,) = router.listener.connections
-    connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    (connection,) = router.client_connections()
     cache.write(b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % (len(value), value))
-    await wait_until(
-        lambda: connection in router.listener.connections.idle and connection.has_unsent_output()
-    )
+    # a reply is written as the last pending one, and its connection is idle from then on
+    await wait_until(lambda: connection.has_unsent_output() and not connection.pending_replies)
     return client
 
 
-def test_connection_is_not_evicted_before_its_reply_has_gone_out() -> None:
+def test_connection_is_not_evicted_before_its_reply_has_gone_out(monkeypatch: pytest.MonkeyPatch) -> None:
     """A reply cut short by the router is lost."""
 
     async def scenario() -> None:
         value = b"x" * 60_000
         async with Router(max_clients=1) as router:
-            client = await client_with_unread_reply(router, value)
+            client = await client_with_unread_reply(router, value, monkeypatch)
             other = await router.client()
             await other.ping()  # the eviction would have happened by now
             assert await client.resp() == value
@@ -184,10 +193,10 @@
 
     async def scenario() -> None:
         monkeypatch.setattr(eviction, "OVERDUE_CHECK_INTERVAL", 0.01)
-        async with Router() as router:
-            client = await client_with_unread_reply(router, b"x" * 60_000)
-            router.listener.evictor.longest_client_timeout = 0.0
-            await wait_until(lambda: not router.listener.connections)
+        read_class = replace(READ, latency_objective=600.0, client_timeout=0.01)
+        async with Router(replace(SETTINGS, classes={"read": read_class})) as router:
+            client = await client_with_unread_reply(router, b"x" * 60_000, monkeypatch)
+            await wait_until(lambda: not router.client_connections())
             client.close()
 
     run(scenario)
--- a/tests/cache_router/net/test_late_connections.py
+++ b/tests/cache_router/net/test_late_connections.py
@@ -89,7 +89,7 @@
             client.write(read("r1"))
             await first_connection(router)
             client.close()
-            await wait_until(lambda: not router.listener.connections)
+            await wait_until(lambda: not router.client_connections())
             connections.released.set()
             await wait_until(lambda: not router.cache_pool.connecting)
             assert not written
--- a/tests/cache_router/net/test_listener.py
+++ b/tests/cache_router/net/test_listener.py
@@ -18,10 +18,11 @@
     async def scenario() -> None:
         async with Router() as router:
             accept, calls, exhausted = socket.socket.accept, 0, True
+            address = router.listener.address
 
             def failing(listener: socket.socket) -> tuple[socket.socket, object]:
                 nonlocal calls
-                if listener is router.listener.socket:
+                if listener.getsockname() == address:
                     calls += 1
                     if exhausted:
                         raise OSError(errno.EMFILE, "too many open files")
@@ -49,8 +50,8 @@
             client.write(command("PING") + b"*4\r\n$5\r\nC.G")
             assert await client.resp() == b"PONG"
             await router.listener.stop(0.0, 0.05)
-            (connection,) = router.listener.connections
-            connection.transport.abort()
+            (connection,) = router.client_connections()
+            connection.abort()
 
     run(scenario)
 
--- a/tests/cache_router/net/test_unread_disconnects.py
+++ b/tests/cache_router/net/test_unread_disconnects.py
@@ -7,17 +7,16 @@
 import pytest
 
 from cache_router.net import client_connection
-from cache_router.net.socket_state import is_hung_up
 from tests.support.event_order import record_written_requests, wait_until
 from tests.support.loopback import HIT, MISS, Link, Router, command, http, keyed_write, read, run
 
 
 async def disconnect(router: Router, client: Link) -> None:
     """Close the client's side and wait until the kernel knows, while the router does not read."""
-    (connection,) = router.listener.connections
-    assert not connection.transport.is_reading()
+    (connection,) = router.client_connections()
+    assert not connection.is_reading()
     client.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
-    await wait_until(lambda: is_hung_up(connection.transport))
+    await wait_until(connection.is_hung_up)
 
 
 @pytest.mark.parametrize("state", ["error", "framing", "slow"])
@@ -36,7 +35,7 @@
             cache = await router.cache()
             await cache.resp()
             if state == "slow":  # as its transport does when the client reads no replies
-                next(iter(router.listener.connections)).pause_writing()
+                router.client_connections()[0].pause_writing()
             await disconnect(router, client)
             if response is None:
                 cache.reset()
@@ -46,7 +45,7 @@
             assert written == ["r1"]
             assert not router.dispatcher.router.pending
             assert router.origin.links.empty()
-            await wait_until(lambda: not router.listener.connections)
+            await wait_until(lambda: not router.client_connections())
 
     run(scenario)
 
@@ -70,14 +69,14 @@
             client = await router.client()
             client.write(keyed_write("w2") + (b"" if is_read else command("GET", "k")))
             await wait_until(lambda: "w2" in decisions.pending and decisions.pending["w2"].is_queued)
-            connection = list(router.listener.connections)[1]
+            connection = router.client_connections()[1]
             if is_read:
                 client.close()
-                await wait_until(lambda: connection not in router.listener.connections)
+                await wait_until(lambda: connection not in router.client_connections())
             else:
-                await wait_until(lambda: not connection.transport.is_reading())
+                await wait_until(lambda: not connection.is_reading())
                 client.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
-                await wait_until(lambda: is_hung_up(connection.transport))
+                await wait_until(connection.is_hung_up)
             origin.write(http("200 OK", b"receipt"))
             assert await first.resp() == b"receipt"
             await wait_until(lambda: not router.dispatcher.requests)
@@ -98,11 +97,11 @@
             client, cache = await router.start_read("r0")
             request_ids = [f"r{n}" for n in range(1, 2 * client_connection.MAX_PIPELINED_COMMANDS)]
             client.write(b"".join(read(n) for n in request_ids))
-            await wait_until(lambda: not next(iter(router.listener.connections)).transport.is_reading())
+            await wait_until(lambda: not router.client_connections()[0].is_reading())
             await disconnect(router, client)
             before = list(written)
             cache.write(HIT)
-            await wait_until(lambda: not router.listener.connections)
+            await wait_until(lambda: not router.client_connections())
             assert written == before
             assert not router.dispatcher.router.pending
 
--- a/tests/cache_router/test_shutdown.py
+++ b/tests/cache_router/test_shutdown.py
@@ -89,14 +89,14 @@
         async with Router(max_clients=1) as router:
             first, cache = await router.start_read()
             second = await router.client()
-            await wait_until(lambda: len(router.listener.connections) == 2)  # one too many, and none to evict
+            await wait_until(lambda: len(router.client_connections()) == 2)  # one too many, and none to evict
             second.write(read("r2"))
             third = await router.client()
             third.write(read("r3"))
             served = await router.cache()
             assert (await served.resp())[2] == b"r2"
             shutdown = asyncio.create_task(router.listener.stop(0.0, TEST_TIMEOUT))
-            await wait_until(lambda: router.listener.connections.draining)
+            await wait_until(lambda: router.listener.is_draining)
             cache.write(HIT)
             served.write(HIT)
             assert await first.resp() == await second.resp() == b"value"
@@ -130,10 +130,10 @@
     async def scenario() -> None:
         async with Router() as router:
             client = await router.client()
-            await wait_until(lambda: router.listener.connections.awaiting_command)
+            await wait_until(router.client_connections)
             monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", TEST_TIMEOUT)
             shutdown = asyncio.create_task(router.listener.stop(0.0, TEST_TIMEOUT))
-            await wait_until(lambda: router.listener.socket.fileno() < 0)
+            await wait_until(lambda: router.listener.is_closed)
             client.write(read("r1"))
             cache = await router.cache()
             await cache.resp()
@@ -151,11 +151,11 @@
     async def scenario() -> None:
         async with Router() as router:
             client, cache = await router.start_read()
-            (connection,) = router.listener.connections
+            (connection,) = router.client_connections()
             shutdown = asyncio.create_task(router.listener.stop(0.0, TEST_TIMEOUT))
-            await wait_until(lambda: router.listener.connections.draining)
+            await wait_until(lambda: router.listener.is_draining)
             router.dispatcher.requests.respond("r1", b"-ERR failed\r\n")
-            assert connection.transport.is_closing()
+            assert not connection.is_connected()  # closing, as the client has not disconnected
             assert isinstance(await client.resp(), hiredis.ReplyError)
             assert await client.closed_by_peer()
             await shutdown
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -17,6 +17,7 @@
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.endpoint import Endpoint
 from cache_router.net.cache_connection import CacheConnection
+from cache_router.net.client_connection import ClientConnection
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.discovery import Discovery
 from cache_router.net.dispatcher import Dispatcher
@@ -256,8 +257,8 @@
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         """Abort the connections of clients, and stop everything."""
-        for connection in list(self.listener.connections):
-            connection.transport.abort()
+        for connection in self.listener.open_connections():
+            connection.abort()
         await self.listener.stop(0.0, 1.0)
         if self.discovery is not None:
             self.discovery.close()
@@ -268,7 +269,11 @@
 
     async def client(self) -> Link:
         """Open a new client's connection."""
-        return Link(*await asyncio.open_connection(*self.listener.socket.getsockname()))
+        return Link(*await asyncio.open_connection(*self.listener.address))
+
+    def client_connections(self) -> list[ClientConnection]:
+        """Return the router's side of the clients' open connections, in order of acceptance."""
+        return [c for c in self.listener.open_connections() if isinstance(c, ClientConnection)]
 
     async def cache(self) -> Link:
         """Return the next connection that is made to either cache server."""
