--- a/tests/cache_router/net/test_client_connection.py
+++ b/tests/cache_router/net/test_client_connection.py
@@ -3,13 +3,11 @@
 from __future__ import annotations
 
 import asyncio
-import socket
 
 import pytest
 
 from cache_router.net import client_connection
-from cache_router.net.client_connection import MAX_PIPELINED_COMMANDS, ClientConnection
-from cache_router.net.client_connection_table import ClientConnectionTable
+from cache_router.net.client_connection import MAX_PIPELINED_COMMANDS, ClientConnection, PipelinedReply
 from tests.support.event_order import wait_until
 from tests.support.loopback import HIT, Link, Router, command, error_text, read, run
 
@@ -230,54 +228,12 @@
     run(scenario)
 
 
-async def accepted_connection(router: Router, table: ClientConnectionTable) -> tuple[Link, ClientConnection]:
-    """Return a client, and the router's side of its connection, which reports to a table of the test."""
-    client_socket, accepted_socket = socket.socketpair()
-    accepted_socket.setblocking(False)
-    _transport, connection = await asyncio.get_running_loop().connect_accepted_socket(
-        lambda: ClientConnection(router.dispatcher, table), accepted_socket
-    )
-    return Link(*await asyncio.open_connection(sock=client_socket)), connection
-
-
-@pytest.mark.parametrize("cause", ["abort", "reset"])
-def test_closed_connection_is_removed_from_the_table(cause: str) -> None:
-    """A closed connection has no socket: examining it stopped the listener, and nobody could connect."""
-
-    async def scenario() -> None:
-        async with Router() as router:
-            table = ClientConnectionTable()
-            client, connection = await accepted_connection(router, table)
-            other, remaining = await accepted_connection(router, table)
-            client.write(read("r1", info="c=unheard-of,d=900"))
-            error_text(await client.resp())
-            if cause == "abort":
-                connection.abort()
-                assert list(table) == [remaining]
-            else:
-                client.reset()
-                await wait_until(lambda: list(table) == [remaining])
-            await asyncio.sleep(2 * client_connection.ERROR_THROTTLE_TIME)
-            await other.ping()
-            assert list(table) == list(table.idle_since) == [remaining]
-            assert not table.awaiting_command_since
-            remaining.abort()
-
-    run(scenario)
-
-
-def test_clients_are_accepted_after_a_throttled_connection_has_closed() -> None:
-    """The end of throttling must not bring the connection back, also not at the connection limit."""
-
-    async def scenario() -> None:
-        async with Router(max_clients=1) as router:
-            client = await router.client()
-            client.write(read("r1", info="c=unheard-of,d=900"))
-            error_text(await client.resp())
-            client.reset()
-            await wait_until(lambda: not router.client_connections())
-            await asyncio.sleep(2 * client_connection.ERROR_THROTTLE_TIME)
-            for _ in range(2):
-                await (await router.client()).ping()
-
-    run(scenario)
+def test_pipelined_reply_has_a_request_until_it_is_rejected() -> None:
+    """A disconnect is reported for the requests that the dispatcher has accepted."""
+    reply = PipelinedReply()
+    reply.start_request("r1")
+    assert reply.request_id == "r1"
+    reply.reject_request()
+    reply.complete(b"-ERR failed\r\n")
+    assert reply.request_id is None
+    assert reply.data == b"-ERR failed\r\n"
--- /dev/null
+++ b/tests/cache_router/net/test_client_connection_closing.py
@@ -0,0 +1,103 @@
+"""Connections of clients that close: by the router, by the client, and what they leave behind."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+import pytest
+
+from cache_router.net import client_connection
+from cache_router.net.client_connection import ClientConnection
+from cache_router.net.client_connection_table import ClientConnectionTable
+from tests.support.event_order import wait_until
+from tests.support.loopback import Link, Router, error_text, read, run
+
+
+async def accepted_connection(router: Router, table: ClientConnectionTable) -> tuple[Link, ClientConnection]:
+    """Return a client, and the router's side of its connection, which reports to a table of the test."""
+    client_socket, accepted_socket = socket.socketpair()
+    accepted_socket.setblocking(False)
+    _transport, connection = await asyncio.get_running_loop().connect_accepted_socket(
+        lambda: ClientConnection(router.dispatcher, table), accepted_socket
+    )
+    return Link(*await asyncio.open_connection(sock=client_socket)), connection
+
+
+@pytest.mark.parametrize("cause", ["abort", "reset"])
+def test_closed_connection_is_removed_from_the_table(cause: str) -> None:
+    """A closed connection has no socket: examining it stopped the listener, and nobody could connect."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            table = ClientConnectionTable()
+            client, connection = await accepted_connection(router, table)
+            other, remaining = await accepted_connection(router, table)
+            client.write(read("r1", info="c=unheard-of,d=900"))
+            error_text(await client.resp())
+            if cause == "abort":
+                connection.abort()
+                assert list(table) == [remaining]
+            else:
+                client.reset()
+                await wait_until(lambda: list(table) == [remaining])
+            await asyncio.sleep(2 * client_connection.ERROR_THROTTLE_TIME)
+            await other.ping()
+            assert list(table) == list(table.idle_since) == [remaining]
+            assert not table.awaiting_command_since
+            remaining.abort()
+
+    run(scenario)
+
+
+def test_aborted_connection_leaves_the_table_before_the_event_loop_reports_it_lost() -> None:
+    """The evictor compares the table's size with its budget again at once, and would evict one more."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            client = await client_after_ping(router)
+            (connection,) = router.client_connections()
+            connection.abort()
+            assert not router.client_connections()
+            assert await client.closed_by_peer()
+
+    run(scenario)
+
+
+async def client_after_ping(router: Router) -> Link:
+    """Return a client that has sent a command and received its reply."""
+    client = await router.client()
+    await client.ping()
+    return client
+
+
+def test_closing_connection_gets_no_further_error() -> None:
+    """A reply after the close would be written to a transport that discards it."""
+
+    async def scenario() -> None:
+        async with Router() as router:
+            client = await client_after_ping(router)
+            (connection,) = router.client_connections()
+            connection.close_if_between_requests()
+            connection.close_with_error("-ERR late")
+            assert not connection.pending_replies
+            assert await client.closed_by_peer()
+
+    run(scenario)
+
+
+def test_clients_are_accepted_after_a_throttled_connection_has_closed() -> None:
+    """The end of throttling must not bring the connection back, also not at the connection limit."""
+
+    async def scenario() -> None:
+        async with Router(max_clients=1) as router:
+            client = await router.client()
+            client.write(read("r1", info="c=unheard-of,d=900"))
+            error_text(await client.resp())
+            client.reset()
+            await wait_until(lambda: not router.client_connections())
+            await asyncio.sleep(2 * client_connection.ERROR_THROTTLE_TIME)
+            for _ in range(2):
+                await (await router.client()).ping()
+
+    run(scenario)
