--- a/cache_router/net/cache_connection.py
+++ b/cache_router/net/cache_connection.py
@@ -65,4 +65,4 @@
 
     def is_reusable(self) -> bool:
         """Return whether nothing came after the response."""
-        return not self._reader.buffer
+        return self._reader.is_empty()
--- a/cache_router/server.py
+++ b/cache_router/server.py
@@ -69,7 +69,7 @@
             if self._updates_are_pushed:
                 await self._wait_for_first_list()
             self._listener.start()
-            log.info("listening on %s:%d", *self._listener.socket.getsockname())
+            log.info("listening on %s", self._listener.address)
             await self._terminated.wait()
             await self._drain()
 
@@ -133,8 +133,8 @@
         """Answer the requests in flight, and close each client connection after its last answer."""
         schedule = ShutdownSchedule.from_settings(self._config.settings)
         log.info(
-            "draining %s:%d: connections are accepted for %g s, SIGKILL may come in %g s",
-            *self._listener.socket.getsockname(),
+            "draining %s: connections are accepted for %g s, SIGKILL may come in %g s",
+            self._listener.address,
             schedule.accept_until,
             schedule.sigkill_at,
         )
