--- a/cache_router/decisions/events.py
+++ b/cache_router/decisions/events.py
@@ -67,6 +67,7 @@
 
     kind: EndpointUpdateKind
     endpoints: tuple[Endpoint, ...] = ()
+    discovery_address: str = ""  # of a failed call, for the log; empty where discovery has none
 
 
 @dataclass(slots=True, frozen=True)
--- a/cache_router/decisions/request_lifecycle.py
+++ b/cache_router/decisions/request_lifecycle.py
@@ -39,7 +39,8 @@
 
     def on_request(self, request: Request, now: float) -> None:
         """Accept a request, and take its first step."""
-        request_class = self._class_of(request)
+        class_name = request.request_class
+        request_class = self.settings.classes.get(class_name) or _unknown_class(class_name)
         time_left = request.time_left - self.settings.clock_resolution
         deadline = now + min(time_left, request_class.latency_objective)
         to_origin = self.settings.cache_aside and request.is_write
@@ -93,18 +94,11 @@
             if pending.is_queued:
                 self.origin_scheduler.set_deadline_timer(pending, now)
 
-    def _class_of(self, request: Request) -> RequestClass:
-        """The class of a request; a request of an unknown class is never sent, as its objective is 0 s."""
-        known = self.settings.classes.get(request.request_class)
-        if known is not None:
-            return known
-        return RequestClass(request.request_class, 0.0, Idempotency.NOT_IDEMPOTENT)
-
     def _advance(self, pending: PendingRequest, now: float) -> None:
         """Send the next attempt, queue the request for one, or end it."""
         to_cache = self.endpoints.ring.size > 0 and not pending.to_origin
         server = self.selector.choose(pending, now) if to_cache else self.endpoints.least_loaded_origin()
-        if now >= pending.deadline or not self._may_attempt(pending, server, now):
+        if now >= pending.deadline or (pending.attempts and not self._may_retry(pending, server, now)):
             self.open_requests.reject_or_fail(pending)
         elif not to_cache:
             self.origin_scheduler.enqueue(pending, now)
@@ -113,10 +107,8 @@
         else:
             self.sender.send(pending, server, now)
 
-    def _may_attempt(self, pending: PendingRequest, server: Server | None, now: float) -> bool:
-        """Whether the retry policy permits an attempt; it permits a retry for a given server only."""
-        if not pending.attempts:
-            return True
+    def _may_retry(self, pending: PendingRequest, server: Server | None, now: float) -> bool:
+        """Whether there is a server for a retry, and the retry policy permits it."""
         return server is not None and self.retry_policy.permits_attempt(pending, server, now)
 
     def _continue_after_attempt(self, pending: PendingRequest, event: AttemptCompleted, now: float) -> None:
@@ -147,3 +139,8 @@
         if status is AttemptStatus.ERROR and not self.settings.cache_aside:
             return False  # the caches fetch from the origin: when that fails, a retry is one fetch more
         return pending.to_origin or self.retry_budget.take_for_retry(status, self.health.success_rate)
+
+
+def _unknown_class(name: str) -> RequestClass:
+    """A class for a request whose own class is unknown: an objective of 0 s, so that it is never sent."""
+    return RequestClass(name, 0.0, Idempotency.NOT_IDEMPOTENT)
--- a/cache_router/decisions/router.py
+++ b/cache_router/decisions/router.py
@@ -126,7 +126,7 @@
     def _on_endpoint_update(self, update: events.EndpointUpdate, now: float) -> None:
         """Apply an update before the parts that depend on the list take it."""
         if update.kind is EndpointUpdateKind.FAILED:
-            self.subscription.on_failure(now)
+            self.subscription.on_failure(update.discovery_address, now)
             return
         self.subscription.on_update(update.kind is EndpointUpdateKind.CACHED, now)
         if not self.endpoints.apply(update):
--- a/cache_router/decisions/subscription.py
+++ b/cache_router/decisions/subscription.py
@@ -23,11 +23,12 @@
         if is_cached:
             self._subscribe_unless_pushed()
 
-    def on_failure(self, now: float) -> None:
-        """Discovery could not be reached: poll again after a backoff."""
+    def on_failure(self, discovery_address: str, now: float) -> None:
+        """A call to discovery failed: poll again after a backoff."""
         backoff = self.poller.on_failure(now)
         self.actions.add(SetTimer(backoff, Timer(TimerKind.ENDPOINT_POLL)))
-        self.actions.add(LogMessage(f"discovery out of reach, {self.poller.failures} in a row"))
+        subject = f"discovery {discovery_address}" if discovery_address else "discovery"
+        self.actions.add(LogMessage(f"{subject}: {self.poller.failures} consecutive failures"))
 
     def on_address_changed(self, now: float) -> None:
         """Discovery has another address: subscribe there at once."""
--- a/cache_router/net/discovery.py
+++ b/cache_router/net/discovery.py
@@ -53,7 +53,7 @@
         address: str,
         index: int | None,
         on_update: UpdateCallback,
-        on_failure: Callable[[], None],
+        on_failure: Callable[[str], None],
         pushed: bool = False,
         *,
         budget: WatchBudget | None = None,
@@ -61,8 +61,8 @@
         """Prepare a watch.
 
         `address` and `index` are the attributes of the class. `on_update` is called with the kind and the
-        entries of each update; `on_failure` is called when a watch has failed. `pushed` is whether the router
-        polls an agent on this machine, which answers at once, instead of discovery.
+        entries of each update; `on_failure` is called with the address of a watch that has failed. `pushed`
+        is whether the router polls an agent on this machine, which answers at once, instead of discovery.
         """
         self.address = address
         self.index = index
@@ -131,7 +131,7 @@
         except Exception as error:
             self._log_failure(error, time.monotonic() - started_at)
         self._watch_task = None
-        self._on_failure()
+        self._on_failure(self.address)
 
     def _apply(self, message: EndpointListMessage) -> None:
         """Record the index of an update and pass the update on."""
--- a/cache_router/net/dispatcher.py
+++ b/cache_router/net/dispatcher.py
@@ -157,9 +157,9 @@
         """Notify the decision module that another discovery sends the endpoint updates from now on."""
         self.post(DiscoveryAddressChanged())
 
-    def on_watch_failed(self) -> None:
+    def on_watch_failed(self, discovery_address: str) -> None:
         """Notify the decision module that the watch on the endpoint list has failed."""
-        self.post(EndpointUpdate(EndpointUpdateKind.FAILED))
+        self.post(EndpointUpdate(EndpointUpdateKind.FAILED, discovery_address=discovery_address))
 
     def on_endpoint_update(self, kind: EndpointUpdateKind, endpoints: list[NetworkEndpoint]) -> None:
         """Apply a complete endpoint list, or the changed entries of one."""
--- a/cache_router/simulator_adapter.py
+++ b/cache_router/simulator_adapter.py
@@ -97,18 +97,15 @@
             return None
         router = self.routers.get(router_id)
         if operation == ATTEMPT_COMPLETED:
-            return read_attempt_completed(message, _load_report_fields(router))
+            # a router that was killed has no settings left, and handles no event
+            fields = router.settings.load_report_fields if router is not None else ()
+            return read_attempt_completed(message, fields)
         return EVENT_READERS[operation](message)
 
     def _start_router(self, now: float, message: RouterStartedMessage) -> None:
         self.routers[message["routerId"]] = Router(read_settings(message["conf"]), message["initSeed"], now)
 
 
-def _load_report_fields(router: Router | None) -> tuple[str, ...]:
-    """The names of the values in load reports; none for a router that was stopped."""
-    return router.settings.load_report_fields if router is not None else ()
-
-
 def _read_batch(line: bytes) -> Batch:
     """Decode a line; its messages are read one by one.
 
--- a/scale_experiments/routers/hollow/router.py
+++ b/scale_experiments/routers/hollow/router.py
@@ -87,6 +87,6 @@
             self._index = index
         self._statistics.on_update()
 
-    def _on_failure(self) -> None:
+    def _on_failure(self, discovery_address: str) -> None:
         self._statistics.on_failure()
-        self._dispatcher.on_watch_failed()
+        self._dispatcher.on_watch_failed(discovery_address)
