--- a/tests/cache_router/net/test_client_connection_table.py
+++ b/tests/cache_router/net/test_client_connection_table.py
@@ -82,7 +82,7 @@
 
 
 def test_idle_time_starts_again_with_new_data_only() -> None:
-    """The connection that has been idle for the longest time comes first, as it is evicted first."""
+    """Idle connections are evicted in the order of the table, the longest idle first."""
 
     async def scenario() -> None:
         table, first, second = ClientConnectionTable(), StubConnection(), StubConnection()
--- a/tests/cache_router/net/test_eviction.py
+++ b/tests/cache_router/net/test_eviction.py
@@ -65,7 +65,7 @@
 
 
 async def client_after_pings(router: Router, times: int) -> Link:
-    """Return a client that has sent so many commands and stays connected."""
+    """Return a client that has sent the given number of PINGs and stays connected."""
     client = await router.client()
     for _ in range(times):
         await client.ping()
@@ -107,7 +107,7 @@
 
 
 def test_clients_with_a_single_command_are_evicted_before_regular_ones() -> None:
-    """Otherwise a crowd of single-command clients would make regular ones reconnect for every request."""
+    """Otherwise many single-command clients would make regular ones reconnect for every request."""
 
     async def scenario() -> None:
         async with Router(max_clients=2) as router:
@@ -119,7 +119,7 @@
     run(scenario)
 
 
-def test_crowd_of_single_command_clients_is_accepted_at_once() -> None:
+def test_many_single_command_clients_are_accepted_at_once() -> None:
     """Accepted only after others were idle for long, regular clients waited in the backlog past deadlines."""
 
     async def scenario() -> None:
@@ -133,7 +133,7 @@
 
 
 def test_idle_clients_are_evicted_above_half_of_the_connection_limit(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Otherwise clients that send one command and stay would hold memory and descriptors for good."""
+    """Otherwise clients that send one command and stay would keep memory and descriptors occupied."""
 
     async def scenario() -> None:
         monkeypatch.setattr(eviction, "IDLE_TIMEOUT", 1.0)
@@ -149,7 +149,7 @@
 
 
 async def client_with_unread_reply(router: Router, value: bytes, monkeypatch: pytest.MonkeyPatch) -> Link:
-    """Return a client that has not read its reply, a part of which the router still buffers."""
+    """Return a client that has not read its reply; the router still buffers a part of it."""
     accept = socket.socket.accept
 
     def accept_with_small_buffer(listening: socket.socket) -> tuple[socket.socket, object]:
@@ -169,7 +169,7 @@
     await cache.resp()
     (connection,) = router.client_connections()
     cache.write(b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % (len(value), value))
-    # a reply is written as the last pending one, and its connection is idle from then on
+    # its last pending reply is written, so that the connection is idle
     await wait_until(lambda: connection.has_unsent_output() and not connection.pending_replies)
     return client
 
@@ -189,7 +189,7 @@
 
 
 def test_client_that_never_reads_its_reply_is_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its client can't be waiting for the reply any more, and the connection would stay for good."""
+    """Its client can't be waiting for the reply any more, and the connection would never close."""
 
     async def scenario() -> None:
         monkeypatch.setattr(eviction, "OVERDUE_CHECK_INTERVAL", 0.01)
