--- a/tests/cache_router/net/test_client_connection.py
+++ b/tests/cache_router/net/test_client_connection.py
@@ -7,6 +7,7 @@
 import pytest
 
 from cache_router.net import client_connection
+from cache_router.net.address import Address
 from cache_router.net.client_connection import MAX_PIPELINED_COMMANDS, ClientConnection, PipelinedReply
 from tests.support.event_order import wait_until
 from tests.support.loopback import HIT, Link, Router, command, error_text, read, run
@@ -210,7 +211,9 @@
     run(scenario)
 
 
-def test_exception_closes_only_the_connection_that_caused_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_closes_only_the_connection_that_caused_it(
+    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
     """Otherwise one request that the code can't handle would end the router and all requests in flight."""
 
     async def scenario() -> None:
@@ -223,6 +226,8 @@
                 assert await first.closed_by_peer()
             assert await cache.closed_by_peer()
             assert not router.dispatcher.router.pending
+            client_address = Address(*first.writer.get_extra_info("sockname"))
+            assert f"connection of client {client_address}" in caplog.text
             await other.ping()
 
     run(scenario)
--- a/tests/cache_router/net/test_listener.py
+++ b/tests/cache_router/net/test_listener.py
@@ -12,7 +12,9 @@
 from tests.support.loopback import HIT, Router, command, run
 
 
-def test_failed_accept_is_retried_after_a_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_accept_is_retried_after_a_delay(
+    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
     """Out of descriptors, the accept loop must neither end nor retry without a pause."""
 
     async def scenario() -> None:
@@ -33,6 +35,7 @@
             first.write(command("PING"))
             await asyncio.sleep(3 * listener.ACCEPT_RETRY_DELAY)
             assert 1 <= calls <= 10  # one for each pause; a busy loop makes thousands
+            assert f"accept on {address}: [Errno {errno.EMFILE}]" in caplog.text
             exhausted = False
             assert await first.resp() == b"PONG"
             second = await router.client()
