--- a/tests/cache_router/net/test_cache_connection.py
+++ b/tests/cache_router/net/test_cache_connection.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cache_router.decisions.events import AttemptStatus
-from tests.support.loopback import HIT, MISS, Peer, run
+from tests.support.loopback import HIT, MISS, Peer
 from tests.support.upstream_attempts import cache_attempts, info_without_deadline
 
 OVERSIZED_VALUE = b"$70000\r\n" + b"x" * 70000
@@ -25,24 +25,21 @@
         (b"-ERR failed inflight=7,queue=2\r\n", AttemptStatus.ERROR, b""),
     ],
 )
-def test_responses_of_a_cache_server(response: bytes, status: AttemptStatus, value: bytes) -> None:
+async def test_responses_of_a_cache_server(response: bytes, status: AttemptStatus, value: bytes) -> None:
     """Only an error that starts with BUSY is a rejection; after any other error the request may have run."""
 
-    async def scenario() -> None:
-        async with Peer() as peer:
-            attempts = cache_attempts()
-            attempts.start(peer.address)
-            link = await peer.link()
-            *parts, info = await link.resp()
-            assert parts == [b"C.GET", b"k", b"r1"]
-            assert info_without_deadline(info.decode()) == "c=read"
-            link.write(response)
-            assert await attempts.outcome() == (status, value)
-            attempts.start(peer.address)  # and the connection is used again
-            await link.resp()
-            attempts.pool.close()
-
-    run(scenario)
+    async with Peer() as peer:
+        attempts = cache_attempts()
+        attempts.start(peer.address)
+        link = await peer.link()
+        *parts, info = await link.resp()
+        assert parts == [b"C.GET", b"k", b"r1"]
+        assert info_without_deadline(info.decode()) == "c=read"
+        link.write(response)
+        assert await attempts.outcome() == (status, value)
+        attempts.start(peer.address)  # and the connection is used again
+        await link.resp()
+        attempts.pool.close()
 
 
 @pytest.mark.parametrize(
@@ -60,16 +57,13 @@
         b"*3\r\n$3\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n",
     ],
 )
-def test_malformed_response_is_an_error_and_closes_its_connection(response: bytes) -> None:
+async def test_malformed_response_is_an_error_and_closes_its_connection(response: bytes) -> None:
     """What follows on such a connection can't be distinguished from the response to a later request."""
 
-    async def scenario() -> None:
-        async with Peer() as peer:
-            attempts = cache_attempts()
-            link = await attempts.start_on(peer)
-            link.write(response)
-            assert await attempts.outcome() == (AttemptStatus.ERROR, b"")
-            assert await link.closed_by_peer()
-            assert attempts.pool.established_count == 0
-
-    run(scenario)
+    async with Peer() as peer:
+        attempts = cache_attempts()
+        link = await attempts.start_on(peer)
+        link.write(response)
+        assert await attempts.outcome() == (AttemptStatus.ERROR, b"")
+        assert await link.closed_by_peer()
+        assert attempts.pool.established_count == 0
--- a/tests/cache_router/net/test_connection_pool.py
+++ b/tests/cache_router/net/test_connection_pool.py
@@ -7,152 +7,128 @@
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net import connection_pool
-from tests.support.loopback import HIT, MISS, Peer, format_address, run
+from tests.support.loopback import HIT, MISS, Peer, format_address
 from tests.support.upstream_attempts import cache_attempts
 
 
-def test_longest_idle_connection_is_used_first() -> None:
+async def test_longest_idle_connection_is_used_first() -> None:
     """A late second response would come after the next request, and be taken for its response."""
 
-    async def scenario() -> None:
-        async with Peer() as peer:
-            attempts = cache_attempts()
-            links = [await attempts.start_on(peer) for _ in range(2)]
-            for link in links:
-                link.write(HIT)
-                assert await attempts.outcome() == (AttemptStatus.OK, b"value")
-            links[1].write(HIT)  # a second response
-            attempts.start(peer.address)
-            await links[0].resp()
-            assert await links[1].closed_by_peer()
-            links[0].write(MISS)
-            assert await attempts.outcome() == (AttemptStatus.MISS, b"")
-            attempts.pool.close()
-
-    run(scenario)
-
-
-def test_connection_to_an_earlier_incarnation_is_not_used() -> None:
-    """A machine that has failed never closes it; a request written to it would wait for its deadline."""
-
-    async def scenario() -> None:
-        async with Peer() as peer:
-            attempts = cache_attempts()
-            link = await attempts.start_on(peer)
+    async with Peer() as peer:
+        attempts = cache_attempts()
+        links = [await attempts.start_on(peer) for _ in range(2)]
+        for link in links:
             link.write(HIT)
-            await attempts.outcome()
-            attempts.start(peer.address, incarnation="another")
-            assert await link.closed_by_peer()
-            assert (await (await peer.link()).resp())[2] == b"r1"
-            attempts.pool.close()
-
-    run(scenario)
+            assert await attempts.outcome() == (AttemptStatus.OK, b"value")
+        links[1].write(HIT)  # a second response
+        attempts.start(peer.address)
+        await links[0].resp()
+        assert await links[1].closed_by_peer()
+        links[0].write(MISS)
+        assert await attempts.outcome() == (AttemptStatus.MISS, b"")
+        attempts.pool.close()
 
 
-def test_refused_connection_is_a_failed_connect() -> None:
-    """Counted otherwise, a request that is not idempotent could not be sent elsewhere."""
+async def test_connection_to_an_earlier_incarnation_is_not_used() -> None:
+    """A machine that has failed never closes it; a request written to it would wait for its deadline."""
 
-    async def scenario() -> None:
-        async with Peer() as peer:
-            address = peer.address
+    async with Peer() as peer:
         attempts = cache_attempts()
-        attempts.start(address)
-        assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
-        assert attempts.pool.established_count == 0
+        link = await attempts.start_on(peer)
+        link.write(HIT)
+        await attempts.outcome()
+        attempts.start(peer.address, incarnation="another")
+        assert await link.closed_by_peer()
+        assert (await (await peer.link()).resp())[2] == b"r1"
+        attempts.pool.close()
 
-    run(scenario)
 
+async def test_refused_connection_is_a_failed_connect() -> None:
+    """Counted otherwise, a request that is not idempotent could not be sent elsewhere."""
 
-def test_connecting_times_out() -> None:
-    """An unreachable machine sends nothing: without a timeout the request would wait until its deadline."""
+    async with Peer() as peer:
+        address = peer.address
+    attempts = cache_attempts()
+    attempts.start(address)
+    assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
+    assert attempts.pool.established_count == 0
 
-    async def scenario() -> None:
-        with socket.socket() as full, socket.socket() as first:
-            full.bind(("127.0.0.1", 0))
-            full.listen(0)  # a backlog of one, which `first` occupies; the next gets no response
-            first.connect(full.getsockname())
-            attempts = cache_attempts(connect_timeout=0.05)
-            attempts.start(format_address(full.getsockname()))
-            assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
 
-    run(scenario)
+async def test_connecting_times_out() -> None:
+    """An unreachable machine sends nothing: without a timeout the request would wait until its deadline."""
 
+    with socket.socket() as full, socket.socket() as first:
+        full.bind(("127.0.0.1", 0))
+        full.listen(0)  # a backlog of one, which `first` occupies; the next gets no response
+        first.connect(full.getsockname())
+        attempts = cache_attempts(connect_timeout=0.05)
+        attempts.start(format_address(full.getsockname()))
+        assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
 
-def test_closed_idle_connection_is_not_used() -> None:
-    """A request written to it would end as a reset, and one that is not idempotent would fail needlessly."""
 
-    async def scenario() -> None:
-        loop = asyncio.get_running_loop()
-        with socket.create_server(("127.0.0.1", 0)) as server:
-            server.setblocking(False)
-            address = format_address(server.getsockname())
-            attempts = cache_attempts()
-            attempts.start(address)
-            first, _ = await loop.sock_accept(server)
-            await loop.sock_recv(first, 4096)
-            await loop.sock_sendall(first, HIT)
-            await attempts.outcome()
-            first.close()  # and the event loop has not run since
-            attempts.start(address)
-            second, _ = await loop.sock_accept(server)
-            await loop.sock_recv(second, 4096)
-            await loop.sock_sendall(second, MISS)
-            assert await attempts.outcome() == (AttemptStatus.MISS, b"")
-            second.close()
+async def test_closed_idle_connection_is_not_used() -> None:
+    """A request written to it would end as a reset, and one that is not idempotent would fail needlessly."""
 
-    run(scenario)
+    loop = asyncio.get_running_loop()
+    with socket.create_server(("127.0.0.1", 0)) as server:
+        server.setblocking(False)
+        address = format_address(server.getsockname())
+        attempts = cache_attempts()
+        attempts.start(address)
+        first, _ = await loop.sock_accept(server)
+        await loop.sock_recv(first, 4096)
+        await loop.sock_sendall(first, HIT)
+        await attempts.outcome()
+        first.close()  # and the event loop has not run since
+        attempts.start(address)
+        second, _ = await loop.sock_accept(server)
+        await loop.sock_recv(second, 4096)
+        await loop.sock_sendall(second, MISS)
+        assert await attempts.outcome() == (AttemptStatus.MISS, b"")
+        second.close()
 
 
-def test_idle_connection_is_closed_before_its_server_would() -> None:
+async def test_idle_connection_is_closed_before_its_server_would() -> None:
     """A request written just as the server closes the connection is lost."""
 
-    async def scenario() -> None:
-        async with Peer() as peer:
-            attempts = cache_attempts(idle_timeout=connection_pool.IDLE_MARGIN + 0.01)
-            link = await attempts.start_on(peer)
-            link.write(HIT)
-            assert await attempts.outcome() == (AttemptStatus.OK, b"value")
-            assert await link.closed_by_peer()
-            assert attempts.pool.established_count == 0
-
-    run(scenario)
+    async with Peer() as peer:
+        attempts = cache_attempts(idle_timeout=connection_pool.IDLE_MARGIN + 0.01)
+        link = await attempts.start_on(peer)
+        link.write(HIT)
+        assert await attempts.outcome() == (AttemptStatus.OK, b"value")
+        assert await link.closed_by_peer()
+        assert attempts.pool.established_count == 0
 
 
-def test_connections_stay_within_their_limit() -> None:
+async def test_connections_stay_within_their_limit() -> None:
     """Otherwise a burst would use up the descriptors that clients need."""
 
-    async def scenario() -> None:
-        async with Peer() as one, Peer() as other:
-            attempts = cache_attempts(max_connections=1)
-            attempts.start(one.address)
-            link = await one.link()
-            await link.resp()
-            attempts.start(other.address)
-            # counted as a fault of the server, it would lose its keys
-            assert await attempts.outcome() == (AttemptStatus.NOT_SENT, b"")
-            link.write(HIT)
-            assert await attempts.outcome() == (AttemptStatus.OK, b"value")
-            attempts.start(other.address)  # an idle one is closed for it
-            assert await link.closed_by_peer()
-            await (await other.link()).resp()
-            attempts.pool.close()
-
-    run(scenario)
-
-
-def test_longest_idle_connection_to_any_server_is_closed_for_another() -> None:
+    async with Peer() as one, Peer() as other:
+        attempts = cache_attempts(max_connections=1)
+        attempts.start(one.address)
+        link = await one.link()
+        await link.resp()
+        attempts.start(other.address)
+        # counted as a fault of the server, it would lose its keys
+        assert await attempts.outcome() == (AttemptStatus.NOT_SENT, b"")
+        link.write(HIT)
+        assert await attempts.outcome() == (AttemptStatus.OK, b"value")
+        attempts.start(other.address)  # an idle one is closed for it
+        assert await link.closed_by_peer()
+        await (await other.link()).resp()
+        attempts.pool.close()
+
+
+async def test_longest_idle_connection_to_any_server_is_closed_for_another() -> None:
     """Closed at one server each time, that server would need a handshake for every request."""
 
-    async def scenario() -> None:
-        async with Peer() as one, Peer() as two, Peer() as three:
-            attempts = cache_attempts(max_connections=2)
-            first, second = await attempts.start_on(one), await attempts.start_on(two)
-            for link in (second, first):
-                link.write(HIT)
-                await attempts.outcome()
-            attempts.start(three.address)
-            assert await second.closed_by_peer()
-            assert attempts.pool.idle_count == 1
-            attempts.pool.close()
-
-    run(scenario)
+    async with Peer() as one, Peer() as two, Peer() as three:
+        attempts = cache_attempts(max_connections=2)
+        first, second = await attempts.start_on(one), await attempts.start_on(two)
+        for link in (second, first):
+            link.write(HIT)
+            await attempts.outcome()
+        attempts.start(three.address)
+        assert await second.closed_by_peer()
+        assert attempts.pool.idle_count == 1
+        attempts.pool.close()
--- a/tests/cache_router/net/test_descriptors.py
+++ b/tests/cache_router/net/test_descriptors.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.support.endpoint_lists import encode_endpoint_list, peer_entry
-from tests.support.loopback import HIT, Link, Peer, command, format_address, http, read, run
+from tests.support.loopback import HIT, Link, Peer, command, format_address, http, read
 from tests.support.router_process import (
     PROCESS_TEST_TIMEOUT,
     config_with_cache,
@@ -111,47 +111,45 @@
 # descriptors that the configuration allows; the smaller limit of the process applies in both cases
 @pytest.mark.parametrize("allowed", [DESCRIPTOR_LIMIT, 1024])
 @pytest.mark.parametrize("agent_state", ["refused", "silent"])
-def test_endpoint_list_is_received_while_descriptors_are_exhausted(
+@pytest.mark.time_limit(PROCESS_TEST_TIMEOUT)
+async def test_endpoint_list_is_received_while_descriptors_are_exhausted(
     agent_state: str, allowed: int, tmp_path: Path
 ) -> None:
     """Idle clients, silent ones and attempts that hang, as many of each as the router admits."""
 
-    async def scenario() -> None:
-        async with listening_peers(5) as (*caches, fresh, origin):
-            agent = UnavailableAgent()
-            config = config_with_cache(caches[0], agent, "automatic")
-            entries = [peer_entry(f"s-{n}", c, weight=1.0) for n, c in enumerate(caches)]
-            entries.append(peer_entry("o", origin, type="store", weight=1.0))
-            config["known"]["endpoints"] = entries
-            config["limits"] = {"sockets": allowed}
-            if agent_state == "silent":
+    async with listening_peers(5) as (*caches, fresh, origin):
+        agent = UnavailableAgent()
+        config = config_with_cache(caches[0], agent, "automatic")
+        entries = [peer_entry(f"s-{n}", c, weight=1.0) for n, c in enumerate(caches)]
+        entries.append(peer_entry("o", origin, type="store", weight=1.0))
+        config["known"]["endpoints"] = entries
+        config["limits"] = {"sockets": allowed}
+        if agent_state == "silent":
+            await agent.start_listening()
+        async with router_process(config, tmp_path / "config.json", DESCRIPTOR_LIMIT) as process:
+            address = await listen_address(process.stderr)
+            log_reader = asyncio.create_task(discard_log(process.stderr))
+            clients = await exhaust_descriptors(address, caches, origin)
+            # not at once: the router may have closed idle clients and not accepted the silent ones yet
+            await poll_until(lambda: open_descriptors(process) > SHARED_DESCRIPTORS)
+            assert open_descriptors(process) <= DESCRIPTOR_LIMIT
+            if agent_state == "refused":
                 await agent.start_listening()
-            async with router_process(config, tmp_path / "config.json", DESCRIPTOR_LIMIT) as process:
-                address = await listen_address(process.stderr)
-                log_reader = asyncio.create_task(discard_log(process.stderr))
-                clients = await exhaust_descriptors(address, caches, origin)
-                # not at once: the router may have closed idle clients and not accepted the silent ones yet
-                await poll_until(lambda: open_descriptors(process) > SHARED_DESCRIPTORS)
-                assert open_descriptors(process) <= DESCRIPTOR_LIMIT
-                if agent_state == "refused":
-                    await agent.start_listening()
-                else:
-                    while not agent.links.empty():
-                        (await agent.link()).reset()
-                entries.append(peer_entry("s-new", fresh, weight=1.0))
-                response = http("200 OK", encode_endpoint_list(50, True, *entries))
-                poll = await agent.link()
-                await poll.http()
-                poll.write(response)
-                assert "after=50&" in (await (await agent.link()).http())[0]
-                client = await idle_client(address)
-                await read_until_served(client, [*caches, fresh], {caches[0], fresh})
-                log_reader.cancel()
-                for link in (*clients, client):
-                    link.close()
-            await agent.__aexit__(None, None, None)
-
-    run(scenario, PROCESS_TEST_TIMEOUT)
+            else:
+                while not agent.links.empty():
+                    (await agent.link()).reset()
+            entries.append(peer_entry("s-new", fresh, weight=1.0))
+            response = http("200 OK", encode_endpoint_list(50, True, *entries))
+            poll = await agent.link()
+            await poll.http()
+            poll.write(response)
+            assert "after=50&" in (await (await agent.link()).http())[0]
+            client = await idle_client(address)
+            await read_until_served(client, [*caches, fresh], {caches[0], fresh})
+            log_reader.cancel()
+            for link in (*clients, client):
+                link.close()
+        await agent.__aexit__(None, None, None)
 
 
 async def idle_client(address: tuple[str, int]) -> Link:
--- a/tests/cache_router/net/test_discovery.py
+++ b/tests/cache_router/net/test_discovery.py
@@ -11,47 +11,41 @@
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.settings import WatchBudget
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, WatchRecorder, accept_poll, encode_endpoint_list
-from tests.support.loopback import Peer, http, run
+from tests.support.loopback import Peer, http
 
 
-def test_watch_continues_from_the_received_index() -> None:
+async def test_watch_continues_from_the_received_index() -> None:
     """Each poll asks for what is newer than the last update."""
 
-    async def scenario() -> None:
-        async with Peer() as peer:
-            recorder = WatchRecorder(peer)
-            first, link = await accept_poll(peer)
-            assert first == "GET /registry/instances?after=41&wait_ms=1000 HTTP/1.1"
-            link.write(
-                http("200 OK", encode_endpoint_list(43, False, {**ENDPOINT_ENTRY, "status": "terminating"}))
-            )
-            kind, (endpoint,) = await recorder.next_update()
-            assert kind is EndpointUpdateKind.DELTA
-            assert endpoint.entry.state is EndpointState.DRAINING
-            first, link = await accept_poll(peer)
-            assert "after=43&" in first
-            link.write(http("200 OK", encode_endpoint_list(50, True, ENDPOINT_ENTRY)))
-            assert (await recorder.next_update())[0] is EndpointUpdateKind.SNAPSHOT
-            assert "after=50&" in (await accept_poll(peer))[0]
-            recorder.discovery.close()
-
-    run(scenario)
-
-
-def test_subscribing_during_a_watch_makes_no_second_poll() -> None:
+    async with Peer() as peer:
+        recorder = WatchRecorder(peer)
+        first, link = await accept_poll(peer)
+        assert first == "GET /registry/instances?after=41&wait_ms=1000 HTTP/1.1"
+        link.write(
+            http("200 OK", encode_endpoint_list(43, False, {**ENDPOINT_ENTRY, "status": "terminating"}))
+        )
+        kind, (endpoint,) = await recorder.next_update()
+        assert kind is EndpointUpdateKind.DELTA
+        assert endpoint.entry.state is EndpointState.DRAINING
+        first, link = await accept_poll(peer)
+        assert "after=43&" in first
+        link.write(http("200 OK", encode_endpoint_list(50, True, ENDPOINT_ENTRY)))
+        assert (await recorder.next_update())[0] is EndpointUpdateKind.SNAPSHOT
+        assert "after=50&" in (await accept_poll(peer))[0]
+        recorder.discovery.close()
+
+
+async def test_subscribing_during_a_watch_makes_no_second_poll() -> None:
     """One poll is in flight at a time, also when the decisions subscribe again."""
 
-    async def scenario() -> None:
-        async with Peer() as peer:
-            recorder = WatchRecorder(peer)
-            recorder.discovery.subscribe()
-            _, link = await accept_poll(peer)
-            link.write(http("200 OK", encode_endpoint_list(42, False)))
-            await recorder.updates.get()
-            assert "after=42&" in (await accept_poll(peer))[0]  # and none after 41 before it
-            recorder.discovery.close()
-
-    run(scenario)
+    async with Peer() as peer:
+        recorder = WatchRecorder(peer)
+        recorder.discovery.subscribe()
+        _, link = await accept_poll(peer)
+        link.write(http("200 OK", encode_endpoint_list(42, False)))
+        await recorder.updates.get()
+        assert "after=42&" in (await accept_poll(peer))[0]  # and none after 41 before it
+        recorder.discovery.close()
 
 
 @pytest.mark.parametrize(
@@ -67,107 +61,89 @@
         b"",
     ],
 )
-def test_failed_poll_is_notified_and_the_next_continues_from_the_last_index(response: bytes) -> None:
+async def test_failed_poll_is_notified_and_the_next_continues_from_the_last_index(response: bytes) -> None:
     """An incomplete list applied would remove ready servers; an exception would end the watch."""
 
-    async def scenario() -> None:
-        async with Peer() as peer:
-            recorder = WatchRecorder(peer)
-            _, link = await accept_poll(peer)
-            link.write(response)
-            link.close()
-            assert await recorder.updates.get() is None
-            recorder.discovery.subscribe()
-            assert "after=41&" in (await accept_poll(peer))[0]
-            recorder.discovery.close()
-
-    run(scenario)
+    async with Peer() as peer:
+        recorder = WatchRecorder(peer)
+        _, link = await accept_poll(peer)
+        link.write(response)
+        link.close()
+        assert await recorder.updates.get() is None
+        recorder.discovery.subscribe()
+        assert "after=41&" in (await accept_poll(peer))[0]
+        recorder.discovery.close()
 
 
-def test_refused_connection_is_notified_as_a_failed_poll() -> None:
+async def test_refused_connection_is_notified_as_a_failed_poll() -> None:
     """The decisions have to schedule the next poll."""
 
-    async def scenario() -> None:
-        async with Peer() as peer:
-            pass
-        assert await WatchRecorder(peer).updates.get() is None
-
-    run(scenario)
+    async with Peer() as peer:
+        pass
+    assert await WatchRecorder(peer).updates.get() is None
 
 
-def test_poll_of_a_silent_discovery_times_out() -> None:
+async def test_poll_of_a_silent_discovery_times_out() -> None:
     """Its changes count as notified: a router that waited longer would send to draining servers."""
 
-    async def scenario() -> None:
-        async with Peer() as peer:
-            recorder = WatchRecorder(
-                peer,
-                WatchBudget(
-                    response_timeout=0.05, max_backoff=0.0, scheduling_slack=0.0, notification_deadline=0.15
-                ),
-            )
-            _, link = await accept_poll(peer)
-            assert await recorder.updates.get() is None
-            assert await link.closed_by_peer()
+    async with Peer() as peer:
+        recorder = WatchRecorder(
+            peer,
+            WatchBudget(
+                response_timeout=0.05, max_backoff=0.0, scheduling_slack=0.0, notification_deadline=0.15
+            ),
+        )
+        _, link = await accept_poll(peer)
+        assert await recorder.updates.get() is None
+        assert await link.closed_by_peer()
 
-    run(scenario)
 
-
-def test_exception_in_an_update_is_notified_as_a_failed_poll() -> None:
+async def test_exception_in_an_update_is_notified_as_a_failed_poll() -> None:
     """A watch that ended without a notification would leave the router with its old list until a restart."""
 
-    async def scenario() -> None:
-        async with Peer() as peer:
-
-            def faulty(kind: EndpointUpdateKind, endpoints: list[NetworkEndpoint]) -> None:
-                raise RuntimeError("faulty")
+    async with Peer() as peer:
 
-            recorder = WatchRecorder(peer, on_update=faulty)
-            _, link = await accept_poll(peer)
-            link.write(http("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
-            assert await recorder.updates.get() is None
-            assert not recorder.discovery.is_watching
+        def faulty(kind: EndpointUpdateKind, endpoints: list[NetworkEndpoint]) -> None:
+            raise RuntimeError("faulty")
 
-    run(scenario)
+        recorder = WatchRecorder(peer, on_update=faulty)
+        _, link = await accept_poll(peer)
+        link.write(http("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
+        assert await recorder.updates.get() is None
+        assert not recorder.discovery.is_watching
 
 
-def test_watch_of_a_new_address_requests_the_complete_list_and_the_old_one_notifies_nothing() -> None:
+async def test_watch_of_a_new_address_requests_the_complete_list_and_the_old_one_notifies_nothing() -> None:
     """Indexes are those of one discovery: polled with another's index, it may send nothing."""
 
-    async def scenario() -> None:
-        async with Peer() as old, Peer() as new:
-            recorder = WatchRecorder(old)
-            _, link = await accept_poll(old)
-            recorder.discovery.change_address(new.address)
-            assert await link.closed_by_peer()
-            recorder.discovery.subscribe()
-            first, link = await accept_poll(new)
-            assert first == "GET /registry/instances HTTP/1.1"
-            link.write(http("200 OK", encode_endpoint_list(3, True, ENDPOINT_ENTRY)))
-            assert (await recorder.next_update())[0] is EndpointUpdateKind.SNAPSHOT
-            assert "after=3&" in (await accept_poll(new))[0]
-            assert recorder.updates.empty()
-            recorder.discovery.close()
-
-    run(scenario)
-
-
-def test_first_update_ends_the_wait_for_it() -> None:
+    async with Peer() as old, Peer() as new:
+        recorder = WatchRecorder(old)
+        _, link = await accept_poll(old)
+        recorder.discovery.change_address(new.address)
+        assert await link.closed_by_peer()
+        recorder.discovery.subscribe()
+        first, link = await accept_poll(new)
+        assert first == "GET /registry/instances HTTP/1.1"
+        link.write(http("200 OK", encode_endpoint_list(3, True, ENDPOINT_ENTRY)))
+        assert (await recorder.next_update())[0] is EndpointUpdateKind.SNAPSHOT
+        assert "after=3&" in (await accept_poll(new))[0]
+        assert recorder.updates.empty()
+        recorder.discovery.close()
+
+
+async def test_first_update_ends_the_wait_for_it() -> None:
     """A start waits for the agent's list, and a failed poll is none."""
 
-    async def scenario() -> None:
-        async with Peer() as peer:
-            recorder = WatchRecorder(peer)
-            waiting = asyncio.create_task(recorder.discovery.wait_for_first_update())
-            _, link = await accept_poll(peer)
-            link.write(http("503 Busy"))
-            assert await recorder.updates.get() is None
-            assert not waiting.done()
-            recorder.discovery.subscribe()
-            _, link = await accept_poll(peer)
-            link.write(http("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
-            await waiting
-            assert not recorder.updates.empty()
-            recorder.discovery.close()
-
-    run(scenario)
+    async with Peer() as peer:
+        recorder = WatchRecorder(peer)
+        waiting = asyncio.create_task(recorder.discovery.wait_for_first_update())
+        _, link = await accept_poll(peer)
+        link.write(http("503 Busy"))
+        assert await recorder.updates.get() is None
+        assert not waiting.done()
+        recorder.discovery.subscribe()
+        _, link = await accept_poll(peer)
+        link.write(http("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
+        await waiting
+        assert not recorder.updates.empty()
+        recorder.discovery.close()
--- a/tests/cache_router/net/test_endpoint_table.py
+++ b/tests/cache_router/net/test_endpoint_table.py
@@ -18,7 +18,7 @@
 from cache_router.net.endpoint_table import EndpointTable, NetworkEndpoint
 from cache_router.net.origin_connection import OriginConnection
 from tests.support.driver import entry, settings
-from tests.support.loopback import HIT, Router, format_address, network_endpoint, run
+from tests.support.loopback import HIT, Router, format_address, network_endpoint
 
 ADDRESS = "127.0.0.1:1"
 A, B = network_endpoint("a", ADDRESS), network_endpoint("b", ADDRESS)
@@ -26,32 +26,29 @@
 
 
 @pytest.mark.parametrize("change", ["removed", "draining", "restarted", "replaced"])
-def test_idle_connections_to_an_ended_process_are_closed(change: str) -> None:
+async def test_idle_connections_to_an_ended_process_are_closed(change: str) -> None:
     """A machine that has failed never closes them, and another process may be started at its address."""
 
-    async def scenario() -> None:
-        async with Router() as router:
-            client, cache = await router.start_read()
-            cache.write(HIT)
-            assert await client.resp() == b"value"
-            assert router.cache_pool.idle_count == 1
-            address = format_address(cache.writer.get_extra_info("sockname"))
-            endpoints = router.dispatcher.endpoints
-            (name,) = (n for n in endpoints if endpoints[n].address == address)
-            entry = endpoints[name].entry
-            updated = {
-                "removed": replace(entry, state=EndpointState.REMOVED),
-                "draining": replace(entry, state=EndpointState.DRAINING),
-                "restarted": replace(entry, started_at=9.0),
-                "replaced": replace(entry, state=EndpointState.REMOVED),
-            }
-            changes = [NetworkEndpoint(updated[change], address)]
-            if change == "replaced":
-                changes.append(NetworkEndpoint(replace(entry, name="new"), address))
-            router.dispatcher.on_endpoint_update(EndpointUpdateKind.DELTA, changes)
-            assert await cache.closed_by_peer()
-
-    run(scenario)
+    async with Router() as router:
+        client, cache = await router.start_read()
+        cache.write(HIT)
+        assert await client.resp() == b"value"
+        assert router.cache_pool.idle_count == 1
+        address = format_address(cache.writer.get_extra_info("sockname"))
+        endpoints = router.dispatcher.endpoints
+        (name,) = (n for n in endpoints if endpoints[n].address == address)
+        entry = endpoints[name].entry
+        updated = {
+            "removed": replace(entry, state=EndpointState.REMOVED),
+            "draining": replace(entry, state=EndpointState.DRAINING),
+            "restarted": replace(entry, started_at=9.0),
+            "replaced": replace(entry, state=EndpointState.REMOVED),
+        }
+        changes = [NetworkEndpoint(updated[change], address)]
+        if change == "replaced":
+            changes.append(NetworkEndpoint(replace(entry, name="new"), address))
+        router.dispatcher.on_endpoint_update(EndpointUpdateKind.DELTA, changes)
+        assert await cache.closed_by_peer()
 
 
 def make_pools() -> tuple[ConnectionPool, ConnectionPool]:
@@ -139,25 +136,21 @@
 
 
 def update_cost(change: Endpoint, size: int) -> int:
-    """Count the bytecodes that the dispatcher runs when one entry changes in a list of so many."""
-    counted = 0
-
-    async def scenario() -> None:
-        nonlocal counted
-        dispatcher = make_dispatcher()
-        endpoints = [NetworkEndpoint(entry(f"s{i}"), f"127.0.0.1:{1000 + i}") for i in range(size)]
-        dispatcher.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, endpoints)
-        dispatcher.on_endpoint_update(
-            EndpointUpdateKind.DELTA, [NetworkEndpoint(entry("s0"), endpoints[0].address)]
-        )
-        counted = count_bytecodes(
-            lambda: dispatcher.on_endpoint_update(
-                EndpointUpdateKind.DELTA, [NetworkEndpoint(change, endpoints[0].address)]
-            )
+    """Count the bytecodes that the dispatcher runs when one entry changes in a list of so many.
+
+    An event loop must be running.
+    """
+    dispatcher = make_dispatcher()
+    endpoints = [NetworkEndpoint(entry(f"s{i}"), f"127.0.0.1:{1000 + i}") for i in range(size)]
+    dispatcher.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, endpoints)
+    dispatcher.on_endpoint_update(
+        EndpointUpdateKind.DELTA, [NetworkEndpoint(entry("s0"), endpoints[0].address)]
+    )
+    return count_bytecodes(
+        lambda: dispatcher.on_endpoint_update(
+            EndpointUpdateKind.DELTA, [NetworkEndpoint(change, endpoints[0].address)]
         )
-
-    run(scenario)
-    return counted
+    )
 
 
 @pytest.mark.parametrize(
@@ -171,27 +164,21 @@
     ],
     ids=["drain", "removal", "restart", "weight", "join"],
 )
-def test_update_costs_no_more_than_in_proportion_to_the_list(change: Endpoint) -> None:
+async def test_update_costs_no_more_than_in_proportion_to_the_list(change: Endpoint) -> None:
     """When each change rebuilt all points of the ring, 840 servers cost a pause of 33 to 48 ms."""
     small, large = update_cost(change, 60), update_cost(change, 240)
     assert large - small <= 180 * 128 / 2  # half a bytecode for each point of the others
     assert large < 4 * small
 
 
-def test_empty_update_costs_the_same_for_any_list() -> None:
+async def test_empty_update_costs_the_same_for_any_list() -> None:
     """A watch whose wait ends without a change used to rebuild the ring several times a minute."""
 
-    async def scenario() -> None:
-        dispatcher = make_dispatcher()
-        counts = []
-        for size in (10, 200):
-            dispatcher.on_endpoint_update(
-                EndpointUpdateKind.SNAPSHOT,
-                [NetworkEndpoint(entry(f"s{i}"), "127.0.0.1:1") for i in range(size)],
-            )
-            counts.append(
-                count_bytecodes(lambda: dispatcher.on_endpoint_update(EndpointUpdateKind.DELTA, []))
-            )
-        assert counts[0] == counts[1]
-
-    run(scenario)
+    dispatcher = make_dispatcher()
+    counts = []
+    for size in (10, 200):
+        dispatcher.on_endpoint_update(
+            EndpointUpdateKind.SNAPSHOT, [NetworkEndpoint(entry(f"s{i}"), "127.0.0.1:1") for i in range(size)]
+        )
+        counts.append(count_bytecodes(lambda: dispatcher.on_endpoint_update(EndpointUpdateKind.DELTA, [])))
+    assert counts[0] == counts[1]
--- a/tests/cache_router/net/test_eviction.py
+++ b/tests/cache_router/net/test_eviction.py
@@ -11,57 +11,48 @@
 
 from cache_router.net import client_connection_table, eviction
 from tests.support.event_order import wait_until
-from tests.support.loopback import HIT, READ, SETTINGS, Link, Router, command, error_text, read, run
+from tests.support.loopback import HIT, READ, SETTINGS, Link, Router, command, error_text, read
 
 
-def test_incomplete_command_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_incomplete_command_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     """Otherwise connections that never send a complete command would use up the connection limit."""
 
-    async def scenario() -> None:
-        monkeypatch.setattr(eviction, "COMMAND_TIMEOUT", 0.5)
-        monkeypatch.setattr(eviction, "OVERDUE_CHECK_INTERVAL", 0.01)
-        async with Router() as router:
-            regular, silent, incomplete = [await router.client() for _ in range(3)]
-            regular.write(command("PING"))
-            incomplete.write(command("PING") + b"*4\r\n$5\r\nC.G")
-            assert await regular.resp() == await incomplete.resp() == b"PONG"
-            assert "no whole command" in error_text(await incomplete.resp())
-            assert await incomplete.closed_by_peer()
-            assert "no whole command" in error_text(await silent.resp())
-            assert await silent.closed_by_peer()
-            await regular.ping()
-
-    run(scenario)
-
-
-def test_idle_client_is_evicted_at_the_connection_limit() -> None:
+    monkeypatch.setattr(eviction, "COMMAND_TIMEOUT", 0.5)
+    monkeypatch.setattr(eviction, "OVERDUE_CHECK_INTERVAL", 0.01)
+    async with Router() as router:
+        regular, silent, incomplete = [await router.client() for _ in range(3)]
+        regular.write(command("PING"))
+        incomplete.write(command("PING") + b"*4\r\n$5\r\nC.G")
+        assert await regular.resp() == await incomplete.resp() == b"PONG"
+        assert "no whole command" in error_text(await incomplete.resp())
+        assert await incomplete.closed_by_peer()
+        assert "no whole command" in error_text(await silent.resp())
+        assert await silent.closed_by_peer()
+        await regular.ping()
+
+
+async def test_idle_client_is_evicted_at_the_connection_limit() -> None:
     """Out of descriptors, neither attempts nor polls of discovery can connect: idle clients are evicted."""
 
-    async def scenario() -> None:
-        async with Router(max_clients=2) as router:
-            idle = await router.client()
-            busy, cache = await router.start_read()
-            third = await router.client()
-            assert await idle.closed_by_peer()
-            await third.ping()
-            cache.write(HIT)
-            assert await busy.resp() == b"value"
+    async with Router(max_clients=2) as router:
+        idle = await router.client()
+        busy, cache = await router.start_read()
+        third = await router.client()
+        assert await idle.closed_by_peer()
+        await third.ping()
+        cache.write(HIT)
+        assert await busy.resp() == b"value"
 
-    run(scenario)
 
-
-def test_new_client_is_not_evicted_while_all_others_are_busy() -> None:
+async def test_new_client_is_not_evicted_while_all_others_are_busy() -> None:
     """Evicted itself, it would lose its first request."""
 
-    async def scenario() -> None:
-        async with Router(max_clients=1) as router:
-            busy, cache = await router.start_read()
-            newest = await router.client()
-            await newest.ping()
-            cache.write(HIT)
-            assert await busy.resp() == b"value"
-
-    run(scenario)
+    async with Router(max_clients=1) as router:
+        busy, cache = await router.start_read()
+        newest = await router.client()
+        await newest.ping()
+        cache.write(HIT)
+        assert await busy.resp() == b"value"
 
 
 async def client_after_pings(router: Router, times: int) -> Link:
@@ -72,80 +63,67 @@
     return client
 
 
-def test_clients_awaiting_a_command_are_evicted_first(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_clients_awaiting_a_command_are_evicted_first(monkeypatch: pytest.MonkeyPatch) -> None:
     """Hundreds of silent clients would otherwise evict regular ones, which reuse their connections."""
 
-    async def scenario() -> None:
-        monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", 0.0)
-        async with Router(max_clients=3) as router:
-            regular = await client_after_pings(router, 1)
-            silent, incomplete = await router.client(), await router.client()
-            incomplete.write(b"*4\r\n$5\r\nC.G")
-            newer = []  # referenced, or they would be closed
-            for evicted in (silent, incomplete):
-                newer.append(await client_after_pings(router, 1))
-                assert await evicted.closed_by_peer()
-            await regular.ping()
-
-    run(scenario)
+    monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", 0.0)
+    async with Router(max_clients=3) as router:
+        regular = await client_after_pings(router, 1)
+        silent, incomplete = await router.client(), await router.client()
+        incomplete.write(b"*4\r\n$5\r\nC.G")
+        newer = []  # referenced, or they would be closed
+        for evicted in (silent, incomplete):
+            newer.append(await client_after_pings(router, 1))
+            assert await evicted.closed_by_peer()
+        await regular.ping()
 
 
-def test_throttled_clients_are_evicted_first() -> None:
+async def test_throttled_clients_are_evicted_first() -> None:
     """They are never idle, as the next error follows the last, and would otherwise never be evicted."""
 
-    async def scenario() -> None:
-        async with Router(max_clients=2) as router:
-            regular, erroneous = await client_after_pings(router, 1), await client_after_pings(router, 2)
-            erroneous.write(read("r1", info="c=unheard-of,d=900") * 100)
-            error_text(await erroneous.resp())
-            _newest = await client_after_pings(router, 1)
-            with suppress(ConnectionResetError):
-                await erroneous.reader.read()  # to its end
-            await regular.ping()
+    async with Router(max_clients=2) as router:
+        regular, erroneous = await client_after_pings(router, 1), await client_after_pings(router, 2)
+        erroneous.write(read("r1", info="c=unheard-of,d=900") * 100)
+        error_text(await erroneous.resp())
+        _newest = await client_after_pings(router, 1)
+        with suppress(ConnectionResetError):
+            await erroneous.reader.read()  # to its end
+        await regular.ping()
 
-    run(scenario)
 
-
-def test_clients_with_a_single_command_are_evicted_before_regular_ones() -> None:
+async def test_clients_with_a_single_command_are_evicted_before_regular_ones() -> None:
     """Otherwise many single-command clients would make regular ones reconnect for every request."""
 
-    async def scenario() -> None:
-        async with Router(max_clients=2) as router:
-            regular, single = await client_after_pings(router, 2), await client_after_pings(router, 1)
-            _newest = await client_after_pings(router, 1)
-            assert await single.closed_by_peer()
-            await regular.ping()
-
-    run(scenario)
+    async with Router(max_clients=2) as router:
+        regular, single = await client_after_pings(router, 2), await client_after_pings(router, 1)
+        _newest = await client_after_pings(router, 1)
+        assert await single.closed_by_peer()
+        await regular.ping()
 
 
-def test_many_single_command_clients_are_accepted_at_once() -> None:
+async def test_many_single_command_clients_are_accepted_at_once() -> None:
     """Accepted only after others were idle for long, regular clients waited in the backlog past deadlines."""
 
-    async def scenario() -> None:
-        async with Router(max_clients=4) as router:
-            clients = []
-            for _ in range(20):
-                clients.append(await router.client())  # sends nothing
-                clients.append(await client_after_pings(router, 1))
-
-    run(scenario)
+    async with Router(max_clients=4) as router:
+        clients = []
+        for _ in range(20):
+            clients.append(await router.client())  # sends nothing
+            clients.append(await client_after_pings(router, 1))
 
 
-def test_idle_clients_are_evicted_above_half_of_the_connection_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_idle_clients_are_evicted_above_half_of_the_connection_limit(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Otherwise clients that send one command and stay would keep memory and descriptors occupied."""
 
-    async def scenario() -> None:
-        monkeypatch.setattr(eviction, "IDLE_TIMEOUT", 1.0)
-        async with Router(max_clients=4) as router:
-            regular = [await client_after_pings(router, 2) for _ in range(3)]
-            single = await client_after_pings(router, 1)
-            assert await single.closed_by_peer()
-            assert len(router.client_connections()) == 3
-            assert await regular[0].closed_by_peer()
-            await regular[2].ping()
-
-    run(scenario)
+    monkeypatch.setattr(eviction, "IDLE_TIMEOUT", 1.0)
+    async with Router(max_clients=4) as router:
+        regular = [await client_after_pings(router, 2) for _ in range(3)]
+        single = await client_after_pings(router, 1)
+        assert await single.closed_by_peer()
+        assert len(router.client_connections()) == 3
+        assert await regular[0].closed_by_peer()
+        await regular[2].ping()
 
 
 async def client_with_unread_reply(router: Router, value: bytes, monkeypatch: pytest.MonkeyPatch) -> Link:
@@ -174,29 +152,25 @@
     return client
 
 
-def test_connection_is_not_evicted_before_its_reply_has_gone_out(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_connection_is_not_evicted_before_its_reply_has_gone_out(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """A reply cut short by the router is lost."""
 
-    async def scenario() -> None:
-        value = b"x" * 60_000
-        async with Router(max_clients=1) as router:
-            client = await client_with_unread_reply(router, value, monkeypatch)
-            other = await router.client()
-            await other.ping()  # the eviction would have happened by now
-            assert await client.resp() == value
-
-    run(scenario)
+    value = b"x" * 60_000
+    async with Router(max_clients=1) as router:
+        client = await client_with_unread_reply(router, value, monkeypatch)
+        other = await router.client()
+        await other.ping()  # the eviction would have happened by now
+        assert await client.resp() == value
 
 
-def test_client_that_never_reads_its_reply_is_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_client_that_never_reads_its_reply_is_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its client can't be waiting for the reply any more, and the connection would never close."""
 
-    async def scenario() -> None:
-        monkeypatch.setattr(eviction, "OVERDUE_CHECK_INTERVAL", 0.01)
-        read_class = replace(READ, latency_objective=600.0, client_timeout=0.01)
-        async with Router(replace(SETTINGS, classes={"read": read_class})) as router:
-            client = await client_with_unread_reply(router, b"x" * 60_000, monkeypatch)
-            await wait_until(lambda: not router.client_connections())
-            client.close()
-
-    run(scenario)
+    monkeypatch.setattr(eviction, "OVERDUE_CHECK_INTERVAL", 0.01)
+    read_class = replace(READ, latency_objective=600.0, client_timeout=0.01)
+    async with Router(replace(SETTINGS, classes={"read": read_class})) as router:
+        client = await client_with_unread_reply(router, b"x" * 60_000, monkeypatch)
+        await wait_until(lambda: not router.client_connections())
+        client.close()
--- a/tests/cache_router/net/test_late_connections.py
+++ b/tests/cache_router/net/test_late_connections.py
@@ -15,111 +15,99 @@
     record_written_requests,
     wait_until,
 )
-from tests.support.loopback import HIT, KEYED_WRITE, READ, SETTINGS, Router, http, keyed_write, read, run
+from tests.support.loopback import HIT, KEYED_WRITE, READ, SETTINGS, Router, http, keyed_write, read
 
 
 @pytest.mark.parametrize("change", ["draining", "removed", "restarted"])
-def test_connection_established_after_a_drain_notice_is_not_written_to(
+async def test_connection_established_after_a_drain_notice_is_not_written_to(
     change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Established later than the drain grace period allows, it wrote to a server known to be draining."""
 
-    async def scenario() -> None:
-        async with Router() as router:
-            connections = DelayedConnections(monkeypatch, *router.caches.values())
-            client = await router.client()
-            client.write(read("r1"))
-            name, link = await first_connection(router)
-            endpoint = router.dispatcher.endpoints[name]
-            updated = {
-                "draining": replace(endpoint.entry, state=EndpointState.DRAINING),
-                "removed": replace(endpoint.entry, state=EndpointState.REMOVED),
-                "restarted": replace(endpoint.entry, started_at=9.0),
-            }
-            router.dispatcher.on_endpoint_update(
-                EndpointUpdateKind.DELTA, [replace(endpoint, entry=updated[change])]
-            )
-            connections.released.set()
-            assert await link.closed_by_peer()  # without a byte
-            if change == "restarted":
-                other = await router.cache()  # it may be the restarted server
-            else:
-                other = await next(p for n, p in router.caches.items() if n != name).link()
-            assert (await other.resp())[2] == b"r1"
-            other.write(HIT)
-            assert await client.resp() == b"value"
-
-    run(scenario)
-
-
-def test_attempt_carries_the_time_left_when_it_is_written(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with Router() as router:
+        connections = DelayedConnections(monkeypatch, *router.caches.values())
+        client = await router.client()
+        client.write(read("r1"))
+        name, link = await first_connection(router)
+        endpoint = router.dispatcher.endpoints[name]
+        updated = {
+            "draining": replace(endpoint.entry, state=EndpointState.DRAINING),
+            "removed": replace(endpoint.entry, state=EndpointState.REMOVED),
+            "restarted": replace(endpoint.entry, started_at=9.0),
+        }
+        router.dispatcher.on_endpoint_update(
+            EndpointUpdateKind.DELTA, [replace(endpoint, entry=updated[change])]
+        )
+        connections.released.set()
+        assert await link.closed_by_peer()  # without a byte
+        if change == "restarted":
+            other = await router.cache()  # it may be the restarted server
+        else:
+            other = await next(p for n, p in router.caches.items() if n != name).link()
+        assert (await other.resp())[2] == b"r1"
+        other.write(HIT)
+        assert await client.resp() == b"value"
+
+
+async def test_attempt_carries_the_time_left_when_it_is_written(monkeypatch: pytest.MonkeyPatch) -> None:
     """Computed before connecting, it let a server work long after the client's deadline."""
 
-    async def scenario() -> None:
-        loop = asyncio.get_running_loop()
-        async with Router() as router:
-            connections = DelayedConnections(monkeypatch, *router.caches.values())
-            client = await router.client()
-            sent_at = loop.time()
-            client.write(read("r1"))
-            _, link = await first_connection(router)
-            await asyncio.sleep(0.3)
-            elapsed = loop.time() - sent_at
-            connections.released.set()
-            info = (await link.resp())[3].decode()
-            time_left = int(dict(pair.split("=") for pair in info.split(","))["d"]) / 1000
-            assert 0 < time_left <= 2.0 - elapsed + 0.001
-            link.write(HIT)
-            assert await client.resp() == b"value"
-
-    run(scenario)
+    loop = asyncio.get_running_loop()
+    async with Router() as router:
+        connections = DelayedConnections(monkeypatch, *router.caches.values())
+        client = await router.client()
+        sent_at = loop.time()
+        client.write(read("r1"))
+        _, link = await first_connection(router)
+        await asyncio.sleep(0.3)
+        elapsed = loop.time() - sent_at
+        connections.released.set()
+        info = (await link.resp())[3].decode()
+        time_left = int(dict(pair.split("=") for pair in info.split(","))["d"]) / 1000
+        assert 0 < time_left <= 2.0 - elapsed + 0.001
+        link.write(HIT)
+        assert await client.resp() == b"value"
 
 
 @pytest.mark.parametrize("cancellation_allowed", [True, False])
-def test_connection_established_after_its_client_disconnected_is_not_written_to(
+async def test_connection_established_after_its_client_disconnected_is_not_written_to(
     cancellation_allowed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Also a connection whose attempt is not cancelled must not carry a request that nobody waits for."""
 
-    async def scenario() -> None:
-        async with Router(replace(SETTINGS, cancellation_allowed=cancellation_allowed)) as router:
-            written = record_written_requests(monkeypatch)
-            connections = DelayedConnections(monkeypatch, *router.caches.values())
-            client = await router.client()
-            client.write(read("r1"))
-            await first_connection(router)
-            client.close()
-            await wait_until(lambda: not router.client_connections())
-            connections.released.set()
-            await wait_until(lambda: not router.cache_pool.connecting_count)
-            assert not written
-            assert not router.dispatcher.router.pending
-
-    run(scenario)
+    async with Router(replace(SETTINGS, cancellation_allowed=cancellation_allowed)) as router:
+        written = record_written_requests(monkeypatch)
+        connections = DelayedConnections(monkeypatch, *router.caches.values())
+        client = await router.client()
+        client.write(read("r1"))
+        await first_connection(router)
+        client.close()
+        await wait_until(lambda: not router.client_connections())
+        connections.released.set()
+        await wait_until(lambda: not router.cache_pool.connecting_count)
+        assert not written
+        assert not router.dispatcher.router.pending
 
 
 @pytest.mark.parametrize(("window", "is_retried"), [(0.9, False), (60.0, True)])
-def test_keyed_write_is_not_retried_if_it_may_be_written_after_the_idempotency_window(
+async def test_keyed_write_is_not_retried_if_it_may_be_written_after_the_idempotency_window(
     window: float, is_retried: bool
 ) -> None:
     """Servers recognize a retry only within the window; connecting may take a second here."""
 
-    async def scenario() -> None:
-        classes = {"read": READ, "book": replace(KEYED_WRITE, idempotency_window=window)}
-        async with Router(replace(SETTINGS, classes=classes, connect_timeout=1.0)) as router:
-            client = await router.client()
-            client.write(keyed_write("r1"))
+    classes = {"read": READ, "book": replace(KEYED_WRITE, idempotency_window=window)}
+    async with Router(replace(SETTINGS, classes=classes, connect_timeout=1.0)) as router:
+        client = await router.client()
+        client.write(keyed_write("r1"))
+        origin = await router.origin.link()
+        await origin.http()  # completely received: it may have run
+        origin.reset()
+        if is_retried:
             origin = await router.origin.link()
-            await origin.http()  # completely received: it may have run
-            origin.reset()
-            if is_retried:
-                origin = await router.origin.link()
-                await origin.http()
-                origin.write(http("200 OK", b"receipt"))
-                assert await client.resp() == b"receipt"
-            else:
-                assert str(await client.resp()).startswith("BUSY")
-                assert router.origin.links.empty()
-                assert router.origin_pool.connecting_count == 0
-
-    run(scenario)
+            await origin.http()
+            origin.write(http("200 OK", b"receipt"))
+            assert await client.resp() == b"receipt"
+        else:
+            assert str(await client.resp()).startswith("BUSY")
+            assert router.origin.links.empty()
+            assert router.origin_pool.connecting_count == 0
--- a/tests/cache_router/net/test_request_table.py
+++ b/tests/cache_router/net/test_request_table.py
@@ -11,38 +11,32 @@
 from cache_router.net.request_table import RequestInFlight, RequestTable
 from cache_router.net.upstream_attempt import UpstreamAttempt
 from tests.support.event_order import wait_until
-from tests.support.loopback import HIT, Router, error_text, read, run
+from tests.support.loopback import HIT, Router, error_text, read
 from tests.support.upstream_attempts import GET
 
 
-def test_request_id_in_use_is_rejected() -> None:
+async def test_request_id_in_use_is_rejected() -> None:
     """Two requests under one id would get each other's replies."""
 
-    async def scenario() -> None:
-        async with Router() as router:
-            other = await router.client()
-            client, cache = await router.start_read()
-            other.write(read("r1"))
-            assert "in use" in error_text(await other.resp())
-            cache.write(HIT)
-            assert await client.resp() == b"value"
-            other.write(read("r1"))  # nor right after the reply
-            assert "in use" in error_text(await other.resp())
+    async with Router() as router:
+        other = await router.client()
+        client, cache = await router.start_read()
+        other.write(read("r1"))
+        assert "in use" in error_text(await other.resp())
+        cache.write(HIT)
+        assert await client.resp() == b"value"
+        other.write(read("r1"))  # nor right after the reply
+        assert "in use" in error_text(await other.resp())
 
-    run(scenario)
 
-
-def test_answered_request_is_removed_at_once() -> None:
+async def test_answered_request_is_removed_at_once() -> None:
     """Otherwise its id and value would stay in memory until its deadline, for up to ten minutes."""
 
-    async def scenario() -> None:
-        async with Router() as router:
-            client, cache = await router.start_read(info="c=read,t=x,d=600000,h=" + "9" * 400)
-            cache.write(HIT)
-            assert await client.resp() == b"value"
-            assert not router.dispatcher.requests
-
-    run(scenario)
+    async with Router() as router:
+        client, cache = await router.start_read(info="c=read,t=x,d=600000,h=" + "9" * 400)
+        cache.write(HIT)
+        assert await client.resp() == b"value"
+        assert not router.dispatcher.requests
 
 
 class AdjustableClock(Clock):
@@ -85,126 +79,105 @@
         return number
 
 
-def test_request_is_answered_once() -> None:
+async def test_request_is_answered_once() -> None:
     """A second answer would be taken for the one to the next command."""
 
-    async def scenario() -> None:
-        requests = TableOfRequests()
-        requests.add("r1")
-        requests.table.respond("r1", b"first")
-        requests.table.respond("r1", b"second")
-        requests.table.respond("unknown", b"third")
-        assert requests.answers == [b"first"]
-        assert not requests.table.close("r1")
-
-    run(scenario)
+    requests = TableOfRequests()
+    requests.add("r1")
+    requests.table.respond("r1", b"first")
+    requests.table.respond("r1", b"second")
+    requests.table.respond("unknown", b"third")
+    assert requests.answers == [b"first"]
+    assert not requests.table.close("r1")
 
 
-def test_closed_request_is_not_answered() -> None:
+async def test_closed_request_is_not_answered() -> None:
     """Its client has disconnected."""
 
-    async def scenario() -> None:
-        requests = TableOfRequests()
-        requests.add("r1")
-        assert requests.table.close("r1")
-        assert not requests.table.close("r1")
-        requests.table.respond("r1", b"late")
-        assert requests.answers == []
+    requests = TableOfRequests()
+    requests.add("r1")
+    assert requests.table.close("r1")
+    assert not requests.table.close("r1")
+    requests.table.respond("r1", b"late")
+    assert requests.answers == []
 
-    run(scenario)
 
-
-def test_request_is_released_once_it_is_closed_and_has_no_attempt() -> None:
+async def test_request_is_released_once_it_is_closed_and_has_no_attempt() -> None:
     """The outcome of an attempt that is still in flight refers to its request."""
 
-    async def scenario() -> None:
-        requests = TableOfRequests()
-        request = requests.add("r1")
-        requests.add("r2")
-        numbers = [requests.start_attempt(request) for _ in range(2)]
-        assert numbers == [0, 1]
-        assert requests.table.remove_attempt(request, 0) is not None
-        assert requests.table.remove_attempt(request, 0) is None
-        requests.table.respond("r1", b"answer")
-        requests.table.release_finished()
-        assert list(requests.table) == ["r1", "r2"]
-        requests.table.remove_attempt(request, 1)
-        requests.table.release_finished()
-        assert list(requests.table) == ["r2"]
-        assert "r1" not in requests.table
-        assert len(requests.table) == 1
-
-    run(scenario)
-
-
-def test_released_request_has_no_deadline() -> None:
+    requests = TableOfRequests()
+    request = requests.add("r1")
+    requests.add("r2")
+    numbers = [requests.start_attempt(request) for _ in range(2)]
+    assert numbers == [0, 1]
+    assert requests.table.remove_attempt(request, 0) is not None
+    assert requests.table.remove_attempt(request, 0) is None
+    requests.table.respond("r1", b"answer")
+    requests.table.release_finished()
+    assert list(requests.table) == ["r1", "r2"]
+    requests.table.remove_attempt(request, 1)
+    requests.table.release_finished()
+    assert list(requests.table) == ["r2"]
+    assert "r1" not in requests.table
+    assert len(requests.table) == 1
+
+
+async def test_released_request_has_no_deadline() -> None:
     """Its timer would run out for an id that may be in use for another request by then."""
 
-    async def scenario() -> None:
-        requests = TableOfRequests()
-        requests.add("r1", 0.0)
-        requests.table.close("r1")
-        requests.table.release_finished()
-        requests.add("r2", 0.0)
-        await wait_until(lambda: requests.expired)
-        assert requests.expired == ["r2"]
-
-    run(scenario)
+    requests = TableOfRequests()
+    requests.add("r1", 0.0)
+    requests.table.close("r1")
+    requests.table.release_finished()
+    requests.add("r2", 0.0)
+    await wait_until(lambda: requests.expired)
+    assert requests.expired == ["r2"]
 
 
-def test_id_is_free_again_after_the_reuse_delay() -> None:
+async def test_id_is_free_again_after_the_reuse_delay() -> None:
     """Ids that are kept forever would use up the memory."""
 
-    async def scenario() -> None:
-        requests = TableOfRequests()
+    requests = TableOfRequests()
 
-        def finish(request_id: str) -> None:
-            requests.add(request_id)
-            requests.table.close(request_id)
-            requests.table.release_finished()
-
-        finish("r1")
-        requests.clock.time = request_table.ID_REUSE_DELAY
-        finish("r2")
-        assert requests.table.is_id_used("r1")
-        # ids are dropped in two generations, which change at a release
-        for number in (3, 4):
-            requests.clock.time += request_table.ID_REUSE_DELAY + 0.1
-            finish(f"r{number}")
-        assert not requests.table.is_id_used("r1")
-        assert not requests.table.is_id_used("r2")
-        assert requests.table.is_id_used("r3")
+    def finish(request_id: str) -> None:
+        requests.add(request_id)
+        requests.table.close(request_id)
+        requests.table.release_finished()
 
-    run(scenario)
+    finish("r1")
+    requests.clock.time = request_table.ID_REUSE_DELAY
+    finish("r2")
+    assert requests.table.is_id_used("r1")
+    # ids are dropped in two generations, which change at a release
+    for number in (3, 4):
+        requests.clock.time += request_table.ID_REUSE_DELAY + 0.1
+        finish(f"r{number}")
+    assert not requests.table.is_id_used("r1")
+    assert not requests.table.is_id_used("r2")
+    assert requests.table.is_id_used("r3")
 
 
 @pytest.mark.parametrize("added", ["before", "after"])
-def test_deadlines_are_limited_in_a_shutdown(added: str) -> None:
+async def test_deadlines_are_limited_in_a_shutdown(added: str) -> None:
     """The process ends soon after: a request with a later deadline would get no answer at all."""
 
-    async def scenario() -> None:
-        requests = TableOfRequests()
-        if added == "before":
-            requests.add("r1", 600.0)
-        requests.table.limit_deadlines(0.01)
-        if added == "after":
-            requests.add("r1", 600.0)
-        request = requests.table.get("r1")
-        assert request is not None
-        assert request.deadline == pytest.approx(0.01)
-        async with asyncio.timeout(1.0):
-            await wait_until(lambda: requests.expired)
-
-    run(scenario)
+    requests = TableOfRequests()
+    if added == "before":
+        requests.add("r1", 600.0)
+    requests.table.limit_deadlines(0.01)
+    if added == "after":
+        requests.add("r1", 600.0)
+    request = requests.table.get("r1")
+    assert request is not None
+    assert request.deadline == pytest.approx(0.01)
+    async with asyncio.timeout(1.0):
+        await wait_until(lambda: requests.expired)
 
 
-def test_earlier_deadline_is_kept_in_a_shutdown() -> None:
+async def test_earlier_deadline_is_kept_in_a_shutdown() -> None:
     """A client waits no longer because its router shuts down."""
 
-    async def scenario() -> None:
-        requests = TableOfRequests()
-        request = requests.add("r1", 0.5)
-        requests.table.limit_deadlines(2.0)
-        assert request.deadline == 0.5
-
-    run(scenario)
+    requests = TableOfRequests()
+    request = requests.add("r1", 0.5)
+    requests.table.limit_deadlines(2.0)
+    assert request.deadline == 0.5
--- a/tests/cache_router/net/test_upstream_attempt.py
+++ b/tests/cache_router/net/test_upstream_attempt.py
@@ -7,7 +7,6 @@
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net.upstream_attempt import UpstreamAttempt, UpstreamResponse
-from tests.support.loopback import run
 from tests.support.upstream_attempts import GET
 
 RESPONSE = UpstreamResponse(AttemptStatus.OK, b"value")
@@ -25,93 +24,75 @@
         self.aborts += 1
 
 
-def test_attempt_reports_its_first_response_only() -> None:
+async def test_attempt_reports_its_first_response_only() -> None:
     """A request that got two outcomes of one attempt would be counted and answered twice."""
 
-    async def scenario() -> None:
-        responses: list[UpstreamResponse] = []
-        attempt = UpstreamAttempt(GET, 0.5, responses.append)
-        assert attempt.is_open
-        attempt.finish(RESPONSE)
-        attempt.finish(SECOND_RESPONSE)
-        assert responses == [RESPONSE]
-        assert not attempt.is_open
+    responses: list[UpstreamResponse] = []
+    attempt = UpstreamAttempt(GET, 0.5, responses.append)
+    assert attempt.is_open
+    attempt.finish(RESPONSE)
+    attempt.finish(SECOND_RESPONSE)
+    assert responses == [RESPONSE]
+    assert not attempt.is_open
 
-    run(scenario)
 
-
-def test_abandoned_attempt_aborts_its_connection_and_reports_nothing() -> None:
+async def test_abandoned_attempt_aborts_its_connection_and_reports_nothing() -> None:
     """Its owner knows of the end already; the server is to stop working."""
 
-    async def scenario() -> None:
-        responses: list[UpstreamResponse] = []
-        connection = Connection()
-        attempt = UpstreamAttempt(GET, 0.5, responses.append)
-        attempt.mark_sent(connection)
-        attempt.abandon()
-        attempt.abandon()
-        attempt.finish(RESPONSE)
-        assert connection.aborts == 1
-        assert responses == []
-
-    run(scenario)
+    responses: list[UpstreamResponse] = []
+    connection = Connection()
+    attempt = UpstreamAttempt(GET, 0.5, responses.append)
+    attempt.mark_sent(connection)
+    attempt.abandon()
+    attempt.abandon()
+    attempt.finish(RESPONSE)
+    assert connection.aborts == 1
+    assert responses == []
 
 
-def test_finished_attempt_leaves_its_connection_open_when_it_is_abandoned() -> None:
+async def test_finished_attempt_leaves_its_connection_open_when_it_is_abandoned() -> None:
     """The connection may carry the attempt of another request by then."""
 
-    async def scenario() -> None:
-        connection = Connection()
-        attempt = UpstreamAttempt(GET, 0.5, lambda response: None)
-        attempt.mark_sent(connection)
-        attempt.finish(RESPONSE)
-        attempt.abandon()
-        assert connection.aborts == 0
-
-    run(scenario)
+    connection = Connection()
+    attempt = UpstreamAttempt(GET, 0.5, lambda response: None)
+    attempt.mark_sent(connection)
+    attempt.finish(RESPONSE)
+    attempt.abandon()
+    assert connection.aborts == 0
 
 
-def test_abandoned_attempt_stops_the_task_that_connects_only_until_it_is_connected() -> None:
+async def test_abandoned_attempt_stops_the_task_that_connects_only_until_it_is_connected() -> None:
     """The task outlives the connecting: it is the one that sends the request."""
 
-    async def scenario() -> None:
-        for is_connected in (False, True):
-            connecting = asyncio.create_task(asyncio.sleep(60.0))
-            attempt = UpstreamAttempt(GET, 0.5, lambda response: None)
-            attempt.mark_connecting(connecting)
-            if is_connected:
-                attempt.mark_connected()
-            attempt.abandon()
-            assert bool(connecting.cancelling()) is not is_connected
-            connecting.cancel()
-
-    run(scenario)
+    for is_connected in (False, True):
+        connecting = asyncio.create_task(asyncio.sleep(60.0))
+        attempt = UpstreamAttempt(GET, 0.5, lambda response: None)
+        attempt.mark_connecting(connecting)
+        if is_connected:
+            attempt.mark_connected()
+        attempt.abandon()
+        assert bool(connecting.cancelling()) is not is_connected
+        connecting.cancel()
 
 
-def test_timeout_runs_unless_the_attempt_has_ended() -> None:
+async def test_timeout_runs_unless_the_attempt_has_ended() -> None:
     """A timer that outlives its attempt would keep the request in memory."""
 
-    async def scenario() -> None:
-        timed_out: list[str] = []
-        names = ("open", "finished", "abandoned")
-        attempts = {name: UpstreamAttempt(GET, 0.5, lambda response: None) for name in names}
-        for name, attempt in attempts.items():
-            attempt.start_timeout(0.01, partial(timed_out.append, name))
-        attempts["finished"].finish(RESPONSE)
-        attempts["abandoned"].abandon()
-        await asyncio.sleep(0.02)
-        assert timed_out == ["open"]
-        assert attempts["open"].time_left() < 0.49
-
-    run(scenario)
+    timed_out: list[str] = []
+    names = ("open", "finished", "abandoned")
+    attempts = {name: UpstreamAttempt(GET, 0.5, lambda response: None) for name in names}
+    for name, attempt in attempts.items():
+        attempt.start_timeout(0.01, partial(timed_out.append, name))
+    attempts["finished"].finish(RESPONSE)
+    attempts["abandoned"].abandon()
+    await asyncio.sleep(0.02)
+    assert timed_out == ["open"]
+    assert attempts["open"].time_left() < 0.49
 
 
-def test_time_left_is_never_negative() -> None:
+async def test_time_left_is_never_negative() -> None:
     """A server would be given a deadline in the past."""
 
-    async def scenario() -> None:
-        attempt = UpstreamAttempt(GET, 0.0, lambda response: None)
-        await asyncio.sleep(0.001)
-        assert attempt.time_left() == 0.0
-
-    run(scenario)
+    attempt = UpstreamAttempt(GET, 0.0, lambda response: None)
+    await asyncio.sleep(0.001)
+    assert attempt.time_left() == 0.0
--- a/tests/cache_router/net/test_watch_failures.py
+++ b/tests/cache_router/net/test_watch_failures.py
@@ -8,7 +8,7 @@
 
 from cache_router.settings import WatchBudget
 from tests.support.endpoint_lists import accept_poll, encode_endpoint_list, peer_entry
-from tests.support.loopback import SETTINGS, Link, Peer, Router, http, read_values, run
+from tests.support.loopback import SETTINGS, Link, Peer, Router, http, read_values
 
 PUSHED = replace(
     SETTINGS, must_subscribe=False, drain_grace_period=0.5, overload_window=60.0, slow_start_duration=60.0
@@ -22,55 +22,47 @@
 
 
 @pytest.mark.parametrize("failure", ["silent", "reset", "malformed"])
-def test_failed_watch_is_reopened_before_the_drain_deadline(failure: str) -> None:
+async def test_failed_watch_is_reopened_before_the_drain_deadline(failure: str) -> None:
     """The exponential backoff would last 30 s and more, while discovery was notified of a drain long ago."""
 
     short_budget = WatchBudget(
         response_timeout=0.02, max_backoff=0.0, scheduling_slack=0.0, notification_deadline=0.06
     )
 
-    async def scenario() -> None:
-        async with Peer() as agent, Router(PUSHED) as router:
-            router.watch(agent, budget=short_budget)
-            for _ in range(3):  # consecutive failures
-                link = await next_poll(agent)
-                if failure == "reset":
-                    link.reset()
-                elif failure == "malformed":
-                    link.write(http("200 OK", b"{"))
+    async with Peer() as agent, Router(PUSHED) as router:
+        router.watch(agent, budget=short_budget)
+        for _ in range(3):  # consecutive failures
             link = await next_poll(agent)
-            draining = peer_entry("a", router.caches["a"], status="terminating")
-            link.write(http("200 OK", encode_endpoint_list(2, False, draining)))
-            await next_poll(agent)  # after the update
-            assert router.discovery is not None
-            router.discovery.close()
-            router.watch(agent, budget=PUSHED.watch_budget)
-            await next_poll(agent)  # a long poll, in flight from now on
-            client = await router.client()
-            await read_values(client, router.caches["b"], 8)
-            assert router.caches["a"].links.empty()
-
-    run(scenario)
-
-
-def test_first_poll_of_a_new_address_times_out_without_its_wait() -> None:
+            if failure == "reset":
+                link.reset()
+            elif failure == "malformed":
+                link.write(http("200 OK", b"{"))
+        link = await next_poll(agent)
+        draining = peer_entry("a", router.caches["a"], status="terminating")
+        link.write(http("200 OK", encode_endpoint_list(2, False, draining)))
+        await next_poll(agent)  # after the update
+        assert router.discovery is not None
+        router.discovery.close()
+        router.watch(agent, budget=PUSHED.watch_budget)
+        await next_poll(agent)  # a long poll, in flight from now on
+        client = await router.client()
+        await read_values(client, router.caches["b"], 8)
+        assert router.caches["a"].links.empty()
+
+
+async def test_first_poll_of_a_new_address_times_out_without_its_wait() -> None:
     """A new address has 4 s after SIGHUP to notify the router: a lost first poll must not take five."""
 
-    async def scenario() -> None:
-        async with Peer() as old, Peer() as new, Router(PUSHED) as router:
-            router.watch(
-                old, pushed=True, budget=WatchBudget(response_timeout=0.02, notification_deadline=600.0)
-            )
-            await next_poll(old)  # the first, at the start
-            await next_poll(old)
-            assert router.discovery is not None
-            router.discovery.change_address(new.address)
-            router.dispatcher.on_discovery_address_changed()
-            router.discovery.subscribe()
-            await next_poll(new)  # lost: it gets no response
-            link = await next_poll(new)
-            link.write(http("200 OK", encode_endpoint_list(2, True, peer_entry("b", router.caches["b"]))))
-            await next_poll(new)
-            assert list(router.dispatcher.endpoints) == ["b"]
-
-    run(scenario)
+    async with Peer() as old, Peer() as new, Router(PUSHED) as router:
+        router.watch(old, pushed=True, budget=WatchBudget(response_timeout=0.02, notification_deadline=600.0))
+        await next_poll(old)  # the first, at the start
+        await next_poll(old)
+        assert router.discovery is not None
+        router.discovery.change_address(new.address)
+        router.dispatcher.on_discovery_address_changed()
+        router.discovery.subscribe()
+        await next_poll(new)  # lost: it gets no response
+        link = await next_poll(new)
+        link.write(http("200 OK", encode_endpoint_list(2, True, peer_entry("b", router.caches["b"]))))
+        await next_poll(new)
+        assert list(router.dispatcher.endpoints) == ["b"]
--- a/tests/cache_router/test_server.py
+++ b/tests/cache_router/test_server.py
@@ -17,8 +17,9 @@
 from cache_router import server
 from cache_router.__main__ import main
 from cache_router.config import read_config
+from tests.support.coroutine_tests import DEFAULT_TIME_LIMIT
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
-from tests.support.loopback import HIT, TEST_TIMEOUT, Peer, format_address, http, read, read_values, run
+from tests.support.loopback import HIT, Peer, format_address, http, read, read_values
 from tests.support.router_process import (
     CACHED_LIST,
     VALID_CONFIG,
@@ -131,73 +132,67 @@
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
-def test_sigterm_ends_the_process_once_all_requests_are_answered(mode: str, tmp_path: Path) -> None:
+async def test_sigterm_ends_the_process_once_all_requests_are_answered(mode: str, tmp_path: Path) -> None:
     """Ended too early it loses accepted requests; too late it is killed with requests in flight."""
 
-    async def scenario() -> None:
-        async with (
-            Peer() as cache,
-            Peer() as discovery,
-            router_process(config_with_cache(cache, discovery, mode), tmp_path / "config.json") as process,
-        ):
-            watch = await discovery.link()
-            assert "after=1&" in (await watch.http())[0]
-            watch.write(http("200 OK", encode_endpoint_list(2, False)))
-            address = await listen_address(process.stderr)
-            client = await connected_client(address)
-            client.write(read("r1"))
-            cache_link = await cache.link()
-            await cache_link.resp()
-            process.send_signal(signal.SIGTERM)
-            assert process.stderr is not None
-            line = await process.stderr.readline()
-            assert b" INFO cache_router.server draining " + format_address(address).encode() + b": " in line
-            late = await connected_client(address)
-            assert await late.closed_by_peer()
-            cache_link.write(HIT)
-            assert await client.resp() == b"value"
-            async with asyncio.timeout(TEST_TIMEOUT):
-                assert await process.wait() == 0
-
-    run(scenario)
+    async with (
+        Peer() as cache,
+        Peer() as discovery,
+        router_process(config_with_cache(cache, discovery, mode), tmp_path / "config.json") as process,
+    ):
+        watch = await discovery.link()
+        assert "after=1&" in (await watch.http())[0]
+        watch.write(http("200 OK", encode_endpoint_list(2, False)))
+        address = await listen_address(process.stderr)
+        client = await connected_client(address)
+        client.write(read("r1"))
+        cache_link = await cache.link()
+        await cache_link.resp()
+        process.send_signal(signal.SIGTERM)
+        assert process.stderr is not None
+        line = await process.stderr.readline()
+        assert b" INFO cache_router.server draining " + format_address(address).encode() + b": " in line
+        late = await connected_client(address)
+        assert await late.closed_by_peer()
+        cache_link.write(HIT)
+        assert await client.resp() == b"value"
+        async with asyncio.timeout(DEFAULT_TIME_LIMIT):
+            assert await process.wait() == 0
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
-def test_sighup_moves_the_watch_to_the_new_address_under_load(mode: str, tmp_path: Path) -> None:
+async def test_sighup_moves_the_watch_to_the_new_address_under_load(mode: str, tmp_path: Path) -> None:
     """Unhandled, SIGHUP kills the router; a watch of the old address would miss later drains."""
 
-    async def scenario() -> None:
-        path = tmp_path / "config.json"
-        async with Peer() as cache, Peer() as first, Peer() as second, Peer() as third:
-            config = config_with_cache(cache, first, mode)
-            async with router_process(config, path) as process:
-                watch, address = await first.link(), await listen_address(process.stderr)
-                await watch.http()
-                client = await connected_client(address)
-                client.write(read("r0"))
-                for number, discovery in enumerate((second, third), 1):
-                    path.write_bytes(orjson.dumps({**config, "discovery": discovery.address}))
-                    process.send_signal(signal.SIGHUP)
-                    poll = await discovery.link()
-                    assert (await poll.http())[0] == "GET /registry/instances HTTP/1.1"
-                    assert await watch.closed_by_peer()
-                    poll.write(http("200 OK", encode_endpoint_list(7, True, *config["known"]["endpoints"])))
-                    watch = await discovery.link()
-                    assert "after=7&" in (await watch.http())[0]
-                    await cache.serve(HIT)
-                    assert await client.resp() == b"value"
-                    client.write(read(f"r{number}"))
-                path.write_bytes(b"{")
+    path = tmp_path / "config.json"
+    async with Peer() as cache, Peer() as first, Peer() as second, Peer() as third:
+        config = config_with_cache(cache, first, mode)
+        async with router_process(config, path) as process:
+            watch, address = await first.link(), await listen_address(process.stderr)
+            await watch.http()
+            client = await connected_client(address)
+            client.write(read("r0"))
+            for number, discovery in enumerate((second, third), 1):
+                path.write_bytes(orjson.dumps({**config, "discovery": discovery.address}))
                 process.send_signal(signal.SIGHUP)
-                assert process.stderr is not None
-                while b"configuration not taken" not in await process.stderr.readline():
-                    assert not process.stderr.at_eof()
+                poll = await discovery.link()
+                assert (await poll.http())[0] == "GET /registry/instances HTTP/1.1"
+                assert await watch.closed_by_peer()
+                poll.write(http("200 OK", encode_endpoint_list(7, True, *config["known"]["endpoints"])))
+                watch = await discovery.link()
+                assert "after=7&" in (await watch.http())[0]
                 await cache.serve(HIT)
                 assert await client.resp() == b"value"
-                watch.write(http("200 OK", encode_endpoint_list(8, False)))
-                assert "after=8&" in (await (await third.link()).http())[0]
-
-    run(scenario)
+                client.write(read(f"r{number}"))
+            path.write_bytes(b"{")
+            process.send_signal(signal.SIGHUP)
+            assert process.stderr is not None
+            while b"configuration not taken" not in await process.stderr.readline():
+                assert not process.stderr.at_eof()
+            await cache.serve(HIT)
+            assert await client.resp() == b"value"
+            watch.write(http("200 OK", encode_endpoint_list(8, False)))
+            assert "after=8&" in (await (await third.link()).http())[0]
 
 
 @asynccontextmanager
@@ -214,63 +209,55 @@
         await serving
 
 
-def test_router_listens_only_after_its_first_endpoint_list(
+async def test_router_listens_only_after_its_first_endpoint_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The drain deadline of discovery's list counts from the start; the cached list may be outdated."""
-    monkeypatch.setattr(server, "FIRST_LIST_TIMEOUT", TEST_TIMEOUT)
-
-    async def scenario() -> None:
-        async with Peer() as draining, Peer() as ready, Peer() as agent:
-            config = config_with_cache(draining, agent, "automatic")
-            draining_entry = config["known"]["endpoints"][0]
-            ready_entry = {**draining_entry, "name": "s-2", "address": ready.address}
-            config["known"]["endpoints"].append(ready_entry)
-            async with serving_in_process(config, tmp_path / "config.json") as address:
-                poll = await agent.link()
-                # without a wait, so that discovery answers also when nothing has changed
-                assert "after=1&wait_ms=0 " in (await poll.http())[0]
-                with pytest.raises(ConnectionRefusedError):
-                    await asyncio.open_connection(*address)
-                update = encode_endpoint_list(2, False, {**draining_entry, "status": "terminating"})
-                poll.write(http("200 OK", update))
-                budget = read_config(orjson.dumps(config)).settings.watch_budget
-                poll = await agent.link()
-                assert f"after=2&wait_ms={int(budget.long_poll_wait * 1000)} " in (await poll.http())[0]
-                client = await connected_client(address)
-                await read_values(client, ready, 8)
-                assert draining.links.empty()
-                client.close()
-
-    run(scenario)
+    monkeypatch.setattr(server, "FIRST_LIST_TIMEOUT", DEFAULT_TIME_LIMIT)
+
+    async with Peer() as draining, Peer() as ready, Peer() as agent:
+        config = config_with_cache(draining, agent, "automatic")
+        draining_entry = config["known"]["endpoints"][0]
+        ready_entry = {**draining_entry, "name": "s-2", "address": ready.address}
+        config["known"]["endpoints"].append(ready_entry)
+        async with serving_in_process(config, tmp_path / "config.json") as address:
+            poll = await agent.link()
+            # without a wait, so that discovery answers also when nothing has changed
+            assert "after=1&wait_ms=0 " in (await poll.http())[0]
+            with pytest.raises(ConnectionRefusedError):
+                await asyncio.open_connection(*address)
+            update = encode_endpoint_list(2, False, {**draining_entry, "status": "terminating"})
+            poll.write(http("200 OK", update))
+            budget = read_config(orjson.dumps(config)).settings.watch_budget
+            poll = await agent.link()
+            assert f"after=2&wait_ms={int(budget.long_poll_wait * 1000)} " in (await poll.http())[0]
+            client = await connected_client(address)
+            await read_values(client, ready, 8)
+            assert draining.links.empty()
+            client.close()
 
 
-def test_router_serves_from_the_cached_list_while_discovery_is_silent(
+async def test_router_serves_from_the_cached_list_while_discovery_is_silent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Discovery may be unavailable for long, and has then sent nothing newer."""
     monkeypatch.setattr(server, "FIRST_LIST_TIMEOUT", 0.01)
 
-    async def scenario() -> None:
-        async with (
-            Peer() as cache,
-            Peer() as agent,
-            serving_in_process(
-                config_with_cache(cache, agent, "automatic"), tmp_path / "config.json"
-            ) as address,
-        ):
-            await (await agent.link()).http()
-            while True:
-                try:
-                    client = await connected_client(address)
-                    break
-                except ConnectionRefusedError:
-                    await asyncio.sleep(0)
-            client.write(read("r1"))
-            link = await cache.link()
-            await link.resp()
-            link.write(HIT)
-            assert await client.resp() == b"value"
-            client.close()
-
-    run(scenario)
+    async with (
+        Peer() as cache,
+        Peer() as agent,
+        serving_in_process(config_with_cache(cache, agent, "automatic"), tmp_path / "config.json") as address,
+    ):
+        await (await agent.link()).http()
+        while True:
+            try:
+                client = await connected_client(address)
+                break
+            except ConnectionRefusedError:
+                await asyncio.sleep(0)
+        client.write(read("r1"))
+        link = await cache.link()
+        await link.resp()
+        link.write(HIT)
+        assert await client.resp() == b"value"
+        client.close()
--- a/tests/cache_router/test_shutdown.py
+++ b/tests/cache_router/test_shutdown.py
@@ -11,104 +11,83 @@
 import pytest
 
 from cache_router.net import client_connection_table
+from tests.support.coroutine_tests import DEFAULT_TIME_LIMIT
 from tests.support.endpoint_lists import encode_endpoint_list
 from tests.support.event_order import wait_until
-from tests.support.loopback import (
-    HIT,
-    KEYED_WRITE,
-    MISS,
-    READ,
-    SETTINGS,
-    TEST_TIMEOUT,
-    Link,
-    Peer,
-    Router,
-    http,
-    read,
-    run,
-)
+from tests.support.loopback import HIT, KEYED_WRITE, MISS, READ, SETTINGS, Link, Peer, Router, http, read
 from tests.support.router_process import config_with_cache, connected_client, listen_address, router_process
 
 
 @pytest.mark.parametrize("waiting_for", ["server", "origin", "capacity"])
-def test_every_request_is_answered_before_the_kill_deadline(waiting_for: str) -> None:
+async def test_every_request_is_answered_before_the_kill_deadline(waiting_for: str) -> None:
     """With a fixed shutdown time, requests at servers that hang were unanswered at SIGKILL."""
 
-    async def scenario() -> None:
-        read_class = replace(READ, latency_objective=600.0, client_timeout=0.01)
-        async with Router(replace(SETTINGS, classes={"read": read_class, "book": KEYED_WRITE})) as router:
-            client = await router.client()
-            info = "c=read,t=x,d=600000"
-            if waiting_for == "capacity":
-                origin = router.dispatcher.router.endpoints.origins[0].concurrency
-                origin.limit = origin.in_flight  # no capacity there, and none is freed
-            client.write(read("r1", info=info))
-            cache = await router.cache()
-            await cache.resp()
-            if waiting_for != "server":
-                cache.write(MISS)
-            if waiting_for == "origin":
-                await (await router.origin.link()).http()
-            if waiting_for == "capacity":
-                await wait_until(lambda: any(r.is_queued for r in router.dispatcher.router.pending.values()))
-            router.dispatcher.start_shutdown(0.05)
-            assert isinstance(await client.resp(), hiredis.ReplyError)
-            client.write(read("r2", info=info))  # one that comes later is rejected at once
-            assert str(await client.resp()).startswith("BUSY")
-            await wait_until(lambda: not router.dispatcher.requests)
+    read_class = replace(READ, latency_objective=600.0, client_timeout=0.01)
+    async with Router(replace(SETTINGS, classes={"read": read_class, "book": KEYED_WRITE})) as router:
+        client = await router.client()
+        info = "c=read,t=x,d=600000"
+        if waiting_for == "capacity":
+            origin = router.dispatcher.router.endpoints.origins[0].concurrency
+            origin.limit = origin.in_flight  # no capacity there, and none is freed
+        client.write(read("r1", info=info))
+        cache = await router.cache()
+        await cache.resp()
+        if waiting_for != "server":
+            cache.write(MISS)
+        if waiting_for == "origin":
+            await (await router.origin.link()).http()
+        if waiting_for == "capacity":
+            await wait_until(lambda: any(r.is_queued for r in router.dispatcher.router.pending.values()))
+        router.dispatcher.start_shutdown(0.05)
+        assert isinstance(await client.resp(), hiredis.ReplyError)
+        client.write(read("r2", info=info))  # one that comes later is rejected at once
+        assert str(await client.resp()).startswith("BUSY")
+        await wait_until(lambda: not router.dispatcher.requests)
+
+
+async def test_shutdown_time_follows_from_the_longest_client_timeout(tmp_path: Path) -> None:
+    """The request at a server that hangs would be cut off at the end of the process, or by SIGKILL."""
 
-    run(scenario)
+    async with Peer() as cache, Peer() as agent:
+        config = config_with_cache(cache, agent, "automatic")
+        classes = [{**row, "giveUp": 0.2, "aim": 0.2} for row in config["settings"]["classes"]]
+        config["settings"]["classes"] = classes
+        async with router_process(config, tmp_path / "config.json") as process:
+            watch = await agent.link()
+            await watch.http()
+            watch.write(http("200 OK", encode_endpoint_list(2, False)))
+            client = await connected_client(await listen_address(process.stderr))
+            client.write(read("r1", info="c=read,t=t,d=600000"))
+            await (await cache.link()).resp()
+            process.send_signal(signal.SIGTERM)
+            assert isinstance(await client.resp(), hiredis.ReplyError)
+            assert await process.wait() == 0
 
 
-def test_shutdown_time_follows_from_the_longest_client_timeout(tmp_path: Path) -> None:
-    """The request at a server that hangs would be cut off at the end of the process, or by SIGKILL."""
-
-    async def scenario() -> None:
-        async with Peer() as cache, Peer() as agent:
-            config = config_with_cache(cache, agent, "automatic")
-            classes = [{**row, "giveUp": 0.2, "aim": 0.2} for row in config["settings"]["classes"]]
-            config["settings"]["classes"] = classes
-            async with router_process(config, tmp_path / "config.json") as process:
-                watch = await agent.link()
-                await watch.http()
-                watch.write(http("200 OK", encode_endpoint_list(2, False)))
-                client = await connected_client(await listen_address(process.stderr))
-                client.write(read("r1", info="c=read,t=t,d=600000"))
-                await (await cache.link()).resp()
-                process.send_signal(signal.SIGTERM)
-                assert isinstance(await client.resp(), hiredis.ReplyError)
-                assert await process.wait() == 0
-
-    run(scenario)
-
-
-def test_client_in_the_backlog_at_shutdown_is_served() -> None:
+async def test_client_in_the_backlog_at_shutdown_is_served() -> None:
     """The kernel has accepted it and its request: closing the listening socket would reset both."""
 
-    async def scenario() -> None:
-        async with Router(max_clients=1) as router:
-            first, cache = await router.start_read()
-            second = await router.client()
-            await wait_until(lambda: len(router.client_connections()) == 2)  # one too many, and none to evict
-            second.write(read("r2"))
-            third = await router.client()
-            third.write(read("r3"))
-            served = await router.cache()
-            assert (await served.resp())[2] == b"r2"
-            shutdown = asyncio.create_task(router.listener.stop(0.0, TEST_TIMEOUT))
-            await wait_until(lambda: router.listener.is_draining)
-            cache.write(HIT)
-            served.write(HIT)
-            assert await first.resp() == await second.resp() == b"value"
-            assert await first.closed_by_peer()
-            assert await second.closed_by_peer()
-            last = await next_request(router, cache, served)
-            last.write(HIT)
-            assert await third.resp() == b"value"
-            assert await third.closed_by_peer()
-            await shutdown
-
-    run(scenario)
+    async with Router(max_clients=1) as router:
+        first, cache = await router.start_read()
+        second = await router.client()
+        await wait_until(lambda: len(router.client_connections()) == 2)  # one too many, and none to evict
+        second.write(read("r2"))
+        third = await router.client()
+        third.write(read("r3"))
+        served = await router.cache()
+        assert (await served.resp())[2] == b"r2"
+        shutdown = asyncio.create_task(router.listener.stop(0.0, DEFAULT_TIME_LIMIT))
+        await wait_until(lambda: router.listener.is_draining)
+        cache.write(HIT)
+        served.write(HIT)
+        assert await first.resp() == await second.resp() == b"value"
+        assert await first.closed_by_peer()
+        assert await second.closed_by_peer()
+        last = await next_request(router, cache, served)
+        last.write(HIT)
+        assert await third.resp() == b"value"
+        assert await third.closed_by_peer()
+        await shutdown
 
 
 async def next_request(router: Router, *links: Link) -> Link:
@@ -124,41 +103,35 @@
     return accept.result()
 
 
-def test_client_just_accepted_at_shutdown_may_send_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_client_just_accepted_at_shutdown_may_send_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     """Closed without a reply it would count as a refused connection, and many of them as lost requests."""
 
-    async def scenario() -> None:
-        async with Router() as router:
-            client = await router.client()
-            await wait_until(router.client_connections)
-            monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", TEST_TIMEOUT)
-            shutdown = asyncio.create_task(router.listener.stop(0.0, TEST_TIMEOUT))
-            await wait_until(lambda: router.listener.is_closed)
-            client.write(read("r1"))
-            cache = await router.cache()
-            await cache.resp()
-            cache.write(HIT)
-            assert await client.resp() == b"value"
-            assert await client.closed_by_peer()
-            await shutdown
-
-    run(scenario)
-
-
-def test_last_reply_while_draining_closes_its_connection() -> None:
+    async with Router() as router:
+        client = await router.client()
+        await wait_until(router.client_connections)
+        monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", DEFAULT_TIME_LIMIT)
+        shutdown = asyncio.create_task(router.listener.stop(0.0, DEFAULT_TIME_LIMIT))
+        await wait_until(lambda: router.listener.is_closed)
+        client.write(read("r1"))
+        cache = await router.cache()
+        await cache.resp()
+        cache.write(HIT)
+        assert await client.resp() == b"value"
+        assert await client.closed_by_peer()
+        await shutdown
+
+
+async def test_last_reply_while_draining_closes_its_connection() -> None:
     """Left open any longer, the client would send its next request to a process that ends."""
 
-    async def scenario() -> None:
-        async with Router() as router:
-            client, cache = await router.start_read()
-            (connection,) = router.client_connections()
-            shutdown = asyncio.create_task(router.listener.stop(0.0, TEST_TIMEOUT))
-            await wait_until(lambda: router.listener.is_draining)
-            router.dispatcher.requests.respond("r1", b"-ERR failed\r\n")
-            assert not connection.is_connected()  # closing, as the client has not disconnected
-            assert isinstance(await client.resp(), hiredis.ReplyError)
-            assert await client.closed_by_peer()
-            await shutdown
-            del cache  # open until here
-
-    run(scenario)
+    async with Router() as router:
+        client, cache = await router.start_read()
+        (connection,) = router.client_connections()
+        shutdown = asyncio.create_task(router.listener.stop(0.0, DEFAULT_TIME_LIMIT))
+        await wait_until(lambda: router.listener.is_draining)
+        router.dispatcher.requests.respond("r1", b"-ERR failed\r\n")
+        assert not connection.is_connected()  # closing, as the client has not disconnected
+        assert isinstance(await client.resp(), hiredis.ReplyError)
+        assert await client.closed_by_peer()
+        await shutdown
+        del cache  # open until here
--- a/tests/cache_router/test_startup.py
+++ b/tests/cache_router/test_startup.py
@@ -13,6 +13,7 @@
 from typing import Any
 
 import orjson
+import pytest
 
 from cache_router.config import read_config
 from cache_router.decisions.events import EndpointUpdateKind
@@ -22,7 +23,7 @@
 from cache_router.net.endpoint_list_reader import read_endpoint_list
 from cache_router.net.origin_connection import OriginConnection
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
-from tests.support.loopback import Peer, http, run
+from tests.support.loopback import Peer, http
 from tests.support.router_process import (
     PROCESS_TEST_TIMEOUT,
     VALID_CONFIG,
@@ -106,44 +107,40 @@
     return sum(map(int, fields[11:13])) / os.sysconf("SC_CLK_TCK")
 
 
-def test_startup_with_840_entries_polls_the_complete_list_once(
+@pytest.mark.time_limit(PROCESS_TEST_TIMEOUT)
+async def test_startup_with_840_entries_polls_the_complete_list_once(
     tmp_path: Path, record_property: Callable[[str, object], None]
 ) -> None:
     """When many routers start together, a second poll for the list would wait behind all first ones."""
 
-    async def scenario() -> None:
-        async with Peer() as agent:
-            entries = cache_entries(840)
-            config = config_with_cache(agent, agent, "automatic")
-            config["known"]["endpoints"] = entries
-            async with router_process(config, tmp_path / "config.json") as process:
-                poll = await agent.link()
-                assert "after=1&" in (await poll.http())[0]
-                poll.write(http("200 OK", encode_endpoint_list(2, True, *entries)))
-                client = await connected_client(await listen_address(process.stderr))
-                record_property("processor_seconds", processor_seconds(process))
-                watch = await agent.link()  # for changes after the list, and not for the list again
-                first, _, _ = await watch.http()
-                assert "after=2&" in first
-                assert "wait_ms=0 " not in first
-                await client.ping()
-                assert agent.links.empty()
-                client.close()
-
-    run(scenario, PROCESS_TEST_TIMEOUT)
-
-
-def test_log_line_has_time_level_logger_and_message(tmp_path: Path) -> None:
+    async with Peer() as agent:
+        entries = cache_entries(840)
+        config = config_with_cache(agent, agent, "automatic")
+        config["known"]["endpoints"] = entries
+        async with router_process(config, tmp_path / "config.json") as process:
+            poll = await agent.link()
+            assert "after=1&" in (await poll.http())[0]
+            poll.write(http("200 OK", encode_endpoint_list(2, True, *entries)))
+            client = await connected_client(await listen_address(process.stderr))
+            record_property("processor_seconds", processor_seconds(process))
+            watch = await agent.link()  # for changes after the list, and not for the list again
+            first, _, _ = await watch.http()
+            assert "after=2&" in first
+            assert "wait_ms=0 " not in first
+            await client.ping()
+            assert agent.links.empty()
+            client.close()
+
+
+@pytest.mark.time_limit(PROCESS_TEST_TIMEOUT)
+async def test_log_line_has_time_level_logger_and_message(tmp_path: Path) -> None:
     """The page for on-call engineers names the loggers."""
 
-    async def scenario() -> None:
-        async with Peer() as agent:
-            config = config_with_cache(agent, agent, "subscribe")
-            async with router_process(config, tmp_path / "config.json") as process:
-                assert process.stderr is not None
-                line = (await process.stderr.readline()).decode()
-                assert re.fullmatch(
-                    rf"{LOG_TIME} INFO cache_router\.server listening on 127\.0\.0\.1:\d+\n", line
-                )
-
-    run(scenario, PROCESS_TEST_TIMEOUT)
+    async with Peer() as agent:
+        config = config_with_cache(agent, agent, "subscribe")
+        async with router_process(config, tmp_path / "config.json") as process:
+            assert process.stderr is not None
+            line = (await process.stderr.readline()).decode()
+            assert re.fullmatch(
+                rf"{LOG_TIME} INFO cache_router\.server listening on 127\.0\.0\.1:\d+\n", line
+            )
--- a/tests/cache_router/test_watch_budget.py
+++ b/tests/cache_router/test_watch_budget.py
@@ -19,7 +19,7 @@
 from cache_router.settings import MIN_BACKOFF, WatchBudget
 from tests.support.driver import Driver, entry, settings
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, WatchRecorder, accept_poll, encode_endpoint_list
-from tests.support.loopback import Peer, http, run
+from tests.support.loopback import Peer, http
 from tests.support.router_scenarios import FAILED_CALL
 
 SETTINGS = {
@@ -115,28 +115,25 @@
         assert most_in_a_tenth <= 60
 
 
-def test_call_times_out_by_its_budget() -> None:
+async def test_call_times_out_by_its_budget() -> None:
     """A long poll after its wait and the response timeout; a call for the whole list, which has no wait,
     after the response timeout alone.
     """
 
-    async def scenario() -> None:
-        async with Peer() as peer:
-            budget = WatchBudget(response_timeout=0.05, notification_deadline=600.0)
-            recorder = WatchRecorder(peer, budget)
-            first, link = await accept_poll(peer)
-            assert f"wait_ms={int(budget.long_poll_wait * 1000)} " in first
-            recorder.discovery.change_address(peer.address)
-            recorder.discovery.subscribe()
-            assert "wait_ms" not in (await accept_poll(peer))[0]
-            assert await recorder.updates.get() is None  # and not after ten minutes
-            recorder.discovery.subscribe()
-            _, link = await accept_poll(peer)
-            link.write(http("200 OK", encode_endpoint_list(3, True, ENDPOINT_ENTRY)))
-            assert await recorder.updates.get() is not None
-            recorder.discovery.close()
-
-    run(scenario)
+    async with Peer() as peer:
+        budget = WatchBudget(response_timeout=0.05, notification_deadline=600.0)
+        recorder = WatchRecorder(peer, budget)
+        first, link = await accept_poll(peer)
+        assert f"wait_ms={int(budget.long_poll_wait * 1000)} " in first
+        recorder.discovery.change_address(peer.address)
+        recorder.discovery.subscribe()
+        assert "wait_ms" not in (await accept_poll(peer))[0]
+        assert await recorder.updates.get() is None  # and not after ten minutes
+        recorder.discovery.subscribe()
+        _, link = await accept_poll(peer)
+        link.write(http("200 OK", encode_endpoint_list(3, True, ENDPOINT_ENTRY)))
+        assert await recorder.updates.get() is not None
+        recorder.discovery.close()
 
 
 def test_broken_long_subscriptions_are_renewed_with_jitter() -> None:
--- a/tests/project/test_configuration_page.py
+++ b/tests/project/test_configuration_page.py
@@ -19,7 +19,7 @@
 from cache_router.net.endpoint_list_reader import EndpointListMessage
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.settings import RequestClass, Settings
-from tests.support.loopback import Peer, run
+from tests.support.loopback import Peer
 from tests.support.router_process import (
     PROCESS_TEST_TIMEOUT,
     connected_client,
@@ -250,17 +250,15 @@
     )
 
 
-def test_router_starts_with_the_example(tmp_path: Path) -> None:
+@pytest.mark.time_limit(PROCESS_TEST_TIMEOUT)
+async def test_router_starts_with_the_example(tmp_path: Path) -> None:
     """Free ports replace the fixed ones, which other processes on the machine may use."""
 
-    async def scenario() -> None:
-        async with Peer() as discovery:
-            addresses = {"listen": "127.0.0.1:0", "discovery": discovery.address}
-            config = {**orjson.loads(EXAMPLE), **addresses}
-            async with router_process(config, tmp_path / "config.json") as process:
-                client = await connected_client(await listen_address(process.stderr))
-                client.close()
-                process.terminate()
-                assert await process.wait() == 0
-
-    run(scenario, PROCESS_TEST_TIMEOUT)
+    async with Peer() as discovery:
+        addresses = {"listen": "127.0.0.1:0", "discovery": discovery.address}
+        config = {**orjson.loads(EXAMPLE), **addresses}
+        async with router_process(config, tmp_path / "config.json") as process:
+            client = await connected_client(await listen_address(process.stderr))
+            client.close()
+            process.terminate()
+            assert await process.wait() == 0
--- a/tests/scale_experiments/emulators/test_cache.py
+++ b/tests/scale_experiments/emulators/test_cache.py
@@ -28,7 +28,7 @@
     StartCaches,
 )
 from scale_experiments.emulators.messages.common import Done
-from tests.support.loopback import Link, keyed_write, read, run
+from tests.support.loopback import Link, keyed_write, read
 
 CACHE_SETTINGS = CacheSettings(
     value_bytes=3, service_s=0.0, handshake_s=0.0, idle_s=9.0, max_connections=2, max_keys=2, warm=False
@@ -107,116 +107,104 @@
     )
 
 
-def test_cache_drains_hangs_fails_and_restarts_empty() -> None:
+async def test_cache_drains_hangs_fails_and_restarts_empty() -> None:
     """Each mode answers as a real cache server would, and a restart loses all keys."""
 
-    async def scenario() -> None:
-        address = free_address()
-        cache = CacheServer(CacheCluster(replace(CACHE_SETTINGS, warm=True)), "a", address)
-        await cache.listen()
-        links = [Link(*await asyncio.open_connection(*address)) for _ in range(3)]
-        for link, value in zip(links, (b"vvv", b"vvv", None), strict=True):
-            link.write(read("r1"))
-            response = await link.resp()
-            if value is None:  # over the limit of two
-                assert str(response) == "BUSY"
-                assert await link.closed_by_peer()
-            else:
-                assert response == [value, b"hit", b"svc_ms=0.0,pending=0"]
-        await cache.set_mode("drain")
-        links[0].write(read("r2"))
-        assert str(await links[0].resp()) == "BUSY"
-        await cache.set_mode("hang")
-        links[0].write(read("r3"))
-        await cache.set_mode("dead")
-        assert await links[0].closed_by_peer()
-        assert await links[1].closed_by_peer()
-        with pytest.raises(ConnectionRefusedError):
-            await asyncio.open_connection(*address)
-        await cache.set_mode("serve")
-        link = Link(*await asyncio.open_connection(*address))
-        link.write(read("r4"))
-        assert (await link.resp())[:2] == [None, b"miss"]
-        assert cache.counters() == CacheCounters(
-            accepted=4, handshakes=3, requests=5, hits=2, misses=1, rejected=2, open_sum=0, max_open=3, open=1
-        )
-        link.close()
-        await cache.set_mode("dead")
-
-    run(scenario)
-
-
-def test_cache_sends_replies_in_the_order_of_requests_and_reports_its_pending_requests() -> None:
+    address = free_address()
+    cache = CacheServer(CacheCluster(replace(CACHE_SETTINGS, warm=True)), "a", address)
+    await cache.listen()
+    links = [Link(*await asyncio.open_connection(*address)) for _ in range(3)]
+    for link, value in zip(links, (b"vvv", b"vvv", None), strict=True):
+        link.write(read("r1"))
+        response = await link.resp()
+        if value is None:  # over the limit of two
+            assert str(response) == "BUSY"
+            assert await link.closed_by_peer()
+        else:
+            assert response == [value, b"hit", b"svc_ms=0.0,pending=0"]
+    await cache.set_mode("drain")
+    links[0].write(read("r2"))
+    assert str(await links[0].resp()) == "BUSY"
+    await cache.set_mode("hang")
+    links[0].write(read("r3"))
+    await cache.set_mode("dead")
+    assert await links[0].closed_by_peer()
+    assert await links[1].closed_by_peer()
+    with pytest.raises(ConnectionRefusedError):
+        await asyncio.open_connection(*address)
+    await cache.set_mode("serve")
+    link = Link(*await asyncio.open_connection(*address))
+    link.write(read("r4"))
+    assert (await link.resp())[:2] == [None, b"miss"]
+    assert cache.counters() == CacheCounters(
+        accepted=4, handshakes=3, requests=5, hits=2, misses=1, rejected=2, open_sum=0, max_open=3, open=1
+    )
+    link.close()
+    await cache.set_mode("dead")
+
+
+async def test_cache_sends_replies_in_the_order_of_requests_and_reports_its_pending_requests() -> None:
     """The second reply is not sent before the first, whose request also took the handshake's time."""
 
-    async def scenario() -> None:
-        address = free_address()
-        settings = replace(CACHE_SETTINGS, service_s=0.01, handshake_s=0.05, warm=True)
-        cache = CacheServer(CacheCluster(settings), "a", address)
-        await cache.listen()
-        link = Link(*await asyncio.open_connection(*address))
-        started_at = asyncio.get_running_loop().time()
-        link.write(read("r1") + keyed_write("w1"))
-        assert await link.resp() == [b"vvv", b"hit", b"svc_ms=10.0,pending=1"]
-        assert asyncio.get_running_loop().time() - started_at >= 0.06
-        assert await link.resp() == [None, b"miss", b"svc_ms=10.0,pending=0"]
-        link.close()
-        await cache.set_mode("dead")
-
-    run(scenario)
-
-
-def test_cache_forgets_the_pending_requests_of_a_lost_connection() -> None:
-    async def scenario() -> None:
-        address = free_address()
-        cache = CacheServer(CacheCluster(replace(CACHE_SETTINGS, service_s=5.0)), "a", address)
-        await cache.listen()
-        link = Link(*await asyncio.open_connection(*address))
-        link.write(read("r1"))
-        while not cache.counters().misses:
-            await asyncio.sleep(0.001)
-        assert cache.load_report() == b"svc_ms=5000.0,pending=1"
-        link.close()
-        while cache.counters().open:
-            await asyncio.sleep(0.001)
-        assert cache.load_report() == b"svc_ms=5000.0,pending=0"
-        await cache.set_mode("dead")
-
-    run(scenario)
-
-
-def test_caches_emulator_carries_out_its_commands() -> None:
-    async def scenario() -> None:
-        emulator = CachesEmulator()
-        host, port = free_address()
-        command = StartCaches(
-            **asdict(CACHE_SETTINGS),
-            addresses={"a": f"{host}:{port}"},
-            origin="127.0.0.1:0",
-            origin_service_s=0.0,
-            origin_max_concurrent=1,
-        )
-        started = await emulator.handle(command)
-        assert isinstance(started, CachesStarted)
-        origin = Link(*await asyncio.open_connection(*parse_address(started.origin)))
-        link = Link(*await asyncio.open_connection(host, port))
-        link.write(read("r1", key="a/b"))
-        assert (await link.resp())[:2] == [None, b"miss"]
-        origin.write(origin_request("GET", "r1"))
-        await origin.http()
-        link.write(read("r2", key="a/b"))
-        assert (await link.resp())[:2] == [b"vvv", b"hit"]
-        stats = await emulator.handle(GetCachesStats())
-        assert isinstance(stats, CachesStats)
-        assert (stats.caches["a"].hits, stats.caches["a"].misses, stats.origin.requests) == (1, 1, 1)
-        assert stats.samples >= 1
-        with pytest.raises(ValueError, match="no such mode: stop"):
-            await emulator.handle(decode(SetCacheMode, {"names": ["a"], "mode": "stop"}))
-        assert await emulator.handle(SetCacheMode(["a"], "dead")) == Done()
-        assert await link.closed_by_peer()
-        origin.close()
-
-    run(scenario)
+    address = free_address()
+    settings = replace(CACHE_SETTINGS, service_s=0.01, handshake_s=0.05, warm=True)
+    cache = CacheServer(CacheCluster(settings), "a", address)
+    await cache.listen()
+    link = Link(*await asyncio.open_connection(*address))
+    started_at = asyncio.get_running_loop().time()
+    link.write(read("r1") + keyed_write("w1"))
+    assert await link.resp() == [b"vvv", b"hit", b"svc_ms=10.0,pending=1"]
+    assert asyncio.get_running_loop().time() - started_at >= 0.06
+    assert await link.resp() == [None, b"miss", b"svc_ms=10.0,pending=0"]
+    link.close()
+    await cache.set_mode("dead")
+
+
+async def test_cache_forgets_the_pending_requests_of_a_lost_connection() -> None:
+    address = free_address()
+    cache = CacheServer(CacheCluster(replace(CACHE_SETTINGS, service_s=5.0)), "a", address)
+    await cache.listen()
+    link = Link(*await asyncio.open_connection(*address))
+    link.write(read("r1"))
+    while not cache.counters().misses:
+        await asyncio.sleep(0.001)
+    assert cache.load_report() == b"svc_ms=5000.0,pending=1"
+    link.close()
+    while cache.counters().open:
+        await asyncio.sleep(0.001)
+    assert cache.load_report() == b"svc_ms=5000.0,pending=0"
+    await cache.set_mode("dead")
+
+
+async def test_caches_emulator_carries_out_its_commands() -> None:
+    emulator = CachesEmulator()
+    host, port = free_address()
+    command = StartCaches(
+        **asdict(CACHE_SETTINGS),
+        addresses={"a": f"{host}:{port}"},
+        origin="127.0.0.1:0",
+        origin_service_s=0.0,
+        origin_max_concurrent=1,
+    )
+    started = await emulator.handle(command)
+    assert isinstance(started, CachesStarted)
+    origin = Link(*await asyncio.open_connection(*parse_address(started.origin)))
+    link = Link(*await asyncio.open_connection(host, port))
+    link.write(read("r1", key="a/b"))
+    assert (await link.resp())[:2] == [None, b"miss"]
+    origin.write(origin_request("GET", "r1"))
+    await origin.http()
+    link.write(read("r2", key="a/b"))
+    assert (await link.resp())[:2] == [b"vvv", b"hit"]
+    stats = await emulator.handle(GetCachesStats())
+    assert isinstance(stats, CachesStats)
+    assert (stats.caches["a"].hits, stats.caches["a"].misses, stats.origin.requests) == (1, 1, 1)
+    assert stats.samples >= 1
+    with pytest.raises(ValueError, match="no such mode: stop"):
+        await emulator.handle(decode(SetCacheMode, {"names": ["a"], "mode": "stop"}))
+    assert await emulator.handle(SetCacheMode(["a"], "dead")) == Done()
+    assert await link.closed_by_peer()
+    origin.close()
 
 
 def origin_request(method: str, request_id: str, body: str = "") -> bytes:
@@ -225,46 +213,40 @@
     return (head + body).encode()
 
 
-def test_origin_notifies_the_caches_and_rejects_requests_beyond_its_limit() -> None:
-    async def scenario() -> None:
-        fetched: list[tuple[bytes, bytes, bool]] = []
-        origin = Origin(lambda *request: fetched.append(request), b"vvv", 0.02, 1)
-        address = await origin.listen("127.0.0.1", 0)
-        first, second = [Link(*await asyncio.open_connection(*address)) for _ in range(2)]
-        first.write(origin_request("GET", "r1"))
-        while not origin.counters().requests:
-            await asyncio.sleep(0.001)
-        second.write(origin_request("GET", "r2"))
-        status, headers, _ = await second.http()
-        assert (status, headers["not-started"]) == ("HTTP/1.1 503 Service Unavailable", "1")
-        assert await first.http() == ("HTTP/1.1 200 OK", {"content-length": "3"}, b"vvv")
-        first.write(origin_request("PUT", "w1", "body"))
-        assert await first.http() == ("HTTP/1.1 200 OK", {"content-length": "7"}, b"receipt")
-        assert fetched == [(b"a/b", b"r1", False), (b"a/b", b"w1", True)]
-        first.close()
-        while origin.counters().open == 2:
-            await asyncio.sleep(0.001)
-        assert origin.counters() == OriginCounters(requests=3, rejected=1, connections=2, open=1, max_open=2)
-        second.close()
-
-    run(scenario)
-
-
-def test_origin_frees_the_place_of_a_request_whose_connection_is_lost() -> None:
-    async def scenario() -> None:
-        fetched: list[bytes] = []
-        origin = Origin(lambda _, request_id, __: fetched.append(request_id), b"vvv", 0.02, 1)
-        address = await origin.listen("127.0.0.1", 0)
-        first, second = [Link(*await asyncio.open_connection(*address)) for _ in range(2)]
-        first.write(origin_request("GET", "r1"))
-        while not origin.counters().requests:
-            await asyncio.sleep(0.001)
-        first.reset()
-        while origin.counters().open == 2:
-            await asyncio.sleep(0.001)
-        second.write(origin_request("GET", "r2"))
-        assert (await second.http())[0] == "HTTP/1.1 200 OK"
-        assert fetched == [b"r2"]
-        second.close()
-
-    run(scenario)
+async def test_origin_notifies_the_caches_and_rejects_requests_beyond_its_limit() -> None:
+    fetched: list[tuple[bytes, bytes, bool]] = []
+    origin = Origin(lambda *request: fetched.append(request), b"vvv", 0.02, 1)
+    address = await origin.listen("127.0.0.1", 0)
+    first, second = [Link(*await asyncio.open_connection(*address)) for _ in range(2)]
+    first.write(origin_request("GET", "r1"))
+    while not origin.counters().requests:
+        await asyncio.sleep(0.001)
+    second.write(origin_request("GET", "r2"))
+    status, headers, _ = await second.http()
+    assert (status, headers["not-started"]) == ("HTTP/1.1 503 Service Unavailable", "1")
+    assert await first.http() == ("HTTP/1.1 200 OK", {"content-length": "3"}, b"vvv")
+    first.write(origin_request("PUT", "w1", "body"))
+    assert await first.http() == ("HTTP/1.1 200 OK", {"content-length": "7"}, b"receipt")
+    assert fetched == [(b"a/b", b"r1", False), (b"a/b", b"w1", True)]
+    first.close()
+    while origin.counters().open == 2:
+        await asyncio.sleep(0.001)
+    assert origin.counters() == OriginCounters(requests=3, rejected=1, connections=2, open=1, max_open=2)
+    second.close()
+
+
+async def test_origin_frees_the_place_of_a_request_whose_connection_is_lost() -> None:
+    fetched: list[bytes] = []
+    origin = Origin(lambda _, request_id, __: fetched.append(request_id), b"vvv", 0.02, 1)
+    address = await origin.listen("127.0.0.1", 0)
+    first, second = [Link(*await asyncio.open_connection(*address)) for _ in range(2)]
+    first.write(origin_request("GET", "r1"))
+    while not origin.counters().requests:
+        await asyncio.sleep(0.001)
+    first.reset()
+    while origin.counters().open == 2:
+        await asyncio.sleep(0.001)
+    second.write(origin_request("GET", "r2"))
+    assert (await second.http())[0] == "HTTP/1.1 200 OK"
+    assert fetched == [b"r2"]
+    second.close()
--- a/tests/scale_experiments/emulators/test_clients.py
+++ b/tests/scale_experiments/emulators/test_clients.py
@@ -35,7 +35,7 @@
 )
 from scale_experiments.emulators.messages.common import Done
 from scale_experiments.measurement.histograms import decode_histogram
-from tests.support.loopback import Link, Peer, read, run
+from tests.support.loopback import Link, Peer, read
 
 START = StartClients(
     routers=[],
@@ -155,86 +155,74 @@
     assert (counts[SERVED], latency.get_total_count()) == (2, 0)
 
 
-def test_load_reuses_an_idle_connection_and_opens_one_when_all_are_busy() -> None:
-    async def scenario() -> None:
-        async with Peer() as router:
-            load = RouterLoad(router.address, START, 1)
-            first = await receive_request(load, router, "r1")
-            second = await receive_request(load, router, "r2")
-            first.write(SERVED_REPLY)
-            await wait_for_outcome(load, SERVED)
-            send_request(load, "r3")
-            assert (await first.resp())[2] == b"r3"
-            first.write(b"-BUSY\r\n")
-            second.write(b"?\r\n")  # not of the protocol
-            await wait_for_outcome(load, REJECTED)
-            await wait_for_outcome(load, FAILED)
-            assert await second.closed_by_peer()
-            counts = counts_of(load)
-            assert (counts[OPEN_CONNECTIONS], counts[CONNECTIONS_OPENED]) == (1, 2)
-            first.close()
-
-    run(scenario)
-
-
-def test_request_that_crossed_a_close_is_retried_once() -> None:
+async def test_load_reuses_an_idle_connection_and_opens_one_when_all_are_busy() -> None:
+    async with Peer() as router:
+        load = RouterLoad(router.address, START, 1)
+        first = await receive_request(load, router, "r1")
+        second = await receive_request(load, router, "r2")
+        first.write(SERVED_REPLY)
+        await wait_for_outcome(load, SERVED)
+        send_request(load, "r3")
+        assert (await first.resp())[2] == b"r3"
+        first.write(b"-BUSY\r\n")
+        second.write(b"?\r\n")  # not of the protocol
+        await wait_for_outcome(load, REJECTED)
+        await wait_for_outcome(load, FAILED)
+        assert await second.closed_by_peer()
+        counts = counts_of(load)
+        assert (counts[OPEN_CONNECTIONS], counts[CONNECTIONS_OPENED]) == (1, 2)
+        first.close()
+
+
+async def test_request_that_crossed_a_close_is_retried_once() -> None:
     """A connection that served a request before may have been closed as idle; a second close is a loss."""
 
-    async def scenario() -> None:
-        async with Peer() as router:
-            load = RouterLoad(router.address, START, 1)
-            first = await receive_request(load, router, "r1")
-            first.write(SERVED_REPLY)
-            await wait_for_outcome(load, SERVED)
-            send_request(load, "r2")
-            assert (await first.resp())[2] == b"r2"
-            first.close()
-            second = await router.link()
-            assert (await second.resp())[2] == b"r2"
-            second.close()
-            await wait_for_outcome(load, LOST)
-            counts = counts_of(load)
-            assert (counts[RETRIES], counts[LOST], counts[SERVED], counts[OPEN_CONNECTIONS]) == (1, 1, 1, 0)
-
-    run(scenario)
-
-
-def test_request_without_a_reply_or_a_connection_is_counted() -> None:
-    async def scenario() -> None:
-        async with Peer() as router:
-            load = RouterLoad(router.address, replace(START, deadline_s=0.02), 1)
-            link = await receive_request(load, router, "r1")
-            await wait_for_outcome(load, UNANSWERED)
-            assert await link.closed_by_peer()
+    async with Peer() as router:
+        load = RouterLoad(router.address, START, 1)
+        first = await receive_request(load, router, "r1")
+        first.write(SERVED_REPLY)
+        await wait_for_outcome(load, SERVED)
         send_request(load, "r2")
-        await wait_for_outcome(load, NOT_CONNECTED)
+        assert (await first.resp())[2] == b"r2"
+        first.close()
+        second = await router.link()
+        assert (await second.resp())[2] == b"r2"
+        second.close()
+        await wait_for_outcome(load, LOST)
         counts = counts_of(load)
-        assert (counts[UNANSWERED], counts[NOT_CONNECTED], counts[LOST], counts[RETRIES]) == (1, 1, 0, 0)
-
-    run(scenario)
-
-
-def test_clients_emulator_carries_out_its_commands() -> None:
-    async def scenario() -> None:
-        emulator = ClientsEmulator()
-        async with Peer() as router:
-            assert await emulator.handle(replace(START, routers=[router.address])) == Done()
-            await router.serve(SERVED_REPLY)
-            while True:
-                stats = await emulator.handle(GetClientsStats())
-                assert isinstance(stats, ClientsStats)
-                if stats.counts.get(SERVED):
-                    break
-                await asyncio.sleep(0.001)
-            assert decode_histogram(stats.latency).get_total_count() == 1
-            assert await emulator.handle(PauseClients()) == Done()
-            await asyncio.sleep(0.05)  # longer than the pause before any request at this rate
-            paused = await emulator.handle(GetClientsStats(restart=True))
-            await asyncio.sleep(0.05)
+        assert (counts[RETRIES], counts[LOST], counts[SERVED], counts[OPEN_CONNECTIONS]) == (1, 1, 1, 0)
+
+
+async def test_request_without_a_reply_or_a_connection_is_counted() -> None:
+    async with Peer() as router:
+        load = RouterLoad(router.address, replace(START, deadline_s=0.02), 1)
+        link = await receive_request(load, router, "r1")
+        await wait_for_outcome(load, UNANSWERED)
+        assert await link.closed_by_peer()
+    send_request(load, "r2")
+    await wait_for_outcome(load, NOT_CONNECTED)
+    counts = counts_of(load)
+    assert (counts[UNANSWERED], counts[NOT_CONNECTED], counts[LOST], counts[RETRIES]) == (1, 1, 0, 0)
+
+
+async def test_clients_emulator_carries_out_its_commands() -> None:
+    emulator = ClientsEmulator()
+    async with Peer() as router:
+        assert await emulator.handle(replace(START, routers=[router.address])) == Done()
+        await router.serve(SERVED_REPLY)
+        while True:
             stats = await emulator.handle(GetClientsStats())
-            assert isinstance(paused, ClientsStats)
             assert isinstance(stats, ClientsStats)
-            assert stats.counts[REQUESTS] == paused.counts[REQUESTS]
-            assert decode_histogram(stats.latency).get_total_count() == 0
-
-    run(scenario)
+            if stats.counts.get(SERVED):
+                break
+            await asyncio.sleep(0.001)
+        assert decode_histogram(stats.latency).get_total_count() == 1
+        assert await emulator.handle(PauseClients()) == Done()
+        await asyncio.sleep(0.05)  # longer than the pause before any request at this rate
+        paused = await emulator.handle(GetClientsStats(restart=True))
+        await asyncio.sleep(0.05)
+        stats = await emulator.handle(GetClientsStats())
+        assert isinstance(paused, ClientsStats)
+        assert isinstance(stats, ClientsStats)
+        assert stats.counts[REQUESTS] == paused.counts[REQUESTS]
+        assert decode_histogram(stats.latency).get_total_count() == 0
--- a/tests/scale_experiments/emulators/test_discovery.py
+++ b/tests/scale_experiments/emulators/test_discovery.py
@@ -17,7 +17,7 @@
 from scale_experiments.emulators.messages.common import ProcessUsage
 from scale_experiments.emulators.messages.discovery import DiscoveryStats, SetDiscoveryMode, Timestamp
 from tests.support.endpoint_lists import ENDPOINT_ENTRY
-from tests.support.loopback import Link, format_address, run
+from tests.support.loopback import Link, format_address
 
 
 def endpoint_entry(name: str, status: str = "in_service") -> dict[str, Any]:
@@ -48,106 +48,94 @@
     assert poll(registry, 5) == (8, True, {"b": "in_service", "c": "in_service"})
 
 
-def test_watch_waits_for_updates_and_hangs_with_discovery() -> None:
+async def test_watch_waits_for_updates_and_hangs_with_discovery() -> None:
     """A poll waits until the list changes, and gets no response while discovery hangs."""
 
-    async def scenario() -> None:
-        server = DiscoveryEmulator()
-        await server.listen()
-        server.replace_list(41, [endpoint_entry("a")])
-        updates: asyncio.Queue[tuple[EndpointUpdateKind, list[str]]] = asyncio.Queue()
-        watch = Discovery(
-            format_address(server.address),
-            41,
-            lambda kind, endpoints: updates.put_nowait((kind, [e.entry.name for e in endpoints])),
-            lambda _: updates.put_nowait((EndpointUpdateKind.FAILED, [])),
-        )
-        watch.subscribe()
-
-        async def wait_for_polls(count: int) -> None:
-            while server.stats().polls < count:
-                await asyncio.sleep(0.001)
-
-        await wait_for_polls(1)
-        assert server.stats().waiting == 1
-        assert updates.empty()
-        server.change_list(42, [endpoint_entry("b")])
-        assert await updates.get() == (EndpointUpdateKind.DELTA, ["b"])
-        await wait_for_polls(2)
-        await server.set_mode("silent")
-        server.change_list(43, [endpoint_entry("c")])
-        assert not server.stats().waiting
-        assert updates.empty()
-        assert server.reset_unanswered() == 1
-        assert await updates.get() == (EndpointUpdateKind.FAILED, [])
-        await server.set_mode("serve")
-        watch.subscribe()
-        assert await updates.get() == (EndpointUpdateKind.DELTA, ["c"])
-        watch.close()
-        await server.set_mode("refuse")
-
-    run(scenario)
-
-
-def test_poll_with_a_malformed_index_gets_a_bad_request() -> None:
-    """The emulator rejects what routers never send, so that a mistake in a router is not overlooked."""
+    server = DiscoveryEmulator()
+    await server.listen()
+    server.replace_list(41, [endpoint_entry("a")])
+    updates: asyncio.Queue[tuple[EndpointUpdateKind, list[str]]] = asyncio.Queue()
+    watch = Discovery(
+        format_address(server.address),
+        41,
+        lambda kind, endpoints: updates.put_nowait((kind, [e.entry.name for e in endpoints])),
+        lambda _: updates.put_nowait((EndpointUpdateKind.FAILED, [])),
+    )
+    watch.subscribe()
+
+    async def wait_for_polls(count: int) -> None:
+        while server.stats().polls < count:
+            await asyncio.sleep(0.001)
 
-    async def scenario() -> None:
-        server = DiscoveryEmulator()
-        await server.listen()
-        client = Link(*await asyncio.open_connection(*server.address))
-        client.write(b"GET /registry/instances?after=x HTTP/1.1\r\n\r\n")
-        assert (await client.http())[0] == "HTTP/1.1 400 Bad Request"
-        await server.set_mode("refuse")
+    await wait_for_polls(1)
+    assert server.stats().waiting == 1
+    assert updates.empty()
+    server.change_list(42, [endpoint_entry("b")])
+    assert await updates.get() == (EndpointUpdateKind.DELTA, ["b"])
+    await wait_for_polls(2)
+    await server.set_mode("silent")
+    server.change_list(43, [endpoint_entry("c")])
+    assert not server.stats().waiting
+    assert updates.empty()
+    assert server.reset_unanswered() == 1
+    assert await updates.get() == (EndpointUpdateKind.FAILED, [])
+    await server.set_mode("serve")
+    watch.subscribe()
+    assert await updates.get() == (EndpointUpdateKind.DELTA, ["c"])
+    watch.close()
+    await server.set_mode("refuse")
+
+
+async def test_poll_with_a_malformed_index_gets_a_bad_request() -> None:
+    """The emulator rejects what routers never send, so that a mistake in a router is not overlooked."""
 
-    run(scenario)
+    server = DiscoveryEmulator()
+    await server.listen()
+    client = Link(*await asyncio.open_connection(*server.address))
+    client.write(b"GET /registry/instances?after=x HTTP/1.1\r\n\r\n")
+    assert (await client.http())[0] == "HTTP/1.1 400 Bad Request"
+    await server.set_mode("refuse")
 
 
-def test_discovery_rejects_polls_while_it_is_busy() -> None:
+async def test_discovery_rejects_polls_while_it_is_busy() -> None:
     """The mode "busy" answers by 503 after the delay of its command; the connection stays open."""
 
-    async def scenario() -> None:
-        server = DiscoveryEmulator()
-        await server.listen()
-        server.replace_list(5, [endpoint_entry("a")])
-        assert isinstance(await server.handle(SetDiscoveryMode("busy", 0.02)), Timestamp)
-        client = Link(*await asyncio.open_connection(*server.address))
-        started_at = asyncio.get_running_loop().time()
-        client.write(b"GET /registry/instances HTTP/1.1\r\n\r\n")
-        assert (await client.http())[0] == "HTTP/1.1 503 Service Unavailable"
-        assert asyncio.get_running_loop().time() - started_at >= 0.02
-        await server.set_mode("serve")
-        client.write(b"GET /registry/instances HTTP/1.1\r\n\r\n")
-        assert (await client.http())[0] == "HTTP/1.1 200 OK"
-        stats = server.stats()
-        assert (stats.polls, stats.connections, stats.answered, stats.rejected) == (2, 1, 1, 1)
-        await server.set_mode("refuse")
-
-    run(scenario)
-
-
-def test_discovery_refuses_connections_until_it_serves_again_at_the_same_address() -> None:
-    async def scenario() -> None:
-        server = DiscoveryEmulator()
-        await server.listen()
-        address = server.address
-        client = Link(*await asyncio.open_connection(*address))
-        client.write(b"GET /registry/instances?after=0&wait_ms=9000 HTTP/1.1\r\n\r\n")
-        while not server.stats().waiting:
-            await asyncio.sleep(0.001)
-        await server.set_mode("refuse")
-        assert await client.closed_by_peer()
-        with pytest.raises(ConnectionRefusedError):
-            await asyncio.open_connection(*address)
-        await server.set_mode("serve")
-        assert server.address == address
-        client = Link(*await asyncio.open_connection(*address))
-        client.write(b"GET /registry/instances?after=0 HTTP/1.1\r\nConnection: close\r\n\r\n")
-        assert (await client.http())[2] == b'{"index":0,"snapshot":false,"endpoints":[]}'
-        assert await client.closed_by_peer()
-        await server.set_mode("refuse")
-
-    run(scenario)
+    server = DiscoveryEmulator()
+    await server.listen()
+    server.replace_list(5, [endpoint_entry("a")])
+    assert isinstance(await server.handle(SetDiscoveryMode("busy", 0.02)), Timestamp)
+    client = Link(*await asyncio.open_connection(*server.address))
+    started_at = asyncio.get_running_loop().time()
+    client.write(b"GET /registry/instances HTTP/1.1\r\n\r\n")
+    assert (await client.http())[0] == "HTTP/1.1 503 Service Unavailable"
+    assert asyncio.get_running_loop().time() - started_at >= 0.02
+    await server.set_mode("serve")
+    client.write(b"GET /registry/instances HTTP/1.1\r\n\r\n")
+    assert (await client.http())[0] == "HTTP/1.1 200 OK"
+    stats = server.stats()
+    assert (stats.polls, stats.connections, stats.answered, stats.rejected) == (2, 1, 1, 1)
+    await server.set_mode("refuse")
+
+
+async def test_discovery_refuses_connections_until_it_serves_again_at_the_same_address() -> None:
+    server = DiscoveryEmulator()
+    await server.listen()
+    address = server.address
+    client = Link(*await asyncio.open_connection(*address))
+    client.write(b"GET /registry/instances?after=0&wait_ms=9000 HTTP/1.1\r\n\r\n")
+    while not server.stats().waiting:
+        await asyncio.sleep(0.001)
+    await server.set_mode("refuse")
+    assert await client.closed_by_peer()
+    with pytest.raises(ConnectionRefusedError):
+        await asyncio.open_connection(*address)
+    await server.set_mode("serve")
+    assert server.address == address
+    client = Link(*await asyncio.open_connection(*address))
+    client.write(b"GET /registry/instances?after=0 HTTP/1.1\r\nConnection: close\r\n\r\n")
+    assert (await client.http())[2] == b'{"index":0,"snapshot":false,"endpoints":[]}'
+    assert await client.closed_by_peer()
+    await server.set_mode("refuse")
 
 
 def test_change_that_does_not_have_the_next_index_is_rejected() -> None:
--- a/tests/scale_experiments/routers/test_hollow.py
+++ b/tests/scale_experiments/routers/test_hollow.py
@@ -26,7 +26,6 @@
 from scale_experiments.routers.hollow.update_times import FleetStatistics, UpdateTimeTable
 from scale_experiments.routers.watch_fleet import build_settings
 from tests.support.endpoint_lists import ENDPOINT_ENTRY
-from tests.support.loopback import run
 
 LIST_INDEX = 5
 
@@ -64,66 +63,55 @@
 
 
 @pytest.mark.parametrize(("mode", "endpoints"), [("router", 2), ("list", 2), ("index", 1)])
-def test_hollow_routers_follow_discovery(mode: HollowMode, endpoints: int) -> None:
+async def test_hollow_routers_follow_discovery(mode: HollowMode, endpoints: int) -> None:
     """Each mode has the new index; the mode "index" stores one placeholder instead of the endpoints."""
 
-    async def scenario() -> None:
-        discovery = DiscoveryEmulator()
-        await discovery.listen()
-        discovery.replace_list(LIST_INDEX, [endpoint_entry("s-1")])
-        fleet = HollowFleet()
-        assert await fleet.handle(start_command(mode, discovery)) == Done()
-        while discovery.stats().waiting < 2:
-            await asyncio.sleep(0.001)
-        updates_before = (await fleet_stats(fleet)).updates
-        changed_at = asyncio.get_running_loop().time()
-        discovery.change_list(LIST_INDEX + 1, [endpoint_entry("s-2")])
-        while (await fleet_stats(fleet)).lowest_index == LIST_INDEX:
-            await asyncio.sleep(0.001)
-        stats = await fleet_stats(fleet)
-        assert (stats.lowest_index, stats.fewest_endpoints, stats.failed) == (LIST_INDEX + 1, endpoints, 0)
-        assert stats.updates - updates_before == 2
-        times = await update_times(fleet, LIST_INDEX + 1)
-        assert len(times) == 2
-        assert all(each is not None and each >= changed_at for each in times)
-        assert all(
-            each is not None and math.isnan(each) for each in await update_times(fleet, LIST_INDEX + 2)
-        )
-        await discovery.set_mode("refuse")
-
-    run(scenario)
+    discovery = DiscoveryEmulator()
+    await discovery.listen()
+    discovery.replace_list(LIST_INDEX, [endpoint_entry("s-1")])
+    fleet = HollowFleet()
+    assert await fleet.handle(start_command(mode, discovery)) == Done()
+    while discovery.stats().waiting < 2:
+        await asyncio.sleep(0.001)
+    updates_before = (await fleet_stats(fleet)).updates
+    changed_at = asyncio.get_running_loop().time()
+    discovery.change_list(LIST_INDEX + 1, [endpoint_entry("s-2")])
+    while (await fleet_stats(fleet)).lowest_index == LIST_INDEX:
+        await asyncio.sleep(0.001)
+    stats = await fleet_stats(fleet)
+    assert (stats.lowest_index, stats.fewest_endpoints, stats.failed) == (LIST_INDEX + 1, endpoints, 0)
+    assert stats.updates - updates_before == 2
+    times = await update_times(fleet, LIST_INDEX + 1)
+    assert len(times) == 2
+    assert all(each is not None and each >= changed_at for each in times)
+    assert all(each is not None and math.isnan(each) for each in await update_times(fleet, LIST_INDEX + 2))
+    await discovery.set_mode("refuse")
 
 
 @pytest.mark.parametrize("mode", ["list", "index"])
-def test_hollow_routers_count_failed_polls_and_poll_again(mode: HollowMode) -> None:
-    async def scenario() -> None:
-        discovery = DiscoveryEmulator()
-        await discovery.listen()
-        discovery.replace_list(LIST_INDEX + 1, [endpoint_entry("s-1")])
-        await discovery.handle(SetDiscoveryMode("busy", 0.0))
-        fleet = HollowFleet()
-        await fleet.handle(start_command(mode, discovery))
-        while (await fleet_stats(fleet)).failed < 2:
-            await asyncio.sleep(0.001)
-        assert (await fleet_stats(fleet)).updates == 0
-        await discovery.set_mode("serve")
-        while (await fleet_stats(fleet)).lowest_index == LIST_INDEX:
-            await asyncio.sleep(0.001)
-        await discovery.set_mode("refuse")
-
-    run(scenario)
-
-
-def test_unknown_mode_is_rejected() -> None:
-    async def scenario() -> None:
-        discovery = DiscoveryEmulator()
-        command = start_command("list", discovery)
-        message = {"mode": "all", "held": "all", "known": command.cached_list, "spread_s": 0.0}
-        rest = {"routers": 2, "seed": 1, "discovery": command.discovery, "settings": command.settings}
-        with pytest.raises(ValueError, match="no such mode: all"):
-            await HollowFleet().handle(decode(StartRouters, message | rest))
-
-    run(scenario)
+async def test_hollow_routers_count_failed_polls_and_poll_again(mode: HollowMode) -> None:
+    discovery = DiscoveryEmulator()
+    await discovery.listen()
+    discovery.replace_list(LIST_INDEX + 1, [endpoint_entry("s-1")])
+    await discovery.handle(SetDiscoveryMode("busy", 0.0))
+    fleet = HollowFleet()
+    await fleet.handle(start_command(mode, discovery))
+    while (await fleet_stats(fleet)).failed < 2:
+        await asyncio.sleep(0.001)
+    assert (await fleet_stats(fleet)).updates == 0
+    await discovery.set_mode("serve")
+    while (await fleet_stats(fleet)).lowest_index == LIST_INDEX:
+        await asyncio.sleep(0.001)
+    await discovery.set_mode("refuse")
+
+
+async def test_unknown_mode_is_rejected() -> None:
+    discovery = DiscoveryEmulator()
+    command = start_command("list", discovery)
+    message = {"mode": "all", "held": "all", "known": command.cached_list, "spread_s": 0.0}
+    rest = {"routers": 2, "seed": 1, "discovery": command.discovery, "settings": command.settings}
+    with pytest.raises(ValueError, match="no such mode: all"):
+        await HollowFleet().handle(decode(StartRouters, message | rest))
 
 
 def test_update_times_are_recorded_for_all_indices_that_a_router_has_passed() -> None:
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -8,7 +8,6 @@
 import asyncio
 import socket
 import struct
-from collections.abc import Awaitable, Callable
 from types import TracebackType
 from typing import Any, Self
 
@@ -26,7 +25,6 @@
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings, WatchBudget
 
-TEST_TIMEOUT = 10.0  # seconds after which a test that still waits for an event fails
 # responses of a cache server: value, hit or miss, load report
 HIT = b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
@@ -46,19 +44,6 @@
 )
 
 
-def run(scenario: Callable[[], Awaitable[None]], timeout: float = TEST_TIMEOUT) -> None:
-    """Run a scenario; it fails when it takes longer than `timeout` seconds, or a callback raises."""
-    errors: list[dict[str, Any]] = []
-
-    async def bounded() -> None:
-        asyncio.get_running_loop().set_exception_handler(lambda _, error: errors.append(error))
-        async with asyncio.timeout(timeout):
-            await scenario()
-
-    asyncio.run(bounded())
-    assert not errors
-
-
 def format_address(address: tuple[str, int]) -> str:
     """Return an address as `host:port`."""
     return f"{address[0]}:{address[1]}"
