--- a/cache_router/decisions/concurrency_limit.py
+++ b/cache_router/decisions/concurrency_limit.py
@@ -59,7 +59,8 @@
             return
         is_rejected = status is AttemptStatus.REJECTED
         if not is_rejected:
-            self._smooth_latency(latency)
+            sample = min(latency, MAX_SAMPLE_FACTOR * self.latency) if self.latency else latency
+            self.latency += SMOOTHING * (sample - self.latency)
         slowness = min(MAX_SAMPLE_FACTOR, latency / target_latency)
         self.slowness += SMOOTHING * (slowness - self.slowness)
         if is_rejected or self.slowness > 1.0:
@@ -67,10 +68,6 @@
         elif status in ANSWERED and self._is_in_use():
             self.limit += 1 / self.limit  # by one for as many answers as the limit
 
-    def _smooth_latency(self, latency: float) -> None:
-        sample = min(latency, MAX_SAMPLE_FACTOR * self.latency) if self.latency else latency
-        self.latency += SMOOTHING * (sample - self.latency)
-
     def _is_in_use(self) -> bool:
         """Whether at least half of the limit was in flight, the completed attempt included."""
         return self.in_flight + 1 >= self.limit / 2
--- a/cache_router/decisions/open_requests.py
+++ b/cache_router/decisions/open_requests.py
@@ -37,12 +37,14 @@
     def close(self, pending: PendingRequest) -> None:
         """End a request; cancel its attempts in flight where the settings permit that."""
         request_id = pending.request.request_id
-        pending.mark_dequeued()
+        if pending.is_queued:
+            pending.mark_dequeued()
         del self.by_id[request_id]
         if not self.settings.cancellation_allowed:
             return
-        for number in pending.open_attempt_numbers():
-            self.actions.add(Cancel(request_id, number))
+        for number, attempt in enumerate(pending.attempts):
+            if attempt.is_open:
+                self.actions.add(Cancel(request_id, number))
 
     def reject_or_fail(self, pending: PendingRequest) -> None:
         """Give the final answer: a rejection where the class permits one, else a failure.
--- a/cache_router/decisions/overload_backoff.py
+++ b/cache_router/decisions/overload_backoff.py
@@ -9,7 +9,7 @@
 import random
 from dataclasses import dataclass
 
-from cache_router.decisions.events import AttemptCompleted, AttemptStatus, LoadReport
+from cache_router.decisions.events import AttemptCompleted, AttemptStatus
 from cache_router.decisions.fleet_health import SMOOTHING
 from cache_router.settings import Settings
 
@@ -42,17 +42,14 @@
         """Take the load report of an answer, or a timeout; back off from a cache that is overloaded."""
         report = event.load_report
         if report is not None:
-            self._update_baseline(report)
+            if report.queue_length < 1:
+                self.baseline_service_time += SMOOTHING * (report.service_time - self.baseline_service_time)
             delay = report.service_time * (1 + report.queue_length / SERVER_CONCURRENCY)
         else:
             delay = event.latency if event.status is AttemptStatus.TIMEOUT else 0.0
         if is_cache and delay > OVERLOAD_SHARE * self.shortest_latency_objective:
             state.back_off_until(now + self._backoff(delay))
 
-    def _update_baseline(self, report: LoadReport) -> None:
-        if report.queue_length < 1:
-            self.baseline_service_time += SMOOTHING * (report.service_time - self.baseline_service_time)
-
     def _backoff(self, delay: float) -> float:
         """Seconds to back off from a server whose answers take `delay` seconds.
 
--- a/cache_router/decisions/pending_request.py
+++ b/cache_router/decisions/pending_request.py
@@ -42,10 +42,6 @@
         """Whether an attempt is still in flight."""
         return any(attempt.is_open for attempt in self.attempts)
 
-    def open_attempt_numbers(self) -> list[int]:
-        """The numbers of the attempts that are still in flight, in the order sent."""
-        return [number for number, attempt in enumerate(self.attempts) if attempt.is_open]
-
     def add_attempt(self, attempt: Attempt) -> int:
         """Record an attempt that is being sent and return its number; a request's first attempt has 0."""
         self.attempts.append(attempt)
--- a/cache_router/simulator_adapter.py
+++ b/cache_router/simulator_adapter.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 import sys
-from typing import Any, NamedTuple
+from typing import Any
 
 import orjson
 
@@ -36,13 +36,6 @@
     """A line of the simulator that is malformed; `where` is its batch or the event in it."""
 
 
-class Batch(NamedTuple):
-    """The decoded form of one line."""
-
-    now: float  # seconds on the simulator's clock
-    messages: list[Any]  # any JSON values; each is read as a `simulator_messages.Message`
-
-
 class SimulatorAdapter:
     """One router for each instance number; nothing is shared between them."""
 
@@ -56,10 +49,10 @@
         Raises:
             WireError: the line or an event in it is malformed.
         """
-        batch = _read_batch(line)
+        now, messages = _read_batch(line)
         commands: list[Command] = []
-        for message in batch.messages:
-            self._handle_message(batch.now, message, commands)
+        for message in messages:
+            self._handle_message(now, message, commands)
         return orjson.dumps({"cmds": commands}) + b"\n"
 
     def _handle_message(self, now: float, message: Any, commands: list[Command]) -> None:
@@ -106,8 +99,10 @@
         self.routers[message["routerId"]] = Router(read_settings(message["conf"]), message["initSeed"], now)
 
 
-def _read_batch(line: bytes) -> Batch:
-    """Decode a line; its messages are read one by one.
+def _read_batch(line: bytes) -> tuple[float, list[Any]]:
+    """Decode a line into the time, in seconds on the simulator's clock, and the messages.
+
+    The messages are any JSON values; each is read as a `simulator_messages.Message`.
 
     Raises:
         WireError: the line is no JSON object with a time and a list of messages.
@@ -119,7 +114,7 @@
             raise TypeError("news is not a list")
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as error:
         raise WireError(f"not a batch: {error!r}", where="batch") from error
-    return Batch(now, messages)
+    return now, messages
 
 
 def main() -> int:
--- a/tests/cache_router/decisions/test_pending_request.py
+++ b/tests/cache_router/decisions/test_pending_request.py
@@ -42,11 +42,11 @@
     attempts = [new_attempt() for _ in range(3)]
     assert [pending.add_attempt(attempt) for attempt in attempts] == [0, 1, 2]
     attempts[1].complete(AttemptStatus.RESET)
-    assert pending.open_attempt_numbers() == [0, 2]
+    assert [attempt.is_open for attempt in pending.attempts] == [True, False, True]
     assert pending.has_open_attempts()
     for attempt in (attempts[0], attempts[2]):
         attempt.complete(AttemptStatus.TIMEOUT)
-    assert pending.open_attempt_numbers() == []
+    assert not any(attempt.is_open for attempt in pending.attempts)
     assert not pending.has_open_attempts()
 
 
