--- a/scale_experiments/__main__.py
+++ b/scale_experiments/__main__.py
@@ -12,15 +12,10 @@
 
 from scale_experiments.commands.exit_status import ExitStatus
 from scale_experiments.runs import log
-from scale_experiments.runs.experiment import (
-    InputError,
-    load_experiment,
-    load_scenario,
-    scenario_names,
-    size_model,
-)
+from scale_experiments.runs.experiment import InputError, load_experiment
 from scale_experiments.runs.runner import RunOutcome
 from scale_experiments.runs.runner import run as run_experiment
+from scale_experiments.scenarios.registry import SCENARIOS
 
 RESULTS = Path(__file__).parent / "results"
 NAME_WIDTH = 22  # characters of the first column of lists
@@ -108,20 +103,21 @@
     The result is written after each sample. Ctrl-C ends the run and all processes that it has started. What
     was measured until then, or until the time limit, is kept with "complete": false.
     """
-    checked, scenario, parameters = load_experiment(experiment)
+    checked = load_experiment(experiment, SCENARIOS)
+    name = checked.experiment.name
     if label and not label.replace("-", "").isalnum():
         raise InputError(f"{experiment}: --label: must be of letters, digits and -, not {label!r}")
     try:
         out.mkdir(parents=True, exist_ok=True)
     except OSError as e:
         raise InputError(f"{out}: --out: must be a folder that can be made: {e.strerror or e}") from e
-    path = out / f"{checked.name}{'.' if label else ''}{label}.json"
+    path = out / f"{name}{'.' if label else ''}{label}.json"
     try:
-        outcome = run_experiment(checked, scenario, parameters, path)
+        outcome = run_experiment(checked, path)
     except InputError:  # bad input that only a measurement could find
         raise
     except Exception:
-        structlog.get_logger().exception("measurement failed", experiment=checked.name)
+        structlog.get_logger().exception("measurement failed", experiment=name)
         sys.exit(ExitStatus.MEASUREMENT_FAILED)
     sys.exit(_report_outcome(outcome, path))
 
@@ -146,21 +142,20 @@
     That is its description, its parameters with their defaults, the columns of its sizes, and its metrics.
     """
     if kind is None:
-        for name in scenario_names():
-            summary, _, _ = (load_scenario(name).__doc__ or "").partition("\n")
+        for name, scenario in SCENARIOS.items():
+            summary, _, _ = scenario.description.partition("\n")
             click.echo(f"{name:{NAME_WIDTH}}{summary}")
         return
-    if kind not in scenario_names():
-        raise InputError(f"kinds: KIND: must be one of {', '.join(scenario_names())}, not {kind!r}")
-    module = load_scenario(kind)
-    click.echo((module.__doc__ or "").strip())
+    if kind not in SCENARIOS:
+        raise InputError(f"kinds: KIND: must be one of {', '.join(SCENARIOS)}, not {kind!r}")
+    scenario = SCENARIOS[kind]
+    click.echo(scenario.description.strip())
     click.echo("\n[parameters]")
-    _print_fields(module.Parameters)
-    if (size := size_model(module)) is not None:
-        click.echo("\n[[sizes]]")
-        _print_fields(size)
+    _print_fields(scenario.parameters)
+    click.echo("\n[[sizes]]")
+    _print_fields(scenario.size)
     click.echo("\nMetrics")
-    for name, description in module.METRICS.items():
+    for name, description in scenario.metric_descriptions.items():
         click.echo(f"  {name:{NAME_WIDTH}}{description}")
 
 
--- a/scale_experiments/runs/experiment.py
+++ b/scale_experiments/runs/experiment.py
@@ -1,4 +1,4 @@
-"""Experiment files: their schema, and the scenarios that they may name.
+"""Experiment files: their schema, and how they are read and checked.
 
 An experiment is a TOML file: what to measure (`kind`, `[parameters]`), at which `[[sizes]]`, how often, and
 the `[[budgets]]` that the figures have to keep.
@@ -6,13 +6,12 @@
 
 from __future__ import annotations
 
-import importlib
 import math
-import pkgutil
 import tomllib
-from collections.abc import Iterator, Mapping
+from collections.abc import Mapping
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Annotated, Any, Protocol, TypeVar, cast
+from typing import Annotated, Any, TypeVar
 
 from pydantic import (
     AfterValidator,
@@ -23,15 +22,12 @@
     StrictInt,
     StringConstraints,
     ValidationError,
-    create_model,
 )
 
-from scale_experiments import scenarios
-from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.scenario import AnyScenario
 
 MAX_TIME_LIMIT_S = 7200.0  # that a run may take
 MAX_SIZES = 100
-HELPER_PREFIX = "_"  # of modules that are no scenarios
 
 Model = TypeVar("Model", bound=BaseModel)
 
@@ -59,30 +55,6 @@
     """A file that can't be used; the message is one line that names the file and the field."""
 
 
-class Scenario(Protocol):
-    """A module of `scale_experiments/scenarios/`.
-
-    It may also say which columns its sizes have: as `SIZES`, names or name -> meaning, or as `Size`,
-    a schema.
-    """
-
-    @property
-    def Parameters(self) -> type[BaseModel]:  # noqa: N802 - a class of the module
-        """The schema of `[parameters]`."""
-        ...
-
-    @property
-    def METRICS(self) -> dict[str, str]:  # noqa: N802 - a constant of the module
-        """What is measured: names, whose suffix is the unit, and descriptions."""
-        ...
-
-    def measure(
-        self, parameters: BaseModel, size: Mapping[str, float], seed: int, context: ExperimentContext
-    ) -> Iterator[Sample]:
-        """Measure one size; stops early, without a sample, once `context` has expired."""
-        ...
-
-
 class Budget(BaseModel):
     """The most that the median of a metric may be, at the sizes that have these columns."""
 
@@ -112,34 +84,6 @@
     budgets: list[Budget] = Field(default_factory=list)
 
 
-def scenario_names() -> list[str]:
-    """The scenarios that an experiment can name."""
-    return sorted(
-        module.name
-        for module in pkgutil.iter_modules(scenarios.__path__)
-        if not module.name.startswith(HELPER_PREFIX)
-    )
-
-
-def load_scenario(name: str) -> Scenario:
-    """The module of a scenario; raises KeyError where there is none."""
-    if name not in scenario_names():
-        raise KeyError(name)
-    return cast(Scenario, importlib.import_module(f"{scenarios.__name__}.{name}"))
-
-
-def size_model(scenario: Scenario) -> type[BaseModel] | None:
-    """The schema of a scenario's sizes, where it has one.
-
-    Each column of `SIZES` must be given; others may be.
-    """
-    if (columns := getattr(scenario, "SIZES", None)) is not None:
-        meanings = columns if isinstance(columns, Mapping) else dict.fromkeys(columns, "")
-        fields: dict[str, Any] = {name: (float, Field(description=text)) for name, text in meanings.items()}
-        return create_model("Size", **fields)
-    return cast(type[BaseModel] | None, getattr(scenario, "Size", None))
-
-
 def field_path(path: tuple[int | str, ...]) -> str:
     """A field as it would be written: `sizes[0].caches`."""
     spelled = ""
@@ -181,22 +125,33 @@
         raise InputError(f"{file}: file: is not TOML: {e}".replace("\n", " ")) from e
 
 
-def load_experiment(file: Path) -> tuple[Experiment, Scenario, BaseModel]:
-    """An experiment, its scenario and that scenario's parameters, all checked; raises InputError."""
+@dataclass(slots=True, frozen=True)
+class CheckedExperiment:
+    """An experiment, its scenario, and its parameters as that scenario's schema reads them."""
+
+    experiment: Experiment
+    scenario: AnyScenario
+    parameters: BaseModel
+
+
+def load_experiment(file: Path, scenarios: Mapping[str, AnyScenario]) -> CheckedExperiment:
+    """Read and check an experiment of one of these scenarios.
+
+    Raises InputError, which names the file and the field.
+    """
     experiment = _validate(file, Experiment, read_toml(file))
     if experiment.name != file.stem:
         raise InputError(f"{file}: name: must be the file's, {file.stem!r}, not {experiment.name!r}")
     try:
-        scenario = load_scenario(experiment.kind)
+        scenario = scenarios[experiment.kind]
     except KeyError:
-        known = ", ".join(scenario_names())
+        known = ", ".join(scenarios)
         raise InputError(f"{file}: kind: must be one of {known}, not {experiment.kind!r}") from None
-    parameters = _validate(file, scenario.Parameters, experiment.parameters, ("parameters",))
-    if (schema := size_model(scenario)) is not None:
-        for number, size in enumerate(experiment.sizes):
-            _validate(file, schema, size, ("sizes", number))
+    parameters = _validate(file, scenario.parameters, experiment.parameters, ("parameters",))
+    for number, size in enumerate(experiment.sizes):
+        _validate(file, scenario.size, size, ("sizes", number))
     _check_budgets(file, experiment, scenario)
-    return experiment, scenario, parameters
+    return CheckedExperiment(experiment, scenario, parameters)
 
 
 def _validate(
@@ -209,11 +164,11 @@
         raise InputError(describe_validation_error(file, e, within, model)) from e
 
 
-def _check_budgets(file: Path, experiment: Experiment, scenario: Scenario) -> None:
+def _check_budgets(file: Path, experiment: Experiment, scenario: AnyScenario) -> None:
     """Raise InputError for a budget of what is not measured, or of no size."""
     for number, budget in enumerate(experiment.budgets):
         place = f"{file}: budgets[{number}]"
-        if budget.metric not in scenario.METRICS:
+        if budget.metric not in scenario.metric_descriptions:
             raise InputError(f"{place}.metric: is not measured by {experiment.kind}: {budget.metric!r}")
         if not any(budget.applies_to(size) for size in experiment.sizes):
             raise InputError(f"{place}.at: is none of the sizes")
--- a/scale_experiments/runs/results.py
+++ b/scale_experiments/runs/results.py
@@ -94,7 +94,9 @@
         return f"{budget.metric} at {sizes}: {median:.4g}, {limit}" if median > budget.most else None
 
 
-def new_result(experiment: Experiment, parameters: BaseModel, metric_descriptions: dict[str, str]) -> Result:
+def new_result(
+    experiment: Experiment, parameters: BaseModel, metric_descriptions: Mapping[str, str]
+) -> Result:
     """A result without samples yet."""
     return Result(
         experiment=experiment.name,
@@ -104,7 +106,7 @@
         complete=False,
         versions=current_versions(),
         parameters=parameters.model_dump(mode="json", by_alias=True),
-        metrics=metric_descriptions,
+        metrics=dict(metric_descriptions),
         budgets=experiment.budgets,
         samples=[],
     )
--- a/scale_experiments/runs/runner.py
+++ b/scale_experiments/runs/runner.py
@@ -11,12 +11,12 @@
 from types import FrameType
 
 import structlog
-from pydantic import BaseModel
 
 from scale_experiments.runs.context import ExperimentContext, Sample, TimeLimit
-from scale_experiments.runs.experiment import Experiment, Scenario
+from scale_experiments.runs.experiment import CheckedExperiment
 from scale_experiments.runs.log import Progress
 from scale_experiments.runs.results import Result, new_result, stored_sample, write_result
+from scale_experiments.runs.scenario import AnyScenario
 
 # for a scenario to end by itself once its time is over, before it is interrupted
 TIME_LIMIT_GRACE_S = 1.0
@@ -30,24 +30,25 @@
     interrupted: bool
 
 
-def run(experiment: Experiment, scenario: Scenario, parameters: BaseModel, path: Path) -> RunOutcome:
+def run(checked: CheckedExperiment, path: Path) -> RunOutcome:
     """Measure, and write each sample to `path` as it comes.
 
     Raises what the scenario raises; the samples before it are kept. Raises ValueError for a metric that the
     scenario doesn't declare or that is not finite.
     """
-    return _Run(experiment, scenario, parameters, path).execute()
+    return _Run(checked, path).execute()
 
 
 class _Run:
     """One run of an experiment, and the result that it writes."""
 
-    def __init__(self, experiment: Experiment, scenario: Scenario, parameters: BaseModel, path: Path) -> None:
+    def __init__(self, checked: CheckedExperiment, path: Path) -> None:
+        experiment = checked.experiment
         self.experiment = experiment
-        self.scenario = scenario
-        self.parameters = parameters
+        self.scenario = checked.scenario
+        self.parameters = checked.parameters
         self.path = path
-        self.result = new_result(experiment, parameters, scenario.METRICS)
+        self.result = new_result(experiment, self.parameters, self.scenario.metric_descriptions)
         self.steps = experiment.repeats * len(experiment.sizes)
         self.progress = Progress(self.steps, experiment.time_limit_s)
         self.context = ExperimentContext(experiment.time_limit_s, self.progress.update)
@@ -92,7 +93,8 @@
 
     def _measure(self, repeat: int, size: Mapping[str, float | int]) -> None:
         seed = self.experiment.seed + repeat
-        for sample in self.scenario.measure(self.parameters, size, seed, self.context):
+        checked_size = self.scenario.size.model_validate(size)
+        for sample in self.scenario.measure(self.parameters, checked_size, seed, self.context):
             check_metrics(sample, self.scenario)
             with self.context.shielded():
                 self.result.samples.append(stored_sample(sample, size, seed, repeat))
@@ -120,12 +122,12 @@
             signal.signal(each, handler)
 
 
-def check_metrics(sample: Sample, scenario: Scenario) -> None:
+def check_metrics(sample: Sample, scenario: AnyScenario) -> None:
     """Raise ValueError for a metric that the scenario doesn't declare, or that is not finite."""
     for name, value in sample.metrics.items():
-        if name not in scenario.METRICS:
+        if name not in scenario.metric_descriptions:
             raise ValueError(
-                f"metric {name} must be one of the scenario's METRICS: {', '.join(scenario.METRICS)}"
+                f"metric {name} must be one of the scenario's: {', '.join(scenario.metric_descriptions)}"
             )
         if not math.isfinite(value):
             raise ValueError(f"metric {name} must be finite, not {value}")
--- a/scale_experiments/scenarios/__init__.py
+++ b/scale_experiments/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""What an experiment can measure; each module is a kind, with `Parameters`, `METRICS` and `measure`."""
+"""The scenarios: each is a module that defines `SCENARIO`, and is named in `registry`."""
--- a/scale_experiments/scenarios/cold_start.py
+++ b/scale_experiments/scenarios/cold_start.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator, Mapping
+from collections.abc import Iterator
 from typing import Annotated, Literal
 
 from pydantic import BaseModel, ConfigDict, Field
@@ -15,6 +15,7 @@
 from cache_router.endpoint import EndpointState
 from scale_experiments.runs.context import ExperimentContext, Sample
 from scale_experiments.runs.fleet_run import complete_sample, run_fleet
+from scale_experiments.runs.scenario import Scenario, WholeNumber
 from scale_experiments.simulation.cache_server import CacheServer
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.key_placement import place_keys
@@ -26,7 +27,6 @@
 REMOVAL_NOTICE_S = 0.5  # from the removal until the first router is notified
 WARM_WINDOWS = 2  # windows of the settings after the slow start, in which the cache's share is measured
 
-SIZES = ("routers", "caches", "cores")
 METRICS = {
     "requests_per_s": "first tries of clients in the whole fleet",
     "budget_share": "most that the cold cache received in a window, over its budget N in that window",
@@ -63,9 +63,17 @@
     spread_s: Annotated[float, Field(ge=0)] = 0.6
 
 
-def build_fleet(parameters: Parameters, size: Mapping[str, float], seed: int) -> Fleet:
+class Size(BaseModel):
+    """The columns of a size."""
+
+    routers: WholeNumber = Field(description="routers of the fleet, all of which are run")
+    caches: WholeNumber = Field(description="page caches")
+    cores: WholeNumber = Field(description="cores of each page cache")
+
+
+def build_fleet(parameters: Parameters, size: Size, seed: int) -> Fleet:
     """The fleet of a size, before its first request."""
-    routers, caches, cores = int(size["routers"]), int(size["caches"]), int(size["cores"])
+    routers, caches, cores = size.routers, size.caches, size.cores
     unloaded = FleetModel(routers, caches, 1.0)
     rate = unloaded.rate_at_utilization(parameters.use_share, cores)
     model = FleetModel(
@@ -140,9 +148,7 @@
     }
 
 
-def measure_sample(
-    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
-) -> Sample:
+def measure_sample(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Sample:
     """Warm up, remove the cache, start it cold, and wait until some windows after its slow start."""
     fleet = build_fleet(parameters, size, seed)
     cache = select_cache(fleet, parameters)
@@ -165,8 +171,11 @@
     return Sample({name: metrics[name] for name in METRICS})
 
 
-def measure(
-    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
-) -> Iterator[Sample]:
-    """One sample: `size` has routers, caches and the cores of a cache."""
+def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
+    """One sample; none if the time limit passes first."""
     yield from complete_sample(lambda: measure_sample(parameters, size, seed, context))
+
+
+SCENARIO = Scenario(
+    description=__doc__ or "", parameters=Parameters, size=Size, metric_descriptions=METRICS, measure=measure
+)
--- a/scale_experiments/scenarios/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Iterator, Mapping
+from collections.abc import Iterator
 from typing import Annotated
 
 import numpy as np
@@ -18,6 +18,7 @@
 from cache_router.settings import Settings
 from scale_experiments.runs.context import ExperimentContext, Sample
 from scale_experiments.runs.fleet_run import complete_sample, run_fleet
+from scale_experiments.runs.scenario import Scenario, WholeNumber
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
 from scale_experiments.simulation.statistics import CountedEvent
@@ -26,7 +27,6 @@
 MIN_ROUTERS_SAMPLED = 10
 MAX_LATENCY_US = 10_000_000  # that a histogram holds
 
-SIZES = ("routers", "caches", "requests_per_s")
 METRICS = {
     "routers_run": "routers that were simulated; all counts at a cache are of these, scaled up to the fleet",
     "cache_connections_mean": "connections open at a page cache, mean over time and caches (scaled)",
@@ -71,24 +71,35 @@
     most_requests: Annotated[int, Field(ge=1000)] = 60_000
 
 
+class Size(BaseModel):
+    """The columns of a size."""
+
+    routers: WholeNumber = Field(description="routers of the fleet, of which a sample is run")
+    caches: WholeNumber = Field(description="page caches")
+    requests_per_s: float = Field(description="requests of clients in the whole fleet")
+    zones: WholeNumber = Field(1, description="zones over which routers and caches are spread")
+    regions: WholeNumber = Field(1, description="regions over which the zones are spread")
+    warm_s: float | None = Field(None, description="seconds before it is measured; by default the parameter")
+
+
 def percentiles(values: list[float]) -> tuple[float, float, float]:
     """Mean, 99th percentile and maximum."""
     return float(np.mean(values)), float(np.percentile(values, 99)), max(values)
 
 
-def build_model(parameters: Parameters, size: Mapping[str, float], warm_s: float) -> FleetModel:
+def build_model(parameters: Parameters, size: Size, warm_s: float) -> FleetModel:
     """The fleet of a size; so many routers are sampled that there are about `most_requests` requests."""
-    routers = int(size["routers"])
-    rate = size["requests_per_s"] / routers
+    routers = size.routers
+    rate = size.requests_per_s / routers
     spans = warm_s + parameters.measured_s
     affordable = max(MIN_ROUTERS_SAMPLED, int(parameters.most_requests / (rate * spans)))
     return FleetModel(
         routers=routers,
-        caches=int(size["caches"]),
+        caches=size.caches,
         requests_per_s=rate,
         routers_sampled=min(routers, affordable),
-        zones=int(size.get("zones", 1)),
-        regions=int(size.get("regions", 1)),
+        zones=size.zones,
+        regions=size.regions,
         objects=parameters.objects,
         zipf_exponent=parameters.skew,
         hit_share=parameters.hit_share,
@@ -181,11 +192,9 @@
     }
 
 
-def measure_sample(
-    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
-) -> Sample:
+def measure_sample(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Sample:
     """Warm the fleet up and measure it; raises TimeLimitReachedError."""
-    warm_s = size.get("warm_s", parameters.warm_s)
+    warm_s = parameters.warm_s if size.warm_s is None else size.warm_s
     model = build_model(parameters, size, warm_s)
     fleet = Fleet(build_settings(parameters), model, seed)
     fleet.decision_timer.reset()
@@ -199,8 +208,11 @@
     return Sample(compute_metrics(fleet, parameters), {"latency": latency_histogram(fleet)})
 
 
-def measure(
-    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
-) -> Iterator[Sample]:
-    """One sample: `size` has routers, caches, zones, regions and requests_per_s of the whole fleet."""
+def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
+    """One sample; none if the time limit passes first."""
     yield from complete_sample(lambda: measure_sample(parameters, size, seed, context))
+
+
+SCENARIO = Scenario(
+    description=__doc__ or "", parameters=Parameters, size=Size, metric_descriptions=METRICS, measure=measure
+)
--- a/scale_experiments/scenarios/list_change.py
+++ b/scale_experiments/scenarios/list_change.py
@@ -10,7 +10,7 @@
 import statistics
 import time
 import tracemalloc
-from collections.abc import Iterator, Mapping, Sequence
+from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
 import numpy as np
@@ -55,6 +55,7 @@
     thread_cpu_s,
 )
 from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.scenario import Scenario
 
 MAX_LATENCY_US = 60_000_000  # that a histogram holds
 
@@ -317,15 +318,11 @@
     return tracemalloc.get_traced_memory()[0]
 
 
-def measure(
-    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
-) -> Iterator[Sample]:
+def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
     """One sample; CPU seconds are of this thread alone, so that a busy machine adds little to them."""
-    changes_per_s = float(size["changes_per_s"])
-    entries = build_entries(
-        int(size["caches"]), parameters.zones, parameters.weight, np.random.default_rng(seed)
-    )
-    workload = ListWorkload(build_settings(int(size.get("routers", 1))), entries, parameters, seed)
+    changes_per_s = size.changes_per_s
+    entries = build_entries(size.caches, parameters.zones, parameters.weight, np.random.default_rng(seed))
+    workload = ListWorkload(build_settings(size.routers), entries, parameters, seed)
     gc.collect()
     gc.freeze()  # objects of the experiment are not a router's to collect
     try:
@@ -343,3 +340,8 @@
     metrics["core_share"] = changes_per_s * metrics["path_change_cpu_s"]
     metrics["change_bytes_per_s"] = changes_per_s * metrics["change_bytes"]
     yield Sample(metrics, {"change_us": change_costs, "path_change_us": path_costs})
+
+
+SCENARIO = Scenario(
+    description=__doc__ or "", parameters=Parameters, size=Size, metric_descriptions=METRICS, measure=measure
+)
--- a/scale_experiments/scenarios/list_change_process.py
+++ b/scale_experiments/scenarios/list_change_process.py
@@ -8,7 +8,7 @@
 
 import statistics
 import time
-from collections.abc import Iterator, Mapping, Sequence
+from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
 import numpy as np
@@ -42,6 +42,7 @@
     wait_until_ready,
 )
 from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.scenario import Scenario
 
 READY_TIMEOUT_S = 60.0
 POLL_TIMEOUT_S = 30.0  # for a router to apply a change and poll for the next
@@ -143,7 +144,7 @@
 
 def start(
     parameters: Parameters,
-    size: Mapping[str, float],
+    size: Size,
     seed: int,
     entries: Sequence[EndpointEntry],
     context: ExperimentContext,
@@ -162,7 +163,7 @@
         memory_mb=parameters.memory_mb,
         descriptors=parameters.sockets,
         cached_list=build_snapshot(FIRST_INDEX - 1, entries),
-        settings={**SETTINGS, "siblings": int(size.get("routers", 1))},
+        settings={**SETTINGS, "siblings": size.routers},
     )
     router = start_router(context, configuration, "127.0.0.1")
     wait_until_ready(router, READY_TIMEOUT_S)
@@ -205,15 +206,13 @@
     }
 
 
-def measure(
-    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
-) -> Iterator[Sample]:
+def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
     """One sample; CPU seconds are the router's alone.
 
     Raises what `start` raises, and RuntimeError where the router does not take a change.
     """
     rng = np.random.default_rng(seed)
-    entries = build_entries(int(size["caches"]), DEFAULT_ZONES, DEFAULT_WEIGHT, rng)
+    entries = build_entries(size.caches, DEFAULT_ZONES, DEFAULT_WEIGHT, rng)
     references = [measure_reference_cpu_s()]
     context.progress("start")
     watching = start(parameters, size, seed, entries, context)
@@ -225,7 +224,7 @@
     context.progress("changes")
     changes = ChangeSequence(entries, rng, parameters.changes, first_index=FIRST_INDEX + 1)
     changed, count = measure_changes(watching, changes)
-    metrics = compute_metrics(started, quiet, changed, count, float(size["changes_per_s"]))
+    metrics = compute_metrics(started, quiet, changed, count, size.changes_per_s)
     metrics["resident_bytes"] = resident_bytes
     metrics["most_resident_bytes"] = watching.resident_bytes()
     references.append(measure_reference_cpu_s())
@@ -233,3 +232,8 @@
     context.stop(watching.discovery.process)
     metrics["reference_cpu_s"] = statistics.fmean(references)
     yield Sample({name: metrics[name] for name in METRICS})
+
+
+SCENARIO = Scenario(
+    description=__doc__ or "", parameters=Parameters, size=Size, metric_descriptions=METRICS, measure=measure
+)
--- a/scale_experiments/scenarios/placement.py
+++ b/scale_experiments/scenarios/placement.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from collections import OrderedDict
-from collections.abc import Iterator, Mapping, Sequence
+from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 from typing import Annotated, Any
 
@@ -17,6 +17,7 @@
 
 from cache_router.endpoint import Endpoint
 from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.scenario import Scenario, WholeNumber
 from scale_experiments.simulation.key_placement import place_keys
 from scale_experiments.simulation.model import site_settings
 
@@ -25,7 +26,6 @@
 OBJECTS_TOLERANCE = 0.01  # share
 FloatArray = np.ndarray[Any, np.dtype[np.float64]]
 
-SIZES = ("groups", "skew")
 METRICS = {
     "objects": "objects there are, so many that one ring for all would hit as stated",
     "groups_run": "groups that were simulated; they differ only by chance",
@@ -56,6 +56,13 @@
     descriptors: Annotated[int, Field(ge=1)] = 372
 
 
+class Size(BaseModel):
+    """The columns of a size."""
+
+    groups: WholeNumber = Field(description="groups of zones, each with a ring of its own")
+    skew: float = Field(description="exponent of the popularity of keys (Zipf's law)")
+
+
 def key_popularity(objects: int, skew: float, flat: float) -> FloatArray:
     """The share of reads of each object by rank: Zipf's law with exponent `skew`, ranks moved by `flat`."""
     weights: FloatArray = (np.arange(1, objects + 1, dtype=np.float64) + flat) ** -skew
@@ -200,11 +207,9 @@
     }
 
 
-def measure(
-    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
-) -> Iterator[Sample]:
-    """One sample: `size` has the groups and the skew of the keys (Zipf's exponent)."""
-    groups, skew = int(size["groups"]), float(size["skew"])
+def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
+    """One sample; none if the time limit passes first."""
+    groups, skew = size.groups, size.skew
     capacity = parameters.caches * parameters.kept
     objects = objects_for(parameters.pooled_hit_share, capacity, skew, parameters.flat)
     context.progress(f"{objects} objects, one ring")
@@ -215,3 +220,8 @@
         grouped = measure_groups(parameters, groups, skew, objects, seed)
     if not context.expired():
         yield Sample(compute_metrics(parameters, groups, objects, pooled, grouped))
+
+
+SCENARIO = Scenario(
+    description=__doc__ or "", parameters=Parameters, size=Size, metric_descriptions=METRICS, measure=measure
+)
--- a/scale_experiments/scenarios/sockets.py
+++ b/scale_experiments/scenarios/sockets.py
@@ -9,7 +9,7 @@
 
 import subprocess
 import time
-from collections.abc import Iterator, Mapping, Sequence
+from collections.abc import Iterator, Sequence
 from typing import Any, Literal
 
 import psutil
@@ -41,6 +41,7 @@
     wait_until_ready,
 )
 from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.scenario import Scenario, WholeNumber
 
 READY_TIMEOUT_S = 30.0
 REPLY_TIMEOUT_S = 60.0
@@ -81,12 +82,16 @@
     fault_s: float = Field(5.0, gt=0, le=600, description="of the fault, from where measuring begins")
 
 
-SIZES = {
-    "routers": "real ones",
-    "caches": "page caches",
-    "requests_per_s": "at each router",
-    "siblings": "routers in all, as the settings tell",
-}  # and, where some are to fail, `faulty`: page caches that do
+class Size(BaseModel):
+    """The columns of a size."""
+
+    routers: WholeNumber = Field(description="router processes")
+    caches: WholeNumber = Field(description="page caches")
+    requests_per_s: float = Field(description="requests of clients at each router")
+    siblings: WholeNumber = Field(description="routers of the fleet, as the settings of each router say")
+    faulty: WholeNumber = Field(0, description="page caches that have the fault for a time")
+
+
 METRICS = {
     "requests_per_s": "requests that clients sent, all routers",
     "served_share": "requests served, of those that ended",
@@ -160,9 +165,7 @@
 class Deployment:
     """The processes of one sample: caches with an origin, a discovery, routers and clients."""
 
-    def __init__(
-        self, parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
-    ) -> None:
+    def __init__(self, parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> None:
         self.parameters = parameters
         self.size = size
         self.seed = seed
@@ -177,14 +180,12 @@
         Raises ControlError, OSError or RouterStartError where a process does not start.
         """
         build_router(self.context)  # before any emulator runs
-        entries = build_cache_entries(int(self.size["caches"]))
+        entries = build_cache_entries(self.size.caches)
         self.cache_names = [entry["name"] for entry in entries]
         origin = self._start_caches(entries)
         entries.append(build_entry("origin", origin, zone="a", server_type="origin", group=0))
         discovery = self._start_discovery(entries)
-        routers = [
-            self._start_router(number, discovery, entries) for number in range(int(self.size["routers"]))
-        ]
+        routers = [self._start_router(number, discovery, entries) for number in range(self.size.routers)]
         for router in routers:
             wait_until_ready(router, READY_TIMEOUT_S)
         self._start_clients([router.address for router in routers])
@@ -228,7 +229,7 @@
             memory_mb=self.parameters.memory_mb,
             descriptors=self.parameters.sockets,
             cached_list=build_snapshot(LIST_INDEX, entries),
-            settings=build_settings(self.parameters, int(self.size["siblings"])),
+            settings=build_settings(self.parameters, self.size.siblings),
         )
         router = start_router(self.context, configuration, f"{ROUTER_NETWORK}.{number + 1}")
         self.processes.append(router.process)
@@ -241,7 +242,7 @@
         self.clients.request(
             StartClients(
                 routers=routers,
-                rate_per_s=self.size["requests_per_s"],
+                rate_per_s=self.size.requests_per_s,
                 seed=self.seed * SEEDS_PER_SAMPLE,
                 deadline_s=REQUEST_DEADLINE_S,
                 read_class="read",
@@ -261,7 +262,7 @@
 
     def run_load(self) -> None:
         """Let the time pass that is measured, with the fault of some caches at its beginning."""
-        p, faulty = self.parameters, int(self.size.get("faulty", 0))
+        p, faulty = self.parameters, self.size.faulty
         remaining_s = p.measure_s
         if faulty:
             names = self.cache_names[:faulty]
@@ -282,9 +283,7 @@
             self.context.stop(process)
 
 
-def measure(
-    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
-) -> Iterator[Sample]:
+def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
     """One sample; raises ControlError, OSError or RuntimeError where a process does not start, or ends."""
     deployment = Deployment(parameters, size, seed, context)
     try:
@@ -302,3 +301,8 @@
         yield Sample(metrics, {"latency": decode_histogram(after.clients.latency)})
     finally:
         deployment.stop()
+
+
+SCENARIO = Scenario(
+    description=__doc__ or "", parameters=Parameters, size=Size, metric_descriptions=METRICS, measure=measure
+)
--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -7,19 +7,19 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator, Mapping
+from collections.abc import Iterator
 from typing import Annotated
 
 from pydantic import BaseModel, ConfigDict, Field
 
 from scale_experiments.runs.context import ExperimentContext, Sample
 from scale_experiments.runs.fleet_run import complete_sample, run_fleet
+from scale_experiments.runs.scenario import Scenario, WholeNumber
 from scale_experiments.scenarios.zone_loss import recovery_seconds
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
 from scale_experiments.simulation.statistics import SETTLING_SECONDS, CountedEvent
 
-SIZES = ("routers", "routers_run", "caches", "cores")
 METRICS = {
     "requests_per_s": "first tries of clients at all routers that are run",
     "before_served_share": "requests of clients served before the surge, retries included",
@@ -46,22 +46,30 @@
     skew: Annotated[float, Field(ge=0)] = 0.95
 
 
-def requests_per_s(parameters: Parameters, size: Mapping[str, float]) -> float:
+class Size(BaseModel):
+    """The columns of a size."""
+
+    routers: WholeNumber = Field(description="routers of the fleet, as the settings of each router say")
+    routers_run: WholeNumber = Field(description="routers that are run")
+    caches: WholeNumber = Field(description="page caches")
+    cores: WholeNumber = Field(description="cores of each page cache")
+
+
+def requests_per_s(parameters: Parameters, size: Size) -> float:
     """Requests at all routers that are run, before the surge."""
-    unloaded = FleetModel(int(size["routers_run"]), int(size["caches"]), 1.0)
-    return unloaded.rate_at_utilization(parameters.use_share, int(size["cores"]))
+    unloaded = FleetModel(size.routers_run, size.caches, 1.0)
+    return unloaded.rate_at_utilization(parameters.use_share, size.cores)
 
 
-def build_fleet(parameters: Parameters, size: Mapping[str, float], seed: int) -> Fleet:
+def build_fleet(parameters: Parameters, size: Size, seed: int) -> Fleet:
     """The fleet of a size, before its first request."""
-    caches, cores, run = int(size["caches"]), int(size["cores"]), int(size["routers_run"])
     model = FleetModel(
-        routers=int(size["routers"]),
-        routers_sampled=run,
-        caches=caches,
-        requests_per_s=requests_per_s(parameters, size) / run,
+        routers=size.routers,
+        routers_sampled=size.routers_run,
+        caches=size.caches,
+        requests_per_s=requests_per_s(parameters, size) / size.routers_run,
         zipf_exponent=parameters.skew,
-        cores=cores,
+        cores=size.cores,
         zones=3,
     )
     return Fleet(site_settings(), model, seed)
@@ -94,9 +102,7 @@
     }
 
 
-def measure_sample(
-    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
-) -> Sample:
+def measure_sample(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Sample:
     """The fleet before the surge, in it and after it; raises TimeLimitReachedError."""
     fleet = build_fleet(parameters, size, seed)
     run_fleet(fleet, parameters.warm_s, context)
@@ -116,8 +122,11 @@
     )
 
 
-def measure(
-    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
-) -> Iterator[Sample]:
-    """One sample: `size` has routers, how many of them are run, caches and the cores of a cache."""
+def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
+    """One sample; none if the time limit passes first."""
     yield from complete_sample(lambda: measure_sample(parameters, size, seed, context))
+
+
+SCENARIO = Scenario(
+    description=__doc__ or "", parameters=Parameters, size=Size, metric_descriptions=METRICS, measure=measure
+)
--- a/scale_experiments/scenarios/watch.py
+++ b/scale_experiments/scenarios/watch.py
@@ -24,6 +24,7 @@
 )
 from scale_experiments.routers.watch_fleet import SubscriptionMode, WatchFleet, WatchFleetOptions
 from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.scenario import Scenario, WholeNumber
 
 MAX_DELAY_US = 600_000_000  # that a histogram holds
 Outage = Literal["silent", "reset", "refuse", "busy"]
@@ -57,7 +58,13 @@
     )
 
 
-SIZES = {"routers": "that watch, the real ones among them", "caches": "entries of the list"}
+class Size(BaseModel):
+    """The columns of a size."""
+
+    routers: WholeNumber = Field(description="routers that watch, with those of the program's own watch")
+    caches: WholeNumber = Field(description="entries of the list")
+
+
 METRICS = {
     "calls_per_s": "calls at discovery, quiet",
     "connections_per_s": "connections opened to discovery, quiet",
@@ -231,16 +238,14 @@
     return metrics, delay_histogram(delays)
 
 
-def build_fleet(
-    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
-) -> WatchFleet:
+def build_fleet(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> WatchFleet:
     """The fleet of a size; nothing is started yet."""
     options = WatchFleetOptions(
-        routers=int(size["routers"]),
+        routers=size.routers,
         real_routers=parameters.real,
         hollow_processes=parameters.hollows,
         discoveries=parameters.discoveries,
-        caches=int(size["caches"]),
+        caches=size.caches,
         zones=parameters.zones,
         real_mode=parameters.held,
         spread_s=parameters.spread_s,
@@ -270,9 +275,7 @@
         sample.metrics |= {f"{name}_{metric}": value for metric, value in metrics.items()}
 
 
-def measure(
-    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
-) -> Iterator[Sample]:
+def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
     """One sample: quiet and changes in the first mode, the outages in each; raises ControlError."""
     sample = Sample({})
     references = [measure_reference_cpu_s()]
@@ -285,3 +288,8 @@
     references.append(measure_reference_cpu_s())
     sample.metrics |= machine_metrics(references)
     yield sample
+
+
+SCENARIO = Scenario(
+    description=__doc__ or "", parameters=Parameters, size=Size, metric_descriptions=METRICS, measure=measure
+)
--- a/scale_experiments/scenarios/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator, Mapping, Sequence
+from collections.abc import Iterator, Sequence
 from typing import Annotated, Literal
 
 from pydantic import BaseModel, ConfigDict, Field
@@ -17,11 +17,11 @@
 from cache_router.endpoint import EndpointState
 from scale_experiments.runs.context import ExperimentContext, Sample
 from scale_experiments.runs.fleet_run import complete_sample, run_fleet
+from scale_experiments.runs.scenario import Scenario, WholeNumber
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
 from scale_experiments.simulation.statistics import SETTLING_SECONDS, CountedEvent
 
-SIZES = ("routers", "caches", "cores")
 RECOVERED_SHARE = 0.95  # of the requests of a second, served: then it counts as served again
 METRICS = {
     "requests_per_s": "first tries of clients in the whole fleet",
@@ -72,13 +72,24 @@
     back_notice_s: Annotated[tuple[float, float], Field()] = (1.5, 0.6)
 
 
-def build_fleet(parameters: Parameters, size: Mapping[str, float], seed: int) -> Fleet:
+class Size(BaseModel):
+    """The columns of a size."""
+
+    routers: WholeNumber = Field(description="routers that are run")
+    caches: WholeNumber = Field(description="page caches")
+    cores: WholeNumber = Field(description="cores of each page cache")
+    told: WholeNumber | None = Field(
+        None, description="routers of the fleet, as the settings of each router say; by default `routers`"
+    )
+
+
+def build_fleet(parameters: Parameters, size: Size, seed: int) -> Fleet:
     """The fleet of a size, before its first request."""
-    routers, caches, cores = int(size["routers"]), int(size["caches"]), int(size["cores"])
+    routers, caches, cores = size.routers, size.caches, size.cores
     unloaded = FleetModel(routers, caches, 1.0)
     rate = unloaded.rate_at_utilization(parameters.use_share, cores)
     model = FleetModel(
-        routers=int(size.get("told", routers)),
+        routers=routers if size.told is None else size.told,
         routers_sampled=routers,
         caches=caches,
         requests_per_s=rate / routers,
@@ -211,9 +222,12 @@
         return metrics
 
 
-def measure(
-    parameters: Parameters, size: Mapping[str, float], seed: int, context: ExperimentContext
-) -> Iterator[Sample]:
-    """One sample: `size` has routers, caches and the cores of a cache."""
+def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
+    """One sample; none if the time limit passes first."""
     fleet = build_fleet(parameters, size, seed)
     yield from complete_sample(LossRun(parameters, fleet, context).measure)
+
+
+SCENARIO = Scenario(
+    description=__doc__ or "", parameters=Parameters, size=Size, metric_descriptions=METRICS, measure=measure
+)
--- a/tests/scale_experiments/test_scale_experiments.py
+++ b/tests/scale_experiments/test_scale_experiments.py
@@ -8,7 +8,7 @@
 import subprocess
 import sys
 import time
-from collections.abc import Iterator, Mapping
+from collections.abc import Iterator
 from pathlib import Path
 
 import pytest
@@ -17,9 +17,11 @@
 
 from scale_experiments.measurement.histograms import decode_histogram
 from scale_experiments.runs.context import ExperimentContext, Sample
-from scale_experiments.runs.experiment import Experiment, InputError, load_experiment
+from scale_experiments.runs.experiment import CheckedExperiment, Experiment, InputError, load_experiment
 from scale_experiments.runs.results import load_result
 from scale_experiments.runs.runner import RunOutcome, run
+from scale_experiments.runs.scenario import Scenario
+from scale_experiments.scenarios.registry import SCENARIOS
 from scale_experiments.target import TARGET, load_target
 
 ROOT = Path(__file__).parents[2]
@@ -86,7 +88,7 @@
 def test_a_fault_is_named_by_file_and_field(tmp_path: Path, old: str, new: str, field: str) -> None:
     file = write_experiment(tmp_path, old, new)
     with pytest.raises(InputError) as rejected:
-        load_experiment(file)
+        load_experiment(file, SCENARIOS)
     assert str(rejected.value).startswith(f"{file}: {field}: ")
     assert "\n" not in str(rejected.value)
 
@@ -95,7 +97,7 @@
     files = {*(ROOT / "scale_experiments" / "experiments").glob("*.toml")} - {TARGET}
     assert files
     for file in files:
-        load_experiment(file)
+        load_experiment(file, SCENARIOS)
 
 
 def test_the_target_is_read_and_its_faults_are_named(tmp_path: Path) -> None:
@@ -166,19 +168,23 @@
     """None are needed."""
 
 
-class Stub:
-    """A scenario that yields one sample, starts a process, and waits in an event loop."""
+class StubSize(BaseModel):
+    """The columns of a size."""
+
+    routers: int
 
-    Parameters = NoParameters
+
+class Stub:
+    """Measures one sample, starts a process, and waits in an event loop."""
 
     def __init__(self, number: signal.Signals | None) -> None:
-        self.METRICS = {"waits_count": "waits begun"}
         self.number = number
         self.process: subprocess.Popen[bytes] | None = None
 
     def measure(
-        self, parameters: BaseModel, size: Mapping[str, float], seed: int, context: ExperimentContext
+        self, parameters: NoParameters, size: StubSize, seed: int, context: ExperimentContext
     ) -> Iterator[Sample]:
+        assert size.routers == 1
         histogram = HdrHistogram(1, 1000, 2)
         histogram.record_value(7)
         yield Sample({"waits_count": 1.0}, {"wait_us": histogram})
@@ -191,11 +197,19 @@
         await asyncio.sleep(600)
 
 
-def run_stub(stub: Stub, path: Path, time_limit_s: float) -> RunOutcome:
+def run_stub(stub: Stub, path: Path, time_limit_s: float, metric: str = "waits_count") -> RunOutcome:
+    """Run the stub as a scenario that declares one metric."""
     experiment = Experiment(
         name="stub", kind="stub", seed=1, time_limit_s=time_limit_s, sizes=[{"routers": 1}]
     )
-    return run(experiment, stub, NoParameters(), path)
+    scenario = Scenario(
+        description="Waits.",
+        parameters=NoParameters,
+        size=StubSize,
+        metric_descriptions={metric: "waits that were started"},
+        measure=stub.measure,
+    )
+    return run(CheckedExperiment(experiment, scenario, NoParameters()), path)
 
 
 @pytest.mark.parametrize(
@@ -219,8 +233,6 @@
 
 
 def test_a_metric_that_the_scenario_does_not_know_is_a_fault(tmp_path: Path) -> None:
-    stub = Stub(None)
-    stub.METRICS = {"other_count": "something else"}
     with pytest.raises(ValueError, match="waits_count"):
-        run_stub(stub, tmp_path / "stub.json", 60.0)
+        run_stub(Stub(None), tmp_path / "stub.json", 60.0, metric="other_count")
     assert not (tmp_path / "stub.json").exists()
