--- /dev/null
+++ b/scale_experiments/runs/metrics.py
@@ -0,0 +1,61 @@
+"""The metrics of a scenario as a typed class, from which their descriptions follow.
+
+A metric is a field: its annotation gives the unit, and `Field(description=...)` the meaning. A scenario can
+therefore neither measure a metric that it has not declared, nor declare one and not measure it. The name of
+a field is the key in result files.
+"""
+
+from __future__ import annotations
+
+from enum import StrEnum
+from typing import Annotated
+
+from pydantic import BaseModel, ConfigDict, PrivateAttr
+
+
+class Unit(StrEnum):
+    """The unit of a metric."""
+
+    BYTES = "bytes"
+    BYTES_PER_SECOND = "bytes per second"
+    CORES = "cores"
+    COUNT = "count"
+    PER_SECOND = "per second"
+    RATIO = "ratio"
+    SECONDS = "seconds"
+    SHARE = "share"
+
+
+Bytes = Annotated[float, Unit.BYTES]
+BytesPerSecond = Annotated[float, Unit.BYTES_PER_SECOND]
+Cores = Annotated[float, Unit.CORES]
+Count = Annotated[float, Unit.COUNT]
+PerSecond = Annotated[float, Unit.PER_SECOND]
+Ratio = Annotated[float, Unit.RATIO]  # of two amounts; may exceed 1
+Seconds = Annotated[float, Unit.SECONDS]
+Share = Annotated[float, Unit.SHARE]  # of a total, or of a limit that it may exceed
+
+
+class Metrics(BaseModel):
+    """What a sample measures. A field with the default None is omitted from samples that can't measure it."""
+
+    model_config = ConfigDict(extra="forbid", frozen=True)
+
+    _names: tuple[str, ...] = PrivateAttr(default=())
+
+    def __init__(self, **values: float | None) -> None:
+        super().__init__(**values)
+        self._names = tuple(values)
+
+    @classmethod
+    def descriptions(cls) -> dict[str, str]:
+        """The meaning of each metric by name, in the order in which they are declared."""
+        return {name: field.description or "" for name, field in cls.model_fields.items()}
+
+    def values(self) -> dict[str, float]:
+        """The measured values by name, in the order of the constructor's arguments.
+
+        Result files keep that order.
+        """
+        values = {name: getattr(self, name) for name in self._names}
+        return {name: value for name, value in values.items() if value is not None}
--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -1,49 +1,62 @@
-"""Clients ask for more than the page caches bear, for some seconds; how long is it until all is served again.
+"""Clients send more requests than the page caches can serve; how long until all requests are served again.
 
-The router count of the settings can be far above the routers that are run: the caches' cores are of those
-that are run, so that each router sees the load of a large fleet at a cost that can be borne. Its own share
-of a cache's load is then larger than in the fleet.
+The surge lasts some seconds. The settings may state many more routers than are run. The page caches have
+cores for the routers that are run only, so that each router sees the load of a large fleet at a fraction of
+its cost. The share of one router in the load of a cache is then larger than in that fleet.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import Annotated
+from dataclasses import dataclass
 
 from pydantic import BaseModel, ConfigDict, Field
 
 from scale_experiments.runs.context import ExperimentContext, Sample
 from scale_experiments.runs.fleet_run import complete_sample, run_fleet
+from scale_experiments.runs.metrics import Metrics, PerSecond, Ratio, Seconds, Share
 from scale_experiments.runs.scenario import Scenario, WholeNumber
 from scale_experiments.scenarios.zone_loss import recovery_seconds
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
 from scale_experiments.simulation.statistics import SETTLING_SECONDS, CountedEvent
 
-METRICS = {
-    "requests_per_s": "first tries of clients at all routers that are run",
-    "before_served_share": "requests of clients served before the surge, retries included",
-    "surge_served_share": "of those made in it, up to its last seconds",
-    "after_served_share": "of those made in the span after it",
-    "recovery_s": "from its end until 95 % of each second's requests are served; the whole span at most",
-    "refused_per_request": "refusals for each request taken, after it",
-    "attempts_per_request": "attempts at page caches for each request taken, after it",
-    "cache_use_share": "attempts received by the caches after it, over what they could serve",
-}
+
+class SurgeMetrics(Metrics):
+    """Requests before, in and after the surge."""
+
+    requests_per_s: PerSecond = Field(description="first tries of clients at all routers that are run")
+    before_served_share: Share = Field(
+        description="requests of clients served before the surge, retries included"
+    )
+    surge_served_share: Share = Field(description="of those made in it, up to its last seconds")
+    after_served_share: Share = Field(description="of those made in the span after it")
+    recovery_s: Seconds = Field(
+        description="from its end until 95 % of each second's requests are served; the whole span at most"
+    )
+    refused_per_request: Ratio = Field(description="refusals for each request taken, after it")
+    attempts_per_request: Ratio = Field(
+        description="attempts at page caches for each request taken, after it"
+    )
+    cache_use_share: Share = Field(
+        description="attempts received by the caches after it, over what they could serve"
+    )
 
 
 class Parameters(BaseModel):
-    """What all sizes of an experiment have in common. Times in seconds."""
+    """What all sizes of an experiment have in common. Times are in seconds."""
 
     model_config = ConfigDict(extra="forbid")
 
-    use_share: Annotated[float, Field(gt=0, le=2)] = 0.6  # of the caches' cores, before
-    demand: Annotated[float, Field(gt=1)] = 2.5  # times that of before
-    surge_s: Annotated[float, Field(gt=0)] = 3.0
-    warm_s: Annotated[float, Field(gt=0)] = 6.0
-    before_s: Annotated[float, Field(gt=SETTLING_SECONDS)] = 5.0
-    after_s: Annotated[float, Field(gt=SETTLING_SECONDS)] = 30.0
-    skew: Annotated[float, Field(ge=0)] = 0.95
+    use_share: float = Field(
+        0.6, gt=0, le=2, description="share of the caches' cores in use before the surge"
+    )
+    demand: float = Field(2.5, gt=1, description="rate of requests in the surge, over the rate before it")
+    surge_s: float = Field(3.0, gt=0, description="how long the surge lasts")
+    warm_s: float = Field(6.0, gt=0, description="of load before it is measured")
+    before_s: float = Field(5.0, gt=SETTLING_SECONDS, description="measured before the surge")
+    after_s: float = Field(30.0, gt=SETTLING_SECONDS, description="measured after the surge")
+    skew: float = Field(0.95, ge=0, description="exponent of the popularity of keys (Zipf's law)")
 
 
 class Size(BaseModel):
@@ -76,7 +89,10 @@
 
 
 def run_surge(fleet: Fleet, parameters: Parameters, context: ExperimentContext) -> float:
-    """The share of requests of clients that is served during the surge."""
+    """Run the surge; returns the share of clients' requests that is served in it.
+
+    Raises TimeLimitReachedError.
+    """
     fleet.reset()
     fleet.clients.set_demand(parameters.demand)
     run_fleet(fleet, parameters.surge_s, context)
@@ -84,8 +100,19 @@
     return counts[CountedEvent.SERVED] / max(1, counts[CountedEvent.CLIENT_REQUEST])
 
 
-def measure_recovery(fleet: Fleet, parameters: Parameters, context: ExperimentContext) -> dict[str, float]:
-    """The fleet after the surge."""
+@dataclass(slots=True, frozen=True)
+class Recovery:
+    """The fleet after the surge; the fields are metrics."""
+
+    served_share: float
+    recovery_s: float
+    refused_per_request: float
+    attempts_per_request: float
+    cache_use_share: float
+
+
+def measure_recovery(fleet: Fleet, parameters: Parameters, context: ExperimentContext) -> Recovery:
+    """Run the fleet after the surge; raises TimeLimitReachedError."""
     fleet.reset()
     fleet.clients.set_demand(1.0)
     run_fleet(fleet, parameters.after_s, context)
@@ -93,17 +120,17 @@
     requests = max(1, counts[CountedEvent.REQUEST])
     received = sum(cache.received for cache in fleet.caches.values())
     capacity_s = model.caches * model.cores * parameters.after_s
-    return {
-        "after_served_share": fleet.statistics.served_share(),
-        "recovery_s": recovery_seconds(fleet.statistics.served_by_second()),
-        "refused_per_request": counts[CountedEvent.REJECTED] / requests,
-        "attempts_per_request": counts[CountedEvent.ATTEMPT] / requests,
-        "cache_use_share": received * model.mean_service_time / capacity_s,
-    }
+    return Recovery(
+        served_share=fleet.statistics.served_share(),
+        recovery_s=recovery_seconds(fleet.statistics.served_by_second()),
+        refused_per_request=counts[CountedEvent.REJECTED] / requests,
+        attempts_per_request=counts[CountedEvent.ATTEMPT] / requests,
+        cache_use_share=received * model.mean_service_time / capacity_s,
+    )
 
 
 def measure_sample(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Sample:
-    """The fleet before the surge, in it and after it; raises TimeLimitReachedError."""
+    """Measure the fleet before, in and after the surge; raises TimeLimitReachedError."""
     fleet = build_fleet(parameters, size, seed)
     run_fleet(fleet, parameters.warm_s, context)
     fleet.reset()
@@ -112,14 +139,18 @@
     context.progress("surge")
     surge_served_share = run_surge(fleet, parameters, context)
     context.progress("after the surge")
-    return Sample(
-        {
-            "requests_per_s": requests_per_s(parameters, size),
-            "before_served_share": before_served_share,
-            "surge_served_share": surge_served_share,
-            **measure_recovery(fleet, parameters, context),
-        }
+    recovery = measure_recovery(fleet, parameters, context)
+    metrics = SurgeMetrics(
+        requests_per_s=requests_per_s(parameters, size),
+        before_served_share=before_served_share,
+        surge_served_share=surge_served_share,
+        after_served_share=recovery.served_share,
+        recovery_s=recovery.recovery_s,
+        refused_per_request=recovery.refused_per_request,
+        attempts_per_request=recovery.attempts_per_request,
+        cache_use_share=recovery.cache_use_share,
     )
+    return Sample(metrics.values())
 
 
 def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
@@ -128,5 +159,9 @@
 
 
 SCENARIO = Scenario(
-    description=__doc__ or "", parameters=Parameters, size=Size, metric_descriptions=METRICS, measure=measure
+    description=__doc__ or "",
+    parameters=Parameters,
+    size=Size,
+    metric_descriptions=SurgeMetrics.descriptions(),
+    measure=measure,
 )
