--- a/scale_experiments/runs/experiment.py
+++ b/scale_experiments/runs/experiment.py
@@ -111,7 +111,8 @@
     if first["type"] == "extra_forbidden":
         given, said = "", "is not known"
         if known is not None and len(path) == 1:
-            said += f"; known are {', '.join(known.model_fields)}"
+            keys = (field.alias or name for name, field in known.model_fields.items())
+            said += f"; known are {', '.join(keys)}"
     return f"{file}: {field}: {said}{given}".replace("\n", " ")
 
 
--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -16,7 +16,7 @@
 from scale_experiments.runs.fleet_run import complete_sample, run_fleet
 from scale_experiments.runs.metrics import Metrics, PerSecond, Ratio, Seconds, Share
 from scale_experiments.runs.scenario import Scenario, WholeNumber
-from scale_experiments.scenarios.zone_loss import recovery_seconds
+from scale_experiments.scenarios.recovery import recovery_seconds
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
 from scale_experiments.simulation.statistics import SETTLING_SECONDS, CountedEvent
--- a/scale_experiments/scenarios/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -1,75 +1,124 @@
-"""A rack, a zone or a region of page caches is lost and comes back, or the routers of a region are cut off.
+"""A rack, a zone or a region of page caches is lost and returns, or the routers of a region are cut off.
 
-What is lost stays silent: connections to it stay open, new ones never come up, and routers are notified late.
-It comes back cold and empty. A region that is cut off keeps its routers and caches, which reach only each
-other. All routers of the fleet are run, and each cache's rate of requests is the same at all sizes. A size
-may set the router count of the settings (`told`) above the routers that are run, for what depends on that
-number alone.
+Lost caches do not answer: connections to them stay open, new connections are never established, and routers
+are notified late. The caches return empty. A region that is cut off keeps its routers and caches, which reach
+only each other. All routers of the fleet are run, and each cache receives the same rate of requests at all
+sizes. A size may set the router count of the settings (`told`) above the number of routers that are run, to
+measure what depends on that count alone.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterator, Sequence
-from typing import Annotated, Literal
+from collections.abc import Iterator
+from dataclasses import dataclass
+from typing import Literal
 
 from pydantic import BaseModel, ConfigDict, Field
 
 from cache_router.endpoint import EndpointState
 from scale_experiments.runs.context import ExperimentContext, Sample
 from scale_experiments.runs.fleet_run import complete_sample, run_fleet
+from scale_experiments.runs.metrics import Count, Metrics, PerSecond, Ratio, Seconds, Share
 from scale_experiments.runs.scenario import Scenario, WholeNumber
+from scale_experiments.scenarios.recovery import recovery_seconds
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
 from scale_experiments.simulation.statistics import SETTLING_SECONDS, CountedEvent
 
-RECOVERED_SHARE = 0.95  # of the requests of a second, served: then it counts as served again
-METRICS = {
-    "requests_per_s": "first tries of clients in the whole fleet",
-    "caches_lost": "page caches that are lost, or are out of reach of the routers that are cut off",
-    "before_served_share": "requests of clients served before the loss, retries included",
-    "lost_served_share": "of those made while it lasts",
-    "lost_worst_served_share": "of those made in the worst second while it lasts",
-    "lost_recovery_s": "from the loss until 95 % of each second's requests are served while it lasts",
-    "back_served_share": "of those made in the ramp that follows the return",
-    "back_worst_served_share": "of those made in the worst second of that",
-    "back_recovery_s": "from the return until 95 % of each second's requests are served",
-    "apart_served_share": "of those made at routers of the region that is cut off, while it lasts",
-    "apart_refused_per_request": "refusals by these routers for each request taken there while it lasts",
-    "lost_dials_per_request": "connections tried for each request taken, while it lasts",
-    "lost_dials_failed_per_request": "of these, those that failed",
-    "before_dials_per_request": "connections tried for each request taken, before the loss",
-    "back_dials_per_request": "connections tried for each request taken, after the return",
-    "before_attempts_per_request": "attempts at page caches for each request taken, before the loss",
-    "lost_attempts_per_request": "attempts at page caches for each request taken, while it lasts",
-    "back_attempts_per_request": "attempts at page caches for each request taken, after the return",
-    "lost_tries_per_wish": "requests of clients for each thing they wanted, while it lasts",
-    "lost_origin_ratio": "attempts at the origin a second while it lasts, over those before",
-    "back_origin_ratio": "attempts at the origin a second after the return, over those before",
-    "back_budget_slack_share": "most that any cold cache received in a window over its budget with slack",
-}
+NO_ORIGIN_RATE = 1e-9  # in place of 0 attempts at the origin a second, as a divisor
+
+
+class ZoneLossMetrics(Metrics):
+    """The fleet before the loss, while it lasts (lost) and after the return (back)."""
+
+    requests_per_s: PerSecond = Field(description="first tries of clients in the whole fleet")
+    caches_lost: Count = Field(
+        description="page caches that are lost, or are out of reach of the routers that are cut off"
+    )
+    before_served_share: Share = Field(
+        description="requests of clients served before the loss, retries included"
+    )
+    lost_served_share: Share = Field(description="of those made while it lasts")
+    lost_worst_served_share: Share = Field(description="of those made in the worst second while it lasts")
+    lost_recovery_s: Seconds = Field(
+        description="from the loss until 95 % of each second's requests are served while it lasts"
+    )
+    back_served_share: Share = Field(description="of those made in the ramp that follows the return")
+    back_worst_served_share: Share = Field(description="of those made in the worst second of that")
+    back_recovery_s: Seconds = Field(
+        description="from the return until 95 % of each second's requests are served"
+    )
+    apart_served_share: Share = Field(
+        description="of those made at routers of the region that is cut off, while it lasts"
+    )
+    apart_refused_per_request: Ratio = Field(
+        description="refusals by these routers for each request taken there while it lasts"
+    )
+    lost_dials_per_request: Ratio = Field(
+        description="connections tried for each request taken, while it lasts"
+    )
+    lost_dials_failed_per_request: Ratio = Field(description="of these, those that failed")
+    before_dials_per_request: Ratio = Field(
+        description="connections tried for each request taken, before the loss"
+    )
+    back_dials_per_request: Ratio = Field(
+        description="connections tried for each request taken, after the return"
+    )
+    before_attempts_per_request: Ratio = Field(
+        description="attempts at page caches for each request taken, before the loss"
+    )
+    lost_attempts_per_request: Ratio = Field(
+        description="attempts at page caches for each request taken, while it lasts"
+    )
+    back_attempts_per_request: Ratio = Field(
+        description="attempts at page caches for each request taken, after the return"
+    )
+    lost_tries_per_wish: Ratio = Field(
+        description="requests of clients for each thing they wanted, while it lasts"
+    )
+    lost_origin_ratio: Ratio = Field(
+        description="attempts at the origin a second while it lasts, over those before"
+    )
+    back_origin_ratio: Ratio = Field(
+        description="attempts at the origin a second after the return, over those before"
+    )
+    back_budget_slack_share: Share = Field(
+        description="most that any cold cache received in a window over its budget with slack"
+    )
 
 
 class Parameters(BaseModel):
-    """What all sizes of an experiment have in common. Times in seconds."""
+    """What all sizes of an experiment have in common. Times are in seconds; aliases are the keys."""
 
     model_config = ConfigDict(extra="forbid")
 
-    lost: Literal["rack", "zone", "region", "cut"]
-    zones: Annotated[int, Field(ge=1)] = 50
-    regions: Annotated[int, Field(ge=1)] = 25
-    rack: Annotated[int, Field(ge=1)] = 1  # caches
-    use_share: Annotated[float, Field(gt=0, le=2)] = 0.6  # of the caches' cores
-    skew: Annotated[float, Field(ge=0)] = 0.95
-    kept: Annotated[int, Field(ge=1)] = 200  # objects in a cache
-    objects_per_cache: Annotated[int, Field(ge=1)] = 400
-    origin_everywhere: bool = False  # within reach of a region that is cut off
-    origin_headroom: Annotated[float, Field(gt=0)] = 2.0  # over what it is asked for at a hit share of 0.9
-    tries: Annotated[int, Field(ge=1, le=10)] = 3  # of a client
-    warm_s: Annotated[float, Field(gt=0)] = 8.0
-    before_s: Annotated[float, Field(gt=SETTLING_SECONDS)] = 6.0
-    lost_s: Annotated[float, Field(gt=SETTLING_SECONDS)] = 15.0
-    notice_s: Annotated[tuple[float, float], Field()] = (5.3, 1.0)  # of a silent loss, and its spread
-    back_notice_s: Annotated[tuple[float, float], Field()] = (1.5, 0.6)
+    lost: Literal["rack", "zone", "region", "cut"] = Field(
+        description="what is lost; cut: a region is cut off"
+    )
+    zones: int = Field(50, ge=1, description="zones of the fleet")
+    regions: int = Field(25, ge=1, description="regions over which the zones are spread")
+    rack: int = Field(1, ge=1, description="caches of a rack")
+    use_share: float = Field(0.6, gt=0, le=2, description="share of the caches' cores in use")
+    zipf_exponent: float = Field(
+        0.95, alias="skew", ge=0, description="exponent of the popularity of keys (Zipf's law)"
+    )
+    cached_objects: int = Field(200, alias="kept", ge=1, description="objects that a cache holds")
+    objects_per_cache: int = Field(400, ge=1, description="distinct objects for each cache of the fleet")
+    origin_everywhere: bool = Field(False, description="a region that is cut off still reaches the origin")
+    origin_headroom: float = Field(
+        2.0, gt=0, description="capacity of the origin, over its load at a hit share of 0.9"
+    )
+    client_attempts: int = Field(
+        3, alias="tries", ge=1, le=10, description="requests that a client makes at most for one object"
+    )
+    warm_s: float = Field(8.0, gt=0, description="of load before it is measured")
+    before_s: float = Field(6.0, gt=SETTLING_SECONDS, description="measured before the loss")
+    lost_s: float = Field(15.0, gt=SETTLING_SECONDS, description="how long the loss lasts")
+    notice_s: tuple[float, float] = Field(
+        (5.3, 1.0),
+        description="from the loss until the first router is notified, and until the last after it",
+    )
+    back_notice_s: tuple[float, float] = Field((1.5, 0.6), description="the same from the return")
 
 
 class Size(BaseModel):
@@ -96,10 +145,10 @@
         zones=parameters.zones,
         regions=parameters.regions,
         objects=parameters.objects_per_cache * caches,
-        zipf_exponent=parameters.skew,
-        cached_objects=parameters.kept,
+        zipf_exponent=parameters.zipf_exponent,
+        cached_objects=parameters.cached_objects,
         cores=cores,
-        client_attempts=parameters.tries,
+        client_attempts=parameters.client_attempts,
         origin_always_reachable=parameters.origin_everywhere,
         origin_cores=unloaded.origin_cores_for(rate, parameters.origin_headroom),
     )
@@ -116,37 +165,70 @@
     return names[: parameters.rack] if parameters.lost == "rack" else names
 
 
-def recovery_seconds(seconds: Sequence[float]) -> float:
-    """Seconds until `RECOVERED_SHARE` is reached for good; all of them where the last one does not reach it.
-
-    `seconds` are the shares of requests served in each second.
-    """
-    return float(max((i + 1 for i, share in enumerate(seconds) if share < RECOVERED_SHARE), default=0))
-
-
 def per_accepted_request(fleet: Fleet, event: CountedEvent) -> float:
     """How often an event was counted for each request accepted, since the last reset."""
     return fleet.statistics.counts[event] / max(1, fleet.statistics.counts[CountedEvent.REQUEST])
 
 
-def aftermath(fleet: Fleet, origin_rate_before: float) -> dict[str, float]:
+@dataclass(slots=True, frozen=True)
+class PhaseRequests:
+    """The requests of a phase, during the loss or after the return."""
+
+    served_share: float
+    worst_served_share: float  # of the worst second
+    recovery_s: float
+    dials_per_request: float
+    attempts_per_request: float
+    origin_ratio: float  # attempts at the origin a second, over those before the loss
+
+
+@dataclass(slots=True, frozen=True)
+class BeforeLoss:
+    """The fleet before the loss."""
+
+    served_share: float
+    dials_per_request: float
+    attempts_per_request: float
+    origin_attempts_per_s: float
+
+
+@dataclass(slots=True, frozen=True)
+class DuringLoss:
+    """The fleet while the loss lasts; the isolated routers are those of a region that is cut off."""
+
+    requests: PhaseRequests
+    failed_dials_per_request: float
+    requests_per_client_request: float
+    isolated_served_share: float
+    isolated_rejections_per_request: float
+
+
+@dataclass(slots=True, frozen=True)
+class AfterReturn:
+    """The fleet from the return until the end of the slow start."""
+
+    requests: PhaseRequests
+    budget_slack_share: float
+
+
+def phase_requests(fleet: Fleet, origin_rate_before: float) -> PhaseRequests:
     """What has become of the requests since the last reset."""
     statistics = fleet.statistics
     shares = statistics.served_by_second()
     seconds = fleet.events.now - statistics.counted_from
     origin_rate = statistics.counts[CountedEvent.ORIGIN_ATTEMPT] / seconds
-    return {
-        "served_share": statistics.served_share(),
-        "worst_served_share": min(shares, default=1.0),
-        "recovery_s": recovery_seconds(shares),
-        "dials_per_request": per_accepted_request(fleet, CountedEvent.CONNECT),
-        "attempts_per_request": per_accepted_request(fleet, CountedEvent.ATTEMPT),
-        "origin_ratio": origin_rate / max(1e-9, origin_rate_before),
-    }
+    return PhaseRequests(
+        served_share=statistics.served_share(),
+        worst_served_share=min(shares, default=1.0),
+        recovery_s=recovery_seconds(shares),
+        dials_per_request=per_accepted_request(fleet, CountedEvent.CONNECT),
+        attempts_per_request=per_accepted_request(fleet, CountedEvent.ATTEMPT),
+        origin_ratio=origin_rate / max(NO_ORIGIN_RATE, origin_rate_before),
+    )
 
 
 class LossRun:
-    """One sample: the fleet, and what of it is lost."""
+    """One sample: the fleet, and the caches of it that are lost."""
 
     def __init__(self, parameters: Parameters, fleet: Fleet, context: ExperimentContext) -> None:
         self.parameters = parameters
@@ -158,32 +240,29 @@
         fleet.statistics.watch_region(self.region)
 
     def measure(self) -> Sample:
-        """All phases in turn; raises TimeLimitReachedError."""
+        """Measure all phases, one after the other; raises TimeLimitReachedError."""
         run_fleet(self.fleet, self.parameters.warm_s, self.context)
-        metrics, origin_rate = self.measure_before()
+        before = self.measure_before()
         self.context.progress("lost")
-        metrics |= self.measure_loss(origin_rate)
+        lost = self.measure_loss(before.origin_attempts_per_s)
         self.context.progress("back")
-        metrics |= self.measure_return(origin_rate)
-        return Sample(metrics)
+        back = self.measure_return(before.origin_attempts_per_s)
+        return Sample(self.metrics(before, lost, back).values())
 
-    def measure_before(self) -> tuple[dict[str, float], float]:
-        """The fleet before the loss; also the attempts at the origin a second."""
+    def measure_before(self) -> BeforeLoss:
+        """Run the fleet before the loss; raises TimeLimitReachedError."""
         fleet, seconds = self.fleet, self.parameters.before_s
         fleet.reset()
         run_fleet(fleet, seconds, self.context)
-        lost = len(fleet.caches) - len(self.names) if self.is_isolation else len(self.names)
-        metrics = {
-            "requests_per_s": fleet.model.requests_per_s * fleet.model.routers_run,
-            "caches_lost": float(lost),
-            "before_served_share": fleet.statistics.served_share(),
-            "before_dials_per_request": per_accepted_request(fleet, CountedEvent.CONNECT),
-            "before_attempts_per_request": per_accepted_request(fleet, CountedEvent.ATTEMPT),
-        }
-        return metrics, fleet.statistics.counts[CountedEvent.ORIGIN_ATTEMPT] / seconds
-
-    def measure_loss(self, origin_rate: float) -> dict[str, float]:
-        """The fleet while the loss lasts."""
+        return BeforeLoss(
+            served_share=fleet.statistics.served_share(),
+            dials_per_request=per_accepted_request(fleet, CountedEvent.CONNECT),
+            attempts_per_request=per_accepted_request(fleet, CountedEvent.ATTEMPT),
+            origin_attempts_per_s=fleet.statistics.counts[CountedEvent.ORIGIN_ATTEMPT] / seconds,
+        )
+
+    def measure_loss(self, origin_rate_before: float) -> DuringLoss:
+        """Run the fleet while the loss lasts; raises TimeLimitReachedError."""
         fleet = self.fleet
         fleet.reset()
         if self.is_isolation:
@@ -195,16 +274,16 @@
         counts, isolated = fleet.statistics.counts, fleet.statistics.watched.totals
         client_requests = max(1, counts[CountedEvent.CLIENT_REQUEST])
         isolated_requests = max(1, isolated[CountedEvent.REQUEST])
-        return {
-            **{f"lost_{name}": value for name, value in aftermath(fleet, origin_rate).items()},
-            "lost_dials_failed_per_request": per_accepted_request(fleet, CountedEvent.CONNECT_FAILED),
-            "lost_tries_per_wish": counts[CountedEvent.REQUEST] / client_requests,
-            "apart_served_share": fleet.statistics.watched_served_share(),
-            "apart_refused_per_request": isolated[CountedEvent.REJECTED] / isolated_requests,
-        }
-
-    def measure_return(self, origin_rate: float) -> dict[str, float]:
-        """The fleet until the slow start after the return is over."""
+        return DuringLoss(
+            requests=phase_requests(fleet, origin_rate_before),
+            failed_dials_per_request=per_accepted_request(fleet, CountedEvent.CONNECT_FAILED),
+            requests_per_client_request=counts[CountedEvent.REQUEST] / client_requests,
+            isolated_served_share=fleet.statistics.watched_served_share(),
+            isolated_rejections_per_request=isolated[CountedEvent.REJECTED] / isolated_requests,
+        )
+
+    def measure_return(self, origin_rate_before: float) -> AfterReturn:
+        """Run the fleet until the slow start after the return is over; raises TimeLimitReachedError."""
         fleet = self.fleet
         fleet.reset()
         if self.is_isolation:
@@ -216,10 +295,40 @@
             fleet.notify_all(self.names, EndpointState.READY, *self.parameters.back_notice_s)
         notice_s = sum(self.parameters.back_notice_s)
         run_fleet(fleet, fleet.settings.slow_start_duration + notice_s + SETTLING_SECONDS, self.context)
-        metrics = {f"back_{name}": value for name, value in aftermath(fleet, origin_rate).items()}
+        requests = phase_requests(fleet, origin_rate_before)
         uses = [fleet.budget_use(fleet.caches[name]) for name in self.names]
-        metrics["back_budget_slack_share"] = max(use.with_slack for use in uses)
-        return metrics
+        return AfterReturn(requests, budget_slack_share=max(use.with_slack for use in uses))
+
+    def unreachable_caches(self) -> int:
+        """The caches that are lost, or that the routers of a region that is cut off do not reach."""
+        return len(self.fleet.caches) - len(self.names) if self.is_isolation else len(self.names)
+
+    def metrics(self, before: BeforeLoss, lost: DuringLoss, back: AfterReturn) -> ZoneLossMetrics:
+        """The metrics of all phases."""
+        return ZoneLossMetrics(
+            requests_per_s=self.fleet.model.requests_per_s * self.fleet.model.routers_run,
+            caches_lost=self.unreachable_caches(),
+            before_served_share=before.served_share,
+            before_dials_per_request=before.dials_per_request,
+            before_attempts_per_request=before.attempts_per_request,
+            lost_served_share=lost.requests.served_share,
+            lost_worst_served_share=lost.requests.worst_served_share,
+            lost_recovery_s=lost.requests.recovery_s,
+            lost_dials_per_request=lost.requests.dials_per_request,
+            lost_attempts_per_request=lost.requests.attempts_per_request,
+            lost_origin_ratio=lost.requests.origin_ratio,
+            lost_dials_failed_per_request=lost.failed_dials_per_request,
+            lost_tries_per_wish=lost.requests_per_client_request,
+            apart_served_share=lost.isolated_served_share,
+            apart_refused_per_request=lost.isolated_rejections_per_request,
+            back_served_share=back.requests.served_share,
+            back_worst_served_share=back.requests.worst_served_share,
+            back_recovery_s=back.requests.recovery_s,
+            back_dials_per_request=back.requests.dials_per_request,
+            back_attempts_per_request=back.requests.attempts_per_request,
+            back_origin_ratio=back.requests.origin_ratio,
+            back_budget_slack_share=back.budget_slack_share,
+        )
 
 
 def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
@@ -229,5 +338,9 @@
 
 
 SCENARIO = Scenario(
-    description=__doc__ or "", parameters=Parameters, size=Size, metric_descriptions=METRICS, measure=measure
+    description=__doc__ or "",
+    parameters=Parameters,
+    size=Size,
+    metric_descriptions=ZoneLossMetrics.descriptions(),
+    measure=measure,
 )
--- a/tests/scale_experiments/test_scale_experiments.py
+++ b/tests/scale_experiments/test_scale_experiments.py
@@ -93,6 +93,12 @@
     assert "\n" not in str(rejected.value)
 
 
+def test_an_unknown_parameter_is_answered_with_the_keys_of_the_file(tmp_path: Path) -> None:
+    file = write_experiment(tmp_path, '"list_change"', '"zone_loss"')
+    with pytest.raises(InputError, match=r"parameters\.changes: is not known; known are lost, .*, tries, "):
+        load_experiment(file, SCENARIOS)
+
+
 def test_every_experiment_of_the_repository_can_be_run() -> None:
     files = {*(ROOT / "scale_experiments" / "experiments").glob("*.toml")} - {TARGET}
     assert files
