--- a/scale_experiments/scenarios/cold_start.py
+++ b/scale_experiments/scenarios/cold_start.py
@@ -1,20 +1,23 @@
-"""One page cache starts cold, and all routers together may send it only so much.
+"""One page cache starts empty (cold), and all routers together may send it only a limited load.
 
-The cache goes, others take its keys, and it comes back empty; each router is notified at its own time. What
-then reaches it, in every window of the settings' length, is set against its budget. All routers of the fleet
-are run, and each cache's rate of requests is the same at all sizes.
+The cache is shut down, others take over its keys, and it returns empty. Each router is notified at a time
+of its own. What the cache then receives, in each window of the settings' length, is compared with its budget
+for that window. All routers of the fleet are run, and each cache receives the same rate of requests at all
+sizes.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import Annotated, Literal
+from dataclasses import dataclass
+from typing import Literal
 
 from pydantic import BaseModel, ConfigDict, Field
 
 from cache_router.endpoint import EndpointState
 from scale_experiments.runs.context import ExperimentContext, Sample
 from scale_experiments.runs.fleet_run import complete_sample, run_fleet
+from scale_experiments.runs.metrics import Count, Metrics, PerSecond, Ratio, Share
 from scale_experiments.runs.scenario import Scenario, WholeNumber
 from scale_experiments.simulation.cache_server import CacheServer
 from scale_experiments.simulation.fleet import Fleet
@@ -26,41 +29,70 @@
 MOST_POPULAR_KEY = "page:0"
 REMOVAL_NOTICE_S = 0.5  # from the removal until the first router is notified
 WARM_WINDOWS = 2  # windows of the settings after the slow start, in which the cache's share is measured
+NO_REQUESTS = 1e-9  # in place of a mean of 0 requests received, as a divisor
 
-METRICS = {
-    "requests_per_s": "first tries of clients in the whole fleet",
-    "budget_share": "most that the cold cache received in a window, over its budget N in that window",
-    "budget_slack_share": "the same over N + 2 x root of N + 2, the slack for chance",
-    "budget_first_count": "budget N of the window that begins with the cache's start",
-    "received": "attempts that the cold cache received until it was warm",
-    "received_again_share": "of these, second or later attempts of their request",
-    "fair_share": "attempts received by the cold cache from warm to the end, over the mean of all caches",
-    "served_share": "requests of clients served from the start until warm, retries included",
-    "attempts_per_request": "attempts at page caches for each request taken, from the start until warm",
-    "tries_per_wish": "requests that clients made for each thing they wanted, from the start until warm",
-    "origin_per_request": "attempts at the origin for each request taken, from the start until warm",
-}
+
+class ColdStartMetrics(Metrics):
+    """The fleet from the start of the cold cache until it is warm, and shortly after."""
+
+    requests_per_s: PerSecond = Field(description="first tries of clients in the whole fleet")
+    budget_share: Share = Field(
+        description="most that the cold cache received in a window, over its budget N in that window"
+    )
+    budget_slack_share: Share = Field(description="the same over N + 2 x root of N + 2, the slack for chance")
+    budget_first_count: Count = Field(description="budget N of the window that begins with the cache's start")
+    received: Count = Field(description="attempts that the cold cache received until it was warm")
+    received_again_share: Share = Field(description="of these, second or later attempts of their request")
+    fair_share: Share = Field(
+        description="attempts received by the cold cache from warm to the end, over the mean of all caches"
+    )
+    served_share: Share = Field(
+        description="requests of clients served from the start until warm, retries included"
+    )
+    attempts_per_request: Ratio = Field(
+        description="attempts at page caches for each request taken, from the start until warm"
+    )
+    tries_per_wish: Ratio = Field(
+        description="requests that clients made for each thing they wanted, from the start until warm"
+    )
+    origin_per_request: Ratio = Field(
+        description="attempts at the origin for each request taken, from the start until warm"
+    )
 
 
 class Parameters(BaseModel):
-    """What all sizes of an experiment have in common. Times in seconds."""
+    """What all sizes of an experiment have in common. Times are in seconds; aliases are the keys."""
 
     model_config = ConfigDict(extra="forbid")
 
-    use_share: Annotated[float, Field(gt=0, le=2)] = 0.6  # of the caches' cores
-    skew: Annotated[float, Field(ge=0)] = 0.95
-    flat: Annotated[float, Field(ge=0)] = 10.0
-    watched: Literal["hottest", "any"] = "any"  # the cache that holds the most popular key, or the first
-    tries: Annotated[int, Field(ge=1, le=10)] = 3  # of a client
-    second_copies: bool = True
-    restarted_share: Annotated[float, Field(ge=0, le=1)] = 0.0  # of routers, as the cache starts
-    kept: Annotated[int, Field(ge=1)] = 200  # objects in a cache
-    objects_per_cache: Annotated[int, Field(ge=1)] = 400
-    origin_headroom: Annotated[float, Field(gt=0)] = 2.0  # over what it is asked for at a hit share of 0.9
-    warm_s: Annotated[float, Field(gt=0)] = 10.0
-    absent_s: Annotated[float, Field(gt=0)] = 6.0
-    notice_s: Annotated[float, Field(ge=0)] = 1.5
-    spread_s: Annotated[float, Field(ge=0)] = 0.6
+    use_share: float = Field(0.6, gt=0, le=2, description="share of the caches' cores in use")
+    zipf_exponent: float = Field(
+        0.95, alias="skew", ge=0, description="exponent of the popularity of keys (Zipf's law)"
+    )
+    rank_offset: float = Field(
+        10.0, alias="flat", ge=0, description="added to the rank of each key; flattens the popularity"
+    )
+    watched: Literal["hottest", "any"] = Field(
+        "any", description="the cache that restarts: the one with the most popular key, or the first"
+    )
+    client_attempts: int = Field(
+        3, alias="tries", ge=1, le=10, description="requests that a client makes at most for one object"
+    )
+    hedging_allowed: bool = Field(True, alias="second_copies", description="whether routers hedge requests")
+    restarted_share: float = Field(
+        0.0, ge=0, le=1, description="share of the routers that restart as the cache starts"
+    )
+    cached_objects: int = Field(200, alias="kept", ge=1, description="objects that a cache holds")
+    objects_per_cache: int = Field(400, ge=1, description="distinct objects for each cache of the fleet")
+    origin_headroom: float = Field(
+        2.0, gt=0, description="capacity of the origin, over its load at a hit share of 0.9"
+    )
+    warm_s: float = Field(10.0, gt=0, description="of load before the cache is shut down")
+    absent_s: float = Field(6.0, gt=0, description="from the shutdown of the cache until its start")
+    notice_s: float = Field(1.5, ge=0, description="from the start until the first router is notified")
+    spread_s: float = Field(
+        0.6, ge=0, description="from the first router's notification until the last one's"
+    )
 
 
 class Size(BaseModel):
@@ -81,15 +113,15 @@
         caches=caches,
         requests_per_s=rate / routers,
         objects=parameters.objects_per_cache * caches,
-        zipf_exponent=parameters.skew,
-        rank_offset=parameters.flat,
-        cached_objects=parameters.kept,
+        zipf_exponent=parameters.zipf_exponent,
+        rank_offset=parameters.rank_offset,
+        cached_objects=parameters.cached_objects,
         cores=cores,
-        client_attempts=parameters.tries,
+        client_attempts=parameters.client_attempts,
         zones=3,
         origin_cores=unloaded.origin_cores_for(rate, parameters.origin_headroom),
     )
-    return Fleet(site_settings(hedging_allowed=parameters.second_copies), model, seed)
+    return Fleet(site_settings(hedging_allowed=parameters.hedging_allowed), model, seed)
 
 
 def select_cache(fleet: Fleet, parameters: Parameters) -> CacheServer:
@@ -102,73 +134,117 @@
 
 
 def remove_cache(fleet: Fleet, cache: CacheServer, parameters: Parameters) -> None:
-    """Shut the cache down, and have all routers notified."""
+    """Shut the cache down, and notify all routers."""
     name = cache.endpoint.name
     fleet.fail_servers([name], is_silent=False)
     fleet.notify_all([name], EndpointState.REMOVED, REMOVAL_NOTICE_S, parameters.spread_s)
 
 
 def restore_cache(fleet: Fleet, cache: CacheServer, parameters: Parameters) -> None:
-    """Start the cache empty, begin to count, and have all routers notified; some of them restart."""
+    """Start the cache empty, start to count, and notify all routers; some of them restart."""
     name = cache.endpoint.name
     fleet.restore_servers([name])
     cache.record_arrivals()
     fleet.reset()
     fleet.notify_all([name], EndpointState.READY, parameters.notice_s, parameters.spread_s)
     if parameters.restarted_share:
-        # with the list as it is now: a new process gets it before its first request
+        # with the current list: a new process gets it before its first request
         restarted = fleet.routers[: round(parameters.restarted_share * len(fleet.routers))]
         fleet.restart_routers(restarted, parameters.notice_s, parameters.spread_s)
 
 
-def slow_start_metrics(fleet: Fleet, cache: CacheServer) -> dict[str, float]:
+@dataclass(slots=True, frozen=True)
+class SlowStartUsage:
     """What has happened since the cache started."""
+
+    received: int  # attempts at the cache
+    retry_share: float  # of these
+    served_share: float  # of the requests of clients
+    attempts_per_request: float
+    requests_per_client_request: float
+    origin_attempts_per_request: float
+
+
+@dataclass(slots=True, frozen=True)
+class ColdCacheBudget:
+    """The budget of the cache, and how far it was used in the windows since its start."""
+
+    used_share: float
+    used_share_with_slack: float  # slack as a statistical tolerance
+    first_window: float  # attempts that the budget of the first window allows
+
+
+def slow_start_usage(fleet: Fleet, cache: CacheServer) -> SlowStartUsage:
+    """What has happened since the last reset of the fleet, when the cache started."""
     counts = fleet.statistics.counts
     requests = max(1, counts[CountedEvent.REQUEST])
     received = len(cache.arrivals or ())
-    return {
-        "received": received,
-        "received_again_share": cache.received_retries / max(1, received),
-        "served_share": fleet.statistics.served_share(),
-        "attempts_per_request": counts[CountedEvent.ATTEMPT] / requests,
-        "tries_per_wish": counts[CountedEvent.REQUEST] / max(1, counts[CountedEvent.CLIENT_REQUEST]),
-        "origin_per_request": counts[CountedEvent.ORIGIN_ATTEMPT] / requests,
-    }
+    client_requests = max(1, counts[CountedEvent.CLIENT_REQUEST])
+    return SlowStartUsage(
+        received=received,
+        retry_share=cache.received_retries / max(1, received),
+        served_share=fleet.statistics.served_share(),
+        attempts_per_request=counts[CountedEvent.ATTEMPT] / requests,
+        requests_per_client_request=counts[CountedEvent.REQUEST] / client_requests,
+        origin_attempts_per_request=counts[CountedEvent.ORIGIN_ATTEMPT] / requests,
+    )
 
 
-def budget_metrics(fleet: Fleet, cache: CacheServer) -> dict[str, float]:
+def cold_cache_budget(fleet: Fleet, cache: CacheServer) -> ColdCacheBudget:
     """How far the cache's budget was used in the windows since its start."""
     settings = fleet.settings
     use = fleet.budget_use(cache)
     first_capacity = capacity_within(settings, fleet.model, 0.0, settings.overload_window)
-    return {
-        "budget_share": use.strict,
-        "budget_slack_share": use.with_slack,
-        "budget_first_count": settings.overload_multiple * first_capacity,
-    }
+    return ColdCacheBudget(
+        used_share=use.strict,
+        used_share_with_slack=use.with_slack,
+        first_window=settings.overload_multiple * first_capacity,
+    )
+
+
+def fair_share(fleet: Fleet, cache: CacheServer, context: ExperimentContext) -> float:
+    """Run the fleet after the slow start; the attempts at the cache, over the mean of all caches.
+
+    Raises TimeLimitReachedError.
+    """
+    for each in fleet.caches.values():
+        each.reset_statistics()
+    run_fleet(fleet, fleet.settings.overload_window * WARM_WINDOWS, context)
+    mean_received = sum(each.received for each in fleet.caches.values()) / len(fleet.caches)
+    return cache.received / max(NO_REQUESTS, mean_received)
 
 
 def measure_sample(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Sample:
-    """Warm up, remove the cache, start it cold, and wait until some windows after its slow start."""
+    """Warm up, remove the cache, start it empty, and run until some windows after its slow start.
+
+    Raises TimeLimitReachedError.
+    """
     fleet = build_fleet(parameters, size, seed)
     cache = select_cache(fleet, parameters)
-    settings = fleet.settings
     run_fleet(fleet, parameters.warm_s, context)
-    context.progress("the cache goes")
+    context.progress("the cache is shut down")
     remove_cache(fleet, cache, parameters)
     run_fleet(fleet, parameters.absent_s, context)
     context.progress("the cache starts")
     restore_cache(fleet, cache, parameters)
-    run_fleet(fleet, settings.slow_start_duration, context)
-    metrics = {"requests_per_s": fleet.model.requests_per_s * fleet.model.routers}
-    metrics |= slow_start_metrics(fleet, cache)
-    for each in fleet.caches.values():
-        each.reset_statistics()
-    run_fleet(fleet, settings.overload_window * WARM_WINDOWS, context)
-    mean_received = sum(each.received for each in fleet.caches.values()) / len(fleet.caches)
-    metrics["fair_share"] = cache.received / max(1e-9, mean_received)
-    metrics |= budget_metrics(fleet, cache)
-    return Sample({name: metrics[name] for name in METRICS})
+    run_fleet(fleet, fleet.settings.slow_start_duration, context)
+    usage = slow_start_usage(fleet, cache)
+    share = fair_share(fleet, cache, context)
+    budget = cold_cache_budget(fleet, cache)
+    metrics = ColdStartMetrics(
+        requests_per_s=fleet.model.requests_per_s * fleet.model.routers,
+        budget_share=budget.used_share,
+        budget_slack_share=budget.used_share_with_slack,
+        budget_first_count=budget.first_window,
+        received=usage.received,
+        received_again_share=usage.retry_share,
+        fair_share=share,
+        served_share=usage.served_share,
+        attempts_per_request=usage.attempts_per_request,
+        tries_per_wish=usage.requests_per_client_request,
+        origin_per_request=usage.origin_attempts_per_request,
+    )
+    return Sample(metrics.values())
 
 
 def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
@@ -177,5 +253,9 @@
 
 
 SCENARIO = Scenario(
-    description=__doc__ or "", parameters=Parameters, size=Size, metric_descriptions=METRICS, measure=measure
+    description=__doc__ or "",
+    parameters=Parameters,
+    size=Size,
+    metric_descriptions=ColdStartMetrics.descriptions(),
+    measure=measure,
 )
--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -44,7 +44,7 @@
 
 
 class Parameters(BaseModel):
-    """What all sizes of an experiment have in common. Times are in seconds."""
+    """What all sizes of an experiment have in common. Times are in seconds; aliases are the keys."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -56,7 +56,9 @@
     warm_s: float = Field(6.0, gt=0, description="of load before it is measured")
     before_s: float = Field(5.0, gt=SETTLING_SECONDS, description="measured before the surge")
     after_s: float = Field(30.0, gt=SETTLING_SECONDS, description="measured after the surge")
-    skew: float = Field(0.95, ge=0, description="exponent of the popularity of keys (Zipf's law)")
+    zipf_exponent: float = Field(
+        0.95, alias="skew", ge=0, description="exponent of the popularity of keys (Zipf's law)"
+    )
 
 
 class Size(BaseModel):
@@ -81,7 +83,7 @@
         routers_sampled=size.routers_run,
         caches=size.caches,
         requests_per_s=requests_per_s(parameters, size) / size.routers_run,
-        zipf_exponent=parameters.skew,
+        zipf_exponent=parameters.zipf_exponent,
         cores=size.cores,
         zones=3,
     )
