--- a/scale_experiments/scenarios/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -1,15 +1,15 @@
-"""Connections and handshakes between routers and page caches, by instances of the decision module.
+"""Connections and handshakes between routers and page caches, in a simulated fleet.
 
-The fleet is steady: no cache comes or goes, and none is short of capacity. A sample of the routers is run,
-and the connections of a cache are scaled up to the fleet, by `routers` over `routers_run`. The worst cache's
-figures then include the chance of the sample, and are rather too high than too low.
+The fleet is steady: no cache joins or leaves, and all have enough capacity. A sample of the routers is run,
+and the connections of a cache are scaled up to the fleet, by the ratio of `routers` to `routers_run`. The
+figures of the worst cache therefore include the sampling error, and tend to be too high.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterator
-from typing import Annotated
+from dataclasses import dataclass
 
 import numpy as np
 from hdrh.histogram import HdrHistogram
@@ -18,57 +18,106 @@
 from cache_router.settings import Settings
 from scale_experiments.runs.context import ExperimentContext, Sample
 from scale_experiments.runs.fleet_run import complete_sample, run_fleet
+from scale_experiments.runs.metrics import Cores, Count, Metrics, PerSecond, Ratio, Seconds, Share
 from scale_experiments.runs.scenario import Scenario, WholeNumber
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
 from scale_experiments.simulation.statistics import CountedEvent
 
-SERVERS_USED_WINDOW_S = 10.0  # seconds within which the caches that a router meets are counted
+SERVERS_USED_WINDOW_S = 10.0  # in which the distinct caches that a router connects to are counted
 MIN_ROUTERS_SAMPLED = 10
-MAX_LATENCY_US = 10_000_000  # that a histogram holds
-
-METRICS = {
-    "routers_run": "routers that were simulated; all counts at a cache are of these, scaled up to the fleet",
-    "cache_connections_mean": "connections open at a page cache, mean over time and caches (scaled)",
-    "cache_connections_p99": "the same at the 99th percentile of caches, mean over time (scaled)",
-    "cache_connections_worst": "the same of the worst cache, mean over time (scaled)",
-    "cache_connections_worst_high": "99th percentile over time at the worst cache (scaled, taken as normal)",
-    "cache_connections_per_core": "cache_connections_worst over cache_cores",
-    "cache_cores": "cores that a page cache needs for its mean rate of requests at the stated use",
-    "cache_requests_per_s": "attempts received at a page cache, mean (scaled)",
-    "cache_requests_worst_ratio": "attempts received at the worst cache over the mean",
-    "cache_handshakes_per_s": "connections made to a page cache, mean (scaled)",
-    "cache_handshake_cores": "cores that a page cache spends on handshakes, mean (scaled)",
-    "handshakes_per_request": "connections made for each request taken (measured)",
-    "attempts_per_request": "attempts at page caches for each request taken (measured)",
-    "router_connections_mean": "connections to page caches that a router holds, mean over time (measured)",
-    "router_connections_most": "the most that any router held at once (measured)",
-    "router_idle_share": "of the connections open at the end that were idle (measured)",
-    "router_dials_per_s": "connections that a router opens (measured)",
-    "caches_met_10s": "distinct page caches that a router sends to within 10 s, mean (measured)",
-    "handle_cpu_s": "processor time of one call of Router.handle, mean of every 16th (measured)",
-    "handle_calls_per_request": "calls of Router.handle for each request taken (measured)",
-    "router_core_share": "of a core that the decision module takes at this rate (measured)",
-    "served_share": "requests of clients that were served, retries included (measured)",
-}
+MAX_LATENCY_US = 10_000_000  # the largest value of the histogram
+HIGH_PERCENTILE = 99
+
+
+class ConnectionsMetrics(Metrics):
+    """Connections of page caches and routers; the first word says whose."""
+
+    routers_run: Count = Field(
+        description="routers that were simulated; all counts at a cache are of these, scaled up to the fleet"
+    )
+    cache_connections_mean: Count = Field(
+        description="connections open at a page cache, mean over time and caches (scaled)"
+    )
+    cache_connections_p99: Count = Field(
+        description="the same at the 99th percentile of caches, mean over time (scaled)"
+    )
+    cache_connections_worst: Count = Field(description="the same of the worst cache, mean over time (scaled)")
+    cache_connections_worst_high: Count = Field(
+        description="99th percentile over time at the worst cache (scaled, taken as normal)"
+    )
+    cache_connections_per_core: Ratio = Field(description="cache_connections_worst over cache_cores")
+    cache_cores: Cores = Field(
+        description="cores that a page cache needs for its mean rate of requests at the stated use"
+    )
+    cache_requests_per_s: PerSecond = Field(description="attempts received at a page cache, mean (scaled)")
+    cache_requests_worst_ratio: Ratio = Field(
+        description="attempts received at the worst cache over the mean"
+    )
+    cache_handshakes_per_s: PerSecond = Field(description="connections made to a page cache, mean (scaled)")
+    cache_handshake_cores: Cores = Field(
+        description="cores that a page cache spends on handshakes, mean (scaled)"
+    )
+    handshakes_per_request: Ratio = Field(description="connections made for each request taken (measured)")
+    attempts_per_request: Ratio = Field(
+        description="attempts at page caches for each request taken (measured)"
+    )
+    router_connections_mean: Count = Field(
+        description="connections to page caches that a router holds, mean over time (measured)"
+    )
+    router_connections_most: Count = Field(description="the most that any router held at once (measured)")
+    router_idle_share: Share = Field(
+        description="of the connections open at the end that were idle (measured)"
+    )
+    router_dials_per_s: PerSecond = Field(description="connections that a router opens (measured)")
+    caches_met_10s: Count = Field(
+        description="distinct page caches that a router sends to within 10 s, mean (measured)"
+    )
+    handle_cpu_s: Seconds = Field(
+        description="processor time of one call of Router.handle, mean of every 16th (measured)"
+    )
+    handle_calls_per_request: Ratio = Field(
+        description="calls of Router.handle for each request taken (measured)"
+    )
+    router_core_share: Share = Field(
+        description="of a core that the decision module takes at this rate (measured)"
+    )
+    served_share: Share = Field(
+        description="requests of clients that were served, retries included (measured)"
+    )
 
 
 class Parameters(BaseModel):
-    """What all sizes of an experiment have in common: each is of a whole fleet."""
+    """What all sizes of an experiment have in common. Times are in seconds; aliases are the keys."""
 
     model_config = ConfigDict(extra="forbid")
 
-    connection_price: Annotated[float, Field(ge=0)]
-    handshake_price: Annotated[float, Field(ge=0)]
-    connection_idle_s: Annotated[float, Field(gt=1)] = 10.0
-    descriptors: Annotated[int, Field(ge=1)] = 372
-    skew: Annotated[float, Field(ge=0)] = 0.95
-    objects: Annotated[int, Field(ge=1)] = 100_000
-    hit_share: Annotated[float, Field(ge=0, le=1)] = 0.9
-    use_share: Annotated[float, Field(gt=0, le=1)] = 0.6
-    warm_s: Annotated[float, Field(gt=0)] = 12.0  # unless a size says otherwise
-    measured_s: Annotated[float, Field(ge=SERVERS_USED_WINDOW_S)] = 10.0
-    most_requests: Annotated[int, Field(ge=1000)] = 60_000
+    connection_price: float = Field(
+        ge=0, description="cost of 100 open connections at every cache, in the settings"
+    )
+    handshake_price: float = Field(
+        ge=0, description="cost of a new connection for every request, in the settings"
+    )
+    idle_timeout_s: float = Field(
+        10.0, alias="connection_idle_s", gt=1, description="after which an idle connection is closed"
+    )
+    router_descriptors: int = Field(
+        372, alias="descriptors", ge=1, description="file descriptors of a router"
+    )
+    zipf_exponent: float = Field(
+        0.95, alias="skew", ge=0, description="exponent of the popularity of keys (Zipf's law)"
+    )
+    objects: int = Field(100_000, ge=1, description="distinct objects")
+    hit_share: float = Field(0.9, ge=0, le=1, description="share of reads that find their object at a cache")
+    use_share: float = Field(0.6, gt=0, le=1, description="share of the caches' cores in use")
+    warm_s: float = Field(12.0, gt=0, description="of load before it is measured, unless a size has its own")
+    measured_s: float = Field(10.0, ge=SERVERS_USED_WINDOW_S, description="of load that is measured")
+    max_requests: int = Field(
+        60_000,
+        alias="most_requests",
+        ge=1000,
+        description="requests to simulate for each size, approximately",
+    )
 
 
 class Size(BaseModel):
@@ -82,17 +131,12 @@
     warm_s: float | None = Field(None, description="seconds before it is measured; by default the parameter")
 
 
-def percentiles(values: list[float]) -> tuple[float, float, float]:
-    """Mean, 99th percentile and maximum."""
-    return float(np.mean(values)), float(np.percentile(values, 99)), max(values)
-
-
 def build_model(parameters: Parameters, size: Size, warm_s: float) -> FleetModel:
-    """The fleet of a size; so many routers are sampled that there are about `most_requests` requests."""
+    """The fleet of a size; the sample of routers is sized for about `max_requests` requests."""
     routers = size.routers
     rate = size.requests_per_s / routers
-    spans = warm_s + parameters.measured_s
-    affordable = max(MIN_ROUTERS_SAMPLED, int(parameters.most_requests / (rate * spans)))
+    duration_s = warm_s + parameters.measured_s
+    affordable = max(MIN_ROUTERS_SAMPLED, int(parameters.max_requests / (rate * duration_s)))
     return FleetModel(
         routers=routers,
         caches=size.caches,
@@ -101,9 +145,9 @@
         zones=size.zones,
         regions=size.regions,
         objects=parameters.objects,
-        zipf_exponent=parameters.skew,
+        zipf_exponent=parameters.zipf_exponent,
         hit_share=parameters.hit_share,
-        router_descriptors=parameters.descriptors,
+        router_descriptors=parameters.router_descriptors,
     )
 
 
@@ -112,7 +156,7 @@
     return site_settings(
         connection_price=parameters.connection_price,
         handshake_price=parameters.handshake_price,
-        connection_idle_timeout=parameters.connection_idle_s,
+        connection_idle_timeout=parameters.idle_timeout_s,
     )
 
 
@@ -124,72 +168,125 @@
     return latency
 
 
-def compute_metrics(fleet: Fleet, parameters: Parameters) -> dict[str, float]:
-    """The metrics of a fleet since its last reset."""
-    counts = fleet.statistics.counts
-    metrics = {
-        "routers_run": fleet.model.routers_run,
-        "served_share": counts[CountedEvent.SERVED] / max(1, counts[CountedEvent.CLIENT_REQUEST]),
-        **cache_metrics(fleet, parameters.use_share),
-        **router_metrics(fleet),
-        **decision_metrics(fleet),
-    }
-    return {name: metrics[name] for name in METRICS}
-
-
-def cache_metrics(fleet: Fleet, use_share: float) -> dict[str, float]:
-    """What the page caches bear, scaled up to the whole fleet; their cores are used to `use_share`."""
+@dataclass(slots=True, frozen=True)
+class CacheLoad:
+    """The load of the page caches, scaled up to the complete fleet; connections are means over time."""
+
+    mean_connections: float
+    high_connections: float  # at the HIGH_PERCENTILE of caches
+    worst_connections: float  # of the worst cache
+    worst_connections_peak: float  # at the HIGH_PERCENTILE over time, of the worst cache
+    cores: int  # that a cache needs
+    requests_per_s: float  # at a cache
+    worst_requests_ratio: float  # at the busiest cache, over the mean
+    handshakes_per_s: float  # at a cache
+    handshake_cores: float  # of a cache
+
+
+@dataclass(slots=True, frozen=True)
+class RouterLoad:
+    """Connections and requests of the routers that are run."""
+
+    handshakes_per_request: float
+    attempts_per_request: float
+    mean_connections: float  # of a router, over time
+    max_connections: int  # of any router
+    idle_share: float  # of the connections that are open now
+    dials_per_s: float  # of a router
+    caches_used: float  # distinct caches of a router within SERVERS_USED_WINDOW_S
+
+
+@dataclass(slots=True, frozen=True)
+class DecisionCost:
+    """The processor time of the decision module."""
+
+    seconds_per_call: float
+    calls_per_request: float
+    core_share: float  # of a core, at the rate of requests of a router
+
+
+def cache_load(fleet: Fleet, use_share: float) -> CacheLoad:
+    """The load of the page caches since the last reset; their cores are used to `use_share`."""
     model, now = fleet.model, fleet.events.now
     seconds = now - fleet.statistics.counted_from
     caches = list(fleet.caches.values())
-    mean, high, worst = percentiles([model.scale * cache.connections.mean(now) for cache in caches])
+    connections = [model.scale * cache.connections.mean(now) for cache in caches]
     received = [cache.received for cache in caches]
     rate = model.scale * sum(received) / len(caches) / seconds
     handshakes = model.scale * fleet.statistics.counts[CountedEvent.HANDSHAKE] / len(caches) / seconds
-    cores = math.ceil(rate * model.mean_service_time / use_share)
-    worst_high = max(cache.connections.percentile_99(now, model.scale) for cache in caches)
-    return {
-        "cache_connections_mean": mean,
-        "cache_connections_p99": high,
-        "cache_connections_worst": worst,
-        "cache_connections_worst_high": worst_high,
-        "cache_connections_per_core": worst / cores,
-        "cache_cores": cores,
-        "cache_requests_per_s": rate,
-        "cache_requests_worst_ratio": max(received) * len(caches) / max(1, sum(received)),
-        "cache_handshakes_per_s": handshakes,
-        "cache_handshake_cores": handshakes * model.handshake_core_time,
-    }
-
-
-def router_metrics(fleet: Fleet) -> dict[str, float]:
-    """What the routers that are run do and hold."""
+    return CacheLoad(
+        mean_connections=float(np.mean(connections)),
+        high_connections=float(np.percentile(connections, HIGH_PERCENTILE)),
+        worst_connections=max(connections),
+        worst_connections_peak=max(cache.connections.percentile_99(now, model.scale) for cache in caches),
+        cores=math.ceil(rate * model.mean_service_time / use_share),
+        requests_per_s=rate,
+        worst_requests_ratio=max(received) * len(caches) / max(1, sum(received)),
+        handshakes_per_s=handshakes,
+        handshake_cores=handshakes * model.handshake_core_time,
+    )
+
+
+def router_load(fleet: Fleet) -> RouterLoad:
+    """Connections and requests of the routers since the last reset."""
     counts, now = fleet.statistics.counts, fleet.events.now
     seconds = now - fleet.statistics.counted_from
     requests = max(1, counts[CountedEvent.REQUEST])
     pools = [router.pool for router in fleet.routers]
     routers = fleet.model.routers_run
     open_connections = sum(pool.connections.current for pool in pools)
-    return {
-        "handshakes_per_request": counts[CountedEvent.HANDSHAKE] / requests,
-        "attempts_per_request": counts[CountedEvent.ATTEMPT] / requests,
-        "router_connections_mean": sum(pool.connections.mean(now) for pool in pools) / routers,
-        "router_connections_most": max(pool.connections.peak for pool in pools),
-        "router_idle_share": sum(len(pool.idle) for pool in pools) / max(1, open_connections),
-        "router_dials_per_s": counts[CountedEvent.CONNECT] / routers / seconds,
-        "caches_met_10s": float(np.mean(fleet.statistics.servers_used)),
-    }
-
-
-def decision_metrics(fleet: Fleet) -> dict[str, float]:
-    """The processor time of the decision module."""
+    return RouterLoad(
+        handshakes_per_request=counts[CountedEvent.HANDSHAKE] / requests,
+        attempts_per_request=counts[CountedEvent.ATTEMPT] / requests,
+        mean_connections=sum(pool.connections.mean(now) for pool in pools) / routers,
+        max_connections=max(pool.connections.peak for pool in pools),
+        idle_share=sum(len(pool.idle) for pool in pools) / max(1, open_connections),
+        dials_per_s=counts[CountedEvent.CONNECT] / routers / seconds,
+        caches_used=float(np.mean(fleet.statistics.servers_used)),
+    )
+
+
+def decision_cost(fleet: Fleet) -> DecisionCost:
+    """The processor time of the decision module since the last reset."""
     calls = fleet.decision_timer.calls_per_request()
     seconds_per_call = fleet.decision_timer.seconds_per_call()
-    return {
-        "handle_cpu_s": seconds_per_call,
-        "handle_calls_per_request": calls,
-        "router_core_share": calls * seconds_per_call * fleet.model.requests_per_s,
-    }
+    return DecisionCost(
+        seconds_per_call=seconds_per_call,
+        calls_per_request=calls,
+        core_share=calls * seconds_per_call * fleet.model.requests_per_s,
+    )
+
+
+def compute_metrics(fleet: Fleet, parameters: Parameters) -> ConnectionsMetrics:
+    """The metrics of a fleet since its last reset."""
+    counts = fleet.statistics.counts
+    caches = cache_load(fleet, parameters.use_share)
+    routers = router_load(fleet)
+    decisions = decision_cost(fleet)
+    return ConnectionsMetrics(
+        routers_run=fleet.model.routers_run,
+        cache_connections_mean=caches.mean_connections,
+        cache_connections_p99=caches.high_connections,
+        cache_connections_worst=caches.worst_connections,
+        cache_connections_worst_high=caches.worst_connections_peak,
+        cache_connections_per_core=caches.worst_connections / caches.cores,
+        cache_cores=caches.cores,
+        cache_requests_per_s=caches.requests_per_s,
+        cache_requests_worst_ratio=caches.worst_requests_ratio,
+        cache_handshakes_per_s=caches.handshakes_per_s,
+        cache_handshake_cores=caches.handshake_cores,
+        handshakes_per_request=routers.handshakes_per_request,
+        attempts_per_request=routers.attempts_per_request,
+        router_connections_mean=routers.mean_connections,
+        router_connections_most=routers.max_connections,
+        router_idle_share=routers.idle_share,
+        router_dials_per_s=routers.dials_per_s,
+        caches_met_10s=routers.caches_used,
+        handle_cpu_s=decisions.seconds_per_call,
+        handle_calls_per_request=decisions.calls_per_request,
+        router_core_share=decisions.core_share,
+        served_share=counts[CountedEvent.SERVED] / max(1, counts[CountedEvent.CLIENT_REQUEST]),
+    )
 
 
 def measure_sample(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Sample:
@@ -205,7 +302,7 @@
     fleet.watch_servers_used(SERVERS_USED_WINDOW_S)
     context.progress(f"{description}: measuring")
     run_fleet(fleet, parameters.measured_s, context)
-    return Sample(compute_metrics(fleet, parameters), {"latency": latency_histogram(fleet)})
+    return Sample(compute_metrics(fleet, parameters).values(), {"latency": latency_histogram(fleet)})
 
 
 def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
@@ -214,5 +311,9 @@
 
 
 SCENARIO = Scenario(
-    description=__doc__ or "", parameters=Parameters, size=Size, metric_descriptions=METRICS, measure=measure
+    description=__doc__ or "",
+    parameters=Parameters,
+    size=Size,
+    metric_descriptions=ConnectionsMetrics.descriptions(),
+    measure=measure,
 )
