--- a/scale_experiments/scenarios/list_change.py
+++ b/scale_experiments/scenarios/list_change.py
@@ -173,12 +173,13 @@
 
     settings: Settings
     entries: Sequence[EndpointEntry]
-    parameters: Parameters
+    changes_per_kind: int
+    snapshots: int
     seed: int
 
     def changes(self) -> ChangeSequence:
         """The changes of the sample, the same each time."""
-        return self._changes(self.parameters.changes)
+        return self._changes(self.changes_per_kind)
 
     def first_change(self) -> bytes:
         """The first change, as discovery's JSON."""
@@ -192,7 +193,7 @@
         return ChangeSequence(self.entries, np.random.default_rng(self.seed), rounds)
 
 
-def measure_router(workload: ListWorkload) -> tuple[dict[str, float], HdrHistogram]:
+def measure_router(workload: ListWorkload) -> tuple[dict[str, float], list[float]]:
     """The decision module alone, which gets endpoints that are decoded already."""
     endpoints = read_endpoints(workload.snapshot())
     clock = SteppingClock()
@@ -208,7 +209,7 @@
         "request_cpu_s": statistics.fmean(request_costs),
         "zone_cpu_s": zone_cpu_s,
         **snapshot_costs,
-    }, cost_histogram(every_cost)
+    }, every_cost
 
 
 def measure_router_snapshots(
@@ -218,7 +219,7 @@
     snapshot = EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints)
     first, same = [], []
     router = Router(workload.settings, workload.seed, clock.advance())
-    for _ in range(workload.parameters.whole_lists):
+    for _ in range(workload.snapshots):
         router = Router(workload.settings, workload.seed, clock.advance())
         first.append(thread_cpu_s(router.handle, clock.advance(), snapshot))
         same.append(thread_cpu_s(router.handle, clock.advance(), snapshot))
@@ -252,18 +253,18 @@
     draining = read_endpoints(encode_list({"index": 1, "snapshot": False, "endpoints": zone}))
     ready = tuple(endpoint for endpoint in endpoints if endpoint.zone == endpoints[0].zone)
     costs = []
-    for _ in range(workload.parameters.whole_lists):
+    for _ in range(workload.snapshots):
         update = EndpointUpdate(EndpointUpdateKind.DELTA, draining)
         costs.append(thread_cpu_s(router.handle, clock.advance(), update))
         router.handle(clock.advance(), EndpointUpdate(EndpointUpdateKind.DELTA, ready))
     return statistics.fmean(costs)
 
 
-def measure_path(workload: ListWorkload) -> tuple[dict[str, float], HdrHistogram]:
+def measure_path(workload: ListWorkload) -> tuple[dict[str, float], list[float]]:
     """All that a list costs once its bytes are there: JSON, endpoints, table, decision module."""
     snapshot = workload.snapshot()
     first, same, costs, sizes = [], [], [], []
-    for _ in range(workload.parameters.whole_lists):
+    for _ in range(workload.snapshots):
         dispatcher = build_dispatcher(workload.settings, workload.seed)
         first.append(thread_cpu_s(deliver, dispatcher, snapshot))
         same.append(thread_cpu_s(deliver, dispatcher, snapshot))
@@ -279,7 +280,7 @@
         "path_same_list_cpu_s": statistics.fmean(same),
         "change_bytes": statistics.fmean(sizes),
         "whole_list_bytes": float(len(snapshot)),
-    }, cost_histogram(costs)
+    }, costs
 
 
 def measure_memory(workload: ListWorkload) -> dict[str, float]:
@@ -322,7 +323,8 @@
     """One sample; CPU seconds are of this thread alone, so that a busy machine adds little to them."""
     changes_per_s = size.changes_per_s
     entries = build_entries(size.caches, parameters.zones, parameters.weight, np.random.default_rng(seed))
-    workload = ListWorkload(build_settings(size.routers), entries, parameters, seed)
+    settings = build_settings(size.routers)
+    workload = ListWorkload(settings, entries, parameters.changes, parameters.whole_lists, seed)
     gc.collect()
     gc.freeze()  # objects of the experiment are not a router's to collect
     try:
@@ -339,7 +341,9 @@
     metrics["reference_cpu_s"] = statistics.fmean(references)
     metrics["core_share"] = changes_per_s * metrics["path_change_cpu_s"]
     metrics["change_bytes_per_s"] = changes_per_s * metrics["change_bytes"]
-    yield Sample(metrics, {"change_us": change_costs, "path_change_us": path_costs})
+    yield Sample(
+        metrics, {"change_us": cost_histogram(change_costs), "path_change_us": cost_histogram(path_costs)}
+    )
 
 
 SCENARIO = Scenario(
