--- a/scale_experiments/scenarios/list_costs/memory.py
+++ b/scale_experiments/scenarios/list_costs/memory.py
@@ -4,21 +4,31 @@
 
 import gc
 import tracemalloc
+from dataclasses import dataclass
 
 from cache_router.decisions.events import EndpointUpdate, EndpointUpdateKind
 from cache_router.decisions.router import Router
 from scale_experiments.scenarios.list_costs.path import build_dispatcher, deliver
-from scale_experiments.scenarios.list_costs.workload import ListWorkload, read_endpoints
+from scale_experiments.scenarios.list_costs.workload import START_TIME, ListWorkload, read_endpoints
+
+
+@dataclass(slots=True, frozen=True)
+class ListMemory:
+    """Bytes that a list takes, as `tracemalloc` counts them."""
+
+    router_bytes: int  # a Router, without the endpoints
+    dispatcher_bytes: int  # a Dispatcher, with its router and the endpoints
+    change_peak_bytes: int  # above that, for a moment, while it applies one change
 
 
 def traced_bytes() -> int:
-    """Bytes allocated and not garbage."""
+    """Bytes that are allocated, after a collection of garbage."""
     gc.collect()
     return tracemalloc.get_traced_memory()[0]
 
 
-def measure_memory(workload: ListWorkload) -> dict[str, float]:
-    """What the interpreter allocates, with every allocation traced; nothing is timed meanwhile."""
+def measure_memory(workload: ListWorkload) -> ListMemory:
+    """Measure what the interpreter allocates; tracing slows it down, so that nothing is timed here."""
     settings, seed = workload.settings, workload.seed
     snapshot = workload.snapshot()
     endpoints = read_endpoints(snapshot)
@@ -26,8 +36,8 @@
     tracemalloc.start()
     try:
         before = traced_bytes()
-        router = Router(settings, seed, 1e9)
-        router.handle(1e9, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints))
+        router = Router(settings, seed, START_TIME)
+        router.handle(START_TIME, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints))
         router_bytes = traced_bytes() - before
         del router
         before = traced_bytes()
@@ -40,8 +50,4 @@
         peak = tracemalloc.get_traced_memory()[1] - before
     finally:
         tracemalloc.stop()
-    return {
-        "router_bytes": float(router_bytes),
-        "host_bytes": float(dispatcher_bytes),
-        "change_peak_bytes": float(peak),
-    }
+    return ListMemory(router_bytes, dispatcher_bytes, peak)
--- a/scale_experiments/scenarios/list_costs/path.py
+++ b/scale_experiments/scenarios/list_costs/path.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-import statistics
+from collections.abc import Sequence
+from dataclasses import dataclass
 
 import orjson
 
@@ -15,38 +16,55 @@
 from scale_experiments.measurement.reference_work import thread_cpu_s
 from scale_experiments.scenarios.list_costs.workload import ListWorkload
 
+CONNECTION_LIMIT = 8  # of each pool, which stays empty
+
+
+@dataclass(slots=True, frozen=True)
+class PathCosts:
+    """CPU seconds of single deliveries, by what was delivered, and the bytes of their JSON."""
+
+    changes: Sequence[float]
+    first_snapshots: Sequence[float]
+    unchanged_snapshots: Sequence[float]
+    change_bytes: Sequence[int]
+    snapshot_bytes: int
+
 
 def build_dispatcher(settings: Settings, seed: int) -> Dispatcher:
     """A router's dispatcher, with pools that hold no connection."""
-    servers = ConnectionPool(CacheConnection, 8, settings.connect_timeout, settings.connection_idle_timeout)
-    origin = ConnectionPool(OriginConnection, 8, settings.connect_timeout, settings.connection_idle_timeout)
+    servers = ConnectionPool(
+        CacheConnection, CONNECTION_LIMIT, settings.connect_timeout, settings.connection_idle_timeout
+    )
+    origin = ConnectionPool(
+        OriginConnection, CONNECTION_LIMIT, settings.connect_timeout, settings.connection_idle_timeout
+    )
     return Dispatcher(settings, seed, servers, origin, lambda: None)
 
 
 def deliver(dispatcher: Dispatcher, text: bytes) -> None:
-    """Do what a watch does with a response."""
+    """Read a list and pass it to the dispatcher, as the program's watch does with a response."""
     update = read_endpoint_list(orjson.loads(text))
     dispatcher.on_endpoint_update(update.update_kind, update.endpoints)
 
 
-def measure_path(workload: ListWorkload) -> tuple[dict[str, float], list[float]]:
-    """All that a list costs once its bytes are there: JSON, endpoints, table, decision module."""
+def measure_path(workload: ListWorkload) -> PathCosts:
+    """Measure what a list costs once its bytes have arrived: JSON, endpoints, table, decision module."""
     snapshot = workload.snapshot()
-    first, same, costs, sizes = [], [], [], []
+    first, unchanged, changes, sizes = [], [], [], []
     for _ in range(workload.snapshots):
         dispatcher = build_dispatcher(workload.settings, workload.seed)
         first.append(thread_cpu_s(deliver, dispatcher, snapshot))
-        same.append(thread_cpu_s(deliver, dispatcher, snapshot))
+        unchanged.append(thread_cpu_s(deliver, dispatcher, snapshot))
     for change in workload.changes():
         text = change.encoded()
         cost = thread_cpu_s(deliver, dispatcher, text)
         if change.kind is not None:
-            costs.append(cost)
+            changes.append(cost)
             sizes.append(len(text))
-    return {
-        "path_change_cpu_s": statistics.fmean(costs),
-        "path_first_list_cpu_s": statistics.fmean(first),
-        "path_same_list_cpu_s": statistics.fmean(same),
-        "change_bytes": statistics.fmean(sizes),
-        "whole_list_bytes": float(len(snapshot)),
-    }, costs
+    return PathCosts(
+        changes=changes,
+        first_snapshots=first,
+        unchanged_snapshots=unchanged,
+        change_bytes=sizes,
+        snapshot_bytes=len(snapshot),
+    )
--- a/scale_experiments/scenarios/list_costs/router.py
+++ b/scale_experiments/scenarios/list_costs/router.py
@@ -1,9 +1,10 @@
-"""Processor time of the decision module alone, which gets endpoints that are decoded already."""
+"""Processor time of the decision module alone, which receives decoded endpoints."""
 
 from __future__ import annotations
 
-import statistics
 import time
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
 
 from cache_router.decisions.actions import Send
 from cache_router.decisions.events import (
@@ -18,23 +19,57 @@
 from scale_experiments.endpoint_lists.endpoint_changes import ChangeKind
 from scale_experiments.endpoint_lists.endpoint_entries import TERMINATING, EndpointEntry, encode_list
 from scale_experiments.measurement.reference_work import thread_cpu_s
-from scale_experiments.scenarios.list_costs.workload import ListWorkload, read_endpoints
+from scale_experiments.scenarios.list_costs.workload import START_TIME, ListWorkload, read_endpoints
+
+RESPONSE_TIME_S = 0.01  # of the server that answers a request
+
+
+@dataclass(slots=True, frozen=True)
+class RouterCosts:
+    """CPU seconds of single calls of `Router.handle`, by what was handled."""
+
+    changes: Mapping[ChangeKind, Sequence[float]]
+    requests: Sequence[float]  # the first after each change
+    zone_drains: Sequence[float]  # one update that drains all caches of a zone
+    first_snapshots: Sequence[float]
+    unchanged_snapshots: Sequence[float]
+
+    def all_changes(self) -> list[float]:
+        """The costs of the changes of all kinds."""
+        return [cost for costs in self.changes.values() for cost in costs]
+
+
+@dataclass(slots=True, frozen=True)
+class SnapshotCosts:
+    """A router that has the list, and the CPU seconds of the snapshots that were measured."""
+
+    router: Router
+    first: Sequence[float]
+    unchanged: Sequence[float]
+
+
+@dataclass(slots=True, frozen=True)
+class ChangeCosts:
+    """CPU seconds of changes, by kind, and of the first request after each."""
+
+    changes: Mapping[ChangeKind, Sequence[float]]
+    requests: Sequence[float]
 
 
 class SteppingClock:
-    """The time that a router is given, in seconds; it only advances."""
+    """The time that is passed to a router, in seconds; it only advances."""
 
     def __init__(self) -> None:
-        self.time = 1e9
+        self.time = START_TIME
 
     def advance(self) -> float:
-        """One second later."""
+        """Advance by one second; returns the new time."""
         self.time += 1.0
         return self.time
 
 
 def first_request_cpu_s(router: Router, now: float, number: int) -> float:
-    """CPU seconds of a request, which also meets work that a change put off; it is then answered."""
+    """CPU seconds of a request, which include the work that a change has deferred; it is then answered."""
     name = f"r{number}"
     request = Request(name, "page-read", 1.2, f"page:{number}")
     started_at = time.thread_time()
@@ -42,63 +77,59 @@
     spent = time.thread_time() - started_at
     for action in actions:
         if isinstance(action, Send):
-            router.handle(now + 0.01, AttemptCompleted(name, 0, AttemptStatus.OK, True, 0.01))
+            completed = AttemptCompleted(name, 0, AttemptStatus.OK, True, RESPONSE_TIME_S)
+            router.handle(now + RESPONSE_TIME_S, completed)
     return spent
 
 
-def measure_router(workload: ListWorkload) -> tuple[dict[str, float], list[float]]:
-    """The decision module alone, which gets endpoints that are decoded already."""
+def measure_router(workload: ListWorkload) -> RouterCosts:
+    """Measure snapshots, changes and the drain of a zone, in this order, on one router."""
     endpoints = read_endpoints(workload.snapshot())
     clock = SteppingClock()
-    router, snapshot_costs = measure_router_snapshots(workload, endpoints, clock)
-    change_costs, request_costs = measure_router_changes(workload, router, clock)
-    zone_cpu_s = measure_router_zone(workload, endpoints, router, clock)
-    means = {f"{kind}_cpu_s": statistics.fmean(costs) for kind, costs in change_costs.items() if costs}
-    every_cost = [cost for costs in change_costs.values() for cost in costs]
-    return {
-        **means,
-        "change_cpu_s": statistics.fmean(means.values()),
-        "change_max_cpu_s": max(every_cost),
-        "request_cpu_s": statistics.fmean(request_costs),
-        "zone_cpu_s": zone_cpu_s,
-        **snapshot_costs,
-    }, every_cost
-
-
-def measure_router_snapshots(
+    snapshots = measure_snapshots(workload, endpoints, clock)
+    router = snapshots.router
+    changes = measure_changes(workload, router, clock)
+    zone_drains = measure_zone_drains(workload, endpoints, router, clock)
+    return RouterCosts(
+        changes=changes.changes,
+        requests=changes.requests,
+        zone_drains=zone_drains,
+        first_snapshots=snapshots.first,
+        unchanged_snapshots=snapshots.unchanged,
+    )
+
+
+def measure_snapshots(
     workload: ListWorkload, endpoints: tuple[Endpoint, ...], clock: SteppingClock
-) -> tuple[Router, dict[str, float]]:
-    """A router that has the list; the mean CPU seconds of a first snapshot and of an unchanged one."""
+) -> SnapshotCosts:
+    """Measure the first snapshot of new routers, and an unchanged one after each; returns the last router."""
     snapshot = EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints)
-    first, same = [], []
+    first, unchanged = [], []
     router = Router(workload.settings, workload.seed, clock.advance())
     for _ in range(workload.snapshots):
         router = Router(workload.settings, workload.seed, clock.advance())
         first.append(thread_cpu_s(router.handle, clock.advance(), snapshot))
-        same.append(thread_cpu_s(router.handle, clock.advance(), snapshot))
-    means = {"first_list_cpu_s": statistics.fmean(first), "same_list_cpu_s": statistics.fmean(same)}
-    return router, means
+        unchanged.append(thread_cpu_s(router.handle, clock.advance(), snapshot))
+    return SnapshotCosts(router, first, unchanged)
 
 
-def measure_router_changes(
-    workload: ListWorkload, router: Router, clock: SteppingClock
-) -> tuple[dict[ChangeKind, list[float]], list[float]]:
-    """CPU seconds of the changes of each kind, and of the first request after each change."""
-    change_costs: dict[ChangeKind, list[float]] = {kind: [] for kind in ChangeKind}
-    request_costs: list[float] = []
+def measure_changes(workload: ListWorkload, router: Router, clock: SteppingClock) -> ChangeCosts:
+    """Measure the changes of each kind, and the first request after each change."""
+    changes: dict[ChangeKind, list[float]] = {kind: [] for kind in ChangeKind}
+    requests: list[float] = []
     for change in workload.changes():
         update = EndpointUpdate(EndpointUpdateKind.DELTA, read_endpoints(change.encoded()))
         cost = thread_cpu_s(router.handle, clock.advance(), update)
-        request_costs.append(first_request_cpu_s(router, clock.advance(), len(request_costs)))
+        requests.append(first_request_cpu_s(router, clock.advance(), len(requests)))
         if change.kind is not None:
-            change_costs[change.kind].append(cost)
-    return change_costs, request_costs
+            changes[change.kind].append(cost)
+    return ChangeCosts(changes, requests)
 
 
-def measure_router_zone(
+def measure_zone_drains(
     workload: ListWorkload, endpoints: tuple[Endpoint, ...], router: Router, clock: SteppingClock
-) -> float:
-    """CPU seconds of one update that drains all caches of the first zone, mean; each is undone."""
+) -> list[float]:
+    """Measure an update that drains all caches of the first zone; each is undone."""
     entries = workload.entries
     zone: list[EndpointEntry] = [
         {**entry, "status": TERMINATING} for entry in entries[:-1] if entry["zone"] == entries[0]["zone"]
@@ -110,4 +141,4 @@
         update = EndpointUpdate(EndpointUpdateKind.DELTA, draining)
         costs.append(thread_cpu_s(router.handle, clock.advance(), update))
         router.handle(clock.advance(), EndpointUpdate(EndpointUpdateKind.DELTA, ready))
-    return statistics.fmean(costs)
+    return costs
--- a/scale_experiments/scenarios/list_costs/workload.py
+++ b/scale_experiments/scenarios/list_costs/workload.py
@@ -1,4 +1,4 @@
-"""The endpoint list of a sample, its changes, and the settings of the router that gets them."""
+"""The endpoint list of a sample, its changes, and the settings of the router that receives them."""
 
 from __future__ import annotations
 
@@ -15,9 +15,11 @@
 from scale_experiments.endpoint_lists.endpoint_changes import ChangeSequence
 from scale_experiments.endpoint_lists.endpoint_entries import EndpointEntry, build_snapshot, encode_list
 
+START_TIME = 1e9  # seconds; the time at which a router is made
+
 
 def build_settings(routers: int) -> Settings:
-    """A site's settings, as far as lists matter: an origin in the list, weights that are sizes."""
+    """Settings of a site as far as lists depend on them: with an origin in the list, and nominal weights."""
     return read_settings(
         {
             "classes": [{"name": "page-read", "aim": 0.3, "giveUp": 1.2, "effect": "free"}],
@@ -36,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ListWorkload:
-    """What one sample feeds a router with: its settings, its list, and how often each is changed."""
+    """The input of a router in one sample: its settings, its list, and how often both are repeated."""
 
     settings: Settings
     entries: Sequence[EndpointEntry]
@@ -45,7 +47,7 @@
     seed: int
 
     def changes(self) -> ChangeSequence:
-        """The changes of the sample, the same each time."""
+        """The changes of the sample; each call returns the same."""
         return self._changes(self.changes_per_kind)
 
     def first_change(self) -> bytes:
@@ -53,7 +55,7 @@
         return next(iter(self._changes(1))).encoded()
 
     def snapshot(self) -> bytes:
-        """The whole list, as discovery's JSON."""
+        """The complete list, as discovery's JSON."""
         return encode_list(build_snapshot(1, self.entries))
 
     def _changes(self, rounds: int) -> ChangeSequence:
