--- a/scale_experiments/scenarios/list_change_process.py
+++ b/scale_experiments/scenarios/list_change_process.py
@@ -1,7 +1,7 @@
-"""What a change of the list costs a real router, a process of its own that watches a discovery.
+"""What a change of the endpoint list costs a real router, a process of its own that watches a discovery.
 
 The router is started by `run` of deploy/balancer.toml, after its `build` in a folder of the run. It has no
-clients and its list is of caches that nobody runs, so that all its work is the list and its watch.
+clients, and no process serves the caches of its list, so that its only work is the list and the watch.
 """
 
 from __future__ import annotations
@@ -42,25 +42,28 @@
     wait_until_ready,
 )
 from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.metrics import Bytes, BytesPerSecond, Metrics, Seconds, Share
 from scale_experiments.runs.scenario import Scenario
 
 READY_TIMEOUT_S = 60.0
 POLL_TIMEOUT_S = 30.0  # for a router to apply a change and poll for the next
 POLL_INTERVAL_S = 0.005
-FIRST_INDEX = 2  # of discovery's list; the router has the one before from its configuration
+FIRST_INDEX = 2  # of discovery's list; the list in the router's configuration has the index before it
 
 
 class Parameters(BaseModel):
-    """What is the same at all sizes."""
+    """What all sizes of an experiment have in common; aliases are the keys."""
 
     model_config = ConfigDict(extra="forbid")
 
-    changes: int = Field(default=8, ge=1, le=1000, description="changes of each of five sorts")
+    changes: int = Field(default=8, ge=1, le=1000, description="changes of each of the five kinds")
     quiet_s: float = Field(
-        default=12.0, gt=0, le=600, description="watched without a change; a call takes 3 s"
+        default=12.0, gt=0, le=600, description="measured without a change; a poll takes 3 s"
+    )
+    memory_mb: int = Field(default=192, ge=64, description="memory limit in the router's configuration")
+    descriptors: int = Field(
+        default=1024, alias="sockets", ge=64, description="file descriptors of the router"
     )
-    memory_mb: int = Field(default=192, ge=64, description="limit that the router is told")
-    sockets: int = Field(default=1024, ge=64, description="descriptors that the router may hold")
 
 
 class Size(ListChangeSize):
@@ -71,20 +74,39 @@
     )
 
 
-METRICS = {
-    "start_cpu_s": "CPU seconds of the router until it watches: program, list known and first list told",
-    "process_change_cpu_s": "CPU seconds of the router for a change of one entry, with its call",
-    "quiet_core_share": "share of one core that the watch takes without any change",
-    "core_share": "share of one core that the watch and changes_per_s changes take, at most",
-    "resident_bytes": "resident memory of the router after the first list",
-    "most_resident_bytes": "resident memory of the router after the changes",
-    "change_in_bytes": "bytes to the router for a change of one entry, headers counted, TCP's not",
-    "change_out_bytes": "bytes from the router for a change of one entry, headers counted, TCP's not",
-    "quiet_bytes_per_s": "bytes in both directions without any change, headers counted, TCP's not",
-    "bytes_per_s": "bytes in both directions at changes_per_s, headers counted, TCP's not",
-    "first_list_bytes": "bytes to the router until it is ready, headers counted, TCP's not",
-    **REFERENCE_METRIC,
-}
+class ListChangeProcessMetrics(Metrics):
+    """What the process of a router uses, and its traffic with discovery."""
+
+    start_cpu_s: Seconds = Field(
+        description="CPU seconds of the router until it watches: program, list known and first list told"
+    )
+    process_change_cpu_s: Seconds = Field(
+        description="CPU seconds of the router for a change of one entry, with its call"
+    )
+    quiet_core_share: Share = Field(description="share of one core that the watch takes without any change")
+    core_share: Share = Field(
+        description="share of one core that the watch and changes_per_s changes take, at most"
+    )
+    resident_bytes: Bytes = Field(description="resident memory of the router after the first list")
+    most_resident_bytes: Bytes = Field(description="resident memory of the router after the changes")
+    change_in_bytes: Bytes = Field(
+        description="bytes to the router for a change of one entry, headers counted, TCP's not"
+    )
+    change_out_bytes: Bytes = Field(
+        description="bytes from the router for a change of one entry, headers counted, TCP's not"
+    )
+    quiet_bytes_per_s: BytesPerSecond = Field(
+        description="bytes in both directions without any change, headers counted, TCP's not"
+    )
+    bytes_per_s: BytesPerSecond = Field(
+        description="bytes in both directions at changes_per_s, headers counted, TCP's not"
+    )
+    first_list_bytes: Bytes = Field(
+        description="bytes to the router until it is ready, headers counted, TCP's not"
+    )
+    reference_cpu_s: Seconds = Field(description=REFERENCE_METRIC["reference_cpu_s"])
+
+
 SETTINGS = {
     "classes": [{"name": "page-read", "aim": 0.3, "giveUp": 1.2, "effect": "free"}],
     "familyInfo": {"mode": "aside", "originKind": 1},
@@ -110,7 +132,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RouterUsage:
-    """What a router has used since its start, CPU seconds and bytes of HTTP, at a time."""
+    """CPU seconds and bytes of HTTP that a router has used from its start until a time."""
 
     at: float
     cpu_s: float
@@ -161,7 +183,7 @@
         discovery=address,
         seed=seed,
         memory_mb=parameters.memory_mb,
-        descriptors=parameters.sockets,
+        descriptors=parameters.descriptors,
         cached_list=build_snapshot(FIRST_INDEX - 1, entries),
         settings={**SETTINGS, "siblings": size.routers},
     )
@@ -170,46 +192,67 @@
     return WatchingRouter(discovery, router)
 
 
-def measure_changes(watching: WatchingRouter, changes: ChangeSequence) -> tuple[RouterUsage, int]:
-    """Apply all changes; returns the usage after the last, and how many there were.
+def apply_changes(watching: WatchingRouter, changes: ChangeSequence) -> int:
+    """Apply all changes; returns how many there were, with those that only undo one.
 
-    Each comes before the poll is over that waits for it, so that no poll without a change is among what they
-    cost. Those that only undo one are counted as well.
+    Each is made while the router waits in a poll, so that no poll ends without a change in this phase.
     """
     count = 0
     for change in changes:
         watching.apply(change)
         count += 1
-    return watching.usage(), count
+    return count
+
+
+@dataclass(slots=True, frozen=True)
+class Phases:
+    """The usage of a router after its start, after a time without changes, and after changes."""
+
+    started: RouterUsage
+    quiet: RouterUsage
+    changed: RouterUsage
+    changes: int
+
+
+@dataclass(slots=True, frozen=True)
+class ResidentBytes:
+    """Resident memory of a router."""
+
+    after_start: float
+    after_changes: float
 
 
 def compute_metrics(
-    start: RouterUsage, quiet: RouterUsage, changed: RouterUsage, changes: int, changes_per_s: float
-) -> dict[str, float]:
-    """Metrics of the router's usage after its start, a time without changes, and so many changes."""
-    seconds = quiet.at - start.at
-    quiet_share = (quiet.cpu_s - start.cpu_s) / seconds
-    quiet_bytes = (quiet.bytes_in - start.bytes_in + quiet.bytes_out - start.bytes_out) / seconds
-    change_cpu_s = (changed.cpu_s - quiet.cpu_s) / changes
-    change_out = (changed.bytes_out - quiet.bytes_out) / changes
-    change_in = (changed.bytes_in - quiet.bytes_in) / changes
-    return {
-        "start_cpu_s": start.cpu_s,
-        "process_change_cpu_s": change_cpu_s,
-        "quiet_core_share": quiet_share,
-        "core_share": quiet_share + changes_per_s * change_cpu_s,
-        "change_in_bytes": change_in,
-        "change_out_bytes": change_out,
-        "quiet_bytes_per_s": quiet_bytes,
-        "bytes_per_s": quiet_bytes + changes_per_s * (change_in + change_out),
-        "first_list_bytes": float(start.bytes_in),
-    }
+    phases: Phases, resident: ResidentBytes, reference_cpu_s: float, changes_per_s: float
+) -> ListChangeProcessMetrics:
+    """The metrics of a sample; `reference_cpu_s` is the mean of the reference work during the sample."""
+    started, quiet, changed = phases.started, phases.quiet, phases.changed
+    seconds = quiet.at - started.at
+    quiet_core_share = (quiet.cpu_s - started.cpu_s) / seconds
+    quiet_bytes_per_s = (quiet.bytes_in - started.bytes_in + quiet.bytes_out - started.bytes_out) / seconds
+    change_cpu_s = (changed.cpu_s - quiet.cpu_s) / phases.changes
+    change_out_bytes = (changed.bytes_out - quiet.bytes_out) / phases.changes
+    change_in_bytes = (changed.bytes_in - quiet.bytes_in) / phases.changes
+    return ListChangeProcessMetrics(
+        start_cpu_s=started.cpu_s,
+        process_change_cpu_s=change_cpu_s,
+        quiet_core_share=quiet_core_share,
+        core_share=quiet_core_share + changes_per_s * change_cpu_s,
+        resident_bytes=resident.after_start,
+        most_resident_bytes=resident.after_changes,
+        change_in_bytes=change_in_bytes,
+        change_out_bytes=change_out_bytes,
+        quiet_bytes_per_s=quiet_bytes_per_s,
+        bytes_per_s=quiet_bytes_per_s + changes_per_s * (change_in_bytes + change_out_bytes),
+        first_list_bytes=started.bytes_in,
+        reference_cpu_s=reference_cpu_s,
+    )
 
 
 def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
     """One sample; CPU seconds are the router's alone.
 
-    Raises what `start` raises, and RuntimeError where the router does not take a change.
+    Raises what `start` raises, and RuntimeError where the router does not apply a change in time.
     """
     rng = np.random.default_rng(seed)
     entries = build_entries(size.caches, DEFAULT_ZONES, DEFAULT_WEIGHT, rng)
@@ -217,23 +260,26 @@
     context.progress("start")
     watching = start(parameters, size, seed, entries, context)
     started = watching.usage()
-    resident_bytes = watching.resident_bytes()
+    resident_after_start = watching.resident_bytes()
     context.progress("quiet")
     time.sleep(parameters.quiet_s)
     quiet = watching.usage()
     context.progress("changes")
     changes = ChangeSequence(entries, rng, parameters.changes, first_index=FIRST_INDEX + 1)
-    changed, count = measure_changes(watching, changes)
-    metrics = compute_metrics(started, quiet, changed, count, size.changes_per_s)
-    metrics["resident_bytes"] = resident_bytes
-    metrics["most_resident_bytes"] = watching.resident_bytes()
+    count = apply_changes(watching, changes)
+    phases = Phases(started, quiet, watching.usage(), count)
+    resident = ResidentBytes(resident_after_start, watching.resident_bytes())
     references.append(measure_reference_cpu_s())
     context.stop(watching.router.process)
     context.stop(watching.discovery.process)
-    metrics["reference_cpu_s"] = statistics.fmean(references)
-    yield Sample({name: metrics[name] for name in METRICS})
+    metrics = compute_metrics(phases, resident, statistics.fmean(references), size.changes_per_s)
+    yield Sample(metrics.values())
 
 
 SCENARIO = Scenario(
-    description=__doc__ or "", parameters=Parameters, size=Size, metric_descriptions=METRICS, measure=measure
+    description=__doc__ or "",
+    parameters=Parameters,
+    size=Size,
+    metric_descriptions=ListChangeProcessMetrics.descriptions(),
+    measure=measure,
 )
