--- a/scale_experiments/runs/context.py
+++ b/scale_experiments/runs/context.py
@@ -1,4 +1,4 @@
-"""What a scenario may use: a folder, processes that are ended for it, and the time left."""
+"""The context of a run: its folder, the processes that it starts, and its time limit."""
 
 from __future__ import annotations
 
@@ -10,34 +10,24 @@
 import tempfile
 import time
 from collections.abc import Callable, Iterator, Sequence
-from dataclasses import dataclass, field
 from pathlib import Path
 from types import TracebackType
 from typing import Any, Self
 
-from hdrh.histogram import HdrHistogram
-
 TERMINATION_GRACE_S = 5.0  # from SIGTERM to SIGKILL, for all processes of a run together
 
 
 class TimeLimit(KeyboardInterrupt):
-    """The run's time is over; as Ctrl-C, so that it passes through event loops and broad handlers."""
-
-
-@dataclass(slots=True)
-class Sample:
-    """What one measurement gave."""
+    """The run has reached its time limit.
 
-    # by name, whose suffix is the unit: _s, _bytes, _per_s, _share; _count or none for counts
-    metrics: dict[str, float]
-    # by name, in microseconds
-    histograms: dict[str, HdrHistogram] = field(default_factory=dict)
+    It is a KeyboardInterrupt, so that it passes through event loops and broad handlers as Ctrl-C does.
+    """
 
 
 class ExperimentContext:
-    """The folder, processes and time limit of one run.
+    """The folder, the processes and the time limit of one run.
 
-    However a run ends, all processes that it has started are ended, by id, and its folder is removed.
+    On exit, all processes that the run has started are ended, by id, and its folder is removed.
     """
 
     def __init__(
@@ -47,11 +37,15 @@
         self.report_progress = report_progress
         self.folder = Path(tempfile.mkdtemp(prefix="scale_experiments-"))
         self.processes: list[subprocess.Popen[bytes]] = []
-        self.shield_depth = 0  # while any is up, an interruption waits
+        self.shield_depth = 0  # of nested `shielded` blocks; an interruption waits until it is 0
         self.interruption: KeyboardInterrupt | None = None
 
     def interrupt(self, error: KeyboardInterrupt) -> None:
-        """End the run, from a signal handler: once, and not before a process that starts is registered."""
+        """Interrupt the run, from a signal handler.
+
+        Only the first call has an effect. Raises `error`; within a `shielded` block it is raised at the end of
+        the block instead, so that a process that is being started is registered first.
+        """
         if self.interruption is None:
             self.interruption = error
             if not self.shield_depth:
@@ -59,7 +53,7 @@
 
     @contextlib.contextmanager
     def shielded(self) -> Iterator[None]:
-        """Defer an interruption until the block has ended; raises it then."""
+        """Defer an interruption to the end of the block; raises it there."""
         before = self.interruption
         self.shield_depth += 1
         try:
@@ -78,21 +72,21 @@
         self.close()
 
     def progress(self, text: str) -> None:
-        """Show the user how far the run is."""
+        """Show the user the current activity of the run."""
         self.report_progress(text)
 
     def remaining_s(self) -> float:
-        """Seconds until the run's time limit; 0 once it is over."""
+        """Seconds until the run's time limit; 0 after it."""
         return max(0.0, self.deadline - time.monotonic())
 
     def expired(self) -> bool:
-        """Whether the run's time is over."""
+        """Whether the time limit of the run has passed."""
         return self.remaining_s() <= 0
 
     def spawn(self, args: Sequence[str], **popen: Any) -> subprocess.Popen[bytes]:
         """Start a process in a group of its own, so that Ctrl-C reaches it only through this run's end.
 
-        Keywords are those of `subprocess.Popen`; raises OSError where it can't be started.
+        Keywords are those of `subprocess.Popen`. Raises OSError if the process can't be started.
         """
         popen.setdefault("stdin", subprocess.DEVNULL)
         with self.shielded():
@@ -101,16 +95,16 @@
         return process
 
     def stop(self, process: subprocess.Popen[bytes], grace_s: float = TERMINATION_GRACE_S) -> None:
-        """End a process and its group, and reap it; one that has ended is left alone.
+        """End a process and its group, and reap it, unless it has ended already.
 
-        It is killed `grace_s` seconds after SIGTERM.
+        It receives SIGTERM, and SIGKILL if it still runs after `grace_s` seconds.
         """
         self._stop([process], grace_s)
 
     def close(self) -> None:
-        """End all that was started and remove the folder, without being interrupted.
+        """End all processes and remove the folder; an interruption has no effect from here.
 
-        Takes `TERMINATION_GRACE_S` seconds at most.
+        The processes have `TERMINATION_GRACE_S` seconds in all before they are killed.
         """
         self.shield_depth += 1
         self._stop(self.processes, TERMINATION_GRACE_S)
@@ -136,7 +130,7 @@
 
 
 def _signal_group(process: subprocess.Popen[bytes], number: signal.Signals) -> None:
-    """Signal a process group, unless its leader is reaped: its id might be another's by then."""
+    """Signal a process group, unless its leader is reaped: another process might have its id by then."""
     if process.returncode is None:
         with contextlib.suppress(ProcessLookupError):
             os.killpg(process.pid, number)
--- a/scale_experiments/runs/fleet_run.py
+++ b/scale_experiments/runs/fleet_run.py
@@ -4,22 +4,26 @@
 
 from collections.abc import Callable, Iterator
 
-from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.context import ExperimentContext
+from scale_experiments.runs.sample import Sample
 from scale_experiments.simulation.fleet import Fleet
 
 
 class TimeLimitReachedError(Exception):
-    """The experiment's time was over before a sample was complete."""
+    """The time limit of the experiment passed before a sample was complete."""
 
 
 def run_fleet(fleet: Fleet, seconds: float, context: ExperimentContext) -> None:
-    """Run a fleet for some simulated seconds; raises TimeLimitReachedError if time is over meanwhile."""
+    """Run a fleet for some simulated seconds.
+
+    Raises TimeLimitReachedError if the time limit of the experiment passes before they have been simulated.
+    """
     if not fleet.run(seconds, context.expired):
         raise TimeLimitReachedError
 
 
 def complete_sample(measure_sample: Callable[[], Sample]) -> Iterator[Sample]:
-    """The sample that a function measures; none if the experiment's time is over meanwhile."""
+    """Yield the sample that a function measures, or nothing if it raises TimeLimitReachedError."""
     try:
         sample = measure_sample()
     except TimeLimitReachedError:
--- a/scale_experiments/runs/log.py
+++ b/scale_experiments/runs/log.py
@@ -1,4 +1,4 @@
-"""The log of runs, as lines of JSON on standard error, and the display of a run's progress."""
+"""The log of runs, as lines of JSON on standard error, and the display of their progress."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def configure() -> None:
-    """Log one JSON object a line, with time and level."""
+    """Write the log as one JSON object per line, with time and level."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -26,10 +26,10 @@
 
 
 class Progress:
-    """The progress of a run: one line that is redrawn on a terminal, else a log line every few seconds."""
+    """The progress of a run: a line that is redrawn on a terminal, otherwise a log line every few seconds."""
 
     def __init__(self, steps: int, time_limit_s: float) -> None:
-        """Start the clock of a run of so many measurements."""
+        """Start the clock of a run with `steps` measurements."""
         self.steps = steps
         self.time_limit_s = time_limit_s
         self._step = 0
@@ -46,7 +46,7 @@
         self.update("")
 
     def update(self, activity: str) -> None:
-        """Show what the measurement is doing, unless something was shown just before."""
+        """Show the current activity, unless the last update was shown within the interval."""
         now = time.monotonic()
         if now - self._shown_at < self._interval_s:
             return
@@ -70,6 +70,6 @@
         )
 
     def clear(self) -> None:
-        """Leave the terminal's line empty."""
+        """Clear the line of the terminal."""
         if self._is_terminal:
             print(ERASE_LINE, end="", file=sys.stderr, flush=True)
--- a/scale_experiments/runs/results.py
+++ b/scale_experiments/runs/results.py
@@ -1,6 +1,6 @@
-"""Results: what a run measured, stored as JSON and rewritten after each sample.
+"""Results of runs, which are stored as JSON and rewritten after each sample.
 
-Where a key of the file is not the code's term for it, the field's alias names the key.
+Where a key of the file differs from the code's term, the alias of the field is the key.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from scale_experiments.measurement.histograms import encode_histogram
-from scale_experiments.runs.context import Sample
 from scale_experiments.runs.experiment import Budget, Experiment, InputError, describe_validation_error
+from scale_experiments.runs.sample import Sample
 
 ROOT = Path(__file__).parents[2]
 CPU_INFO = Path("/proc/cpuinfo")
-# of which a result names the version
+# a result states the versions of these packages
 PACKAGES = ("click", "h11", "hdrhistogram", "numpy", "orjson", "psutil", "pydantic", "structlog")
-# files that count as the measured version
+# files whose changes since the last commit make a result's revision inexact
 MEASURED_FILES = ("cache_router", "scale_experiments/*.py")
-CHANGES_SUFFIX = "+changes"  # of a revision from which files differed
+CHANGES_SUFFIX = "+changes"  # of a revision with uncommitted changes
 GIT_TIMEOUT_S = 10.0
-STORED_DIGITS = 6  # significant digits of metrics
+STORED_DIGITS = 6  # significant digits of stored metrics
 
 
 class StoredSample(BaseModel):
-    """One sample."""
+    """One sample, with the size, the seed and the repeat (from 0) at which it was measured."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -47,10 +47,10 @@
 
 
 class Versions(BaseModel):
-    """The program that was measured, and the machine."""
+    """The versions of the measured program and its packages, and the processor of the machine."""
 
     python: str
-    # git revision, with CHANGES_SUFFIX where files differed from it
+    # of git, with CHANGES_SUFFIX if MEASURED_FILES differed from it
     revision: str = Field(alias="project")
     packages: dict[str, str]
     processor: str = ""
@@ -66,7 +66,7 @@
     seed: int
     # ISO 8601, UTC
     started_at: str = Field(alias="started")
-    # whether each size was measured as often as the experiment says
+    # whether every repeat of every size was measured
     complete: bool
     versions: Versions
     parameters: dict[str, Any]
@@ -75,8 +75,16 @@
     budgets: list[Budget]
     samples: list[StoredSample]
 
+    def add_sample(self, sample: StoredSample) -> None:
+        """Append a sample."""
+        self.samples.append(sample)
+
+    def mark_complete(self) -> None:
+        """Record that every repeat of every size was measured."""
+        self.complete = True
+
     def exceeded_budgets(self) -> list[str]:
-        """A line for each budget that the median exceeds, or whose sizes were not measured."""
+        """A line of text for each budget that the median exceeds, or whose sizes were not measured."""
         lines = (self._describe_excess(budget) for budget in self.budgets)
         return [line for line in lines if line is not None]
 
@@ -97,7 +105,7 @@
 def new_result(
     experiment: Experiment, parameters: BaseModel, metric_descriptions: Mapping[str, str]
 ) -> Result:
-    """A result without samples yet."""
+    """A result without samples."""
     return Result(
         experiment=experiment.name,
         kind=experiment.kind,
@@ -137,7 +145,7 @@
 
 
 def _processor() -> str:
-    """The processor's name and the number of its cores, as CPU seconds compare only on the same one."""
+    """The processor's name and number of cores: CPU seconds are comparable on the same processor only."""
     names = [
         line.partition(":")[2].strip()
         for line in CPU_INFO.read_text().splitlines()
@@ -147,7 +155,7 @@
 
 
 def stored_sample(sample: Sample, size: Mapping[str, float | int], seed: int, repeat: int) -> StoredSample:
-    """A sample as it is stored, metrics to STORED_DIGITS."""
+    """A sample in its stored form, with metrics rounded to STORED_DIGITS."""
     return StoredSample(
         size=dict(size),
         seed=seed,
@@ -158,7 +166,7 @@
 
 
 def write_result(result: Result, path: Path) -> None:
-    """Replace the file atomically, so that it is complete at any time."""
+    """Replace the file atomically, so that readers never see part of it; raises OSError."""
     text = orjson.dumps(
         result.model_dump(mode="json", by_alias=True), option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE
     )
--- a/scale_experiments/runs/runner.py
+++ b/scale_experiments/runs/runner.py
@@ -1,4 +1,4 @@
-"""Runs an experiment: each size in turn, as often as it says, within its time limit."""
+"""Running an experiment: every repeat of every size, within the time limit."""
 
 from __future__ import annotations
 
@@ -12,35 +12,36 @@
 
 import structlog
 
-from scale_experiments.runs.context import ExperimentContext, Sample, TimeLimit
+from scale_experiments.runs.context import ExperimentContext, TimeLimit
 from scale_experiments.runs.experiment import CheckedExperiment
 from scale_experiments.runs.log import Progress
 from scale_experiments.runs.results import Result, new_result, stored_sample, write_result
+from scale_experiments.runs.sample import Sample
 from scale_experiments.runs.scenario import AnyScenario
 
-# for a scenario to end by itself once its time is over, before it is interrupted
+# after the time limit a scenario has this long to return before it is interrupted
 TIME_LIMIT_GRACE_S = 1.0
 
 
 @dataclass(slots=True, frozen=True)
 class RunOutcome:
-    """A result, and whether Ctrl-C or SIGTERM ended its run before all was measured."""
+    """A result, and whether Ctrl-C or SIGTERM ended its run before it was complete."""
 
     result: Result
     interrupted: bool
 
 
 def run(checked: CheckedExperiment, path: Path) -> RunOutcome:
-    """Measure, and write each sample to `path` as it comes.
+    """Measure, and rewrite the result at `path` after each sample.
 
-    Raises what the scenario raises; the samples before it are kept. Raises ValueError for a metric that the
-    scenario doesn't declare or that is not finite.
+    Raises what the scenario raises; the result then has the samples before it. Raises ValueError for a metric
+    that the scenario doesn't declare or that is not finite.
     """
     return _Run(checked, path).execute()
 
 
 class _Run:
-    """One run of an experiment, and the result that it writes."""
+    """One run of an experiment, and its result."""
 
     def __init__(self, checked: CheckedExperiment, path: Path) -> None:
         experiment = checked.experiment
@@ -55,7 +56,7 @@
         self.log = structlog.get_logger().bind(experiment=experiment.name, kind=experiment.kind)
 
     def execute(self) -> RunOutcome:
-        """Measure until all is done, the time limit or a signal."""
+        """Measure until the result is complete, the time limit passes, or a signal arrives."""
         time_limit_s = self.experiment.time_limit_s
         self.log.info("start", result=str(self.path), measurements=self.steps, time_limit_s=time_limit_s)
         interrupted = False
@@ -74,7 +75,7 @@
         return RunOutcome(self.result, interrupted)
 
     def _measure_all(self) -> None:
-        """Measure each size; raises TimeLimit if the time is over before the last."""
+        """Measure every repeat of every size; raises TimeLimit if the limit passes before the last step."""
         for step, (repeat, size) in enumerate(self._steps(), 1):
             columns = " ".join(f"{column}={value:g}" for column, value in size.items())
             self.progress.start_step(step, f"{columns} repeat={repeat}")
@@ -82,11 +83,15 @@
             if self.context.expired() and step < self.steps:
                 raise TimeLimit
         with self.context.shielded():
-            self.result.complete = True
+            self.result.mark_complete()
             write_result(self.result, self.path)
 
     def _steps(self) -> Iterator[tuple[int, Mapping[str, float | int]]]:
-        """The repeats and sizes: all sizes once before any again, as the machine may change meanwhile."""
+        """The repeats and sizes in order.
+
+        All sizes are measured once before any is repeated, so that a change of the machine's load during the
+        run affects all sizes alike.
+        """
         for repeat in range(self.experiment.repeats):
             for size in self.experiment.sizes:
                 yield repeat, size
@@ -97,7 +102,7 @@
         for sample in self.scenario.measure(self.parameters, checked_size, seed, self.context):
             check_metrics(sample, self.scenario)
             with self.context.shielded():
-                self.result.samples.append(stored_sample(sample, size, seed, repeat))
+                self.result.add_sample(stored_sample(sample, size, seed, repeat))
                 write_result(self.result, self.path)
 
     def _log_warning(self, event: str) -> None:
@@ -106,7 +111,7 @@
 
 @contextlib.contextmanager
 def interruptible(context: ExperimentContext, time_limit_s: float) -> Iterator[None]:
-    """Let Ctrl-C, SIGTERM and the time limit end the run, once, and the processes that it has started."""
+    """Let Ctrl-C, SIGTERM and the time limit interrupt the run; previous handlers are restored on exit."""
 
     def interrupt(number: int, frame: FrameType | None) -> None:
         context.interrupt(TimeLimit() if number == signal.SIGALRM else KeyboardInterrupt())
--- a/scale_experiments/runs/scenario.py
+++ b/scale_experiments/runs/scenario.py
@@ -8,7 +8,8 @@
 
 from pydantic import BaseModel, BeforeValidator
 
-from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.context import ExperimentContext
+from scale_experiments.runs.sample import Sample
 
 ParametersT = TypeVar("ParametersT", bound=BaseModel)
 SizeT = TypeVar("SizeT", bound=BaseModel)
--- a/scale_experiments/scenarios/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -16,9 +16,10 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from cache_router.settings import Settings
-from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.context import ExperimentContext
 from scale_experiments.runs.fleet_run import complete_sample, run_fleet
 from scale_experiments.runs.metrics import Cores, Count, Metrics, PerSecond, Ratio, Seconds, Share
+from scale_experiments.runs.sample import Sample
 from scale_experiments.runs.scenario import Scenario, WholeNumber
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.model import FleetModel, site_settings
--- a/scale_experiments/scenarios/list_change.py
+++ b/scale_experiments/scenarios/list_change.py
@@ -22,8 +22,9 @@
     build_entries,
 )
 from scale_experiments.measurement.reference_work import REFERENCE_METRIC, measure_reference_cpu_s
-from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.context import ExperimentContext
 from scale_experiments.runs.metrics import Bytes, BytesPerSecond, Metrics, Seconds, Share
+from scale_experiments.runs.sample import Sample
 from scale_experiments.runs.scenario import Scenario
 from scale_experiments.scenarios.list_costs.memory import ListMemory, measure_memory
 from scale_experiments.scenarios.list_costs.path import PathCosts, measure_path
--- a/scale_experiments/scenarios/list_change_process.py
+++ b/scale_experiments/scenarios/list_change_process.py
@@ -41,8 +41,9 @@
     start_router,
     wait_until_ready,
 )
-from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.context import ExperimentContext
 from scale_experiments.runs.metrics import Bytes, BytesPerSecond, Metrics, Seconds, Share
+from scale_experiments.runs.sample import Sample
 from scale_experiments.runs.scenario import Scenario
 
 READY_TIMEOUT_S = 60.0
--- a/scale_experiments/scenarios/placement.py
+++ b/scale_experiments/scenarios/placement.py
@@ -16,8 +16,9 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from cache_router.endpoint import Endpoint
-from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.context import ExperimentContext
 from scale_experiments.runs.metrics import Count, Metrics, Ratio, Share
+from scale_experiments.runs.sample import Sample
 from scale_experiments.runs.scenario import Scenario, WholeNumber
 from scale_experiments.simulation.key_placement import place_keys
 from scale_experiments.simulation.model import site_settings
--- a/scale_experiments/scenarios/sockets.py
+++ b/scale_experiments/scenarios/sockets.py
@@ -40,7 +40,8 @@
     start_router,
     wait_until_ready,
 )
-from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.context import ExperimentContext
+from scale_experiments.runs.sample import Sample
 from scale_experiments.runs.scenario import Scenario, WholeNumber
 
 READY_TIMEOUT_S = 30.0
--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -12,9 +12,10 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.context import ExperimentContext
 from scale_experiments.runs.fleet_run import complete_sample, run_fleet
 from scale_experiments.runs.metrics import Metrics, PerSecond, Ratio, Seconds, Share
+from scale_experiments.runs.sample import Sample
 from scale_experiments.runs.scenario import Scenario, WholeNumber
 from scale_experiments.scenarios.recovery import recovery_seconds
 from scale_experiments.simulation.fleet import Fleet
--- a/scale_experiments/scenarios/watch.py
+++ b/scale_experiments/scenarios/watch.py
@@ -23,7 +23,8 @@
     measure_reference_cpu_s,
 )
 from scale_experiments.routers.watch_fleet import SubscriptionMode, WatchFleet, WatchFleetOptions
-from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.context import ExperimentContext
+from scale_experiments.runs.sample import Sample
 from scale_experiments.runs.scenario import Scenario, WholeNumber
 
 MAX_DELAY_US = 600_000_000  # that a histogram holds
--- a/scale_experiments/scenarios/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -16,9 +16,10 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from cache_router.endpoint import EndpointState
-from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.context import ExperimentContext
 from scale_experiments.runs.fleet_run import complete_sample, run_fleet
 from scale_experiments.runs.metrics import Count, Metrics, PerSecond, Ratio, Seconds, Share
+from scale_experiments.runs.sample import Sample
 from scale_experiments.runs.scenario import Scenario, WholeNumber
 from scale_experiments.scenarios.recovery import recovery_seconds
 from scale_experiments.simulation.fleet import Fleet
--- a/tests/scale_experiments/test_scale_experiments.py
+++ b/tests/scale_experiments/test_scale_experiments.py
@@ -16,10 +16,11 @@
 from pydantic import BaseModel
 
 from scale_experiments.measurement.histograms import decode_histogram
-from scale_experiments.runs.context import ExperimentContext, Sample
+from scale_experiments.runs.context import ExperimentContext
 from scale_experiments.runs.experiment import CheckedExperiment, Experiment, InputError, load_experiment
 from scale_experiments.runs.results import load_result
 from scale_experiments.runs.runner import RunOutcome, run
+from scale_experiments.runs.sample import Sample
 from scale_experiments.runs.scenario import Scenario
 from scale_experiments.scenarios.registry import SCENARIOS
 from scale_experiments.target import TARGET, load_target
