--- a/scale_experiments/__main__.py
+++ b/scale_experiments/__main__.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import sys
+from collections.abc import Sequence
 from importlib import import_module
 from pathlib import Path
 
@@ -18,20 +19,19 @@
 from scale_experiments.scenarios.registry import SCENARIOS
 
 RESULTS = Path(__file__).parent / "results"
-NAME_WIDTH = 22  # characters of the first column of lists
 
 RUN_STATUSES = """\b
 Exit status:
-  0    everything was measured, and every budget is kept
-  1    a budget is exceeded, or the time limit came before everything was measured
+  0    every size was measured, and no budget is exceeded
+  1    a budget is exceeded, or the time limit passed before every size was measured
   2    bad input: one line on standard error names the file and the field
-  3    a measurement failed: the log says how
-  130  Ctrl-C or SIGTERM: the samples until then are kept
+  3    a measurement failed: the log has the error
+  130  Ctrl-C or SIGTERM: the samples measured before it are kept
 """
 KINDS_STATUSES = """\b
 Exit status:
   0  the list was printed
-  2  KIND is no scenario: one line on standard error names all
+  2  KIND is not a scenario: one line on standard error lists the scenarios
 """
 FIT_STATUSES = """\b
 Exit status:
@@ -41,67 +41,75 @@
 REPORT_STATUSES = """\b
 Exit status:
   0  the tables were written, or --check found no difference
-  1  --check found a difference: one line on standard error names the first
+  1  --check found a difference: one line on standard error describes the first
   2  bad input: one line on standard error names the file and the field
 """
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
 def cli() -> None:
-    """Measure what routers, and the services around them, cost as the fleet grows.
+    """Measure the cost of routers, and of the services around them, as the fleet grows.
 
-    An experiment is a TOML file that names a scenario (a kind of measurement), its parameters and the fleet
-    sizes. `run` measures each size and keeps the result; `fit` and `report` work out what that means for
-    larger fleets.
+    An experiment is a TOML file that states a scenario (a kind of measurement), its parameters and the sizes
+    of the fleet. `run` measures each size and writes a result file. `fit` extrapolates the metrics of a
+    result to larger fleets, and `report` writes the tables of docs/CAPACITY.md from the results in
+    scale_experiments/results.
 
     \b
-    python -m scale_experiments kinds
-        list the scenarios
-    python -m scale_experiments run scale_experiments/experiments/list-change.toml
-        measure, and keep the result
-    python -m scale_experiments fit scale_experiments/results/list-change.json
-        print how each metric of a result grows with the fleet
-    python -m scale_experiments report
-        write the tables of docs/CAPACITY.md
-
-    Servers and routers are started on this machine and use its loopback only. The log goes to standard
-    error, one JSON object a line. `COMMAND --help` tells the options and exit statuses of a command.
+    Start with the smallest experiment, which takes a few seconds:
+      python -m scale_experiments kinds
+          list the scenarios
+      python -m scale_experiments kinds list_change
+          describe a scenario: its parameters, sizes and metrics
+      python -m scale_experiments run scale_experiments/experiments/small.toml --out /tmp
+          measure, and write /tmp/small.json
+      python -m scale_experiments fit /tmp/small.json
+          print how each metric of the result grows with the fleet
+      python -m scale_experiments report --check
+          compare docs/CAPACITY.md with the results in the repository
+
+    Servers and routers are started on this machine and use its loopback interface only. The log is written
+    to standard error, one JSON object per line. `COMMAND --help` lists the options and exit statuses of a
+    command.
     """
     log.configure()
 
 
-@cli.command(epilog=RUN_STATUSES, short_help="Measure an experiment, and keep its result.")
+@cli.command(epilog=RUN_STATUSES, short_help="Run an experiment, and write its result.")
 @click.argument("experiment", type=click.Path(path_type=Path))
 @click.option(
     "--out",
     type=click.Path(path_type=Path, file_okay=False),
     default=RESULTS,
-    help="Folder of the result, made if absent; by default scale_experiments/results.",
+    help="Folder of the result, created if absent; by default scale_experiments/results.",
 )
 @click.option(
-    "--label", default="", help="Keep the result as NAME.LABEL.json, such as a trial; by default NAME.json."
+    "--label",
+    default="",
+    help="Write the result to NAME.LABEL.json, to keep a trial apart; by default NAME.json.",
 )
 def run(experiment: Path, out: Path, label: str) -> None:
-    """Run EXPERIMENT, a TOML file, and keep its result as OUT/NAME.json.
+    """Run EXPERIMENT, a TOML file, and write its result to OUT/NAME.json.
 
     \b
     name = "list-change"      # the name of the file, without .toml
     kind = "list_change"      # the scenario: see `python -m scale_experiments kinds`
     seed = 1                  # of the first repeat; each further one adds 1
     repeats = 3               # how often each size is measured; 1 by default
-    time_limit_s = 600        # of the whole run
+    time_limit_s = 600        # of the complete run
     [parameters]              # of the scenario: see `python -m scale_experiments kinds list_change`
     changes = 8
-    [[sizes]]                 # one or more; their columns depend on the scenario
+    [[sizes]]                 # one or more; the scenario defines their columns
     caches = 200
     changes_per_s = 0.4
-    [[budgets]]               # any number: limits of the median over repeats
+    [[budgets]]               # none or more: limits of the median over repeats
     metric = "core_share"
     most = 0.002
-    at = { caches = 200 }     # the sizes that it holds for; all by default
+    at = { caches = 200 }     # the sizes to which it applies; all by default
 
-    The result is written after each sample. Ctrl-C ends the run and all processes that it has started. What
-    was measured until then, or until the time limit, is kept with "complete": false.
+    The result is written after each sample. Ctrl-C ends the run and all processes that it has started. The
+    result of a run that was ended by Ctrl-C or by the time limit has the samples measured before, and
+    "complete": false.
     """
     checked = load_experiment(experiment, SCENARIOS)
     name = checked.experiment.name
@@ -114,7 +122,7 @@
     path = out / f"{name}{'.' if label else ''}{label}.json"
     try:
         outcome = run_experiment(checked, path)
-    except InputError:  # bad input that only a measurement could find
+    except InputError:  # bad input that is only found while measuring
         raise
     except Exception:
         structlog.get_logger().exception("measurement failed", experiment=name)
@@ -123,7 +131,7 @@
 
 
 def _report_outcome(outcome: RunOutcome, path: Path) -> ExitStatus:
-    """Print what a run has measured and which budgets it exceeds; returns the exit status."""
+    """Print the number of samples and the exceeded budgets; returns the exit status."""
     result = outcome.result
     click.echo(f"{path}: {len(result.samples)} samples, {'complete' if result.complete else 'not complete'}")
     if outcome.interrupted:
@@ -137,59 +145,74 @@
 @cli.command(epilog=KINDS_STATUSES, short_help="List the scenarios that an experiment can name.")
 @click.argument("kind", required=False)
 def kinds(kind: str | None) -> None:
-    """List the scenarios; with KIND, print what one of them measures.
+    """List the scenarios, or describe the scenario KIND.
 
-    That is its description, its parameters with their defaults, the columns of its sizes, and its metrics.
+    The description of a scenario has its parameters and the columns of its sizes, with their defaults, and
+    its metrics.
     """
     if kind is None:
-        for name, scenario in SCENARIOS.items():
-            summary, _, _ = scenario.description.partition("\n")
-            click.echo(f"{name:{NAME_WIDTH}}{summary}")
+        _print_columns(
+            [(name, scenario.description.partition("\n")[0]) for name, scenario in SCENARIOS.items()]
+        )
         return
     if kind not in SCENARIOS:
         raise InputError(f"kinds: KIND: must be one of {', '.join(SCENARIOS)}, not {kind!r}")
     scenario = SCENARIOS[kind]
     click.echo(scenario.description.strip())
     click.echo("\n[parameters]")
-    _print_fields(scenario.parameters)
+    _print_columns(_describe_keys(scenario.parameters))
     click.echo("\n[[sizes]]")
-    _print_fields(scenario.size)
+    _print_columns(_describe_keys(scenario.size))
     click.echo("\nMetrics")
-    for name, description in scenario.metric_descriptions.items():
-        click.echo(f"  {name:{NAME_WIDTH}}{description}")
+    _print_columns(list(scenario.metric_descriptions.items()))
 
 
-def _print_fields(model: type[BaseModel]) -> None:
-    """Print each key of a table, with its meaning and its default."""
-    for name, field in model.model_fields.items():
-        default = "must be given"
+def _describe_keys(table: type[BaseModel]) -> list[tuple[str, str]]:
+    """The keys of a table, with their meanings and defaults."""
+    keys = []
+    for name, field in table.model_fields.items():
+        default = "required"
         if not field.is_required():
-            default = repr(field.get_default(call_default_factory=True))
-        click.echo(f"  {field.alias or name:{NAME_WIDTH}}{field.description or ''} ({default})")
+            default = f"default {field.get_default(call_default_factory=True)!r}"
+        keys.append((field.alias or name, f"{field.description or ''} ({default})"))
+    return keys
+
+
+def _print_columns(rows: Sequence[tuple[str, str]]) -> None:
+    """Print names and their meanings in two columns."""
+    width = max((len(name) for name, _ in rows), default=0)
+    for name, meaning in rows:
+        click.echo(f"  {name:{width}}  {meaning}")
 
 
 @cli.command(epilog=FIT_STATUSES, short_help="Print how the metrics of results grow with the fleet.")
 @click.argument("results", nargs=-1, required=True, type=click.Path(path_type=Path))
 def fit(results: tuple[Path, ...]) -> None:
-    """Print how each metric of RESULTS, files that `run` has kept, grows with the fleet.
+    """Print how each metric of RESULTS, files that `run` has written, grows with the fleet.
 
-    Several forms (constant, linear, product, power) are fitted to each metric by least squares, with their
-    standard errors. The best is marked with * and followed by its value at the size of target.toml.
+    Several forms (constant, linear, product, power) are fitted to each metric by least squares, and printed
+    with their standard errors. The best is marked with * and followed by its values at the size of
+    target.toml and beyond it.
     """
-    # imported here, as numpy takes long to import and the other commands don't need it
+    # imported here, because numpy takes long to import and the other commands don't need it
     sys.exit(import_module("scale_experiments.commands.fit").main(list(results)))
 
 
 @cli.command(epilog=REPORT_STATUSES, short_help="Write or check the tables of docs/CAPACITY.md.")
-@click.option("--check", is_flag=True, help="Write nothing; fail if the page differs from the results.")
+@click.option(
+    "--check", is_flag=True, help="Write nothing; exit with status 1 if the page differs from the results."
+)
 def report(check: bool) -> None:
-    """Write the tables of docs/CAPACITY.md from the kept results and scale_experiments/capacity.toml."""
-    # imported here for the same reason
+    """Write the tables of docs/CAPACITY.md.
+
+    They follow from the results in scale_experiments/results and from scale_experiments/capacity.toml.
+    """
+    # imported here for the same reason as in `fit`
     sys.exit(import_module("scale_experiments.commands.report").main(check))
 
 
 def main() -> None:
-    """Run the command line; bad input ends it with one line on standard error."""
+    """Run the command line; bad input is reported in one line on standard error."""
     try:
         status = cli.main(standalone_mode=False)
     except click.ClickException as e:
--- a/scale_experiments/commands/__init__.py
+++ b/scale_experiments/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands that read results: `fit` and `report`."""
+"""The commands `fit` and `report`, which read results."""
--- a/scale_experiments/commands/exit_status.py
+++ b/scale_experiments/commands/exit_status.py
@@ -9,7 +9,7 @@
     """How a command ended."""
 
     SUCCESS = 0
-    CHECK_FAILED = 1  # a budget is exceeded, a run is incomplete, or the page differs from the results
+    CHECK_FAILED = 1  # a budget is exceeded, a result is incomplete, or the page differs from the results
     BAD_INPUT = 2
     MEASUREMENT_FAILED = 3
     INTERRUPTED = 130  # 128 + SIGINT, as shells report it
--- a/scale_experiments/commands/fit.py
+++ b/scale_experiments/commands/fit.py
@@ -1,8 +1,8 @@
 """The command `fit`: prints least-squares fits of a result's metrics against the sizes of its samples.
 
-For each metric a few forms are fitted over the columns of the size that vary, over all of them together and
-over each alone. The best has the smallest cross-validation error. A value at another size comes with its
-standard error and with how far it lies beyond the largest size that was measured.
+Several forms are fitted to each metric, over all columns of the size that vary together and over each alone.
+The best fit has the smallest cross-validation error. A value at another size is printed with its standard
+error and with the extrapolation factor: its ratio to the largest measured size.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 
 
 def target_columns(target: Target) -> dict[str, float]:
-    """The columns that sizes may have, at the target."""
+    """The values of the columns of a size at the target."""
     return {**target.target.model_dump(), "changes_per_s": target.list_changes_per_s()}
 
 
 def describe_result(result: Result, target: Size) -> list[str]:
-    """The lines that the command prints for one result: each metric with all its forms, the best first."""
+    """The lines that the command prints for one result: each metric with all its fits, the best first."""
     incomplete = "" if result.complete else ", not complete"
     lines = [f"{result.experiment}: {len(result.samples)} samples{incomplete}"]
     for metric in sorted({metric for sample in result.samples for metric in sample.metrics}):
@@ -48,7 +48,7 @@
 
 
 def _describe_predictions(fit: Fit, target: Size) -> Iterator[str]:
-    """The value at the target and beyond it; a column without a target stays at the largest measured."""
+    """The values at the target and beyond it; a column without a target has its largest measured value."""
     for name, factor in (("target", 1.0), (f"{HEADROOM_FACTOR:g} x target", HEADROOM_FACTOR)):
         size = {c: target[c] * factor if c in target else fit.largest[c] for c in fit.columns}
         value = fit.predict(size)
@@ -61,7 +61,7 @@
 
 
 def main(paths: Sequence[Path]) -> ExitStatus:
-    """Print the fits of results; one line on standard error if a file can't be used."""
+    """Print the fits of results, or one line on standard error if a file can't be used."""
     try:
         target = target_columns(load_target())
         for path in paths:
--- a/scale_experiments/commands/report.py
+++ b/scale_experiments/commands/report.py
@@ -1,9 +1,9 @@
 """The command `report`: writes the tables of docs/CAPACITY.md, or checks them.
 
-The tables are worked out from kept results and from capacity.toml. An entry of it says what a role has to
-carry, as a formula of fitted metrics and of figures that were given or assumed; the budget that it may take;
-and the code that carries it. Its breaking point is the size on the straight line from today's fleet to the
-target, and beyond, at which it first exceeds its budget.
+The tables are computed from kept results and from capacity.toml. An entry of capacity.toml states the load of
+a role, as a formula of fitted metrics and of given or assumed figures; its budget; and the code that carries
+the load. Its breaking point is the size at which it first exceeds its budget, on the straight line from
+today's fleet to the target and beyond.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Rendering:
-    """The page as it is kept, and as the results give it."""
+    """The page in the repository, and the page that follows from the results."""
 
     kept: str
     expected: str
 
 
 def render(root: Path = ROOT) -> Rendering:
-    """Work out the tables of the page below a root.
+    """Compute the page below a root folder.
 
-    Raises InputError, ExpressionError, FitError or OSError if the page or what it rests on can't be used.
+    Raises InputError, ExpressionError, FitError or OSError if the page or one of its sources can't be used.
     """
     table = read_capacity(root / CAPACITY_TABLE)
     tables = page_tables(table, load_target(root / TARGET_FILE), root / RESULTS_FOLDER)
@@ -46,7 +46,7 @@
 
 
 def describe_first_difference(page: Rendering) -> str:
-    """The first line in which the page as kept differs from the expected one."""
+    """Describe the first line in which the kept page differs from the expected one."""
     pairs = zip_longest(page.kept.splitlines(), page.expected.splitlines(), fillvalue=END_OF_PAGE)
     for number, (kept, expected) in enumerate(pairs, 1):
         if kept != expected:
@@ -55,7 +55,7 @@
 
 
 def main(check: bool, root: Path = ROOT) -> ExitStatus:
-    """Write the tables, or with `check` compare only; returns the exit status."""
+    """Write the tables, or only compare them if `check` is set; returns the exit status."""
     try:
         page = render(root)
     except (ExpressionError, FitError) as e:
--- a/scale_experiments/expression.py
+++ b/scale_experiments/expression.py
@@ -1,4 +1,4 @@
-"""Small arithmetic expressions over named numbers; nothing else is evaluated."""
+"""Arithmetic expressions over named numbers; other Python expressions are rejected."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 class Expression:
     """An expression of numbers, names, + - * / **, brackets and the functions min, max, sqrt, exp and log.
 
-    `text` is the source, `names` are the names that it needs a value for.
+    `text` is the source, and `names` are the names whose values the expression needs.
     """
 
     def __init__(self, text: str) -> None:
-        """Parse an expression; raises ExpressionError if it is too long or holds anything else."""
+        """Parse an expression; raises ExpressionError if it is too long or contains anything else."""
         self.text = text
         if len(text) > MAX_LENGTH:
             raise ExpressionError(f"must have at most {MAX_LENGTH} characters")
@@ -48,7 +48,10 @@
         self._check(self._tree)
 
     def value(self, lookup: Callable[[str], float]) -> float:
-        """The value, with each name looked up; raises ExpressionError if the arithmetic fails."""
+        """Evaluate the expression; `lookup` returns the value of a name.
+
+        Raises ExpressionError if the arithmetic fails, such as for a division by 0.
+        """
         return self._evaluate(self._tree, lookup)
 
     def _check(self, node: ast.AST) -> None:
--- a/scale_experiments/fitting/__init__.py
+++ b/scale_experiments/fitting/__init__.py
@@ -1,1 +1,1 @@
-"""Least-squares fits of what was measured against the sizes at which it was measured."""
+"""Least-squares fits of measured metrics over the sizes at which they were measured."""
--- a/scale_experiments/fitting/forms.py
+++ b/scale_experiments/fitting/forms.py
@@ -1,4 +1,4 @@
-"""The forms that a metric may follow, and what all fits have in common."""
+"""The forms that are fitted to metrics, and the base class of fits."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class FitError(ValueError):
-    """Observations to which a form can't be fitted; the message names the metric and what is missing."""
+    """A form can't be fitted to the observations; the message names the metric and what is missing."""
 
 
 class Form(Enum):
-    """How a metric follows the columns of a size. The values are keys of capacity.toml."""
+    """How a metric depends on the columns of a size. The values are keys of capacity.toml."""
 
     CONSTANT = "constant"  # a
     LINEAR = "linear"  # a + the sum of b x over the columns x
     PRODUCT = "product"  # a + b times the product of the columns
     POWER = "power"  # a times the product of x ** b; fitted to the logarithms
-    INTERPOLATED = "between"  # from size to size along one column; only on request
+    INTERPOLATED = "between"  # between neighbouring sizes along one column; only if capacity.toml asks for it
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
@@ -36,14 +36,15 @@
     metric: str
     form: Form
     columns: tuple[str, ...]
-    # root mean square of the residuals by degree of freedom, in the metric's unit
+    # root of the sum of squared residuals per degree of freedom, in the metric's unit
     residual: float
-    # root mean square error at sizes left out of the fit, as a share of the mean there; NaN if none could be
+    # root mean square error at sizes left out of the fit, as a share of the mean at them; NaN if that is
+    # impossible
     cross_validation_error: float
     size_count: int
     # the largest measured value of each column of the fit
     largest: dict[str, float]
-    # the columns that did not vary
+    # the columns that did not vary, with their values
     fixed: dict[str, float]
 
     @property
@@ -60,6 +61,6 @@
         """The slopes with their standard errors, in words."""
 
     def extrapolation_factor(self, size: Size) -> float:
-        """How far a size exceeds the largest measured, as the largest ratio of its columns; 1 without any."""
+        """The largest ratio, over the columns, of a size to the largest measured one; 1 without columns."""
         ratios = (size[c] / self.largest[c] for c in self.columns if self.largest[c] > 0)
         return max(ratios, default=1.0)
--- a/scale_experiments/fitting/interpolation.py
+++ b/scale_experiments/fitting/interpolation.py
@@ -1,4 +1,4 @@
-"""Interpolation from size to size, for metrics that none of the other forms describes."""
+"""Interpolation between measured sizes, for metrics that no other form describes."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from scale_experiments.measurement.estimate import Estimate
 from scale_experiments.number_format import format_number
 
-MIN_SIZES = 3  # the fewest of which one can be left out and interpolated between its neighbours
+MIN_SIZES = 3  # cross-validation interpolates an inner size from its two neighbours
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class InterpolatedFit(Fit):
-    """The means at the measured sizes of one column, in rising order.
+    """The means at the measured sizes of one column, in ascending order.
 
-    A value between two sizes lies on the power through both, beyond the last on that of the last two. Its
-    standard error is the share `cross_validation_error`, which is rather too large, as the nearest size is
-    left out for it.
+    A value between two sizes is on the power function through both; a value beyond the last size is on that
+    through the last two. Its standard error is the share `cross_validation_error` of it, which overestimates
+    the error, because cross-validation leaves out the nearest size.
     """
 
     sizes: tuple[float, ...]
@@ -48,14 +48,17 @@
 
 
 def interpolate(sizes: Sequence[float], means: Array, x: float) -> float:
-    """The value at x on the power through the two sizes around it, or through the nearest two."""
+    """The value at x on the power function through the sizes on both sides of x, or the two nearest ones."""
     i = min(max(bisect.bisect_right(sizes, x), 1), len(sizes) - 1)
     share = math.log(x / sizes[i - 1]) / math.log(sizes[i] / sizes[i - 1])
     return float(means[i - 1] * (means[i] / means[i - 1]) ** share)
 
 
 def fit_interpolated(metric: str, observations: Sequence[Observation], column: str) -> InterpolatedFit:
-    """Interpolate a metric along a column; raises FitError below three sizes, or if any size or mean is 0."""
+    """Interpolate a metric along a column.
+
+    Raises FitError for fewer than `MIN_SIZES` sizes, or if a size or a mean is not above 0.
+    """
     values_by_size: dict[float, list[float]] = {}
     for observation in observations:
         values_by_size.setdefault(float(observation.size[column]), []).append(observation.value)
--- a/scale_experiments/fitting/observations.py
+++ b/scale_experiments/fitting/observations.py
@@ -10,8 +10,8 @@
 
 Size = Mapping[str, float]  # by column, such as `routers` or `caches`
 
-PRODUCT_COLUMNS = ("routers", "caches")  # connections, for one, grow with the product of the two
-# columns that grow along with the fleet, or that say how long a run waited: no causes by themselves
+PRODUCT_COLUMNS = ("routers", "caches")  # some metrics grow with their product, such as connections
+# columns that grow with the fleet or that set a duration: metrics do not depend on them directly
 CONFOUNDED_COLUMNS = ("regions", "sites", "warm_s", "zones")
 SAME_SIZE_TOLERANCE = 0.01  # sizes that differ by a smaller share than this count as the same
 
--- a/scale_experiments/fitting/regression.py
+++ b/scale_experiments/fitting/regression.py
@@ -1,4 +1,4 @@
-"""Least-squares regression of one form."""
+"""Least-squares regression of one form to the observations of a metric."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from scale_experiments.measurement.estimate import Estimate
 from scale_experiments.number_format import format_with_error
 
-# of the columns: above it they grow together, and their slopes can't be told apart
+# of the design matrix: above it, columns grow together, and their slopes can't be distinguished
 MAX_CONDITION_NUMBER = 20.0
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class RegressionFit(Fit):
-    """A form fitted by least squares; to the logarithms where the form is a power.
+    """A form fitted by least squares, to the logarithms if the form is a power.
 
     `coefficients` (k) and `covariance` (k x k) are of the constant term and then of `terms`.
     """
@@ -78,8 +78,8 @@
 ) -> RegressionFit:
     """Fit one form over columns.
 
-    Raises FitError if there are too few sizes for it, if its columns grow together, or if the form is a power
-    and a size or value is not above 0.
+    Raises FitError if it needs more sizes, if its columns are collinear, or if the form is a power and a size
+    or a value is not above 0.
     """
     if form is not Form.CONSTANT and not columns:
         raise FitError(f"{metric}: form {form.value}: must be measured at more than one size")
@@ -111,7 +111,7 @@
 
 
 def _group_by_size(form: Form, columns: Sequence[str], sizes: Sequence[Size]) -> list[int]:
-    """For each size the index of its group: those that the form can't tell apart share one."""
+    """The index of each size's group: sizes that are equal for the form are in the same group."""
     keys: list[tuple[float, ...]]
     if form is Form.PRODUCT:
         keys = [(math.prod(float(size[c]) for c in columns),) for size in sizes]
@@ -124,7 +124,8 @@
 def _column_scales(rows: Array) -> Array:
     """The largest absolute value of each column.
 
-    Columns are divided by it: 1 and routers x caches differ by a factor of millions, which would cost digits.
+    Columns are divided by it, because values such as 1 and routers x caches differ by a factor of millions,
+    which would cost the solution digits.
     """
     scales = np.asarray(np.abs(rows).max(axis=0), dtype=np.float64)
     scales[scales == 0] = 1.0
@@ -132,7 +133,7 @@
 
 
 def _solve(metric: str, form: Form, rows: Array, values: Array) -> Array:
-    """The coefficients; raises FitError if the columns grow together."""
+    """The coefficients; raises FitError if the columns are collinear."""
     centred = rows[:, 1:] - rows[:, 1:].mean(axis=0)
     lengths = np.linalg.norm(centred, axis=0)
     collinear = not lengths.all()
@@ -165,9 +166,9 @@
 def _cross_validation_error(
     metric: str, form: Form, rows: Array, values: Array, groups: Sequence[int]
 ) -> float:
-    """Root mean square error at each size, fitted from all others, as a share of the mean there.
+    """Root mean square error at each size, fitted to all others, as a share of the mean at that size.
 
-    NaN if there is only one size, or if one can't be left out.
+    NaN if there is only one size, or if the rest can't be fitted without one of the sizes.
     """
     labels = np.array(groups)
     if not labels.any():
@@ -180,7 +181,7 @@
             coefficients = _solve(metric, form, rows[kept], values[kept])
         except FitError:
             return math.nan
-        # where the mean is 0, errors count as shares of the mean magnitude over all sizes
+        # if the mean is 0, errors are shares of the mean magnitude over all sizes
         scale = abs(float(values[~kept].mean())) or mean_magnitude or 1.0
         shares = (_predict(form, rows[~kept], coefficients) - values[~kept]) / scale
         errors.append(float(np.mean(shares**2)))
--- a/scale_experiments/fitting/selection.py
+++ b/scale_experiments/fitting/selection.py
@@ -1,4 +1,4 @@
-"""The choice of a form: all that can be fitted to a metric, and the best of them."""
+"""The selection of a form: fitting all forms to a metric, and choosing the best fit."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from scale_experiments.fitting.regression import fit_regression
 from scale_experiments.measurement.estimate import ROUNDING_TOLERANCE
 
-SIGNIFICANT_ERRORS = 2.0  # a slope of fewer standard errors than this counts as none
+SIGNIFICANT_ERRORS = 2.0  # a slope is significant above this number of standard errors
 
 
 def fit_form(
     metric: str, form: Form, observations: Sequence[Observation], columns: Sequence[str] | None = None
 ) -> Fit:
-    """Fit one form over columns, by default all that vary; raises FitError if that can't be done."""
+    """Fit one form over columns, by default over all that vary; raises FitError if it can't be fitted."""
     if not observations:
         raise FitError(f"{metric}: no samples")
     if columns is None:
@@ -37,8 +37,8 @@
 def fit_all_forms(metric: str, observations: Sequence[Observation]) -> list[Fit]:
     """All forms that can be fitted, the best first; raises FitError without observations.
 
-    The best has the smallest cross-validation error, a share of what was measured, so that all sizes weigh
-    alike. The constant is the best if no slope of a linear form is significant.
+    The best has the smallest cross-validation error, which is a share of the measured values, so that all
+    sizes have the same weight. The constant is the best if no slope of a linear form is significant.
     """
     fits = []
     for form, columns in _candidates(observations):
@@ -81,7 +81,7 @@
 def _selection_error(fit: Fit) -> float:
     """The cross-validation error by which fits are sorted.
 
-    Rounded to four digits, so that of forms that say the same the simplest comes first on every machine.
+    It is rounded to four digits, so that of equivalent forms the simplest comes first on every machine.
     """
     if math.isnan(fit.cross_validation_error):
         return math.inf
@@ -89,7 +89,7 @@
 
 
 def _has_significant_slope(fit: Fit, magnitude: float) -> bool:
-    """Whether any slope of a linear fit stands out from its error and from rounding of the arithmetic."""
+    """Whether any slope of a linear fit exceeds its standard error and rounding errors significantly."""
     return any(
         abs(slope.value)
         > max(SIGNIFICANT_ERRORS * slope.standard_error, ROUNDING_TOLERANCE * magnitude / fit.largest[column])
--- a/scale_experiments/runs/context.py
+++ b/scale_experiments/runs/context.py
@@ -43,8 +43,8 @@
     def interrupt(self, error: KeyboardInterrupt) -> None:
         """Interrupt the run, from a signal handler.
 
-        Only the first call has an effect. Raises `error`; within a `shielded` block it is raised at the end of
-        the block instead, so that a process that is being started is registered first.
+        Only the first call has an effect. Raises `error`; within a `shielded` block it is raised at the end
+        of the block instead, so that a process that is being started is registered first.
         """
         if self.interruption is None:
             self.interruption = error
--- a/scale_experiments/runs/experiment.py
+++ b/scale_experiments/runs/experiment.py
@@ -1,7 +1,7 @@
 """Experiment files: their schema, and how they are read and checked.
 
-An experiment is a TOML file: what to measure (`kind`, `[parameters]`), at which `[[sizes]]`, how often, and
-the `[[budgets]]` that the figures have to keep.
+An experiment is a TOML file. It states what to measure (`kind`, `[parameters]`), at which sizes of the fleet
+(`[[sizes]]`), how often, and the limits that the metrics must not exceed (`[[budgets]]`).
 """
 
 from __future__ import annotations
@@ -26,21 +26,21 @@
 
 from scale_experiments.runs.scenario import AnyScenario
 
-MAX_TIME_LIMIT_S = 7200.0  # that a run may take
+MAX_TIME_LIMIT_S = 7200.0  # the longest time limit of a run
 MAX_SIZES = 100
 
 Model = TypeVar("Model", bound=BaseModel)
 
 
 def check_finite(value: object) -> object:
-    """A number as TOML has it: whole numbers stay so; true, NaN and texts are none."""
+    """Check a value of TOML: a finite integer or float, which is returned as it is. Raises ValueError."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
         raise ValueError("must be a finite number")
     return value
 
 
 def check_not_negative(value: object) -> object:
-    """A number of at least 0."""
+    """Check that a number is at least 0; raises ValueError."""
     if isinstance(value, int | float) and value < 0:
         raise ValueError("must be at least 0")
     return value
@@ -52,11 +52,11 @@
 
 
 class InputError(ValueError):
-    """A file that can't be used; the message is one line that names the file and the field."""
+    """Input that can't be used; the message is one line that names the file and the field."""
 
 
 class Budget(BaseModel):
-    """The most that the median of a metric may be, at the sizes that have these columns."""
+    """A limit of the median of a metric, at the sizes whose columns have the values of `at`."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -65,12 +65,12 @@
     at: dict[str, Number] = Field(default_factory=dict)
 
     def applies_to(self, size: Mapping[str, float]) -> bool:
-        """Whether the budget is one of this size."""
+        """Whether the budget limits the metric at this size."""
         return all(column in size and size[column] == value for column, value in self.at.items())
 
 
 class Experiment(BaseModel):
-    """One experiment file."""
+    """One experiment file. `seed` is that of the first repeat; each further repeat adds 1."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -85,7 +85,7 @@
 
 
 def field_path(path: tuple[int | str, ...]) -> str:
-    """A field as it would be written: `sizes[0].caches`."""
+    """The path of a field as text, such as `sizes[0].caches`."""
     spelled = ""
     for part in path:
         spelled += f"[{part}]" if isinstance(part, int) else f".{part}" if spelled else part
@@ -98,26 +98,27 @@
     within: tuple[int | str, ...] = (),
     known: type[BaseModel] | None = None,
 ) -> str:
-    """The first error that a schema found, in one line.
+    """Describe the first error of a validation, in one line.
 
-    `within` is the place of the table in the file; the fields of `known` are listed for an unknown key.
+    `within` is the path of the validated table in the file. `known` is its schema, whose keys are listed if
+    the error is an unknown key.
     """
-    # a field that is not known comes first: it is most often the one that another is missing
+    # an unknown field comes first: most often it is a misspelling of a field that is missing
     first = min(error.errors(include_url=False), key=lambda e: e["type"] != "extra_forbidden")
     path = first["loc"]
     field = field_path((*within, *path)) or "file"
     given = "" if first["type"] == "missing" else f", not {first['input']!r}"[:60]
-    said = first["msg"].removeprefix("Value error, ")
+    reason = first["msg"].removeprefix("Value error, ")
     if first["type"] == "extra_forbidden":
-        given, said = "", "is not known"
+        given, reason = "", "is not known"
         if known is not None and len(path) == 1:
             keys = (field.alias or name for name, field in known.model_fields.items())
-            said += f"; known are {', '.join(keys)}"
-    return f"{file}: {field}: {said}{given}".replace("\n", " ")
+            reason += f"; known are {', '.join(keys)}"
+    return f"{file}: {field}: {reason}{given}".replace("\n", " ")
 
 
 def read_toml(file: Path) -> dict[str, Any]:
-    """A TOML file's content; raises InputError."""
+    """Read a TOML file; raises InputError."""
     try:
         return tomllib.loads(file.read_text(encoding="utf-8"))
     except OSError as e:
@@ -158,7 +159,7 @@
 def _validate(
     file: Path, model: type[Model], table: Mapping[str, Any], within: tuple[int | str, ...] = ()
 ) -> Model:
-    """A table by its schema; raises InputError that names the field, `within` the file."""
+    """Validate a table, which is at the path `within` of the file; raises InputError."""
     try:
         return model.model_validate(table)
     except ValidationError as e:
@@ -166,7 +167,7 @@
 
 
 def _check_budgets(file: Path, experiment: Experiment, scenario: AnyScenario) -> None:
-    """Raise InputError for a budget of what is not measured, or of no size."""
+    """Raise InputError for a budget whose metric is not measured, or that applies to no size."""
     for number, budget in enumerate(experiment.budgets):
         place = f"{file}: budgets[{number}]"
         if budget.metric not in scenario.metric_descriptions:
--- a/scale_experiments/target.py
+++ b/scale_experiments/target.py
@@ -1,6 +1,6 @@
-"""The size of today's fleet and the one planned for, from target.toml.
+"""The size of today's fleet and that of the planned fleet, from target.toml.
 
-Fields have the names of the file's keys, as capacity.toml refers to them by these.
+Fields are named after the keys of the file, by which capacity.toml refers to them.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from scale_experiments.runs.experiment import InputError, describe_validation_error, read_toml
 
 TARGET = Path(__file__).parent / "experiments" / "target.toml"
-LIST_CHANGES_PER_REPLACEMENT = 4  # assumed: the cache drains, leaves and joins, and its weight changes once
+LIST_CHANGES_PER_REPLACEMENT = 4  # assumption: a cache drains, leaves, joins, and changes its weight
 SECONDS_PER_DAY = 86_400
-HEADROOM_FACTOR = 1.5  # times the target: how far a mechanism must hold
+HEADROOM_FACTOR = 1.5  # a mechanism must work up to this multiple of the target
 
 Count = Annotated[StrictInt, Field(ge=1)]
 Amount = Annotated[float, Field(gt=0, strict=True, allow_inf_nan=False)]
 
 
 class StrictTable(BaseModel):
-    """A table of the file: all keys must be given, and unknown ones are errors."""
+    """A table of the file, in which every key is required and unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -35,7 +35,7 @@
 
 
 class PlannedFleet(StrictTable):
-    """The fleet planned for, and what it has to carry."""
+    """The planned fleet and its load."""
 
     routers: Count
     sites: Count
@@ -53,7 +53,7 @@
 
 
 class ControlBudget(StrictTable):
-    """What control may cost each router, and on how many machines of its own."""
+    """The resources of each router that control may use, and the machines that control has for itself."""
 
     router_core_share: Annotated[Amount, Field(le=1)]
     router_memory_mb: Amount
@@ -62,7 +62,7 @@
 
 
 class FailureRates(StrictTable):
-    """How often which part of the fleet fails."""
+    """How often each part of the fleet fails."""
 
     machines_failing_per_day: Amount
     machines_restarted_or_replaced_per_day: Amount
@@ -73,14 +73,14 @@
 
 
 class MachineLimits(StrictTable):
-    """What a run may take of the machine on which it measures."""
+    """The resources of the measuring machine that a run may use."""
 
     memory_share: Annotated[Amount, Field(le=1)]
     processes: str
 
 
 class Target(StrictTable):
-    """The whole file."""
+    """The complete file."""
 
     today: TodaysFleet
     target: PlannedFleet
@@ -89,7 +89,7 @@
     rig: MachineLimits
 
     def list_changes_per_s(self) -> float:
-        """Changes of the endpoint list a second: those of configuration, and those of each replacement."""
+        """Changes of the endpoint list per second, by configuration and by replacements of machines."""
         restarts = self.failures.machines_restarted_or_replaced_per_day
         return (self.target.changes_per_day + LIST_CHANGES_PER_REPLACEMENT * restarts) / SECONDS_PER_DAY
 
