--- a/scale_experiments/scenarios/placement.py
+++ b/scale_experiments/scenarios/placement.py
@@ -7,26 +7,17 @@
 
 from __future__ import annotations
 
-from collections import OrderedDict
-from collections.abc import Iterator, Sequence
-from dataclasses import dataclass
-from typing import Any
+from collections.abc import Iterator
 
 import numpy as np
 from pydantic import BaseModel, ConfigDict, Field
 
-from cache_router.endpoint import Endpoint
 from scale_experiments.runs.context import ExperimentContext
 from scale_experiments.runs.metrics import Count, Metrics, Ratio, Share
 from scale_experiments.runs.sample import Sample
 from scale_experiments.runs.scenario import Scenario, WholeNumber
-from scale_experiments.simulation.key_placement import place_keys
-from scale_experiments.simulation.model import site_settings
-
-BISECTION_STEPS = 60
-MAX_OBJECTS_RATIO = 100  # the most objects that are tried, over those that the caches hold
-OBJECTS_TOLERANCE = 0.01  # share of the number of objects, at which the bisection ends
-FloatArray = np.ndarray[Any, np.dtype[np.float64]]
+from scale_experiments.scenarios.ring_caching.popularity import key_popularity, objects_for
+from scale_experiments.scenarios.ring_caching.simulation import RingResult, place_on_group, simulate
 
 
 class PlacementMetrics(Metrics):
@@ -75,111 +66,6 @@
     zipf_exponent: float = Field(alias="skew", description="exponent of the popularity of keys (Zipf's law)")
 
 
-def key_popularity(objects: int, zipf_exponent: float, rank_offset: float) -> FloatArray:
-    """The share of reads of each object by rank, by the Zipf-Mandelbrot law.
-
-    `zipf_exponent` is the exponent, and `rank_offset` is added to each rank.
-    """
-    weights: FloatArray = (np.arange(1, objects + 1, dtype=np.float64) + rank_offset) ** -zipf_exponent
-    shares: FloatArray = weights / weights.sum()
-    return shares
-
-
-def expected_hit_share(shares: FloatArray, capacity: int) -> float:
-    """The hit share of one least-recently-used cache that holds `capacity` objects.
-
-    Che, Tung and Wang, "Hierarchical Web Caching Systems" (2002): an object is cached if it was read within
-    the characteristic time, in which as many distinct objects are read as the cache holds.
-    """
-    if capacity >= len(shares):
-        return 1.0
-    low, high = 0.0, 1.0
-    while np.sum(-np.expm1(-shares * high)) < capacity:
-        high *= 2
-    for _ in range(BISECTION_STEPS):
-        middle = (low + high) / 2
-        if np.sum(-np.expm1(-shares * middle)) < capacity:
-            low = middle
-        else:
-            high = middle
-    return float(np.sum(shares * -np.expm1(-shares * high)))
-
-
-def objects_for(hit_share: float, capacity: int, zipf_exponent: float, rank_offset: float) -> int:
-    """The number of objects at which a cache of `capacity` objects has a hit share, by bisection."""
-
-    def hits_more_often(objects: int) -> bool:
-        return expected_hit_share(key_popularity(objects, zipf_exponent, rank_offset), capacity) > hit_share
-
-    low, high = capacity, 2 * capacity
-    while hits_more_often(high) and high < MAX_OBJECTS_RATIO * capacity:
-        low, high = high, 2 * high
-    while high - low > OBJECTS_TOLERANCE * low:
-        middle = (low + high) // 2
-        if hits_more_often(middle):
-            low = middle
-        else:
-            high = middle
-    return high
-
-
-@dataclass(slots=True, frozen=True)
-class RingResult:
-    """How the reads on one ring ended."""
-
-    hit_share: float
-    worst_cache_ratio: float  # reads at the busiest cache over the mean
-
-
-class LeastRecentlyUsedCaches:
-    """The caches of one ring; each starts with the most popular of its keys."""
-
-    def __init__(self, owners: Sequence[int], caches: int, capacity: int) -> None:
-        self.owners = owners  # the index of the cache of each key, by rank
-        self.capacity = capacity
-        # by cache, its keys; the most recently used key is the last
-        self.contents: list[OrderedDict[int, None]] = [OrderedDict() for _ in range(caches)]
-        for key, owner in enumerate(owners):
-            if len(self.contents[owner]) < capacity:
-                self.contents[owner][key] = None
-                self.contents[owner].move_to_end(key, last=False)
-
-    def read(self, key: int) -> bool:
-        """Whether the cache of a key holds it; the cache holds it afterwards."""
-        cached = self.contents[self.owners[key]]
-        if key in cached:
-            cached.move_to_end(key)
-            return True
-        cached[key] = None
-        if len(cached) > self.capacity:
-            cached.popitem(last=False)
-        return False
-
-
-def simulate(
-    owners: Sequence[int],
-    caches: int,
-    capacity: int,
-    shares: FloatArray,
-    *,
-    reads: int,
-    rng: np.random.Generator,
-) -> RingResult:
-    """Simulate reads; only the second half of them is counted, when the caches have warmed up."""
-    ring = LeastRecentlyUsedCaches(owners, caches, capacity)
-    received = [0] * caches
-    hits = counted = 0
-    ranks = np.searchsorted(np.cumsum(shares), rng.random(reads)).tolist()
-    for number, rank in enumerate(ranks):
-        key = min(rank, len(owners) - 1)
-        is_hit = ring.read(key)
-        if number >= reads // 2:
-            received[owners[key]] += 1
-            hits += is_hit
-            counted += 1
-    return RingResult(hits / counted, max(received) * caches / counted)
-
-
 def measure_groups(
     parameters: Parameters, groups: int, zipf_exponent: float, objects: int, seed: int
 ) -> RingResult:
@@ -198,15 +84,6 @@
     )
 
 
-def place_on_group(group: int, caches: int, objects: int) -> list[int]:
-    """The index, among the caches of a group, of the cache that the ring assigns to each key, by rank."""
-    names = [f"s-{group:02x}{number:06x}" for number in range(caches)]
-    endpoints = [Endpoint(name, weight=1.0) for name in names]
-    numbers = {name: number for number, name in enumerate(names)}
-    keys = (f"page:{rank}" for rank in range(objects))
-    return [numbers[name] for name in place_keys(site_settings(), endpoints, keys)]
-
-
 def compute_metrics(
     parameters: Parameters, groups: int, objects: int, pooled: RingResult, grouped: RingResult
 ) -> PlacementMetrics:
