--- /dev/null
+++ b/scale_experiments/scenarios/machine_metrics.py
@@ -0,0 +1,22 @@
+"""The speed and load of the measuring machine, with which results of different runs can be compared."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from pydantic import Field
+
+from scale_experiments.measurement.reference_work import MACHINE_METRICS, machine_metrics
+from scale_experiments.runs.metrics import Count, Metrics, Seconds
+
+
+class MachineMetrics(Metrics):
+    """The machine during a sample."""
+
+    reference_cpu_s: Seconds = Field(description=MACHINE_METRICS["reference_cpu_s"])
+    load: Count = Field(description=MACHINE_METRICS["load"])
+
+
+def measure_machine(references: Sequence[float]) -> MachineMetrics:
+    """The machine now; `references` are the CPU seconds of the reference work during the sample."""
+    return MachineMetrics(**machine_metrics(references))
