--- a/scale_experiments/scenarios/sockets.py
+++ b/scale_experiments/scenarios/sockets.py
@@ -1,8 +1,9 @@
 """Connections and handshakes between real routers and page caches, and what they cost a router.
 
-A few routers are started by `run` of deploy/balancer.toml, after its `build` in a folder of the run, with the
-limits of a deployment, against page caches at an address each and a load of clients. CPU is of the routers'
-processes. `siblings` is the router count of the settings, which sets for how long connections are kept.
+Some routers are started by `run` of deploy/balancer.toml, after its `build` in a folder of the run, with the
+limits of a deployment. Each page cache has an address of its own, and clients generate the load. CPU is of
+the processes of the routers. `siblings` is the router count of the settings, which determines how long
+connections are kept.
 """
 
 from __future__ import annotations
@@ -27,11 +28,7 @@
     build_snapshot,
 )
 from scale_experiments.measurement.histograms import decode_histogram
-from scale_experiments.measurement.reference_work import (
-    MACHINE_METRICS,
-    machine_metrics,
-    measure_reference_cpu_s,
-)
+from scale_experiments.measurement.reference_work import measure_reference_cpu_s
 from scale_experiments.measurement.socket_metrics import Usage, compute_metrics
 from scale_experiments.routers.router_process import (
     RouterConfiguration,
@@ -41,8 +38,10 @@
     wait_until_ready,
 )
 from scale_experiments.runs.context import ExperimentContext
+from scale_experiments.runs.metrics import Bytes, Cores, Count, Metrics, PerSecond, Ratio, Seconds, Share
 from scale_experiments.runs.sample import Sample
 from scale_experiments.runs.scenario import Scenario, WholeNumber
+from scale_experiments.scenarios.machine_metrics import MachineMetrics, measure_machine
 
 READY_TIMEOUT_S = 30.0
 REPLY_TIMEOUT_S = 60.0
@@ -56,31 +55,53 @@
 
 
 class Parameters(BaseModel):
-    """What is the same at all sizes."""
+    """What all sizes of an experiment have in common; aliases are the keys."""
 
     model_config = ConfigDict(extra="forbid")
 
-    memory_mb: int = Field(192, ge=16, le=4096, description="limit told to a router")
-    sockets: int = Field(1024, ge=64, le=16384, description="limit of descriptors, told to a router and set")
+    memory_mb: int = Field(192, ge=16, le=4096, description="memory limit in a router's configuration")
+    descriptors: int = Field(
+        1024,
+        alias="sockets",
+        ge=64,
+        le=16384,
+        description="file descriptors of a router, configured and enforced",
+    )
     warm_s: float = Field(5.0, ge=0, le=300, description="of load before it is measured")
-    measure_s: float = Field(15.0, gt=0, le=600, description="of load that is measured")
-    keys: int = Field(100_000, ge=1, le=10_000_000, description="that clients ask for")
-    zipf: float = Field(0.9, ge=0, le=3, description="exponent of the keys' popularity")
-    write_share: float = Field(0.0, ge=0, le=1, description="of requests")
-    value_bytes: int = Field(1024, ge=0, le=65536, description="of each value")
-    warm: bool = Field(True, description="caches hold every key at first; else none")
+    measured_s: float = Field(15.0, alias="measure_s", gt=0, le=600, description="of load that is measured")
+    keys: int = Field(100_000, ge=1, le=10_000_000, description="distinct keys of the clients' requests")
+    zipf_exponent: float = Field(
+        0.9, alias="zipf", ge=0, le=3, description="exponent of the popularity of keys"
+    )
+    write_share: float = Field(0.0, ge=0, le=1, description="share of requests that write")
+    value_bytes: int = Field(1024, ge=0, le=65536, description="size of each value")
+    is_warm: bool = Field(True, alias="warm", description="whether the caches hold every key at the start")
     service_s: float = Field(0.005, ge=0, le=10, description="of a request at a cache")
-    handshake_s: float = Field(0.002, ge=0, le=10, description="more for the first request on a connection")
-    idle_s: float = Field(10.0, gt=0, le=600, description="after which a cache closes an idle connection")
-    most_connections: int = Field(750, ge=1, le=100_000, description="that one cache serves")
-    origin_service_s: float = Field(0.05, ge=0, le=10, description="of a fetch")
-    origin_most_at_once: int = Field(200, ge=1, le=100_000, description="fetches in hand at the origin")
-    connection_price: float = Field(0.05, ge=0, le=10, description="of 100 open connections at every cache")
-    handshake_price: float = Field(0.05, ge=0, le=10, description="of a new connection for every request")
+    handshake_s: float = Field(
+        0.002, ge=0, le=10, description="additional, of the first request on a connection"
+    )
+    idle_timeout_s: float = Field(
+        10.0, alias="idle_s", gt=0, le=600, description="after which a cache closes an idle connection"
+    )
+    max_connections: int = Field(
+        750, alias="most_connections", ge=1, le=100_000, description="connections that a cache serves"
+    )
+    origin_service_s: float = Field(0.05, ge=0, le=10, description="of a fetch at the origin")
+    origin_max_concurrent: int = Field(
+        200, alias="origin_most_at_once", ge=1, le=100_000, description="concurrent fetches at the origin"
+    )
+    connection_price: float = Field(
+        0.05, ge=0, le=10, description="cost of 100 open connections at every cache"
+    )
+    handshake_price: float = Field(
+        0.05, ge=0, le=10, description="cost of a new connection for every request"
+    )
     fault: Literal["dead", "hang", "drain"] = Field(
-        "dead", description="of the caches that a size names as faulty; the list does not tell it"
+        "dead", description="of the `faulty` caches of a size; the endpoint list does not show it"
+    )
+    fault_s: float = Field(
+        5.0, gt=0, le=600, description="duration of the fault, from the start of measuring"
     )
-    fault_s: float = Field(5.0, gt=0, le=600, description="of the fault, from where measuring begins")
 
 
 class Size(BaseModel):
@@ -93,38 +114,58 @@
     faulty: WholeNumber = Field(0, description="page caches that have the fault for a time")
 
 
-METRICS = {
-    "requests_per_s": "requests that clients sent, all routers",
-    "served_share": "requests served, of those that ended",
-    "refused_share": "requests refused, of those that ended",
-    "lost_share": "requests failed, unanswered or lost with their connection, of those that ended",
-    "latency_p50_s": "of served requests, from when they were due",
-    "latency_p99_s": "of served requests, from when they were due",
-    "attempts_per_request": "requests at caches for each one of a client",
-    "handshakes_per_request": "new connections to caches for each request of a client",
-    "handshakes_per_cache_per_s": "new connections at a cache",
-    "open_per_cache": "open connections at a cache, mean over time and caches",
-    "open_per_cache_per_router": "the same for each router",
-    "most_open_at_a_cache": "open connections at the cache that had the most, at its peak since the start",
-    "open_to_caches_per_router": "open connections of a router to caches, mean over time",
-    "caches_met_share": "caches that had a request while it was measured",
-    "fullest_cache_share": "requests of the cache that had the most, of an even share",
-    "hit_share": "attempts at caches that found the key",
-    "busy_per_request": "attempts that caches turned away for each request of a client",
-    "origin_per_request": "requests at the origin for each one of a client",
-    "router_cpu_per_request_s": "CPU seconds of a router for a request of a client, all that it does",
-    "router_cpu_share": "cores that a router uses",
-    "router_resident_bytes": "resident memory of a router at the end, mean",
-    "router_most_resident_bytes": "the most resident memory of a router since its start",
-    "router_descriptors": "descriptors of a router at the end, mean",
-    "client_connections_per_router": "open connections of clients to a router at the end",
-    "client_connections_per_request": "connections that clients opened for each request",
-    **MACHINE_METRICS,
-}
+class SocketsMetrics(Metrics):
+    """Clients, page caches and routers while the load is measured."""
+
+    requests_per_s: PerSecond = Field(description="requests that clients sent, all routers")
+    served_share: Share = Field(description="requests served, of those that ended")
+    refused_share: Share = Field(description="requests refused, of those that ended")
+    lost_share: Share = Field(
+        description="requests failed, unanswered or lost with their connection, of those that ended"
+    )
+    latency_p50_s: Seconds = Field(description="of served requests, from when they were due")
+    latency_p99_s: Seconds = Field(description="of served requests, from when they were due")
+    attempts_per_request: Ratio = Field(description="requests at caches for each one of a client")
+    handshakes_per_request: Ratio = Field(
+        description="new connections to caches for each request of a client"
+    )
+    handshakes_per_cache_per_s: PerSecond = Field(description="new connections at a cache")
+    open_per_cache: Count = Field(description="open connections at a cache, mean over time and caches")
+    open_per_cache_per_router: Count = Field(description="the same for each router")
+    most_open_at_a_cache: Count = Field(
+        description="open connections at the cache that had the most, at its peak since the start"
+    )
+    open_to_caches_per_router: Count = Field(
+        description="open connections of a router to caches, mean over time"
+    )
+    caches_met_share: Share = Field(description="caches that had a request while it was measured")
+    fullest_cache_share: Share = Field(
+        description="requests of the cache that had the most, of an even share"
+    )
+    hit_share: Share = Field(description="attempts at caches that found the key")
+    busy_per_request: Ratio = Field(
+        description="attempts that caches turned away for each request of a client"
+    )
+    origin_per_request: Ratio = Field(description="requests at the origin for each one of a client")
+    router_cpu_per_request_s: Seconds = Field(
+        description="CPU seconds of a router for a request of a client, all that it does"
+    )
+    router_cpu_share: Cores = Field(description="cores that a router uses")
+    router_resident_bytes: Bytes = Field(description="resident memory of a router at the end, mean")
+    router_most_resident_bytes: Bytes = Field(
+        description="the most resident memory of a router since its start"
+    )
+    router_descriptors: Count = Field(description="descriptors of a router at the end, mean")
+    client_connections_per_router: Count = Field(
+        description="open connections of clients to a router at the end"
+    )
+    client_connections_per_request: Ratio = Field(
+        description="connections that clients opened for each request"
+    )
 
 
 def build_cache_entries(count: int) -> list[EndpointEntry]:
-    """Page caches, an address each."""
+    """The entries of page caches, each with an address of its own."""
     return build_loopback_entries(count, CACHE_NETWORK, ["a"], "std")
 
 
@@ -146,7 +187,7 @@
         "familyInfo": {"mode": "aside", "originKind": 1},
         "skus": ["std", "origin"],
         "limits": {
-            "connIdle": parameters.idle_s,
+            "connIdle": parameters.idle_timeout_s,
             "dialTimeout": 0.35,
             "maxRetryAfter": 1.2,
             "mayCancel": True,
@@ -176,9 +217,9 @@
         self.routers: list[psutil.Process] = []
 
     def start(self) -> None:
-        """Start caches, discovery, routers and, once these are ready, the load.
+        """Start caches, discovery and routers, and the clients once the routers are ready.
 
-        Raises ControlError, OSError or RouterStartError where a process does not start.
+        Raises ControlError, OSError or RouterStartError if a process does not start.
         """
         build_router(self.context)  # before any emulator runs
         entries = build_cache_entries(self.size.caches)
@@ -207,11 +248,11 @@
             value_bytes=p.value_bytes,
             service_s=p.service_s,
             handshake_s=p.handshake_s,
-            idle_s=p.idle_s,
-            max_connections=p.most_connections,
-            warm=p.warm,
+            idle_s=p.idle_timeout_s,
+            max_connections=p.max_connections,
+            warm=p.is_warm,
             origin_service_s=p.origin_service_s,
-            origin_max_concurrent=p.origin_most_at_once,
+            origin_max_concurrent=p.origin_max_concurrent,
         )
         return self.caches.request(command).origin
 
@@ -228,7 +269,7 @@
             discovery=discovery,
             seed=self.seed * SEEDS_PER_SAMPLE + number,
             memory_mb=self.parameters.memory_mb,
-            descriptors=self.parameters.sockets,
+            descriptors=self.parameters.descriptors,
             cached_list=build_snapshot(LIST_INDEX, entries),
             settings=build_settings(self.parameters, self.size.siblings),
         )
@@ -249,22 +290,22 @@
                 read_class="read",
                 write_class="put",
                 keys=p.keys,
-                zipf_exponent=p.zipf,
+                zipf_exponent=p.zipf_exponent,
                 write_share=p.write_share,
                 value_bytes=p.value_bytes,
             )
         )
 
     def usage(self) -> Usage:
-        """Counts since the start, and latencies since the last call."""
+        """Counts since the start, and latencies since the previous call."""
         cpu_s = sum(sum(r.cpu_times()[:2]) for r in self.routers)
         clients = self.clients.request(GetClientsStats(restart=True))
         return Usage(self.caches.request(GetCachesStats()), clients, cpu_s)
 
     def run_load(self) -> None:
-        """Let the time pass that is measured, with the fault of some caches at its beginning."""
+        """Wait for the measured time; some caches have the fault in the first part of it."""
         p, faulty = self.parameters, self.size.faulty
-        remaining_s = p.measure_s
+        remaining_s = p.measured_s
         if faulty:
             names = self.cache_names[:faulty]
             self.caches.request(SetCacheMode(names, p.fault))
@@ -279,13 +320,13 @@
             raise RuntimeError("a router has ended")
 
     def stop(self) -> None:
-        """End all processes of the sample, the ones started last first."""
+        """End all processes of the sample, in the reverse order of their starts."""
         for process in reversed(self.processes):
             self.context.stop(process)
 
 
 def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
-    """One sample; raises ControlError, OSError or RuntimeError where a process does not start, or ends."""
+    """One sample; raises ControlError, OSError or RuntimeError if a process does not start, or ends early."""
     deployment = Deployment(parameters, size, seed, context)
     try:
         context.progress("start")
@@ -298,12 +339,19 @@
         after = deployment.usage()
         references.append(measure_reference_cpu_s())
         deployment.check_routers()
-        metrics = compute_metrics(before, after, deployment.routers) | machine_metrics(references)
-        yield Sample(metrics, {"latency": decode_histogram(after.clients.latency)})
+        metrics = SocketsMetrics(**compute_metrics(before, after, deployment.routers))
+        machine = measure_machine(references)
+        yield Sample(
+            metrics.values() | machine.values(), {"latency": decode_histogram(after.clients.latency)}
+        )
     finally:
         deployment.stop()
 
 
 SCENARIO = Scenario(
-    description=__doc__ or "", parameters=Parameters, size=Size, metric_descriptions=METRICS, measure=measure
+    description=__doc__ or "",
+    parameters=Parameters,
+    size=Size,
+    metric_descriptions={**SocketsMetrics.descriptions(), **MachineMetrics.descriptions()},
+    measure=measure,
 )
