--- a/scale_experiments/scenarios/sockets.py
+++ b/scale_experiments/scenarios/sockets.py
@@ -29,7 +29,6 @@
 )
 from scale_experiments.measurement.histograms import decode_histogram
 from scale_experiments.measurement.reference_work import measure_reference_cpu_s
-from scale_experiments.measurement.socket_metrics import Usage, compute_metrics
 from scale_experiments.routers.router_process import (
     RouterConfiguration,
     RouterProcess,
@@ -42,6 +41,7 @@
 from scale_experiments.runs.sample import Sample
 from scale_experiments.runs.scenario import Scenario, WholeNumber
 from scale_experiments.scenarios.machine_metrics import MachineMetrics, measure_machine
+from scale_experiments.scenarios.socket_metrics import Usage, compute_metrics
 
 READY_TIMEOUT_S = 30.0
 REPLY_TIMEOUT_S = 60.0
--- a/tests/scale_experiments/measurement/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Tests of what is measured."""
--- /dev/null
+++ b/tests/scale_experiments/runs/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of running experiments."""
--- /dev/null
+++ b/tests/scale_experiments/scenarios/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of scenarios and their parts."""
--- a/tests/scale_experiments/measurement/test_socket_metrics.py
+++ b/tests/scale_experiments/scenarios/test_socket_metrics.py
@@ -20,7 +20,7 @@
     ClientsStats,
 )
 from scale_experiments.measurement.histograms import encode_histogram
-from scale_experiments.measurement.socket_metrics import Usage, cache_metrics, client_metrics, compute_metrics
+from scale_experiments.scenarios.socket_metrics import Usage, cache_metrics, client_metrics, compute_metrics
 
 NO_REQUESTS = CacheCounters(
     accepted=0, handshakes=0, requests=0, hits=0, misses=0, rejected=0, open_sum=0.0, max_open=0, open=0
