--- a/scale_experiments/scenarios/socket_metrics.py
+++ b/scale_experiments/scenarios/socket_metrics.py
@@ -3,10 +3,11 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass
+from dataclasses import asdict, dataclass
 from pathlib import Path
 
 import psutil
+from pydantic import Field
 
 from scale_experiments.emulators.messages.caches import CachesStats
 from scale_experiments.emulators.messages.clients import (
@@ -19,6 +20,7 @@
     ClientsStats,
 )
 from scale_experiments.measurement.histograms import decode_histogram
+from scale_experiments.runs.metrics import Bytes, Cores, Count, Metrics, PerSecond, Ratio, Seconds, Share
 
 
 @dataclass(slots=True, frozen=True)
@@ -30,27 +32,120 @@
     router_cpu_s: float
 
 
-def compute_metrics(before: Usage, after: Usage, routers: list[psutil.Process]) -> dict[str, float]:
+class SocketsMetrics(Metrics):
+    """Clients, page caches and routers while the load is measured."""
+
+    requests_per_s: PerSecond = Field(description="requests that clients sent, all routers")
+    served_share: Share = Field(description="requests served, of those that ended")
+    refused_share: Share = Field(description="requests refused, of those that ended")
+    lost_share: Share = Field(
+        description="requests failed, unanswered or lost with their connection, of those that ended"
+    )
+    latency_p50_s: Seconds = Field(description="of served requests, from when they were due")
+    latency_p99_s: Seconds = Field(description="of served requests, from when they were due")
+    attempts_per_request: Ratio = Field(description="requests at caches for each one of a client")
+    handshakes_per_request: Ratio = Field(
+        description="new connections to caches for each request of a client"
+    )
+    handshakes_per_cache_per_s: PerSecond = Field(description="new connections at a cache")
+    open_per_cache: Count = Field(description="open connections at a cache, mean over time and caches")
+    open_per_cache_per_router: Count = Field(description="the same for each router")
+    most_open_at_a_cache: Count = Field(
+        description="open connections at the cache that had the most, at its peak since the start"
+    )
+    open_to_caches_per_router: Count = Field(
+        description="open connections of a router to caches, mean over time"
+    )
+    caches_met_share: Share = Field(description="caches that had a request while it was measured")
+    fullest_cache_share: Share = Field(
+        description="requests of the cache that had the most, of an even share"
+    )
+    hit_share: Share = Field(description="attempts at caches that found the key")
+    busy_per_request: Ratio = Field(
+        description="attempts that caches turned away for each request of a client"
+    )
+    origin_per_request: Ratio = Field(description="requests at the origin for each one of a client")
+    router_cpu_per_request_s: Seconds = Field(
+        description="CPU seconds of a router for a request of a client, all that it does"
+    )
+    router_cpu_share: Cores = Field(description="cores that a router uses")
+    router_resident_bytes: Bytes = Field(description="resident memory of a router at the end, mean")
+    router_most_resident_bytes: Bytes = Field(
+        description="the most resident memory of a router since its start"
+    )
+    router_descriptors: Count = Field(description="descriptors of a router at the end, mean")
+    client_connections_per_router: Count = Field(
+        description="open connections of clients to a router at the end"
+    )
+    client_connections_per_request: Ratio = Field(
+        description="connections that clients opened for each request"
+    )
+
+
+@dataclass(slots=True, frozen=True)
+class ClientMetrics:
+    """Outcomes and latencies of the clients' requests; each field is one of SocketsMetrics."""
+
+    served_share: float
+    refused_share: float
+    lost_share: float
+    latency_p50_s: float
+    latency_p99_s: float
+
+
+@dataclass(slots=True, frozen=True)
+class CacheMetrics:
+    """Requests and connections at page caches; each field is one of SocketsMetrics."""
+
+    attempts_per_request: float
+    handshakes_per_request: float
+    handshakes_per_cache_per_s: float
+    open_per_cache: float
+    open_per_cache_per_router: float
+    most_open_at_a_cache: float
+    open_to_caches_per_router: float
+    caches_met_share: float
+    fullest_cache_share: float
+    hit_share: float
+    busy_per_request: float
+
+
+@dataclass(slots=True, frozen=True)
+class RouterMetrics:
+    """What the processes of routers use; each field is one of SocketsMetrics."""
+
+    router_cpu_per_request_s: float
+    router_cpu_share: float
+    router_resident_bytes: float
+    router_most_resident_bytes: float
+    router_descriptors: float
+
+
+def compute_metrics(before: Usage, after: Usage, routers: list[psutil.Process]) -> SocketsMetrics:
     """The metrics of the time between two moments."""
     seconds = after.caches.at - before.caches.at
     counts = {
         name: count - before.clients.counts.get(name, 0) for name, count in after.clients.counts.items()
     }
     requests = max(1, counts[REQUESTS])
+    clients = client_metrics(counts, after.clients)
+    caches = cache_metrics(before.caches, after.caches, requests, len(routers))
     fetches = after.caches.origin.requests - before.caches.origin.requests
+    router_cpu_s = after.router_cpu_s - before.router_cpu_s
+    router_usage = router_metrics(router_cpu_s, requests, seconds, routers)
     open_clients = after.clients.counts[OPEN_CONNECTIONS]
-    return {
-        "requests_per_s": requests / seconds,
-        **client_metrics(counts, after.clients),
-        **cache_metrics(before.caches, after.caches, requests, len(routers)),
-        "origin_per_request": fetches / requests,
-        **router_metrics(after.router_cpu_s - before.router_cpu_s, requests, seconds, routers),
-        "client_connections_per_router": open_clients / len(routers),
-        "client_connections_per_request": counts[CONNECTIONS_OPENED] / requests,
-    }
-
-
-def client_metrics(counts: Mapping[str, int], clients: ClientsStats) -> dict[str, float]:
+    return SocketsMetrics(
+        requests_per_s=requests / seconds,
+        **asdict(clients),
+        **asdict(caches),
+        origin_per_request=fetches / requests,
+        **asdict(router_usage),
+        client_connections_per_router=open_clients / len(routers),
+        client_connections_per_request=counts[CONNECTIONS_OPENED] / requests,
+    )
+
+
+def client_metrics(counts: Mapping[str, int], clients: ClientsStats) -> ClientMetrics:
     """Shares of requests by outcome, from `counts`, and the latency of served requests."""
     ended = max(1, sum(counts.get(outcome, 0) for outcome in (SERVED, REJECTED, *FAILED_OUTCOMES)))
 
@@ -58,16 +153,16 @@
         return float(sum(counts.get(outcome, 0) for outcome in outcomes) / ended)
 
     latency = decode_histogram(clients.latency)
-    return {
-        "served_share": share(SERVED),
-        "refused_share": share(REJECTED),
-        "lost_share": share(*FAILED_OUTCOMES),
-        "latency_p50_s": latency.get_value_at_percentile(50) / 1e6,
-        "latency_p99_s": latency.get_value_at_percentile(99) / 1e6,
-    }
+    return ClientMetrics(
+        served_share=share(SERVED),
+        refused_share=share(REJECTED),
+        lost_share=share(*FAILED_OUTCOMES),
+        latency_p50_s=latency.get_value_at_percentile(50) / 1e6,
+        latency_p99_s=latency.get_value_at_percentile(99) / 1e6,
+    )
 
 
-def cache_metrics(before: CachesStats, after: CachesStats, requests: int, routers: int) -> dict[str, float]:
+def cache_metrics(before: CachesStats, after: CachesStats, requests: int, routers: int) -> CacheMetrics:
     """Metrics of page caches; clients sent `requests` requests to `routers` routers in the same time."""
     seconds = after.at - before.at
     pairs = [(before.caches[name], counters) for name, counters in after.caches.items()]
@@ -78,33 +173,33 @@
     samples = max(1, after.samples - before.samples)
     open_connections = float(sum(now.open_sum - then.open_sum for then, now in pairs)) / samples
     caches, attempts = len(pairs), float(sum(received))
-    return {
-        "attempts_per_request": attempts / requests,
-        "handshakes_per_request": accepted / requests,
-        "handshakes_per_cache_per_s": accepted / caches / seconds,
-        "open_per_cache": open_connections / caches,
-        "open_per_cache_per_router": open_connections / caches / routers,
-        "most_open_at_a_cache": max(now.max_open for _, now in pairs),
-        "open_to_caches_per_router": open_connections / routers,
-        "caches_met_share": sum(count > 0 for count in received) / caches,
-        "fullest_cache_share": max(received) * caches / max(1.0, attempts),
-        "hit_share": hits / max(1.0, attempts),
-        "busy_per_request": rejected / requests,
-    }
+    return CacheMetrics(
+        attempts_per_request=attempts / requests,
+        handshakes_per_request=accepted / requests,
+        handshakes_per_cache_per_s=accepted / caches / seconds,
+        open_per_cache=open_connections / caches,
+        open_per_cache_per_router=open_connections / caches / routers,
+        most_open_at_a_cache=max(now.max_open for _, now in pairs),
+        open_to_caches_per_router=open_connections / routers,
+        caches_met_share=sum(count > 0 for count in received) / caches,
+        fullest_cache_share=max(received) * caches / max(1.0, attempts),
+        hit_share=hits / max(1.0, attempts),
+        busy_per_request=rejected / requests,
+    )
 
 
 def router_metrics(
     cpu_s: float, requests: int, seconds: float, routers: list[psutil.Process]
-) -> dict[str, float]:
+) -> RouterMetrics:
     """Metrics of routers that used `cpu_s` for `requests` requests; memory and descriptors are read now."""
     resident = [router.memory_info().rss for router in routers]
-    return {
-        "router_cpu_per_request_s": cpu_s / requests,
-        "router_cpu_share": cpu_s / seconds / len(routers),
-        "router_resident_bytes": sum(resident) / len(routers),
-        "router_most_resident_bytes": peak_resident_bytes(routers),
-        "router_descriptors": sum(router.num_fds() for router in routers) / len(routers),
-    }
+    return RouterMetrics(
+        router_cpu_per_request_s=cpu_s / requests,
+        router_cpu_share=cpu_s / seconds / len(routers),
+        router_resident_bytes=sum(resident) / len(routers),
+        router_most_resident_bytes=peak_resident_bytes(routers),
+        router_descriptors=sum(router.num_fds() for router in routers) / len(routers),
+    )
 
 
 def peak_resident_bytes(routers: list[psutil.Process]) -> float:
--- a/scale_experiments/scenarios/sockets.py
+++ b/scale_experiments/scenarios/sockets.py
@@ -37,11 +37,10 @@
     wait_until_ready,
 )
 from scale_experiments.runs.context import ExperimentContext
-from scale_experiments.runs.metrics import Bytes, Cores, Count, Metrics, PerSecond, Ratio, Seconds, Share
 from scale_experiments.runs.sample import Sample
 from scale_experiments.runs.scenario import Scenario, WholeNumber
 from scale_experiments.scenarios.machine_metrics import MachineMetrics, measure_machine
-from scale_experiments.scenarios.socket_metrics import Usage, compute_metrics
+from scale_experiments.scenarios.socket_metrics import SocketsMetrics, Usage, compute_metrics
 
 READY_TIMEOUT_S = 30.0
 REPLY_TIMEOUT_S = 60.0
@@ -114,56 +113,6 @@
     faulty: WholeNumber = Field(0, description="page caches that have the fault for a time")
 
 
-class SocketsMetrics(Metrics):
-    """Clients, page caches and routers while the load is measured."""
-
-    requests_per_s: PerSecond = Field(description="requests that clients sent, all routers")
-    served_share: Share = Field(description="requests served, of those that ended")
-    refused_share: Share = Field(description="requests refused, of those that ended")
-    lost_share: Share = Field(
-        description="requests failed, unanswered or lost with their connection, of those that ended"
-    )
-    latency_p50_s: Seconds = Field(description="of served requests, from when they were due")
-    latency_p99_s: Seconds = Field(description="of served requests, from when they were due")
-    attempts_per_request: Ratio = Field(description="requests at caches for each one of a client")
-    handshakes_per_request: Ratio = Field(
-        description="new connections to caches for each request of a client"
-    )
-    handshakes_per_cache_per_s: PerSecond = Field(description="new connections at a cache")
-    open_per_cache: Count = Field(description="open connections at a cache, mean over time and caches")
-    open_per_cache_per_router: Count = Field(description="the same for each router")
-    most_open_at_a_cache: Count = Field(
-        description="open connections at the cache that had the most, at its peak since the start"
-    )
-    open_to_caches_per_router: Count = Field(
-        description="open connections of a router to caches, mean over time"
-    )
-    caches_met_share: Share = Field(description="caches that had a request while it was measured")
-    fullest_cache_share: Share = Field(
-        description="requests of the cache that had the most, of an even share"
-    )
-    hit_share: Share = Field(description="attempts at caches that found the key")
-    busy_per_request: Ratio = Field(
-        description="attempts that caches turned away for each request of a client"
-    )
-    origin_per_request: Ratio = Field(description="requests at the origin for each one of a client")
-    router_cpu_per_request_s: Seconds = Field(
-        description="CPU seconds of a router for a request of a client, all that it does"
-    )
-    router_cpu_share: Cores = Field(description="cores that a router uses")
-    router_resident_bytes: Bytes = Field(description="resident memory of a router at the end, mean")
-    router_most_resident_bytes: Bytes = Field(
-        description="the most resident memory of a router since its start"
-    )
-    router_descriptors: Count = Field(description="descriptors of a router at the end, mean")
-    client_connections_per_router: Count = Field(
-        description="open connections of clients to a router at the end"
-    )
-    client_connections_per_request: Ratio = Field(
-        description="connections that clients opened for each request"
-    )
-
-
 def build_cache_entries(count: int) -> list[EndpointEntry]:
     """The entries of page caches, each with an address of its own."""
     return build_loopback_entries(count, CACHE_NETWORK, ["a"], "std")
@@ -339,7 +288,7 @@
         after = deployment.usage()
         references.append(measure_reference_cpu_s())
         deployment.check_routers()
-        metrics = SocketsMetrics(**compute_metrics(before, after, deployment.routers))
+        metrics = compute_metrics(before, after, deployment.routers)
         machine = measure_machine(references)
         yield Sample(
             metrics.values() | machine.values(), {"latency": decode_histogram(after.clients.latency)}
--- a/tests/scale_experiments/scenarios/test_socket_metrics.py
+++ b/tests/scale_experiments/scenarios/test_socket_metrics.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import os
-from dataclasses import replace
+from dataclasses import asdict, replace
 
 import psutil
 import pytest
@@ -20,7 +20,13 @@
     ClientsStats,
 )
 from scale_experiments.measurement.histograms import encode_histogram
-from scale_experiments.scenarios.socket_metrics import Usage, cache_metrics, client_metrics, compute_metrics
+from scale_experiments.scenarios.socket_metrics import (
+    SocketsMetrics,
+    Usage,
+    cache_metrics,
+    client_metrics,
+    compute_metrics,
+)
 
 NO_REQUESTS = CacheCounters(
     accepted=0, handshakes=0, requests=0, hits=0, misses=0, rejected=0, open_sum=0.0, max_open=0, open=0
@@ -60,14 +66,14 @@
     counts = {REQUESTS: 12, SERVED: 7, REJECTED: 2, LOST: 1}
     clients = clients_stats(counts, encoded_latencies(10_000, 10_000, 10_000, 500_000))
     metrics = client_metrics(counts, clients)
-    assert [metrics[name] for name in ("served_share", "refused_share", "lost_share")] == [0.7, 0.2, 0.1]
-    assert metrics["latency_p50_s"] == pytest.approx(0.01, rel=0.01)
-    assert metrics["latency_p99_s"] == pytest.approx(0.5, rel=0.01)
+    assert [metrics.served_share, metrics.refused_share, metrics.lost_share] == [0.7, 0.2, 0.1]
+    assert metrics.latency_p50_s == pytest.approx(0.01, rel=0.01)
+    assert metrics.latency_p99_s == pytest.approx(0.5, rel=0.01)
 
 
 def test_client_metrics_without_requests_are_zero() -> None:
     metrics = client_metrics({}, clients_stats({}, encoded_latencies()))
-    assert set(metrics.values()) == {0.0}
+    assert set(asdict(metrics).values()) == {0.0}
 
 
 def test_cache_metrics_are_those_of_the_time_between_both_moments() -> None:
@@ -80,7 +86,7 @@
         15.0, 30, 0, a=used, b=replace(NO_REQUESTS, accepted=3, requests=10, hits=9, misses=1), c=NO_REQUESTS
     )
     metrics = cache_metrics(before, after, requests=20, routers=2)
-    assert metrics == pytest.approx(
+    assert asdict(metrics) == pytest.approx(
         {
             "attempts_per_request": 40 / 20,
             "handshakes_per_request": 6 / 20,
@@ -111,7 +117,7 @@
         ),
         2.0,
     )
-    metrics = compute_metrics(before, after, routers)
+    metrics = compute_metrics(before, after, routers).values()
     expected = {
         "requests_per_s": 200 / 4.0,
         "served_share": 1.0,
@@ -122,6 +128,7 @@
         "client_connections_per_router": 6,
         "client_connections_per_request": 10 / 200,
     }
+    assert list(metrics) == list(SocketsMetrics.descriptions())
     assert {name: metrics[name] for name in expected} == pytest.approx(expected)
     assert 0 < metrics["router_resident_bytes"] <= metrics["router_most_resident_bytes"]
     assert metrics["router_descriptors"] > 0
