--- a/scale_experiments/__main__.py
+++ b/scale_experiments/__main__.py
@@ -13,7 +13,8 @@
 
 from scale_experiments.commands.exit_status import ExitStatus
 from scale_experiments.runs import log
-from scale_experiments.runs.experiment import InputError, load_experiment
+from scale_experiments.runs.experiment import load_experiment
+from scale_experiments.runs.input_files import InputError
 from scale_experiments.runs.runner import RunOutcome
 from scale_experiments.runs.runner import run as run_experiment
 from scale_experiments.scenarios.registry import SCENARIOS
--- a/scale_experiments/capacity/markers.py
+++ b/scale_experiments/capacity/markers.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection, Mapping, Sequence
 
-from scale_experiments.runs.experiment import InputError
+from scale_experiments.runs.input_files import InputError
 
 START_PREFIX = "<!-- table: "
 START_SUFFIX = " -->"
--- a/scale_experiments/capacity/model.py
+++ b/scale_experiments/capacity/model.py
@@ -17,7 +17,7 @@
 from scale_experiments.fitting.forms import FitError
 from scale_experiments.fitting.observations import CONFOUNDED_COLUMNS, Size, mean_at, varying_columns
 from scale_experiments.measurement.estimate import Estimate
-from scale_experiments.runs.experiment import InputError
+from scale_experiments.runs.input_files import InputError
 from scale_experiments.target import Target
 
 # finds the value of a name in a formula
--- a/scale_experiments/capacity/reader.py
+++ b/scale_experiments/capacity/reader.py
@@ -10,7 +10,7 @@
 from scale_experiments.capacity.references import resolve_in_code
 from scale_experiments.capacity.schema import MISSING_MECHANISM, CapacityTable, Heading
 from scale_experiments.expression import Expression
-from scale_experiments.runs.experiment import InputError, describe_validation_error, read_toml
+from scale_experiments.runs.input_files import InputError, describe_validation_error, read_toml
 
 # parameters that may be a column of a result's size, and need not occur in a formula
 COLUMN_PARAMETERS = {"changes_per_s", "requests_per_s"}
--- a/scale_experiments/capacity/references.py
+++ b/scale_experiments/capacity/references.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from scale_experiments.capacity.paths import TARGET_FILE
-from scale_experiments.runs.experiment import InputError
+from scale_experiments.runs.input_files import InputError
 from scale_experiments.target import Target
 
 
--- a/scale_experiments/commands/fit.py
+++ b/scale_experiments/commands/fit.py
@@ -16,7 +16,7 @@
 from scale_experiments.fitting.observations import Size, observations_of
 from scale_experiments.fitting.selection import fit_all_forms
 from scale_experiments.number_format import ERROR_DIGITS, SIZE_DIGITS, format_number
-from scale_experiments.runs.experiment import InputError
+from scale_experiments.runs.input_files import InputError
 from scale_experiments.runs.results import Result, load_result
 from scale_experiments.target import HEADROOM_FACTOR, Target, load_target
 
--- a/scale_experiments/commands/report.py
+++ b/scale_experiments/commands/report.py
@@ -20,7 +20,7 @@
 from scale_experiments.commands.exit_status import ExitStatus
 from scale_experiments.expression import ExpressionError
 from scale_experiments.fitting.forms import FitError
-from scale_experiments.runs.experiment import InputError
+from scale_experiments.runs.input_files import InputError
 from scale_experiments.target import load_target
 
 END_OF_PAGE = "(end)"
--- a/scale_experiments/runs/experiment.py
+++ b/scale_experiments/runs/experiment.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 import math
-import tomllib
 from collections.abc import Mapping
 from dataclasses import dataclass
 from pathlib import Path
@@ -24,6 +23,7 @@
     ValidationError,
 )
 
+from scale_experiments.runs.input_files import InputError, describe_validation_error, read_toml
 from scale_experiments.runs.scenario import AnyScenario
 
 MAX_TIME_LIMIT_S = 7200.0  # the longest time limit of a run
@@ -51,10 +51,6 @@
 Name = Annotated[str, StringConstraints(pattern=r"^[a-z][a-z0-9_.-]*$", max_length=60)]
 
 
-class InputError(ValueError):
-    """Input that can't be used; the message is one line that names the file and the field."""
-
-
 class Budget(BaseModel):
     """A limit of the median of a metric, at the sizes whose columns have the values of `at`."""
 
@@ -84,49 +80,6 @@
     budgets: list[Budget] = Field(default_factory=list)
 
 
-def field_path(path: tuple[int | str, ...]) -> str:
-    """The path of a field as text, such as `sizes[0].caches`."""
-    spelled = ""
-    for part in path:
-        spelled += f"[{part}]" if isinstance(part, int) else f".{part}" if spelled else part
-    return spelled
-
-
-def describe_validation_error(
-    file: Path,
-    error: ValidationError,
-    within: tuple[int | str, ...] = (),
-    known: type[BaseModel] | None = None,
-) -> str:
-    """Describe the first error of a validation, in one line.
-
-    `within` is the path of the validated table in the file. `known` is its schema, whose keys are listed if
-    the error is an unknown key.
-    """
-    # an unknown field comes first: most often it is a misspelling of a field that is missing
-    first = min(error.errors(include_url=False), key=lambda e: e["type"] != "extra_forbidden")
-    path = first["loc"]
-    field = field_path((*within, *path)) or "file"
-    given = "" if first["type"] == "missing" else f", not {first['input']!r}"[:60]
-    reason = first["msg"].removeprefix("Value error, ")
-    if first["type"] == "extra_forbidden":
-        given, reason = "", "is not known"
-        if known is not None and len(path) == 1:
-            keys = (field.alias or name for name, field in known.model_fields.items())
-            reason += f"; known are {', '.join(keys)}"
-    return f"{file}: {field}: {reason}{given}".replace("\n", " ")
-
-
-def read_toml(file: Path) -> dict[str, Any]:
-    """Read a TOML file; raises InputError."""
-    try:
-        return tomllib.loads(file.read_text(encoding="utf-8"))
-    except OSError as e:
-        raise InputError(f"{file}: file: {e.strerror or e}") from e
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as e:
-        raise InputError(f"{file}: file: is not TOML: {e}".replace("\n", " ")) from e
-
-
 @dataclass(slots=True, frozen=True)
 class CheckedExperiment:
     """An experiment, its scenario, and its parameters as that scenario's schema reads them."""
--- /dev/null
+++ b/scale_experiments/runs/input_files.py
@@ -0,0 +1,56 @@
+"""Reading input files, and one-line messages for what is wrong with them."""
+
+from __future__ import annotations
+
+import tomllib
+from pathlib import Path
+from typing import Any
+
+from pydantic import BaseModel, ValidationError
+
+
+class InputError(ValueError):
+    """Input that can't be used; the message is one line that names the file and the field."""
+
+
+def field_path(path: tuple[int | str, ...]) -> str:
+    """The path of a field as text, such as `sizes[0].caches`."""
+    spelled = ""
+    for part in path:
+        spelled += f"[{part}]" if isinstance(part, int) else f".{part}" if spelled else part
+    return spelled
+
+
+def describe_validation_error(
+    file: Path,
+    error: ValidationError,
+    within: tuple[int | str, ...] = (),
+    known: type[BaseModel] | None = None,
+) -> str:
+    """Describe the first error of a validation, in one line.
+
+    `within` is the path of the validated table in the file. `known` is its schema, whose keys are listed if
+    the error is an unknown key.
+    """
+    # an unknown field comes first: most often it is a misspelling of a field that is missing
+    first = min(error.errors(include_url=False), key=lambda e: e["type"] != "extra_forbidden")
+    path = first["loc"]
+    field = field_path((*within, *path)) or "file"
+    given = "" if first["type"] == "missing" else f", not {first['input']!r}"[:60]
+    reason = first["msg"].removeprefix("Value error, ")
+    if first["type"] == "extra_forbidden":
+        given, reason = "", "is not known"
+        if known is not None and len(path) == 1:
+            keys = (field.alias or name for name, field in known.model_fields.items())
+            reason += f"; known are {', '.join(keys)}"
+    return f"{file}: {field}: {reason}{given}".replace("\n", " ")
+
+
+def read_toml(file: Path) -> dict[str, Any]:
+    """Read a TOML file; raises InputError."""
+    try:
+        return tomllib.loads(file.read_text(encoding="utf-8"))
+    except OSError as e:
+        raise InputError(f"{file}: file: {e.strerror or e}") from e
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as e:
+        raise InputError(f"{file}: file: is not TOML: {e}".replace("\n", " ")) from e
--- a/scale_experiments/runs/results.py
+++ b/scale_experiments/runs/results.py
@@ -19,7 +19,8 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from scale_experiments.measurement.histograms import encode_histogram
-from scale_experiments.runs.experiment import Budget, Experiment, InputError, describe_validation_error
+from scale_experiments.runs.experiment import Budget, Experiment
+from scale_experiments.runs.input_files import InputError, describe_validation_error
 from scale_experiments.runs.sample import Sample
 
 ROOT = Path(__file__).parents[2]
--- a/scale_experiments/target.py
+++ b/scale_experiments/target.py
@@ -10,7 +10,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, StrictInt, ValidationError
 
-from scale_experiments.runs.experiment import InputError, describe_validation_error, read_toml
+from scale_experiments.runs.input_files import InputError, describe_validation_error, read_toml
 
 TARGET = Path(__file__).parent / "experiments" / "target.toml"
 LIST_CHANGES_PER_REPLACEMENT = 4  # assumption: a cache drains, leaves, joins, and changes its weight
--- a/tests/scale_experiments/test_capacity.py
+++ b/tests/scale_experiments/test_capacity.py
@@ -24,7 +24,7 @@
 from scale_experiments.fitting.forms import FitError, Form
 from scale_experiments.fitting.observations import Observation, observations_of
 from scale_experiments.fitting.selection import best_fit, fit_form
-from scale_experiments.runs.experiment import InputError
+from scale_experiments.runs.input_files import InputError
 from scale_experiments.runs.results import load_result
 from scale_experiments.target import load_target
 
--- a/tests/scale_experiments/test_scale_experiments.py
+++ b/tests/scale_experiments/test_scale_experiments.py
@@ -17,7 +17,8 @@
 
 from scale_experiments.measurement.histograms import decode_histogram
 from scale_experiments.runs.context import ExperimentContext
-from scale_experiments.runs.experiment import CheckedExperiment, Experiment, InputError, load_experiment
+from scale_experiments.runs.experiment import CheckedExperiment, Experiment, load_experiment
+from scale_experiments.runs.input_files import InputError
 from scale_experiments.runs.results import load_result
 from scale_experiments.runs.runner import RunOutcome, run
 from scale_experiments.runs.sample import Sample
