--- a/scale_experiments/scenarios/watch.py
+++ b/scale_experiments/scenarios/watch.py
@@ -254,6 +254,15 @@
     unnotified: int  # times that a router did not receive a change
 
 
+@dataclass(slots=True, frozen=True)
+class ChangeSchedule:
+    """How many changes are made, the seconds between them, and the wait for all routers after the last."""
+
+    changes: int
+    interval_s: float
+    timeout_s: float
+
+
 @dataclass(slots=True, frozen=True)
 class ChangePhase:
     """The cost of changes, and their spread."""
@@ -262,16 +271,16 @@
     spread: Spread
 
 
-def measure_changes(fleet: WatchFleet, parameters: Parameters) -> ChangePhase:
+def measure_changes(fleet: WatchFleet, schedule: ChangeSchedule) -> ChangePhase:
     """Measure changes that are more frequent than the end of polls without a change."""
     fleet.change()  # after it the polls of all routers start together, as wherever changes are frequent
-    fleet.wait_until_notified(parameters.return_timeout_s)
+    fleet.wait_until_notified(schedule.timeout_s)
     before = fleet.usage()
     first_index = fleet.index + 1
-    written = make_changes(fleet, parameters)
-    fleet.wait_until_notified(parameters.return_timeout_s)
+    written = make_changes(fleet, schedule)
+    fleet.wait_until_notified(schedule.timeout_s)
     used = fleet.usage().since(before)
-    changes, routers = parameters.changes, fleet.options.routers
+    changes, routers = schedule.changes, fleet.options.routers
     spread = measure_spread(fleet, first_index)
     costs = ChangeMetrics(
         change_discovery_cpu_s=used.cpu_s / changes,
@@ -285,17 +294,17 @@
     return ChangePhase(costs, spread)
 
 
-def make_changes(fleet: WatchFleet, parameters: Parameters) -> list[float]:
-    """Make the changes at their interval.
+def make_changes(fleet: WatchFleet, schedule: ChangeSchedule) -> list[float]:
+    """Make the changes of a schedule.
 
     Returns, for each change, the seconds until discovery had written it to all waiting routers.
     """
     written = []
-    for _ in range(parameters.changes):
+    for _ in range(schedule.changes):
         started_at = time.monotonic()
         fleet.change()
         written.append(fleet.notification_s())
-        time.sleep(max(0.0, parameters.change_interval_s - (time.monotonic() - started_at)))
+        time.sleep(max(0.0, schedule.interval_s - (time.monotonic() - started_at)))
     return written
 
 
@@ -346,17 +355,20 @@
         )
 
 
-def measure_outage(fleet: WatchFleet, outage: Outage, parameters: Parameters) -> Return:
-    """Stop discovery, change the list, restart discovery, and measure how the routers receive the list."""
+def measure_outage(fleet: WatchFleet, outage: Outage, outage_s: float, timeout_s: float) -> Return:
+    """Stop discovery, change the list, restart discovery, and measure how the routers receive the list.
+
+    The change is made in the middle of the outage. The wait for all routers ends after `timeout_s`.
+    """
     request_all(fleet.discoveries, SetDiscoveryMode("silent" if outage == "reset" else outage))
-    time.sleep(parameters.outage_s / 2)
+    time.sleep(outage_s / 2)
     fleet.change()
-    time.sleep(parameters.outage_s / 2)
+    time.sleep(outage_s / 2)
     before = fleet.usage()
     returned_at = min(reply.at for reply in request_all(fleet.discoveries, SetDiscoveryMode("serve")))
     if outage == "reset":
         request_all(fleet.discoveries, ResetUnanswered())
-    fleet.wait_until_notified(parameters.return_timeout_s)
+    fleet.wait_until_notified(timeout_s)
     used = fleet.usage().since(before)
     polls = fleet.polls_since(returned_at)
         notification = fleet.notification_delays(index, fleet.changed_at[index])
@@ -412,13 +424,16 @@
         self.context.progress("quiet")
         self.metrics |= measure_quiet(fleet, self.parameters.quiet_s).values()
         self.context.progress("changes")
-        changes = measure_changes(fleet, self.parameters)
+        p = self.parameters
+        schedule = ChangeSchedule(p.changes, p.change_interval_s, p.return_timeout_s)
+        changes = measure_changes(fleet, schedule)
         self.metrics |= changes.costs.values() | spread_metrics(changes.spread).values()
         self.histograms["spread"] = delay_histogram(changes.spread.delays)
 
     def _measure_return(self, mode: SubscriptionMode, outage: Outage, fleet: WatchFleet) -> None:
         prefix = return_prefix(mode, outage)
-        outcome = measure_outage(fleet, outage, self.parameters)
+        outage_s, timeout_s = self.parameters.outage_s, self.parameters.return_timeout_s
+        outcome = measure_outage(fleet, outage, outage_s, timeout_s)
         self.metrics |= {f"{prefix}_{name}": value for name, value in outcome.metrics().values().items()}
         self.histograms[prefix] = delay_histogram(outcome.delays)
 
