--- /dev/null
+++ b/scale_experiments/scenarios/watch_phases/changes.py
@@ -0,0 +1,130 @@
+"""The cost of changes of the list, and how they spread to the routers."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+from pydantic import Field
+
+from scale_experiments.routers.watch_fleet import WatchFleet
+from scale_experiments.runs.metrics import Bytes, Count, Metrics, Ratio, Seconds
+from scale_experiments.scenarios.watch_phases.distribution import peak_polls, quantile
+
+
+class ChangeMetrics(Metrics):
+    """Discovery and routers for changes of the list."""
+
+    change_discovery_cpu_s: Seconds = Field(
+        description="CPU seconds of discovery for a change and the calls that it ends"
+    )
+    change_discovery_cpu_per_router_s: Seconds = Field(description="the same for each router")
+    change_out_per_router_bytes: Bytes = Field(description="bytes of HTTP to each router for a change")
+    change_calls_per_router: Ratio = Field(description="calls of each router for a change")
+    change_peak_calls_per_100ms: Count = Field(
+        description="calls at discovery in the busiest tenth of a second, with changes"
+    )
+    change_real_cpu_s: Seconds = Field(description="CPU seconds of one real router for a change")
+    written_s: Seconds = Field(
+        description="seconds from a change until discovery had written it to all that waited,"
+        " median of changes"
+    )
+
+
+class SpreadMetrics(Metrics):
+    """How soon changes reach the routers."""
+
+    spread_p50_s: Seconds = Field(description="seconds from a change until 50% of all routers had it")
+    spread_p99_s: Seconds = Field(description="seconds from a change until 99% of all routers had it")
+    spread_all_s: Seconds = Field(
+        description="seconds from a change until all routers had it, the slowest of the changes"
+    )
+    spread_unheard: Count = Field(
+        description="times that a router did not hear of a change before the next phase"
+    )
+
+
+@dataclass(slots=True, frozen=True)
+class Spread:
+    """How changes have reached the routers."""
+
+    delays: Sequence[float]  # seconds, of all routers and changes, sorted
+    slowest_s: float  # the longest delay of any change
+    unnotified: int  # times that a router did not receive a change
+
+
+@dataclass(slots=True, frozen=True)
+class ChangeSchedule:
+    """How many changes are made, the seconds between them, and the wait for all routers after the last."""
+
+    changes: int
+    interval_s: float
+    timeout_s: float
+
+
+@dataclass(slots=True, frozen=True)
+class ChangePhase:
+    """The cost of changes, and their spread."""
+
+    costs: ChangeMetrics
+    spread: Spread
+
+
+def measure_changes(fleet: WatchFleet, schedule: ChangeSchedule) -> ChangePhase:
+    """Measure changes that are more frequent than the end of polls without a change."""
+    fleet.change()  # after it the polls of all routers start together, as wherever changes are frequent
+    fleet.wait_until_notified(schedule.timeout_s)
+    before = fleet.usage()
+    first_index = fleet.index + 1
+    written = make_changes(fleet, schedule)
+    fleet.wait_until_notified(schedule.timeout_s)
+    used = fleet.usage().since(before)
+    changes, routers = schedule.changes, fleet.options.routers
+    spread = measure_spread(fleet, first_index)
+    costs = ChangeMetrics(
+        change_discovery_cpu_s=used.cpu_s / changes,
+        change_discovery_cpu_per_router_s=used.cpu_s / changes / routers,
+        change_out_per_router_bytes=used.bytes_out / changes / routers,
+        change_calls_per_router=used.polls / changes / routers,
+        change_peak_calls_per_100ms=peak_polls(fleet.polls_since(before.at), 1),
+        change_real_cpu_s=used.real_cpu_s / changes / fleet.real_routers,
+        written_s=sorted(written)[len(written) // 2],
+    )
+    return ChangePhase(costs, spread)
+
+
+def make_changes(fleet: WatchFleet, schedule: ChangeSchedule) -> list[float]:
+    """Make the changes of a schedule.
+
+    Returns, for each change, the seconds until discovery had written it to all waiting routers.
+    """
+    written = []
+    for _ in range(schedule.changes):
+        started_at = time.monotonic()
+        fleet.change()
+        written.append(fleet.notification_s())
+        time.sleep(max(0.0, schedule.interval_s - (time.monotonic() - started_at)))
+    return written
+
+
+def measure_spread(fleet: WatchFleet, first_index: int) -> Spread:
+    """How the changes from an index to the latest have reached the routers."""
+    spread: list[float] = []
+    slowest, unnotified = 0.0, 0
+    for index in range(first_index, fleet.index + 1):
+        notification = fleet.notification_delays(index, fleet.changed_at[index])
+        spread += notification.delays_s
+        slowest = max(slowest, notification.delays_s[-1] if notification.delays_s else 0.0)
+        unnotified += notification.missing
+    return Spread(sorted(spread), slowest, unnotified)
+
+
+def spread_metrics(spread: Spread) -> SpreadMetrics:
+    """The metrics of a spread."""
+    return SpreadMetrics(
+        spread_p50_s=quantile(spread.delays, 0.5),
+        spread_p99_s=quantile(spread.delays, 0.99),
+        spread_all_s=spread.slowest_s,
+        spread_unheard=spread.unnotified,
+    )
