--- a/scale_experiments/fitting/regression.py
+++ b/scale_experiments/fitting/regression.py
@@ -168,7 +168,7 @@
 ) -> float:
     """Root mean square error at each size, fitted to all others, as a share of the mean at that size.
 
-    NaN if there is only one size, or if the rest can't be fitted without one of the sizes.
+    NaN if there is only one size, or if the form can't be fitted without one of the sizes.
     """
     labels = np.array(groups)
     if not labels.any():
--- a/scale_experiments/runs/context.py
+++ b/scale_experiments/runs/context.py
@@ -104,7 +104,7 @@
     def close(self) -> None:
         """End all processes and remove the folder; an interruption has no effect from here.
 
-        The processes have `TERMINATION_GRACE_S` seconds in all before they are killed.
+        All processes together have `TERMINATION_GRACE_S` seconds before they are killed.
         """
         self.shield_depth += 1
         self._stop(self.processes, TERMINATION_GRACE_S)
--- a/scale_experiments/runs/experiment.py
+++ b/scale_experiments/runs/experiment.py
@@ -33,7 +33,7 @@
 
 
 def check_finite(value: object) -> object:
-    """Check a value of TOML: a finite integer or float, which is returned as it is. Raises ValueError."""
+    """Check a value of TOML: a finite integer or float, which is returned unchanged. Raises ValueError."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
         raise ValueError("must be a finite number")
     return value
--- a/scale_experiments/scenarios/recovery.py
+++ b/scale_experiments/scenarios/recovery.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-RECOVERED_SHARE = 0.95  # of the requests of a second: a fleet that serves so many has recovered
+RECOVERED_SHARE = 0.95  # a fleet has recovered once it serves this share of a second's requests
 
 
 def recovery_seconds(seconds: Sequence[float]) -> float:
--- a/tests/scale_experiments/test_expression.py
+++ b/tests/scale_experiments/test_expression.py
@@ -1,4 +1,4 @@
-"""Expressions: what they come to, and what they may not hold."""
+"""Expressions: their values, and what they may not contain."""
 
 from __future__ import annotations
 
--- a/tests/scale_experiments/test_kept_results.py
+++ b/tests/scale_experiments/test_kept_results.py
@@ -1,4 +1,4 @@
-"""Kept results stay readable: each can be loaded, and is written again to the byte."""
+"""Kept results stay readable: each can be loaded, and is written again with the same bytes."""
 
 from __future__ import annotations
 
--- a/tests/scale_experiments/test_scale_experiments.py
+++ b/tests/scale_experiments/test_scale_experiments.py
@@ -1,4 +1,4 @@
-"""The command line: input that is rejected, exit statuses, and samples that are kept however a run ends."""
+"""The command line: rejected input, exit statuses, and samples that are kept however a run ends."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def write_experiment(folder: Path, old: str = "", new: str = "") -> Path:
-    """The small experiment, with one thing changed."""
+    """Write the small experiment with one piece of its text replaced."""
     assert old in SMALL
     file = folder / "small.toml"
     file.write_text(SMALL.replace(old, new, 1))
@@ -127,7 +127,7 @@
     assert all(value > 0 for value in large.values())
     assert small["whole_list_bytes"] < large["whole_list_bytes"]
     assert small["router_bytes"] < large["router_bytes"]
-    # five sorts, once each
+    # one change of each of the five kinds
     assert decode_histogram(result.samples[0].histograms["change_us"]).get_total_count() == 5
 
 
@@ -150,7 +150,7 @@
 
 
 def test_ctrl_c_keeps_what_was_measured(tmp_path: Path) -> None:
-    """The second size is too large to end by itself in this test."""
+    """The second size takes longer than this test."""
     file = write_experiment(tmp_path, "whole_lists = 1\n", "whole_lists = 100\n")
     file.write_text(file.read_text().replace("caches = 20", "caches = 2000"))
     path = tmp_path / "small.json"
