--- a/scale_experiments/fitting/regression.py
+++ b/scale_experiments/fitting/regression.py
@@ -81,12 +81,9 @@
     Raises FitError if it needs more sizes, if its columns are collinear, or if the form is a power and a size
     or a value is not above 0.
     """
-    if form is not Form.CONSTANT and not columns:
-        raise FitError(f"{metric}: form {form.value}: must be measured at more than one size")
     values = np.array([o.value for o in observations], dtype=np.float64)
     sizes = [o.size for o in observations]
-    if form is Form.POWER and (values.min() <= 0 or any(size[c] <= 0 for size in sizes for c in columns)):
-        raise FitError(f"{metric}: form power: all sizes and values must be above 0")
+    _check_applicable(metric, form, columns, sizes, values)
     groups = _group_by_size(form, columns, sizes)
     size_count = max(groups) + 1
     rows = design_matrix(form, columns, sizes)
@@ -110,6 +107,16 @@
     )
 
 
+def _check_applicable(
+    metric: str, form: Form, columns: Sequence[str], sizes: Sequence[Size], values: Array
+) -> None:
+    """Raise FitError for a form without its columns, or a power of numbers that are not above 0."""
+    if form is not Form.CONSTANT and not columns:
+        raise FitError(f"{metric}: form {form.value}: must be measured at more than one size")
+    if form is Form.POWER and (values.min() <= 0 or any(size[c] <= 0 for size in sizes for c in columns)):
+        raise FitError(f"{metric}: form power: all sizes and values must be above 0")
+
+
 def _group_by_size(form: Form, columns: Sequence[str], sizes: Sequence[Size]) -> list[int]:
     """The index of each size's group: sizes that are equal for the form are in the same group."""
     keys: list[tuple[float, ...]]
