--- a/tests/project/test_runbook.py
+++ b/tests/project/test_runbook.py
@@ -53,6 +53,7 @@
 UNIT_ABBREVIATIONS = {"s": "second", "ms": "_ms"}
 QUANTITY = re.compile(r"`([A-Za-z_][\w.]*)` \((\d[\d.]*)(?: to (\d[\d.]*))?(?: ([^();,]+))?[);,]")
 SETTING = re.compile(r"`([\w.\[\]]+)` \(`?([^`(),;]+)`?, `((?:Config|Settings|RequestClass)\.\w+)`")
+FILE_AND_NAME = re.compile(r"`([\w/]+\.py)`, `([A-Za-z][\w.]*)`(?!\.py)")
 BRACKETED_SETTING = re.compile(r"`((?:Settings|RequestClass)\.\w+)`\s+\[`([\w.\[\]]+)`\]")
 
 
@@ -178,6 +179,11 @@
     return found
 
 
+def is_defined_in(path: str, name: str) -> bool:
+    """Return whether the module at a path, relative to the package, defines a name."""
+    return source_of_path(path) in [found.source for found in definitions(name)]
+
+
 def strings(source: Source) -> Iterator[str]:
     """Yield the strings and bytes of a module; f-strings with `{}` for each part that is not constant."""
     for node in ast.walk(source.tree):
@@ -373,6 +379,20 @@
     assert not is_known(span)
 
 
+@pytest.mark.parametrize("page", PAGES)
+def test_names_after_a_file_are_defined_there(page: str) -> None:
+    """As in: `decisions/open_requests.py`, `OpenRequests.reject_or_fail`."""
+    pairs = FILE_AND_NAME.findall(flat(PAGES[page]))
+    assert page != "RUNBOOK.md" or len(pairs) >= 30
+    assert [pair for pair in pairs if not is_defined_in(*pair)] == []
+
+
+def test_owners_of_state_are_defined_in_their_files() -> None:
+    rows = table_rows(ARCHITECTURE, "| state | owner | file | changed by | lifetime |")
+    assert len(rows) >= 20
+    assert [row for row in rows if not is_defined_in(row[2].strip("`"), row[1].strip("`"))] == []
+
+
 # Values and settings
 
 
