--- a/scale_experiments/scenarios/cold_start.py
+++ b/scale_experiments/scenarios/cold_start.py
@@ -1,4 +1,4 @@
-"""One page cache starts empty (cold), and all routers together may send it only a limited load.
+"""One page cache starts empty and warms up; all routers together may send it only a limited load.
 
 The cache is shut down, others take over its keys, and it returns empty. Each router is notified at a time
 of its own. What the cache then receives, in each window of the settings' length, is compared with its budget
@@ -34,30 +34,34 @@
 
 
 class ColdStartMetrics(Metrics):
-    """The fleet from the start of the cold cache until it is warm, and shortly after."""
+    """The fleet from the start of the warming cache until it is warm, and shortly after."""
 
-    requests_per_s: PerSecond = Field(description="first tries of clients in the whole fleet")
+    requests_per_s: PerSecond = Field(description="first attempts of clients in the complete fleet")
     budget_share: Share = Field(
-        description="most that the cold cache received in a window, over its budget N in that window"
+        description="highest ratio of attempts that the warming cache received in a window to its budget N"
+    )
+    budget_slack_share: Share = Field(
+        description="the same over N + 2 x sqrt(N) + 2, which includes a statistical tolerance"
+    )
+    budget_first_count: Count = Field(description="budget N of the window that starts with the cache")
+    received: Count = Field(description="attempts that the warming cache received until it was warm")
+    received_again_share: Share = Field(
+        description="share of these that were second or later attempts of their request"
     )
-    budget_slack_share: Share = Field(description="the same over N + 2 x root of N + 2, the slack for chance")
-    budget_first_count: Count = Field(description="budget N of the window that begins with the cache's start")
-    received: Count = Field(description="attempts that the cold cache received until it was warm")
-    received_again_share: Share = Field(description="of these, second or later attempts of their request")
     fair_share: Share = Field(
-        description="attempts received by the cold cache from warm to the end, over the mean of all caches"
+        description="attempts that the cache received once it was warm, over the mean of all caches"
     )
     served_share: Share = Field(
         description="requests of clients served from the start until warm, retries included"
     )
     attempts_per_request: Ratio = Field(
-        description="attempts at page caches for each request taken, from the start until warm"
+        description="attempts at page caches for each request accepted, from the start until warm"
     )
     tries_per_wish: Ratio = Field(
-        description="requests that clients made for each thing they wanted, from the start until warm"
+        description="requests that clients made for each object that they needed, from the start until warm"
     )
     origin_per_request: Ratio = Field(
-        description="attempts at the origin for each request taken, from the start until warm"
+        description="attempts at the origin for each request accepted, from the start until warm"
     )
 
 
--- a/scale_experiments/scenarios/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -45,11 +45,11 @@
     )
     cache_connections_worst: Count = Field(description="the same of the worst cache, mean over time (scaled)")
     cache_connections_worst_high: Count = Field(
-        description="99th percentile over time at the worst cache (scaled, taken as normal)"
+        description="99th percentile over time at the worst cache (scaled, assuming a normal distribution)"
     )
     cache_connections_per_core: Ratio = Field(description="cache_connections_worst over cache_cores")
     cache_cores: Cores = Field(
-        description="cores that a page cache needs for its mean rate of requests at the stated use"
+        description="cores that a page cache needs for its mean rate of requests at the stated utilization"
     )
     cache_requests_per_s: PerSecond = Field(description="attempts received at a page cache, mean (scaled)")
     cache_requests_worst_ratio: Ratio = Field(
@@ -59,14 +59,14 @@
     cache_handshake_cores: Cores = Field(
         description="cores that a page cache spends on handshakes, mean (scaled)"
     )
-    handshakes_per_request: Ratio = Field(description="connections made for each request taken (measured)")
+    handshakes_per_request: Ratio = Field(description="connections made for each request accepted (measured)")
     attempts_per_request: Ratio = Field(
-        description="attempts at page caches for each request taken (measured)"
+        description="attempts at page caches for each request accepted (measured)"
     )
     router_connections_mean: Count = Field(
         description="connections to page caches that a router holds, mean over time (measured)"
     )
-    router_connections_most: Count = Field(description="the most that any router held at once (measured)")
+    router_connections_most: Count = Field(description="the most that any router had open at once (measured)")
     router_idle_share: Share = Field(
         description="of the connections open at the end that were idle (measured)"
     )
@@ -78,7 +78,7 @@
         description="processor time of one call of Router.handle, mean of every 16th (measured)"
     )
     handle_calls_per_request: Ratio = Field(
-        description="calls of Router.handle for each request taken (measured)"
+        description="calls of Router.handle for each request accepted (measured)"
     )
     router_core_share: Share = Field(
         description="of a core that the decision module takes at this rate (measured)"
@@ -126,7 +126,7 @@
 
     routers: WholeNumber = Field(description="routers of the fleet, of which a sample is run")
     caches: WholeNumber = Field(description="page caches")
-    requests_per_s: float = Field(description="requests of clients in the whole fleet")
+    requests_per_s: float = Field(description="requests of clients in the complete fleet")
     zones: WholeNumber = Field(1, description="zones over which routers and caches are spread")
     regions: WholeNumber = Field(1, description="regions over which the zones are spread")
     warm_s: float | None = Field(None, description="seconds before it is measured; by default the parameter")
--- a/scale_experiments/scenarios/list_change.py
+++ b/scale_experiments/scenarios/list_change.py
@@ -68,10 +68,10 @@
         None, description="CPU seconds of Router.handle for one weight, mean"
     )
     change_cpu_s: Seconds = Field(
-        description="CPU seconds of Router.handle for a change of one entry, mean over the five sorts"
+        description="CPU seconds of Router.handle for a change of one entry, mean over the five kinds"
     )
     change_max_cpu_s: Seconds = Field(
-        description="CPU seconds of Router.handle for a change of one entry, the longest seen"
+        description="CPU seconds of Router.handle for a change of one entry, the longest measured"
     )
     request_cpu_s: Seconds = Field(
         description="CPU seconds of Router.handle for the first request after a change, mean"
@@ -80,33 +80,35 @@
         description="CPU seconds of Router.handle for one message that drains all caches of a zone, mean"
     )
     first_list_cpu_s: Seconds = Field(
-        description="CPU seconds of Router.handle for a new router's first whole list, mean"
+        description="CPU seconds of Router.handle for a new router's first complete list, mean"
     )
     same_list_cpu_s: Seconds = Field(
-        description="CPU seconds of Router.handle for a whole list in which nothing changed, mean"
+        description="CPU seconds of Router.handle for a complete list in which nothing changed, mean"
     )
     path_change_cpu_s: Seconds = Field(
         description="CPU seconds from a change's JSON text through read_list and the dispatcher, mean"
     )
     path_first_list_cpu_s: Seconds = Field(
-        description="CPU seconds from a first whole list's JSON text through the dispatcher, mean"
+        description="CPU seconds from a first complete list's JSON text through the dispatcher, mean"
     )
     path_same_list_cpu_s: Seconds = Field(
         description="CPU seconds from an unchanged list's JSON text through the dispatcher, mean"
     )
     change_bytes: Bytes = Field(description="bytes of a change of one entry as JSON, without headers, mean")
-    whole_list_bytes: Bytes = Field(description="bytes of a whole list as JSON, without headers")
+    whole_list_bytes: Bytes = Field(description="bytes of a complete list as JSON, without headers")
     router_bytes: Bytes = Field(
-        description="bytes that a Router holds for the list, the entries not counted (tracemalloc)"
+        description="memory of a Router for the list, without the entries, in bytes (tracemalloc)"
     )
     host_bytes: Bytes = Field(
-        description="bytes that a Dispatcher holds for the list, with router and entries (tracemalloc)"
+        description="memory of a Dispatcher for the list, with router and entries, in bytes (tracemalloc)"
     )
     change_peak_bytes: Bytes = Field(
-        description="bytes above that for a moment, while it takes one change (tracemalloc)"
+        description="temporary bytes above that while it applies one change (tracemalloc)"
     )
     reference_cpu_s: Seconds = Field(description=REFERENCE_METRIC["reference_cpu_s"])
-    core_share: Share = Field(description="share of one core that changes take at changes_per_s, whole path")
+    core_share: Share = Field(
+        description="share of one core that changes take at changes_per_s, from JSON text to decisions"
+    )
     change_bytes_per_s: BytesPerSecond = Field(
         description="bytes a second that changes bring at changes_per_s, without headers"
     )
--- a/scale_experiments/scenarios/list_change_process.py
+++ b/scale_experiments/scenarios/list_change_process.py
@@ -79,7 +79,7 @@
     """What the process of a router uses, and its traffic with discovery."""
 
     start_cpu_s: Seconds = Field(
-        description="CPU seconds of the router until it watches: program, list known and first list told"
+        description="CPU seconds of the router until it watches: program start, cached list and first update"
     )
     process_change_cpu_s: Seconds = Field(
         description="CPU seconds of the router for a change of one entry, with its call"
--- a/scale_experiments/scenarios/placement.py
+++ b/scale_experiments/scenarios/placement.py
@@ -23,8 +23,10 @@
 class PlacementMetrics(Metrics):
     """Rings by group, compared with one ring for all caches."""
 
-    objects: Count = Field(description="objects there are, so many that one ring for all would hit as stated")
-    groups_run: Count = Field(description="groups that were simulated; they differ only by chance")
+    objects: Count = Field(
+        description="distinct objects, so many that one ring for all has the stated hit share"
+    )
+    groups_run: Count = Field(description="groups that were simulated; they differ only by random variation")
     hit_share: Share = Field(description="reads that find their object at a page cache")
     pooled_hit_share: Share = Field(description="the same with one ring for all, of the same objects")
     origin_fetch_ratio: Ratio = Field(description="fetches from the origin, over those with one ring for all")
@@ -34,9 +36,11 @@
     worst_cache_ratio: Ratio = Field(
         description="reads at the busiest cache of a group over the mean (hot keys are not spread here)"
     )
-    target_routers_per_cache: Count = Field(description="routers that a page cache meets at the target size")
+    target_routers_per_cache: Count = Field(
+        description="routers that connect to a page cache at the target size"
+    )
     target_kept_connections: Count = Field(
-        description="connections kept at a page cache there, as descriptors allow (worked out)"
+        description="open connections at a page cache at that size, as far as descriptors allow (calculated)"
     )
 
 
--- a/scale_experiments/scenarios/socket_metrics.py
+++ b/scale_experiments/scenarios/socket_metrics.py
@@ -37,7 +37,7 @@
 
     requests_per_s: PerSecond = Field(description="requests that clients sent, all routers")
     served_share: Share = Field(description="requests served, of those that ended")
-    refused_share: Share = Field(description="requests refused, of those that ended")
+    refused_share: Share = Field(description="requests rejected, of those that ended")
     lost_share: Share = Field(
         description="requests failed, unanswered or lost with their connection, of those that ended"
     )
@@ -56,14 +56,12 @@
     open_to_caches_per_router: Count = Field(
         description="open connections of a router to caches, mean over time"
     )
-    caches_met_share: Share = Field(description="caches that had a request while it was measured")
+    caches_met_share: Share = Field(description="caches that received a request during the measurement")
     fullest_cache_share: Share = Field(
-        description="requests of the cache that had the most, of an even share"
+        description="requests of the cache that received the most, over the mean"
     )
     hit_share: Share = Field(description="attempts at caches that found the key")
-    busy_per_request: Ratio = Field(
-        description="attempts that caches turned away for each request of a client"
-    )
+    busy_per_request: Ratio = Field(description="attempts that caches rejected for each request of a client")
     origin_per_request: Ratio = Field(description="requests at the origin for each one of a client")
     router_cpu_per_request_s: Seconds = Field(
         description="CPU seconds of a router for a request of a client, all that it does"
--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -26,18 +26,19 @@
 class SurgeMetrics(Metrics):
     """Requests before, in and after the surge."""
 
-    requests_per_s: PerSecond = Field(description="first tries of clients at all routers that are run")
+    requests_per_s: PerSecond = Field(description="first attempts of clients at all routers that are run")
     before_served_share: Share = Field(
         description="requests of clients served before the surge, retries included"
     )
     surge_served_share: Share = Field(description="of those made in it, up to its last seconds")
-    after_served_share: Share = Field(description="of those made in the span after it")
+    after_served_share: Share = Field(description="of those made in the time measured after it")
     recovery_s: Seconds = Field(
-        description="from its end until 95 % of each second's requests are served; the whole span at most"
+        description="from its end until 95 % of each second's requests are served; at most the time measured"
+        " after it"
     )
-    refused_per_request: Ratio = Field(description="refusals for each request taken, after it")
+    refused_per_request: Ratio = Field(description="rejections for each request accepted, after it")
     attempts_per_request: Ratio = Field(
-        description="attempts at page caches for each request taken, after it"
+        description="attempts at page caches for each request accepted, after it"
     )
     cache_use_share: Share = Field(
         description="attempts received by the caches after it, over what they could serve"
--- a/scale_experiments/scenarios/watch_phases/changes.py
+++ b/scale_experiments/scenarios/watch_phases/changes.py
@@ -27,7 +27,7 @@
     )
     change_real_cpu_s: Seconds = Field(description="CPU seconds of one real router for a change")
     written_s: Seconds = Field(
-        description="seconds from a change until discovery had written it to all that waited,"
+        description="seconds from a change until discovery had written it to all waiting routers,"
         " median of changes"
     )
 
@@ -41,7 +41,7 @@
         description="seconds from a change until all routers had it, the slowest of the changes"
     )
     spread_unheard: Count = Field(
-        description="times that a router did not hear of a change before the next phase"
+        description="notifications of a change that a router did not receive before the next phase"
     )
 
 
--- a/scale_experiments/scenarios/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -3,8 +3,8 @@
 Lost caches do not answer: connections to them stay open, new connections are never established, and routers
 are notified late. The caches return empty. A region that is cut off keeps its routers and caches, which reach
 only each other. All routers of the fleet are run, and each cache receives the same rate of requests at all
-sizes. A size may set the router count of the settings (`told`) above the number of routers that are run, to
-measure what depends on that count alone.
+sizes. A size may set the router count of the settings above the number of routers that are run, to measure
+what depends on that count alone.
 """
 
 from __future__ import annotations
--- a/scale_experiments/scenarios/zone_loss_metrics.py
+++ b/scale_experiments/scenarios/zone_loss_metrics.py
@@ -17,7 +17,7 @@
 class ZoneLossMetrics(Metrics):
     """The fleet before the loss, while it lasts (lost) and after the return (back)."""
 
-    requests_per_s: PerSecond = Field(description="first tries of clients in the whole fleet")
+    requests_per_s: PerSecond = Field(description="first attempts of clients in the complete fleet")
     caches_lost: Count = Field(
         description="page caches that are lost, or are out of reach of the routers that are cut off"
     )
@@ -29,7 +29,7 @@
     lost_recovery_s: Seconds = Field(
         description="from the loss until 95 % of each second's requests are served while it lasts"
     )
-    back_served_share: Share = Field(description="of those made in the ramp that follows the return")
+    back_served_share: Share = Field(description="of those made in the slow start that follows the return")
     back_worst_served_share: Share = Field(description="of those made in the worst second of that")
     back_recovery_s: Seconds = Field(
         description="from the return until 95 % of each second's requests are served"
@@ -38,29 +38,29 @@
         description="of those made at routers of the region that is cut off, while it lasts"
     )
     apart_refused_per_request: Ratio = Field(
-        description="refusals by these routers for each request taken there while it lasts"
+        description="rejections by these routers for each request accepted there while it lasts"
     )
     lost_dials_per_request: Ratio = Field(
-        description="connections tried for each request taken, while it lasts"
+        description="connection attempts for each request accepted, while it lasts"
     )
     lost_dials_failed_per_request: Ratio = Field(description="of these, those that failed")
     before_dials_per_request: Ratio = Field(
-        description="connections tried for each request taken, before the loss"
+        description="connection attempts for each request accepted, before the loss"
     )
     back_dials_per_request: Ratio = Field(
-        description="connections tried for each request taken, after the return"
+        description="connection attempts for each request accepted, after the return"
     )
     before_attempts_per_request: Ratio = Field(
-        description="attempts at page caches for each request taken, before the loss"
+        description="attempts at page caches for each request accepted, before the loss"
     )
     lost_attempts_per_request: Ratio = Field(
-        description="attempts at page caches for each request taken, while it lasts"
+        description="attempts at page caches for each request accepted, while it lasts"
     )
     back_attempts_per_request: Ratio = Field(
-        description="attempts at page caches for each request taken, after the return"
+        description="attempts at page caches for each request accepted, after the return"
     )
     lost_tries_per_wish: Ratio = Field(
-        description="requests of clients for each thing they wanted, while it lasts"
+        description="requests of clients for each object that they needed, while it lasts"
     )
     lost_origin_ratio: Ratio = Field(
         description="attempts at the origin a second while it lasts, over those before"
@@ -69,7 +69,8 @@
         description="attempts at the origin a second after the return, over those before"
     )
     back_budget_slack_share: Share = Field(
-        description="most that any cold cache received in a window over its budget with slack"
+        description="highest ratio, over warming caches and windows, of attempts received to the budget with"
+        " its statistical tolerance"
     )
 
 
--- a/scale_experiments/simulation/network_rules.py
+++ b/scale_experiments/simulation/network_rules.py
@@ -18,7 +18,7 @@
 - An attempt that is abandoned closes its connection.
 
 One difference is known: within the reuse delay the simulated pool leaves a connection to an earlier process
-idle. A router closes such connections as soon as it is notified of the new process, so that few remain.
+idle. A router closes such connections once its endpoint list names the new process, so that few remain.
 
 `cache_router.net.dispatcher`, modelled in `simulation.clients`, `simulation.router` and
 `simulation.attempt_runner`:
