--- a/scale_experiments/scenarios/cold_start.py
+++ b/scale_experiments/scenarios/cold_start.py
@@ -171,11 +171,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ColdCacheBudget:
+class WarmingCacheBudget:
     """The budget of the cache, and how far it was used in the windows since its start."""
 
     used_share: float
-    used_share_with_slack: float  # slack as a statistical tolerance
+    used_share_with_tolerance: float  # statistical tolerance, see BudgetUse
     first_window: float  # attempts that the budget of the first window allows
 
 
@@ -195,14 +195,14 @@
     )
 
 
-def cold_cache_budget(fleet: Fleet, cache: CacheServer) -> ColdCacheBudget:
+def warming_cache_budget(fleet: Fleet, cache: CacheServer) -> WarmingCacheBudget:
     """How far the cache's budget was used in the windows since its start."""
     settings = fleet.settings
     use = fleet.budget_use(cache)
     first_capacity = capacity_within(settings, fleet.model, 0.0, settings.overload_window)
-    return ColdCacheBudget(
+    return WarmingCacheBudget(
         used_share=use.strict,
-        used_share_with_slack=use.with_slack,
+        used_share_with_tolerance=use.with_tolerance,
         first_window=settings.overload_multiple * first_capacity,
     )
 
@@ -235,11 +235,11 @@
     run_fleet(fleet, fleet.settings.slow_start_duration, context)
     usage = slow_start_usage(fleet, cache)
     share = fair_share(fleet, cache, context)
-    budget = cold_cache_budget(fleet, cache)
+    budget = warming_cache_budget(fleet, cache)
     metrics = ColdStartMetrics(
         requests_per_s=fleet.model.requests_per_s * fleet.model.routers,
         budget_share=budget.used_share,
-        budget_slack_share=budget.used_share_with_slack,
+        budget_slack_share=budget.used_share_with_tolerance,
         budget_first_count=budget.first_window,
         received=usage.received,
         received_again_share=usage.retry_share,
--- a/scale_experiments/scenarios/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -67,13 +67,15 @@
 
 
 class Size(BaseModel):
-    """The columns of a size."""
+    """The columns of a size; aliases are the keys."""
 
     routers: WholeNumber = Field(description="routers that are run")
     caches: WholeNumber = Field(description="page caches")
     cores: WholeNumber = Field(description="cores of each page cache")
-    told: WholeNumber | None = Field(
-        None, description="routers of the fleet, as the settings of each router say; by default `routers`"
+    configured_routers: WholeNumber | None = Field(
+        None,
+        alias="told",
+        description="routers of the fleet, as the settings of each router say; by default `routers`",
     )
 
 
@@ -83,7 +85,7 @@
     unloaded = FleetModel(routers, caches, 1.0)
     rate = unloaded.rate_at_utilization(parameters.use_share, cores)
     model = FleetModel(
-        routers=routers if size.told is None else size.told,
+        routers=routers if size.configured_routers is None else size.configured_routers,
         routers_sampled=routers,
         caches=caches,
         requests_per_s=rate / routers,
@@ -180,7 +182,7 @@
         run_fleet(fleet, fleet.settings.slow_start_duration + notice_s + SETTLING_SECONDS, self.context)
         requests = phase_requests(fleet, origin_rate_before)
         uses = [fleet.budget_use(fleet.caches[name]) for name in self.names]
-        return AfterReturn(requests, budget_slack_share=max(use.with_slack for use in uses))
+        return AfterReturn(requests, budget_slack_share=max(use.with_tolerance for use in uses))
 
     def unreachable_caches(self) -> int:
         """The caches that are lost, or that the routers of a region that is cut off do not reach."""
--- a/scale_experiments/simulation/slow_start.py
+++ b/scale_experiments/simulation/slow_start.py
@@ -15,12 +15,12 @@
 class BudgetUse:
     """The largest share of a warming server's budget that it was sent within any window.
 
-    With a budget of N attempts, `strict` is the share of N. `with_slack` is the share of N + 2 x sqrt(N) + 2,
-    which includes a statistical tolerance.
+    With a budget of N attempts, `strict` is the share of N. `with_tolerance` is the share of
+    N + 2 x sqrt(N) + 2, which includes a statistical tolerance.
     """
 
     strict: float
-    with_slack: float
+    with_tolerance: float
 
 
 def capacity_share(settings: Settings, age: float) -> float:
@@ -50,11 +50,11 @@
     capacity within it.
     """
     after_start = [at for at in arrivals if at >= started_at]
-    strict = with_slack = 0.0
+    strict = with_tolerance = 0.0
     for i, begin in enumerate(after_start):
         received = bisect.bisect_right(after_start, begin + settings.overload_window) - i
         capacity = capacity_within(settings, model, begin - started_at, settings.overload_window)
         budget = settings.overload_multiple * capacity
         strict = max(strict, received / budget)
-        with_slack = max(with_slack, received / (budget + 2 * math.sqrt(budget) + 2))
-    return BudgetUse(strict, with_slack)
+        with_tolerance = max(with_tolerance, received / (budget + 2 * math.sqrt(budget) + 2))
+    return BudgetUse(strict, with_tolerance)
--- a/tests/scale_experiments/test_fleet.py
+++ b/tests/scale_experiments/test_fleet.py
@@ -104,7 +104,7 @@
     use = budget_use(fleet.settings, SMALL, arrivals, 99.0)
     budget = 4.0 * capacity_within(fleet.settings, SMALL, 1.0, 2.0)
     assert use.strict == pytest.approx(30 / budget)
-    assert use.with_slack < use.strict
+    assert use.with_tolerance < use.strict
     # the slow start ends at 8.9 s, so that this window is at full capacity
     full = capacity_within(fleet.settings, SMALL, 8.9, 2.0)
     assert full == pytest.approx(2.0 / SMALL.mean_service_time)
