--- a/tests/project/test_page_names.py
+++ b/tests/project/test_page_names.py
@@ -23,7 +23,7 @@
 )
 from tests.support.sources import SOURCES, definitions, is_defined_in, strings
 
-# words of the configuration and of the wire; both pages are held against the program by tests of their own
+# words of the configuration and of the wire; tests of their own compare both pages with the program
 LISTED_WORDS = CONFIGURATION + (DOCS / "GLOSSARY.md").read_text()
 COMMAND_PREFIXES = ("curl ", "ss -", "ulimit ", "python -m scale_experiments", "python -B -m cache_router")
 # words that belong to Python or to the platform
@@ -72,7 +72,7 @@
 
 
 def is_known(span: str) -> bool:
-    """Return whether a text in code marks refers to something that exists."""
+    """Return whether a code span of a page refers to something that exists."""
     if span in FOREIGN_WORDS or span.startswith(COMMAND_PREFIXES):
         return True
     return any(is_kind(span) for is_kind in KINDS)
--- a/tests/support/log_lines.py
+++ b/tests/support/log_lines.py
@@ -12,7 +12,7 @@
 from cache_router.decisions.router import Router
 from cache_router.settings import RequestClass, Settings
 from tests.support.pages import RUNBOOK, table_rows
-from tests.support.sources import HOLE, SOURCES
+from tests.support.sources import ANY_VALUE, SOURCES
 
 PLACEHOLDER = re.compile(r"\b(?:ADDRESS|COUNT|ERROR|FIELD|ID|PATH|REASON|SECONDS|SERVER|STATE|VALUE)\b")
 FORMAT_DIRECTIVE = re.compile(r"%(?:\.\d+)?[dfgrsb]")
@@ -20,8 +20,8 @@
 
 def template(text: str) -> str:
     """Replace placeholders and format directives by `{}`; those beside each other count as one."""
-    text = FORMAT_DIRECTIVE.sub(HOLE, PLACEHOLDER.sub(HOLE, text))
-    return text.replace(HOLE + HOLE, HOLE)
+    text = FORMAT_DIRECTIVE.sub(ANY_VALUE, PLACEHOLDER.sub(ANY_VALUE, text))
+    return text.replace(ANY_VALUE + ANY_VALUE, ANY_VALUE)
 
 
 @dataclass(frozen=True)
--- a/tests/support/pages.py
+++ b/tests/support/pages.py
@@ -20,7 +20,7 @@
 
 
 def code_spans(text: str) -> list[str]:
-    """Return the texts in code marks."""
+    """Return the texts of the code spans of a page."""
     return re.findall(r"`([^`]+)`", flat(text))
 
 
--- a/tests/support/sources.py
+++ b/tests/support/sources.py
@@ -13,7 +13,7 @@
 
 import cache_router
 
-HOLE = "{}"
+ANY_VALUE = "{}"  # stands for a value in the text of a message
 
 
 @dataclass(frozen=True)
@@ -127,4 +127,4 @@
     constant = (
         getattr(module, ast.unparse(part.value), None) if isinstance(part, ast.FormattedValue) else None
     )
-    return constant if isinstance(constant, str) else HOLE
+    return constant if isinstance(constant, str) else ANY_VALUE
