--- a/scale_experiments/scenarios/cold_start.py
+++ b/scale_experiments/scenarios/cold_start.py
@@ -1,4 +1,4 @@
-"""One page cache starts empty (cold), and all routers together may send it only a limited load.
+"""One page cache starts empty and warms up; all routers together may send it only a limited load.
 
 The cache is shut down, others take over its keys, and it returns empty. Each router is notified at a time
 of its own. What the cache then receives, in each window of the settings' length, is compared with its budget
@@ -34,30 +34,34 @@
 
 
 class ColdStartMetrics(Metrics):
-    """The fleet from the start of the cold cache until it is warm, and shortly after."""
+    """The fleet from the start of the warming cache until it is warm, and shortly after."""
 
-    requests_per_s: PerSecond = Field(description="first tries of clients in the whole fleet")
+    requests_per_s: PerSecond = Field(description="first attempts of clients in the complete fleet")
     budget_share: Share = Field(
-        description="most that the cold cache received in a window, over its budget N in that window"
+        description="highest ratio of attempts that the warming cache received in a window to its budget N"
+    )
+    budget_slack_share: Share = Field(
+        description="the same over N + 2 x sqrt(N) + 2, which includes a statistical tolerance"
+    )
+    budget_first_count: Count = Field(description="budget N of the window that starts with the cache")
+    received: Count = Field(description="attempts that the warming cache received until it was warm")
+    received_again_share: Share = Field(
+        description="share of these that were second or later attempts of their request"
     )
-    budget_slack_share: Share = Field(description="the same over N + 2 x root of N + 2, the slack for chance")
-    budget_first_count: Count = Field(description="budget N of the window that begins with the cache's start")
-    received: Count = Field(description="attempts that the cold cache received until it was warm")
-    received_again_share: Share = Field(description="of these, second or later attempts of their request")
     fair_share: Share = Field(
-        description="attempts received by the cold cache from warm to the end, over the mean of all caches"
+        description="attempts that the cache received once it was warm, over the mean of all caches"
     )
     served_share: Share = Field(
         description="requests of clients served from the start until warm, retries included"
     )
     attempts_per_request: Ratio = Field(
-        description="attempts at page caches for each request taken, from the start until warm"
+        description="attempts at page caches for each request accepted, from the start until warm"
     )
     tries_per_wish: Ratio = Field(
-        description="requests that clients made for each thing they wanted, from the start until warm"
+        description="requests that clients made for each object that they needed, from the start until warm"
     )
     origin_per_request: Ratio = Field(
-        description="attempts at the origin for each request taken, from the start until warm"
+        description="attempts at the origin for each request accepted, from the start until warm"
     )
 
 
@@ -167,11 +171,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ColdCacheBudget:
+class WarmingCacheBudget:
     """The budget of the cache, and how far it was used in the windows since its start."""
 
     used_share: float
-    used_share_with_slack: float  # slack as a statistical tolerance
+    used_share_with_tolerance: float  # statistical tolerance, see BudgetUse
     first_window: float  # attempts that the budget of the first window allows
 
 
@@ -191,14 +195,14 @@
     )
 
 
-def cold_cache_budget(fleet: Fleet, cache: CacheServer) -> ColdCacheBudget:
+def warming_cache_budget(fleet: Fleet, cache: CacheServer) -> WarmingCacheBudget:
     """How far the cache's budget was used in the windows since its start."""
     settings = fleet.settings
     use = fleet.budget_use(cache)
     first_capacity = capacity_within(settings, fleet.model, 0.0, settings.overload_window)
-    return ColdCacheBudget(
+    return WarmingCacheBudget(
         used_share=use.strict,
-        used_share_with_slack=use.with_slack,
+        used_share_with_tolerance=use.with_tolerance,
         first_window=settings.overload_multiple * first_capacity,
     )
 
@@ -231,11 +235,11 @@
     run_fleet(fleet, fleet.settings.slow_start_duration, context)
     usage = slow_start_usage(fleet, cache)
     share = fair_share(fleet, cache, context)
-    budget = cold_cache_budget(fleet, cache)
+    budget = warming_cache_budget(fleet, cache)
     metrics = ColdStartMetrics(
         requests_per_s=fleet.model.requests_per_s * fleet.model.routers,
         budget_share=budget.used_share,
-        budget_slack_share=budget.used_share_with_slack,
+        budget_slack_share=budget.used_share_with_tolerance,
         budget_first_count=budget.first_window,
         received=usage.received,
         received_again_share=usage.retry_share,
