--- /dev/null
+++ b/tests/cache_router/decisions/conftest.py
@@ -0,0 +1,36 @@
+"""Fixtures of the decisions: drivers of one router, without or with an endpoint list."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from cache_router.endpoint import Endpoint
+from tests.support.driver import Driver, DriverFactory, settings
+from tests.support.router_scenarios import CACHE_ASIDE, fleet
+
+
+@pytest.fixture
+def make_driver() -> DriverFactory:
+    """Makes drivers of routers that know a fleet, under the test's settings with changes."""
+
+    def make(*endpoints: Endpoint, seed: int = 1, **changes: Any) -> Driver:
+        driver = Driver(settings(**changes), seed)
+        if endpoints:
+            driver.update_endpoints(*endpoints)
+        return driver
+
+    return make
+
+
+@pytest.fixture
+def driver(make_driver: DriverFactory) -> Driver:
+    """A driver of a router that has received no endpoint list."""
+    return make_driver()
+
+
+@pytest.fixture
+def cache_aside_driver(make_driver: DriverFactory) -> Driver:
+    """A driver of a router that fetches the misses of the cache "a" from the origin "o"."""
+    return make_driver(*fleet("a", "o"), **CACHE_ASIDE)
--- a/tests/cache_router/decisions/test_admission_control.py
+++ b/tests/cache_router/decisions/test_admission_control.py
@@ -10,7 +10,7 @@
 from cache_router.decisions.events import AttemptStatus
 from cache_router.decisions.fleet_health import FleetHealth
 from cache_router.decisions.server import Server
-from tests.support.driver import Driver, Outcome, entry, settings
+from tests.support.driver import DriverFactory, Outcome, entry, settings
 
 
 class FixedRandom(random.Random):
@@ -32,9 +32,9 @@
     assert not admission.must_shed(server, drawn_wait + 0.01)
 
 
-def test_load_is_shed_by_the_reported_queues() -> None:
+def test_load_is_shed_by_the_reported_queues(make_driver: DriverFactory) -> None:
     """In an overload without shedding, queues grow until every answer is late."""
-    driver = Driver(settings(live_weights=True, max_attempts=1))
+    driver = make_driver(live_weights=True, max_attempts=1)
     names = "abcdefgh"
     driver.update_endpoints(*(entry(n, weight=6.0) for n in names))
     for n in range(40):
@@ -47,10 +47,9 @@
     assert 10 < sum(s is not None for s in sent) < 80
 
 
-def test_load_is_shed_by_own_latencies_where_no_load_is_reported() -> None:
+def test_load_is_shed_by_own_latencies_where_no_load_is_reported(make_driver: DriverFactory) -> None:
     """The latency of its own attempts is all that the router knows of the overload."""
-    driver = Driver(settings(max_attempts=1))
-    driver.update_endpoints(*(entry(f"s{n}") for n in range(30)))
+    driver = make_driver(*(entry(f"s{n}") for n in range(30)), max_attempts=1)
     driver.router.health.queueing_latency = 4.0
     sent = [driver.request(f"r{n}", key=f"k{n}") for n in range(200)]
     assert 20 < sum(s is not None for s in sent) < 90  # one second left of four: one in four is admitted
--- a/tests/cache_router/decisions/test_attempt_feedback.py
+++ b/tests/cache_router/decisions/test_attempt_feedback.py
@@ -7,14 +7,15 @@
 from cache_router.decisions.attempt_feedback import NO_RESPONSE
 from cache_router.decisions.concurrency_limit import INITIAL_LIMIT
 from cache_router.decisions.events import AttemptStatus
-from tests.support.driver import Driver, entry, settings
-from tests.support.router_scenarios import CACHE_ASIDE, fleet, request_and_miss
+from tests.support.driver import Driver, DriverFactory, entry
+from tests.support.router_scenarios import fleet, request_and_miss
 
 
 @pytest.mark.parametrize("status", AttemptStatus)
-def test_only_a_response_ends_the_silence_of_a_server(status: AttemptStatus) -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(entry("a"))
+def test_only_a_response_ends_the_silence_of_a_server(
+    make_driver: DriverFactory, status: AttemptStatus
+) -> None:
+    driver = make_driver(entry("a"))
     driver.request("r", key="k")
     concurrency = driver.server("a").concurrency
     sent_at = driver.now
@@ -24,9 +25,8 @@
     assert concurrency.last_completed_at == driver.now
 
 
-def test_ejection_caps_the_limit_before_the_attempt_adapts_it() -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a", "b", "c"))
+def test_ejection_caps_the_limit_before_the_attempt_adapts_it(make_driver: DriverFactory) -> None:
+    driver = make_driver(*fleet("a", "b", "c"))
     first = driver.request("r", key="k")
     assert first is not None
     driver.server(first).concurrency.limit = 40.0
@@ -34,11 +34,11 @@
     assert driver.server(first).concurrency.limit == INITIAL_LIMIT
 
 
-def test_attempts_at_the_origin_do_not_count_towards_the_health_of_the_caches() -> None:
-    driver = Driver(settings(**CACHE_ASIDE))
-    driver.update_endpoints(*fleet("a", "o"))
-    request_and_miss(driver, "r")
-    before = driver.router.health.success_rate
-    driver.complete_attempt("r", AttemptStatus.ERROR)
-    assert driver.router.health.success_rate == before
-    assert not driver.server("o").failures.consecutive
+def test_attempts_at_the_origin_do_not_count_towards_the_health_of_the_caches(
+    cache_aside_driver: Driver,
+) -> None:
+    request_and_miss(cache_aside_driver, "r")
+    before = cache_aside_driver.router.health.success_rate
+    cache_aside_driver.complete_attempt("r", AttemptStatus.ERROR)
+    assert cache_aside_driver.router.health.success_rate == before
+    assert not cache_aside_driver.server("o").failures.consecutive
--- a/tests/cache_router/decisions/test_concurrency_limit.py
+++ b/tests/cache_router/decisions/test_concurrency_limit.py
@@ -9,14 +9,13 @@
 from cache_router.decisions import concurrency_limit
 from cache_router.decisions.concurrency_limit import DECREASE_FACTOR, INITIAL_LIMIT, ConcurrencyLimit
 from cache_router.decisions.events import ANSWERED, FAILED, AttemptStatus
-from tests.support.driver import Driver, Outcome, entry, settings
-from tests.support.router_scenarios import CACHE_ASIDE, fleet, request_and_miss
+from tests.support.driver import Driver, DriverFactory, Outcome, entry
+from tests.support.router_scenarios import fleet, request_and_miss
 
 
-def test_slow_answers_reduce_the_limit() -> None:
+def test_slow_answers_reduce_the_limit(make_driver: DriverFactory) -> None:
     """Otherwise an overloaded server continues to get as much as before."""
-    driver = Driver(settings())
-    driver.update_endpoints(entry("a"))
+    driver = make_driver(entry("a"))
     for n in range(40):
         driver.request(f"s{n}")
         driver.now += 0.6
@@ -27,20 +26,18 @@
     assert [driver.outcomes[f"r{n}"] for n in range(1, 10)] == [Outcome.REJECTED] * 9
 
 
-def test_one_slow_answer_does_not_reduce_the_limit() -> None:
+def test_one_slow_answer_does_not_reduce_the_limit(make_driver: DriverFactory) -> None:
     """A single expensive request says nothing of a server's capacity."""
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a"))
+    driver = make_driver(*fleet("a"))
     for n in range(20):
         driver.request(f"r{n}", key="k")
         driver.complete_attempt(f"r{n}", AttemptStatus.OK, latency=0.9 if n == 10 else 0.05)
     assert driver.server("a").concurrency.limit >= concurrency_limit.INITIAL_LIMIT
 
 
-def test_rejection_sets_the_limit_to_the_attempts_in_flight() -> None:
+def test_rejection_sets_the_limit_to_the_attempts_in_flight(make_driver: DriverFactory) -> None:
     """What is in flight when a server rejects an attempt is what it has capacity for."""
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a"))
+    driver = make_driver(*fleet("a"))
     driver.server("a").concurrency.limit = 9.0
     for n in range(6):
         driver.request(f"r{n}", key="k")
@@ -48,9 +45,8 @@
     assert driver.server("a").concurrency.limit == 5.0
 
 
-def test_fast_failure_does_not_lower_the_smoothed_latency() -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a"))
+def test_fast_failure_does_not_lower_the_smoothed_latency(make_driver: DriverFactory) -> None:
+    driver = make_driver(*fleet("a"))
     for n in range(5):
         driver.request(f"r{n}", key="k")
         driver.complete_attempt(f"r{n}", AttemptStatus.OK, latency=0.4)
@@ -60,22 +56,19 @@
     assert driver.server("a").concurrency.latency == before
 
 
-def test_one_timeout_hardly_raises_the_smoothed_latency_of_the_origin() -> None:
+def test_one_timeout_hardly_raises_the_smoothed_latency_of_the_origin(cache_aside_driver: Driver) -> None:
     """Otherwise misses would be rejected by the dozen until other fetches had come back."""
-    driver = Driver(settings(**CACHE_ASIDE))
-    driver.update_endpoints(*fleet("a", "o"))
-    driver.server("o").concurrency.latency = 0.05
-    request_and_miss(driver, "r1", key="k1")
-    driver.complete_attempt("r1", AttemptStatus.TIMEOUT, latency=2.0)
-    assert driver.server("o").concurrency.latency < 0.1
-    driver.server("o").concurrency.unanswered_since = float("inf")
-    request_and_miss(driver, "r2", key="k2")
-    assert driver.servers_tried["r2"][-1] == "o"
+    cache_aside_driver.server("o").concurrency.latency = 0.05
+    request_and_miss(cache_aside_driver, "r1", key="k1")
+    cache_aside_driver.complete_attempt("r1", AttemptStatus.TIMEOUT, latency=2.0)
+    assert cache_aside_driver.server("o").concurrency.latency < 0.1
+    cache_aside_driver.server("o").concurrency.unanswered_since = float("inf")
+    request_and_miss(cache_aside_driver, "r2", key="k2")
+    assert cache_aside_driver.servers_tried["r2"][-1] == "o"
 
 
-def test_one_timeout_does_not_reduce_the_limit() -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a"))
+def test_one_timeout_does_not_reduce_the_limit(make_driver: DriverFactory) -> None:
+    driver = make_driver(*fleet("a"))
     driver.request("r1", key="k")
     driver.complete_attempt("r1", AttemptStatus.TIMEOUT, latency=2.0)
     assert driver.server("a").concurrency.limit >= concurrency_limit.INITIAL_LIMIT
--- a/tests/cache_router/decisions/test_endpoint_polling.py
+++ b/tests/cache_router/decisions/test_endpoint_polling.py
@@ -6,12 +6,12 @@
 
 from cache_router.decisions.actions import LogMessage, SetTimer, SubscribeToEndpoints
 from cache_router.decisions.events import DiscoveryAddressChanged, EndpointUpdateKind, TimerFired
-from tests.support.driver import Driver, settings
+from tests.support.driver import Driver, DriverFactory, settings
 from tests.support.router_scenarios import FAILED_CALL, fleet
 
 
-def test_router_subscribes_and_backs_off_after_failures() -> None:
-    driver = Driver(settings(must_subscribe=True))
+def test_router_subscribes_and_backs_off_after_failures(make_driver: DriverFactory) -> None:
+    driver = make_driver(must_subscribe=True)
     assert SubscribeToEndpoints() in driver.update_endpoints(*fleet("a"), kind=EndpointUpdateKind.CACHED)
     backoffs = []
     for _ in range(6):
@@ -24,20 +24,20 @@
         assert driver.handle(TimerFired(timer.timer)) == [SubscribeToEndpoints()]
     assert backoffs[-1] > backoffs[0]
     # the notification deadline is 6 s, and most of that has passed when a silent watch times out
-    after_timeout = Driver(settings(must_subscribe=True, overload_window=60.0, slow_start_duration=60.0))
+    after_timeout = make_driver(must_subscribe=True, overload_window=60.0, slow_start_duration=60.0)
     after_timeout.now += after_timeout.settings.watch_budget.call_timeout
     assert all(t.delay <= 1.0 for t in after_timeout.handle(FAILED_CALL) if isinstance(t, SetTimer))
 
 
 @pytest.mark.parametrize("drain_grace_period", [0.0, 0.2, 0.5, 4.0])
-def test_pushed_watch_is_reopened_within_half_the_drain_grace_period(drain_grace_period: float) -> None:
+def test_pushed_watch_is_reopened_within_half_the_drain_grace_period(
+    make_driver: DriverFactory, drain_grace_period: float
+) -> None:
     """During a long backoff the router would send requests to servers that drain.
 
     Discovery counts a router as notified as soon as the agent has the update.
     """
-    driver = Driver(
-        settings(drain_grace_period=drain_grace_period, overload_window=2.0, slow_start_duration=9.0)
-    )
+    driver = make_driver(drain_grace_period=drain_grace_period, overload_window=2.0, slow_start_duration=9.0)
     for _ in range(12):
         (timer,) = (a for a in driver.handle(FAILED_CALL) if isinstance(a, SetTimer))
         assert 0 < timer.delay <= max(drain_grace_period / 2, 0.05)  # every limit is 50 ms longer
@@ -45,9 +45,9 @@
         assert driver.handle(TimerFired(timer.timer)) == [SubscribeToEndpoints()]
 
 
-def test_new_discovery_address_is_polled_at_once() -> None:
+def test_new_discovery_address_is_polled_at_once(make_driver: DriverFactory) -> None:
     """The backoff after failures of the old address would make updates of the new one late."""
-    driver = Driver(settings(must_subscribe=True))
+    driver = make_driver(must_subscribe=True)
     for _ in range(4):
         driver.handle(FAILED_CALL)
     assert driver.handle(DiscoveryAddressChanged()) == [SubscribeToEndpoints()]
--- a/tests/cache_router/decisions/test_hash_ring.py
+++ b/tests/cache_router/decisions/test_hash_ring.py
@@ -15,7 +15,7 @@
     virtual_nodes,
 )
 from cache_router.endpoint import EndpointState
-from tests.support.driver import Driver, entry, settings
+from tests.support.driver import Driver, DriverFactory, entry, settings
 from tests.support.reference_ring import primary_server, ring_positions
 from tests.support.router_scenarios import primary_servers
 
@@ -47,9 +47,8 @@
     assert sum(rank <= 0.5 for member, rank in walked if member == "b") == 4
 
 
-def test_primary_server_has_the_first_point_clockwise() -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(entry("a", weight=2), entry("b", weight=1), entry("c", weight=1))
+def test_primary_server_has_the_first_point_clockwise(make_driver: DriverFactory) -> None:
+    driver = make_driver(entry("a", weight=2), entry("b", weight=1), entry("c", weight=1))
     for n in range(200):
         server = driver.request(f"r{n}", key=f"k{n}")
         assert server == primary_server(f"k{n}", {"a": 128, "b": 64, "c": 64})
@@ -57,10 +56,9 @@
 
 
 @pytest.mark.parametrize("size", [10, 90, 300])
-def test_shares_of_the_ring_follow_the_weights(size: int) -> None:
+def test_shares_of_the_ring_follow_the_weights(make_driver: DriverFactory, size: int) -> None:
     """The number of points grows with the fleet: a fixed total would leave most servers with one or none."""
-    driver = Driver(settings())
-    driver.update_endpoints(*(entry(f"s{i}", weight=1 + i % 2) for i in range(size)))
+    driver = make_driver(*(entry(f"s{i}", weight=1 + i % 2) for i in range(size)))
     ring = list(driver.router.endpoints.ring.points())
     arcs = dict.fromkeys(driver.router.endpoints.servers, 0)
     previous = ring[-1][0] - 2**64
@@ -73,8 +71,7 @@
 
 
 @pytest.mark.parametrize("size", [10, 90, 300])
-def test_join_or_removal_moves_only_the_keys_of_that_server(size: int) -> None:
-    driver = Driver(settings())
+def test_join_or_removal_moves_only_the_keys_of_that_server(driver: Driver, size: int) -> None:
     endpoints = [entry(f"s{i}") for i in range(size)]
     driver.update_endpoints(*endpoints)
     before = primary_servers(driver, "a")
@@ -96,10 +93,11 @@
     assert primary_servers(one, "r") == primary_servers(other, "r")
 
 
-def test_live_weights_move_no_keys() -> None:
+def test_live_weights_move_no_keys(make_driver: DriverFactory) -> None:
     """Weights that fall with load would move keys with every update to servers that lack them."""
-    driver = Driver(settings(live_weights=True))
-    driver.update_endpoints(entry("a", kind="x"), entry("b", kind="x"), entry("c", kind="y", weight=2.0))
+    driver = make_driver(
+        entry("a", kind="x"), entry("b", kind="x"), entry("c", kind="y", weight=2.0), live_weights=True
+    )
     before = primary_servers(driver, "a")
     driver.update_endpoints(
         entry("a", kind="x", weight=0.6), entry("b", kind="x", weight=0.9), entry("c", kind="y", weight=1.1)
@@ -107,8 +105,7 @@
     assert primary_servers(driver, "b") == before
 
 
-def test_share_of_keys_follows_the_weights() -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(entry("big", weight=9), entry("small", weight=1))
+def test_share_of_keys_follows_the_weights(make_driver: DriverFactory) -> None:
+    driver = make_driver(entry("big", weight=9), entry("small", weight=1))
     servers = [driver.request(f"r{n}", key=f"k{n}", finish=True) for n in range(1000)]
     assert 800 < servers.count("big") < 980
--- a/tests/cache_router/decisions/test_hedging.py
+++ b/tests/cache_router/decisions/test_hedging.py
@@ -9,8 +9,8 @@
 from cache_router.decisions import hedging
 from cache_router.decisions.events import AttemptStatus, EndpointUpdateKind
 from cache_router.endpoint import EndpointState
-from tests.support.driver import Driver, entry, settings
-from tests.support.router_scenarios import CACHE_ASIDE, fleet, ignore_key_popularity
+from tests.support.driver import Driver, DriverFactory, entry
+from tests.support.router_scenarios import CACHE_ASIDE, fleet, ignore_key_popularity, single_zone_fleet
 
 
 def request_without_answer(driver: Driver, name: str, **fields: Any) -> None:
@@ -22,9 +22,8 @@
     driver.request(name, **{"key": "k", **fields})
 
 
-def test_no_hedged_request_when_the_settings_forbid_it() -> None:
-    driver = Driver(settings(hedging_allowed=False))
-    driver.update_endpoints(*fleet("a", "b", "c"))
+def test_no_hedged_request_when_the_settings_forbid_it(make_driver: DriverFactory) -> None:
+    driver = make_driver(*fleet("a", "b", "c"), hedging_allowed=False)
     driver.request("r")
     driver.advance(1.9)
     attempts = range(len(driver.servers_tried["r"]))
@@ -33,9 +32,9 @@
 
 
 @pytest.mark.parametrize("answers_others", [True, False])
-def test_read_without_answer_is_hedged(answers_others: bool) -> None:
+def test_read_without_answer_is_hedged(make_driver: DriverFactory, answers_others: bool) -> None:
     """Otherwise a lost answer costs the whole latency objective, though the server may still hold the key."""
-    driver = Driver(settings(**CACHE_ASIDE))
+    driver = make_driver(**CACHE_ASIDE)
     request_without_answer(driver, "r1")
     first = driver.servers_tried["r1"][0]
     if answers_others:
@@ -52,9 +51,11 @@
 
 
 @pytest.mark.parametrize("reason", ["not idempotent", "no retry tokens", "forbidden", "draining"])
-def test_read_is_not_hedged_at_its_server_when_that_is_not_permitted(reason: str) -> None:
+def test_read_is_not_hedged_at_its_server_when_that_is_not_permitted(
+    make_driver: DriverFactory, reason: str
+) -> None:
     changes = {"hedging_allowed": False} if reason == "forbidden" else {}
-    driver = Driver(settings(**{**CACHE_ASIDE, **changes}))
+    driver = make_driver(**{**CACHE_ASIDE, **changes})
     request_without_answer(driver, "r1", request_class="keyed" if reason == "not idempotent" else "read")
     first = driver.servers_tried["r1"][0]
     driver.request("r2", key="k", finish=True)
@@ -67,14 +68,13 @@
     assert reason == "draining" or len(driver.servers_tried["r1"]) == 1
 
 
-def test_few_fast_answers_of_one_server_do_not_hasten_hedging() -> None:
+def test_few_fast_answers_of_one_server_do_not_hasten_hedging(make_driver: DriverFactory) -> None:
     """The delay follows the latency of all servers.
 
     One or two answers of a server may be fast at random, and needless hedged requests would be a tenth of all
     attempts.
     """
-    driver = Driver(settings())
-    driver.update_endpoints(*(entry(s) for s in "abcdef"))
+    driver = make_driver(*single_zone_fleet("abcdef"))
     fast = driver.request("r", key="k")
     driver.complete_attempt("r", AttemptStatus.OK, latency=0.01)
     for n in range(60):
--- a/tests/cache_router/decisions/test_idle_connections.py
+++ b/tests/cache_router/decisions/test_idle_connections.py
@@ -9,22 +9,20 @@
 from cache_router.decisions.events import AttemptStatus
 from cache_router.decisions.idle_connections import KEEP_SHARE, IdleConnections
 from cache_router.settings import Settings
-from tests.support.driver import Driver, settings
+from tests.support.driver import Driver, DriverFactory, settings
 from tests.support.router_scenarios import fleet
 
 
-def test_idle_connections_are_closed_when_they_cost_more_than_a_handshake() -> None:
+def test_idle_connections_are_closed_when_they_cost_more_than_a_handshake(make_driver: DriverFactory) -> None:
     """The connections of hundreds of routers would fill the connection tables of the servers."""
-    driver = Driver(settings(router_count=500, connection_price=0.03, handshake_price=0.03))
-    driver.update_endpoints(*fleet("a", "b"))
+    driver = make_driver(*fleet("a", "b"), router_count=500, connection_price=0.03, handshake_price=0.03)
     driver.now += 10.0
     driver.request("r0", finish=True)
     for n in range(40):
         driver.request(f"r{n + 1}", key=f"k{n}", finish=True)
     driver.advance(0.1)
     assert isinstance(driver.last_actions[0], CloseIdleConnections)
-    alone = Driver(settings(router_count=1, connection_price=0.03, handshake_price=0.03))
-    alone.update_endpoints(*fleet("a", "b"))
+    alone = make_driver(*fleet("a", "b"), router_count=1, connection_price=0.03, handshake_price=0.03)
     alone.request("r", finish=True)
     assert not [a for a in alone.last_actions if isinstance(a, CloseIdleConnections)]
 
@@ -66,9 +64,8 @@
         assert mean == 100.0
 
 
-def test_failed_connect_shortens_the_keep_alive_time() -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a", "b"))
+def test_failed_connect_shortens_the_keep_alive_time(make_driver: DriverFactory) -> None:
+    driver = make_driver(*fleet("a", "b"))
     driver.request("r")
     driver.complete_attempt("r", AttemptStatus.CONNECT_FAILED)
     assert driver.router.idle_connections.keep_share == KEEP_SHARE / 2
--- a/tests/cache_router/decisions/test_origin_queue.py
+++ b/tests/cache_router/decisions/test_origin_queue.py
@@ -15,10 +15,16 @@
 from cache_router.decisions.pending_request import PendingRequest
 from cache_router.decisions.server import Server
 from cache_router.settings import RequestClass
-from tests.support.driver import KEYED, READ, Driver, Outcome, entry, settings
+from tests.support.driver import KEYED, READ, Driver, DriverFactory, Outcome, entry
 from tests.support.router_scenarios import CACHE_ASIDE, fleet, request_and_miss
 
 
+@pytest.fixture
+def driver(cache_aside_driver: Driver) -> Driver:
+    """A router with an origin: the queue for the origin serves no other."""
+    return cache_aside_driver
+
+
 def new_pending_request(
     name: str, request_class: RequestClass = READ, deadline: float = 101.0, is_write: bool = False
 ) -> PendingRequest:
@@ -74,9 +80,7 @@
     assert latest_start(pending, None) == 101.0
 
 
-def test_reads_queued_for_the_origin_are_answered_in_time() -> None:
-    driver = Driver(settings(**CACHE_ASIDE))
-    driver.update_endpoints(*fleet("a", "o"))
+def test_reads_queued_for_the_origin_are_answered_in_time(driver: Driver) -> None:
     for n in range(60):
         driver.request(f"r{n}", key=f"k{n}")
         driver.complete_attempt(f"r{n}", AttemptStatus.MISS)
@@ -85,9 +89,7 @@
 
 
 @pytest.mark.parametrize("cause", ["client disconnected", "attempt failed"])
-def test_queued_fetches_are_sent_after_one_is_lost(cause: str) -> None:
-    driver = Driver(settings(**CACHE_ASIDE))
-    driver.update_endpoints(*fleet("a", "o"))
+def test_queued_fetches_are_sent_after_one_is_lost(driver: Driver, cause: str) -> None:
     driver.server("o").concurrency.limit = 1.0
     request_and_miss(driver, "r1", "r2", "r3")
     assert [driver.servers_tried[n] for n in ("r1", "r2", "r3")] == [["a", "o"], ["a"], ["a"]]
@@ -99,10 +101,8 @@
     assert not driver.open_requests
 
 
-def test_fetch_that_cannot_complete_in_time_is_rejected() -> None:
+def test_fetch_that_cannot_complete_in_time_is_rejected(driver: Driver) -> None:
     """With a slow origin it would come back after its latency objective, and delay others."""
-    driver = Driver(settings(**CACHE_ASIDE))
-    driver.update_endpoints(*fleet("a", "o"))
     driver.server("o").concurrency.limit = 2.0
     driver.server("o").concurrency.latency = 0.45
     for n in "123":
@@ -115,10 +115,8 @@
     assert driver.outcomes["r3"] is Outcome.REJECTED
 
 
-def test_fetch_is_sent_only_with_twice_the_origin_latency_left() -> None:
+def test_fetch_is_sent_only_with_twice_the_origin_latency_left(driver: Driver) -> None:
     """A fetch that its client cancels is not even stored in a cache."""
-    driver = Driver(settings(**CACHE_ASIDE))
-    driver.update_endpoints(*fleet("a", "o"))
     driver.server("o").concurrency.latency = 0.4
     request_and_miss(driver, "r1", key="k1")
     driver.request("r2", key="k2", time_left=0.7)
@@ -128,10 +126,8 @@
     assert driver.complete_attempt("r3", AttemptStatus.MISS) == "o"
 
 
-def test_write_is_sent_with_once_the_origin_latency_left() -> None:
+def test_write_is_sent_with_once_the_origin_latency_left(driver: Driver) -> None:
     """A write stores nothing in a cache; a fetch's margin would reject most at a slow origin."""
-    driver = Driver(settings(**CACHE_ASIDE))
-    driver.update_endpoints(*fleet("a", "o"))
     driver.request("r0", key="k0", is_write=True)
     driver.server("o").concurrency.latency = 0.6
     assert driver.request("r1", key="k1", is_write=True) == "o"
@@ -140,10 +136,8 @@
     assert driver.outcomes["r2"] is Outcome.REJECTED
 
 
-def test_higher_priority_weight_leaves_the_origin_queue_first() -> None:
+def test_higher_priority_weight_leaves_the_origin_queue_first(driver: Driver) -> None:
     """Otherwise writes wait behind the misses of reads when the origin is slow."""
-    driver = Driver(settings(**CACHE_ASIDE))
-    driver.update_endpoints(*fleet("a", "o"))
     driver.server("o").concurrency.limit = 1.0
     request_and_miss(driver, "r1", key="k1")
     request_and_miss(driver, "r2", key="k2")
@@ -153,10 +147,8 @@
     assert driver.servers_tried["r2"] == ["a"]
 
 
-def test_origin_queue_drops_entries_of_ended_requests() -> None:
+def test_origin_queue_drops_entries_of_ended_requests(driver: Driver) -> None:
     """Without it, reads long ended would pile up behind a steady flow of writes of higher priority."""
-    driver = Driver(settings(**CACHE_ASIDE))
-    driver.update_endpoints(*fleet("a", "o"))
     driver.server("o").concurrency.limit = 1.0
     for n in range(2000):
         request_and_miss(driver, f"r{n}", key=f"k{n}")
@@ -165,10 +157,8 @@
     assert len(driver.router.queue) <= 2 * len(driver.router.pending) + 1 < 200
 
 
-def test_queued_fetch_is_rejected_once_it_cannot_complete_in_time() -> None:
+def test_queued_fetch_is_rejected_once_it_cannot_complete_in_time(driver: Driver) -> None:
     """The rejection does not wait for the latency objective, long before which a fetch has become useless."""
-    driver = Driver(settings(**CACHE_ASIDE))
-    driver.update_endpoints(*fleet("a", "o"))
     driver.server("o").concurrency.limit = 1.0
     driver.server("o").concurrency.latency = 0.3
     request_and_miss(driver, "r1", key="k1")
@@ -180,9 +170,7 @@
     assert driver.servers_tried["r2"] == ["a"]
 
 
-def test_queued_fetches_are_rejected_when_the_origin_slows_down() -> None:
-    driver = Driver(settings(**CACHE_ASIDE))
-    driver.update_endpoints(*fleet("a", "o"))
+def test_queued_fetches_are_rejected_when_the_origin_slows_down(driver: Driver) -> None:
     driver.server("o").concurrency.limit = 2.0
     for n in "123":
         request_and_miss(driver, f"r{n}", key=f"k{n}")
@@ -192,9 +180,7 @@
     assert driver.outcomes["r3"] is Outcome.REJECTED
 
 
-def test_queued_fetch_waits_longer_when_the_origin_gets_faster() -> None:
-    driver = Driver(settings(**CACHE_ASIDE))
-    driver.update_endpoints(*fleet("a", "o"))
+def test_queued_fetch_waits_longer_when_the_origin_gets_faster(driver: Driver) -> None:
     driver.server("o").concurrency.limit = 1.0
     driver.server("o").concurrency.latency = 0.3
     request_and_miss(driver, "r1", key="k1")
@@ -209,10 +195,11 @@
 @pytest.mark.parametrize(
     ("latency", "max_retry_after", "retry_after"), [(1.1, 2.0, 1.1), (1.1, 0.5, 0.5), (1.1, 0.0, 0.0)]
 )
-def test_rejection_carries_retry_after(latency: float, max_retry_after: float, retry_after: float) -> None:
+def test_rejection_carries_retry_after(
+    make_driver: DriverFactory, latency: float, max_retry_after: float, retry_after: float
+) -> None:
     """Clients that retry at once would add to the overload that caused their rejection."""
-    driver = Driver(settings(**CACHE_ASIDE, max_retry_after=max_retry_after))
-    driver.update_endpoints(*fleet("a", "o"))
+    driver = make_driver(*fleet("a", "o"), **CACHE_ASIDE, max_retry_after=max_retry_after)
     driver.request("w0", key="k0", is_write=True)
     driver.server("o").concurrency.latency = latency
     driver.request("w1", key="k1", is_write=True)
--- a/tests/cache_router/decisions/test_outlier_detection.py
+++ b/tests/cache_router/decisions/test_outlier_detection.py
@@ -10,8 +10,8 @@
 from cache_router.decisions import concurrency_limit, events, outlier_detection
 from cache_router.decisions.events import AttemptStatus
 from cache_router.decisions.outlier_detection import CONSECUTIVE_FAILURES, FailureHistory, OutlierDetector
-from tests.support.driver import Driver, entry, settings
-from tests.support.router_scenarios import fleet, ignore_key_popularity, servers_clockwise
+from tests.support.driver import Driver, DriverFactory
+from tests.support.router_scenarios import fleet, ignore_key_popularity, servers_clockwise, single_zone_fleet
 
 
 def fail_attempts(driver: Driver, server: str, times: int, status: AttemptStatus) -> None:
@@ -25,10 +25,11 @@
 
 
 @pytest.mark.parametrize("status", events.FAILED)
-def test_server_is_ejected_after_consecutive_failures(status: AttemptStatus) -> None:
+def test_server_is_ejected_after_consecutive_failures(
+    make_driver: DriverFactory, status: AttemptStatus
+) -> None:
     """Otherwise each request for its keys goes there first and takes a retry, until the budget is used up."""
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a", "b", "c"))
+    driver = make_driver(*fleet("a", "b", "c"))
     ignore_key_popularity(driver)
     primary, second, _ = servers_clockwise(driver, "k")
     driver.server(primary).concurrency.limit = 40.0
@@ -46,10 +47,9 @@
     assert [driver.request(f"r{n}", key="k") for n in "45"] == [primary, primary]
 
 
-def test_occasional_failures_eject_no_server() -> None:
+def test_occasional_failures_eject_no_server(make_driver: DriverFactory) -> None:
     """Malformed answers come from any server; an ejection sends its keys to servers that lack them."""
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a", "b", "c"))
+    driver = make_driver(*fleet("a", "b", "c"))
     ignore_key_popularity(driver)
     primary, *_ = servers_clockwise(driver, "k")
     for n in range(8):
@@ -57,30 +57,27 @@
         assert driver.request(f"r{n}", key="k", finish=True) == primary
 
 
-def test_no_more_than_half_the_fleet_is_ejected() -> None:
+def test_no_more_than_half_the_fleet_is_ejected(make_driver: DriverFactory) -> None:
     """When all fail the cause is elsewhere, and the remaining ones would have no capacity for the load."""
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a", "b", "c", "d"))
+    driver = make_driver(*fleet("a", "b", "c", "d"))
     for server in driver.router.endpoints.servers.values():
         for _ in range(2 * outlier_detection.CONSECUTIVE_FAILURES):
             driver.router.feedback.detect_outlier(server, AttemptStatus.ERROR, driver.router.now)
     assert sum(s.failures.ejected_until > driver.now for s in driver.router.endpoints.servers.values()) == 2
 
 
-def test_one_failed_connect_ejects_a_server() -> None:
+def test_one_failed_connect_ejects_a_server(make_driver: DriverFactory) -> None:
     """In a large fleet each router connects to a server seldom: three failures would take many seconds."""
-    driver = Driver(settings())
-    driver.update_endpoints(*(entry(s) for s in "abcdef"))
+    driver = make_driver(*single_zone_fleet("abcdef"))
     absent = driver.request("r", key="k")
     assert absent is not None
     assert driver.complete_attempt("r", AttemptStatus.CONNECT_FAILED) not in (None, absent)
     assert driver.server(absent).failures.ejected_until > driver.now
 
 
-def test_absent_servers_are_ejected_beyond_the_maximum_share() -> None:
+def test_absent_servers_are_ejected_beyond_the_maximum_share(make_driver: DriverFactory) -> None:
     """Otherwise none would be ejected when most servers of an outdated endpoint list are gone."""
-    driver = Driver(settings())
-    driver.update_endpoints(*(entry(s) for s in "abcd"))
+    driver = make_driver(*single_zone_fleet("abcd"))
     for server in driver.router.endpoints.servers.values():
         for _ in range(3):
             driver.router.now += 2 * outlier_detection.MIN_EJECTION_TIME
--- a/tests/cache_router/decisions/test_overload_backoff.py
+++ b/tests/cache_router/decisions/test_overload_backoff.py
@@ -9,7 +9,8 @@
 
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, LoadReport
 from cache_router.decisions.overload_backoff import BACKOFF_JITTER, OverloadBackoff, OverloadState
-from tests.support.driver import Driver, entry, settings
+from tests.support.driver import Driver, DriverFactory, entry, settings
+from tests.support.router_scenarios import single_zone_fleet
 
 
 def report_overload(driver: Driver, name: str, service_time: float = 0.5, queue_length: float = 20.0) -> str:
@@ -21,38 +22,34 @@
     return server
 
 
-def test_overloaded_server_gets_no_requests_until_its_queue_has_drained() -> None:
+def test_overloaded_server_gets_no_requests_until_its_queue_has_drained(make_driver: DriverFactory) -> None:
     """Requests sent before that would be answered after their deadline."""
-    driver = Driver(settings())
-    driver.update_endpoints(*(entry(s) for s in "abcdef"))
+    driver = make_driver(*single_zone_fleet("abcdef"))
     first = report_overload(driver, "r0")
     assert all(driver.request(f"r{n}", key="k", finish=True) != first for n in range(1, 6))
     driver.now += 1.25 * driver.settings.slow_start_duration / 2
     assert any(driver.request(f"t{n}", key="k", finish=True) == first for n in range(6))
 
 
-def test_timeout_counts_as_a_report_of_overload() -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(*(entry(s) for s in "abcdef"))
+def test_timeout_counts_as_a_report_of_overload(make_driver: DriverFactory) -> None:
+    driver = make_driver(*single_zone_fleet("abcdef"))
     first = driver.request("r", key="k", time_left=2.0)
     driver.now += 1.5
     driver.handle(AttemptCompleted("r", 0, AttemptStatus.TIMEOUT, False, 1.5))
     assert driver.request("s", key="k", finish=True) != first
 
 
-def test_light_load_causes_no_backoff() -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(*(entry(s) for s in "abcdef"))
+def test_light_load_causes_no_backoff(make_driver: DriverFactory) -> None:
+    driver = make_driver(*single_zone_fleet("abcdef"))
     first = driver.request("r", key="k")
     driver.handle(AttemptCompleted("r", 0, AttemptStatus.OK, True, 0.2, LoadReport(0.1, 3.0)))
     assert driver.request("s", key="k", finish=True) == first
 
 
-def test_backoff_has_jitter() -> None:
+def test_backoff_has_jitter(make_driver: DriverFactory) -> None:
     backoff_ends = set()
     for seed in range(40):
-        driver = Driver(settings(), seed=seed)
-        driver.update_endpoints(*(entry(s) for s in "abcdef"))
+        driver = make_driver(*single_zone_fleet("abcdef"), seed=seed)
         backoff_ends.add(driver.server(report_overload(driver, "r")).overload.backoff_until)
     assert len(backoff_ends) == 40
     assert max(backoff_ends) - min(backoff_ends) > 1.0
@@ -79,18 +76,18 @@
 
 
 @pytest.mark.parametrize("router_count", [40, 1000, 7100])
-def test_backoff_is_no_longer_than_a_slow_start(router_count: int) -> None:
+def test_backoff_is_no_longer_than_a_slow_start(make_driver: DriverFactory, router_count: int) -> None:
     """One service time for each of 7,100 routers would keep a server without requests for minutes."""
-    driver = Driver(settings(router_count=router_count, slow_start_duration=9.0))
-    driver.update_endpoints(*(entry(s) for s in "abcdef"))
+    driver = make_driver(*single_zone_fleet("abcdef"), router_count=router_count, slow_start_duration=9.0)
     driver.router.overload.baseline_service_time = 0.05
     backoff = driver.server(report_overload(driver, "r")).overload.backoff_until - driver.now
     assert 0 < backoff <= 9.0 * 1.25
 
 
-def test_backoff_begins_before_the_queueing_delay_reaches_the_latency_objective() -> None:
-    driver = Driver(settings(router_count=40))
-    driver.update_endpoints(*(entry(s) for s in "abcdef"))
+def test_backoff_begins_before_the_queueing_delay_reaches_the_latency_objective(
+    make_driver: DriverFactory,
+) -> None:
+    driver = make_driver(*single_zone_fleet("abcdef"), router_count=40)
     first = report_overload(driver, "r", service_time=0.15, queue_length=12.0)  # 0.6 of the latency objective
     assert driver.request("s", key="k", finish=True) != first
 
--- a/tests/cache_router/decisions/test_retry_policy.py
+++ b/tests/cache_router/decisions/test_retry_policy.py
@@ -13,48 +13,49 @@
     RetryBudget,
 )
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass
-from tests.support.driver import Driver, Outcome, entry, settings
-from tests.support.router_scenarios import fleet
+from tests.support.driver import DriverFactory, Outcome
+from tests.support.router_scenarios import fleet, single_zone_fleet
 
 MAY_HAVE_EXECUTED = [AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED]
 NOT_EXECUTED = [AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT]
 
 
 @pytest.mark.parametrize("status", MAY_HAVE_EXECUTED)
-def test_non_idempotent_request_that_may_have_executed_is_failed(status: AttemptStatus) -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a", "b", "c"))
+def test_non_idempotent_request_that_may_have_executed_is_failed(
+    make_driver: DriverFactory, status: AttemptStatus
+) -> None:
+    driver = make_driver(*fleet("a", "b", "c"))
     driver.request("r", request_class="once", is_write=True)
     assert driver.complete_attempt("r", status) is None
     assert driver.outcomes["r"] is Outcome.FAILED
 
 
 @pytest.mark.parametrize("status", NOT_EXECUTED)
-def test_non_idempotent_request_that_was_not_executed_is_retried(status: AttemptStatus) -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a", "b", "c"))
+def test_non_idempotent_request_that_was_not_executed_is_retried(
+    make_driver: DriverFactory, status: AttemptStatus
+) -> None:
+    driver = make_driver(*fleet("a", "b", "c"))
     first = driver.request("r", request_class="once", is_write=True)
     assert driver.complete_attempt("r", status) not in (None, first)
 
 
-def test_request_with_key_is_retried_within_its_idempotency_window_only() -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a", "b", "c"))
+def test_request_with_key_is_retried_within_its_idempotency_window_only(make_driver: DriverFactory) -> None:
+    driver = make_driver(*fleet("a", "b", "c"))
     driver.request("r", request_class="keyed", time_left=3.0)
     assert driver.complete_attempt("r", AttemptStatus.RESET) is not None
-    late = Driver(settings())
-    late.update_endpoints(*fleet("a", "b", "c"))
+    late = make_driver(*fleet("a", "b", "c"))
     late.request("r", request_class="keyed", time_left=3.0)
     late.now += 1.6
     assert late.complete_attempt("r", AttemptStatus.RESET) is None
 
 
 @pytest.mark.parametrize("scope", [IdempotencyScope.ZONE, IdempotencyScope.CELL])
-def test_request_with_key_is_retried_within_its_idempotency_scope_only(scope: IdempotencyScope) -> None:
+def test_request_with_key_is_retried_within_its_idempotency_scope_only(
+    make_driver: DriverFactory, scope: IdempotencyScope
+) -> None:
     with_key = RequestClass("keyed", 2.0, Idempotency.WITH_KEY, scope, idempotency_window=1.5)
     for key in map(str, range(20)):
-        driver = Driver(settings(classes={"keyed": with_key}))
-        driver.update_endpoints(*fleet("a", "b", "c", "d"))
+        driver = make_driver(*fleet("a", "b", "c", "d"), classes={"keyed": with_key})
         first = driver.request("r", request_class="keyed", time_left=3.0, key=key)
         second = driver.complete_attempt("r", AttemptStatus.RESET)
         assert {first, second} in ({"a", "c"}, {"b", "d"})
@@ -88,10 +89,9 @@
     assert not budget.take_for_retry(status, FREE_RETRY_SUCCESS_RATE - 0.01)
 
 
-def test_retries_are_a_bounded_share_of_the_requests() -> None:
+def test_retries_are_a_bounded_share_of_the_requests(make_driver: DriverFactory) -> None:
     """Otherwise failing servers turn every request into many attempts, which feed the overload."""
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a", "b", "c", "d"))
+    driver = make_driver(*fleet("a", "b", "c", "d"))
     for n in range(200):
         driver.request(f"r{n}", key=f"k{n}")
         while driver.has_attempt_in_flight(f"r{n}"):
@@ -100,10 +100,9 @@
     assert sum(map(len, driver.servers_tried.values())) <= 200 * 1.2 + 11
 
 
-def test_retry_after_a_rejection_is_free() -> None:
+def test_retry_after_a_rejection_is_free(make_driver: DriverFactory) -> None:
     """Servers with short queues reject many attempts while others still have capacity."""
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a", "b", "c", "d"))
+    driver = make_driver(*fleet("a", "b", "c", "d"))
     driver.router.retry_budget.tokens = 0.0
     first = driver.request("r", key="k")
     assert driver.complete_attempt("r", AttemptStatus.REJECTED) not in (None, first)
@@ -111,28 +110,25 @@
     assert driver.complete_attempt("r", AttemptStatus.RESET) is None
 
 
-def test_retry_after_a_rejection_takes_a_token_when_most_attempts_fail() -> None:
+def test_retry_after_a_rejection_takes_a_token_when_most_attempts_fail(make_driver: DriverFactory) -> None:
     """In an overload most attempts are rejected: free retries would make five attempts of each request."""
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a", "b", "c", "d"))
+    driver = make_driver(*fleet("a", "b", "c", "d"))
     driver.request("r", key="k")
     driver.router.retry_budget.tokens, driver.router.health.success_rate = 0.0, 0.2
     assert driver.complete_attempt("r", AttemptStatus.REJECTED) is None
     assert driver.outcomes["r"] is Outcome.REJECTED
 
 
-def test_error_answer_is_not_retried_at_another_cache() -> None:
+def test_error_answer_is_not_retried_at_another_cache(make_driver: DriverFactory) -> None:
     """With a failing origin the other cache would fetch the key again, and fail as well."""
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a", "b"))
+    driver = make_driver(*fleet("a", "b"))
     driver.request("r")
     assert driver.complete_attempt("r", AttemptStatus.ERROR) is None
     assert driver.outcomes["r"] is Outcome.REJECTED
 
 
-def test_retry_after_a_failed_connect_is_free() -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(*(entry(s) for s in "abcdef"))
+def test_retry_after_a_failed_connect_is_free(make_driver: DriverFactory) -> None:
+    driver = make_driver(*single_zone_fleet("abcdef"))
     driver.router.retry_budget.tokens = 0.0
     driver.request("r", key="k")
     assert driver.complete_attempt("r", AttemptStatus.CONNECT_FAILED) is not None
--- a/tests/cache_router/decisions/test_router.py
+++ b/tests/cache_router/decisions/test_router.py
@@ -19,7 +19,7 @@
     TimerKind,
 )
 from cache_router.endpoint import Endpoint, EndpointState
-from tests.support.driver import Driver, Outcome, entry, settings
+from tests.support.driver import Driver, DriverFactory, Outcome, entry
 from tests.support.router_scenarios import CACHE_ASIDE, fleet
 
 DRAINING = (entry("a", state=EndpointState.DRAINING), entry("b", weight=0.0, state=EndpointState.DRAINING))
@@ -27,9 +27,8 @@
 
 @pytest.mark.parametrize("endpoints_known", [None, DRAINING], ids=["no endpoint list", "draining only"])
 def test_request_is_queued_and_rejected_in_time_without_a_ready_server(
-    endpoints_known: tuple[Endpoint, ...] | None,
+    driver: Driver, endpoints_known: tuple[Endpoint, ...] | None
 ) -> None:
-    driver = Driver(settings())
     if endpoints_known is not None:
         driver.update_endpoints(*endpoints_known)
     driver.request("r")
@@ -38,8 +37,7 @@
     assert driver.outcomes["r"] is Outcome.REJECTED
 
 
-def test_queued_request_is_sent_when_a_server_is_listed() -> None:
-    driver = Driver(settings())
+def test_queued_request_is_sent_when_a_server_is_listed(driver: Driver) -> None:
     driver.request("r")
     driver.now += 0.2
     driver.update_endpoints(*fleet("a"))
@@ -47,24 +45,21 @@
 
 
 @pytest.mark.parametrize("time_left", [0.0, 0.001])
-def test_request_without_time_left_is_rejected_at_once(time_left: float) -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a"))
+def test_request_without_time_left_is_rejected_at_once(make_driver: DriverFactory, time_left: float) -> None:
+    driver = make_driver(*fleet("a"))
     driver.request("r", time_left=time_left)
     assert driver.outcomes["r"] is Outcome.REJECTED
 
 
-def test_client_disconnect_cancels_the_attempt_and_ends_the_request() -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a", "b"))
+def test_client_disconnect_cancels_the_attempt_and_ends_the_request(make_driver: DriverFactory) -> None:
+    driver = make_driver(*fleet("a", "b"))
     driver.request("r")
     assert driver.disconnect("r") == [Cancel("r", 0)]
     assert driver.complete_attempt("r", AttemptStatus.CANCELLED) is None
     assert driver.handle(ClientDisconnected("r")) == []
 
 
-def test_events_about_unknown_requests_and_timers_are_ignored() -> None:
-    driver = Driver(settings())
+def test_events_about_unknown_requests_and_timers_are_ignored(driver: Driver) -> None:
     for event in (
         AttemptCompleted("x", 0, AttemptStatus.OK, True),
         ClientDisconnected("x"),
@@ -79,9 +74,8 @@
     assert driver.router.handle(driver.now, Request("r", "unheard-of", 1.0)) == [Reject("r")]
 
 
-def test_started_response_is_neither_retried_nor_rejected() -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a", "b"))
+def test_started_response_is_neither_retried_nor_rejected(make_driver: DriverFactory) -> None:
+    driver = make_driver(*fleet("a", "b"))
     driver.request("r")
     driver.handle(ResponseStarted("r", 0))
     driver.handle(TimerFired(Timer(TimerKind.QUEUE_DEADLINE, "r")))
@@ -89,9 +83,9 @@
     assert len(driver.servers_tried["r"]) == 1
 
 
-def test_equal_seeds_and_events_give_equal_actions() -> None:
+def test_equal_seeds_and_events_give_equal_actions(make_driver: DriverFactory) -> None:
     def run() -> list[list[Action]]:
-        driver = Driver(settings(must_subscribe=True), seed=7)
+        driver = make_driver(seed=7, must_subscribe=True)
         answers = [
             driver.update_endpoints(*fleet("a", "b", "c"), kind=EndpointUpdateKind.CACHED),
             driver.update_endpoints(kind=EndpointUpdateKind.FAILED),
@@ -104,9 +98,9 @@
     assert run() == run()
 
 
-def test_memory_stays_bounded_over_many_keys_servers_and_requests() -> None:
+def test_memory_stays_bounded_over_many_keys_servers_and_requests(make_driver: DriverFactory) -> None:
     """State is kept of the requests in flight and the servers listed only."""
-    driver = Driver(settings(**CACHE_ASIDE))
+    driver = make_driver(**CACHE_ASIDE)
     for n in range(3000):
         if n % 20 == 0:
             driver.update_endpoints(*fleet(*(f"s{n // 20 + i}" for i in range(4)), *["o"] * (n % 40 > 0)))
--- a/tests/cache_router/decisions/test_server_selection.py
+++ b/tests/cache_router/decisions/test_server_selection.py
@@ -9,9 +9,15 @@
 from cache_router.decisions.pending_request import PendingRequest
 from cache_router.decisions.server import Server
 from cache_router.decisions.server_selection import ServerSelector
-from tests.support.driver import Driver, Outcome, entry, settings
+from tests.support.driver import Driver, DriverFactory, Outcome, entry
 from tests.support.reference_ring import primary_server
-from tests.support.router_scenarios import fleet, ignore_key_popularity, primary_servers, servers_clockwise
+from tests.support.router_scenarios import (
+    fleet,
+    ignore_key_popularity,
+    primary_servers,
+    servers_clockwise,
+    single_zone_fleet,
+)
 
 
 def exhaust_capacity(driver: Driver, *names: str) -> None:
@@ -27,10 +33,9 @@
     return server
 
 
-def test_walk_ends_at_the_second_server_without_capacity() -> None:
+def test_walk_ends_at_the_second_server_without_capacity(make_driver: DriverFactory) -> None:
     """Further servers lack the key: hits would become misses, and these servers be overloaded as well."""
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a", "b", "c", "d"))
+    driver = make_driver(*fleet("a", "b", "c", "d"))
     first, second, third, _ = servers_clockwise(driver, "k")
     exhaust_capacity(driver, first)
     assert driver.request("r1", key="k") == second
@@ -40,10 +45,9 @@
     assert driver.server(third).concurrency.in_flight == 0
 
 
-def test_silent_servers_do_not_count_as_servers_without_capacity() -> None:
+def test_silent_servers_do_not_count_as_servers_without_capacity(make_driver: DriverFactory) -> None:
     """Behind a network partition they would be the two that a key may pass, and their keys be rejected."""
-    driver = Driver(settings(hedging_allowed=False))
-    driver.update_endpoints(*fleet("a", "b", "c", "d"))
+    driver = make_driver(*fleet("a", "b", "c", "d"), hedging_allowed=False)
     first, second, third, _ = servers_clockwise(driver, "k")
     exhaust_capacity(driver, first, second)
     for name in (first, second):
@@ -52,9 +56,8 @@
     assert driver.request("r1", key="k") == third
 
 
-def test_silent_server_gets_one_attempt_at_a_time_until_it_answers() -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(*fleet("a", "b"))
+def test_silent_server_gets_one_attempt_at_a_time_until_it_answers(make_driver: DriverFactory) -> None:
+    driver = make_driver(*fleet("a", "b"))
     ignore_key_popularity(driver)
     first, second = servers_clockwise(driver, "k")
     assert [driver.request(f"r{n}", key="k") for n in "12"] == [first, first]
@@ -69,9 +72,9 @@
     assert driver.request("r6", key="k") == first
 
 
-def test_reported_load_sends_a_share_of_a_key_to_the_next_server() -> None:
+def test_reported_load_sends_a_share_of_a_key_to_the_next_server(make_driver: DriverFactory) -> None:
     """One key may overload a server though each router sees it seldom; live weights show it to all."""
-    driver = Driver(settings(live_weights=True))
+    driver = make_driver(live_weights=True)
     names = "abcdefgh"
     driver.update_endpoints(*(entry(n, weight=2.0) for n in names))
     first = driver.request("r", key="k", finish=True)
@@ -81,27 +84,26 @@
     assert 70 < sent.count(first) < 140  # a load of 3 against a cap of 1.56: half stay
 
 
-def test_hot_key_spreads_to_the_next_servers_clockwise() -> None:
+def test_hot_key_spreads_to_the_next_servers_clockwise(make_driver: DriverFactory) -> None:
     """A key whose requests are never answered goes to several servers in place of one."""
-    driver = Driver(settings())
-    driver.update_endpoints(*(entry(n) for n in "abcd"))
+    driver = make_driver(*single_zone_fleet("abcd"))
     sent = [send_request(driver, f"r{n}", "hot") for n in range(8)]
     assert len(set(sent)) > 1
     assert sent[0] == primary_server("hot", dict.fromkeys("abcd", 128))
 
 
-def test_two_requests_in_flight_do_not_split_a_key() -> None:
+def test_two_requests_in_flight_do_not_split_a_key(make_driver: DriverFactory) -> None:
     """Small counts exceed a plain cap at random, and two servers would then cache the key."""
-    driver = Driver(settings())
-    driver.update_endpoints(*(entry(f"s{n}") for n in range(90)))
+    driver = make_driver(*(entry(f"s{n}") for n in range(90)))
     assert len({send_request(driver, f"r{n}", "k") for n in range(2)}) == 1
 
 
 @pytest.mark.parametrize("is_warming_up", [False, True])
-def test_hot_key_spreads_over_as_few_servers_as_have_the_capacity(is_warming_up: bool) -> None:
+def test_hot_key_spreads_over_as_few_servers_as_have_the_capacity(
+    make_driver: DriverFactory, is_warming_up: bool
+) -> None:
     """One key with a fifth of all requests, at a router that never has two in flight at a server."""
-    driver = Driver(settings())
-    driver.update_endpoints(*(entry(f"s{i}", weight=2.0 if i % 2 else 1.0) for i in range(30)))
+    driver = make_driver(*(entry(f"s{i}", weight=2.0 if i % 2 else 1.0) for i in range(30)))
     first = driver.request("first", key="hot", finish=True)
     started_at = driver.now if is_warming_up else 0.0
     driver.update_endpoints(
@@ -115,10 +117,11 @@
     assert sum(server == again for server, again in zip(servers, later, strict=True) if server) > 1000
 
 
-def test_walk_visits_a_bounded_number_of_points(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_walk_visits_a_bounded_number_of_points(
+    make_driver: DriverFactory, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """With every server ineligible the walk would go round the whole ring for each request."""
-    driver = Driver(settings())
-    driver.update_endpoints(*(entry(f"s{i}") for i in range(90)))
+    driver = make_driver(*(entry(f"s{i}") for i in range(90)))
     for server in driver.router.endpoints.servers.values():
         server.concurrency.in_flight = 1
         server.concurrency.unanswered_since = driver.now - 5.0
@@ -135,16 +138,14 @@
     assert 0 < len(visited) <= server_selection.MAX_POINTS_VISITED
 
 
-def test_origin_gets_writes_and_misses_only() -> None:
-    driver = Driver(settings(cache_aside=True, origin_kind="origin"))
-    driver.update_endpoints(entry("a"), entry("o", kind="origin"))
+def test_origin_gets_writes_and_misses_only(make_driver: DriverFactory) -> None:
+    driver = make_driver(entry("a"), entry("o", kind="origin"), cache_aside=True, origin_kind="origin")
     assert driver.request("w", key="k", is_write=True) == "o"
     driver.serve("w")
     assert driver.request("r", key="k") == "a"
     assert driver.complete_attempt("r", AttemptStatus.MISS) == "o"
 
 
-def test_writes_go_to_the_primary_server_without_cache_aside() -> None:
-    driver = Driver(settings())
-    driver.update_endpoints(entry("a"), entry("b"))
+def test_writes_go_to_the_primary_server_without_cache_aside(make_driver: DriverFactory) -> None:
+    driver = make_driver(entry("a"), entry("b"))
     assert driver.request("w", key="k", is_write=True) == primary_server("k", {"a": 128, "b": 128})
--- a/tests/cache_router/decisions/test_slow_start.py
+++ b/tests/cache_router/decisions/test_slow_start.py
@@ -24,7 +24,7 @@
 )
 from cache_router.decisions.router import Router
 from cache_router.decisions.server import Server
-from tests.support.driver import Driver, entry, settings
+from tests.support.driver import Driver, DriverFactory, entry, settings
 from tests.support.router_scenarios import primary_servers
 
 ROUTERS, CACHES, START = 30, 10, 5.0
@@ -186,19 +186,19 @@
         assert len(simulation.sent_to_warming) > capacity
 
 
-def test_warming_servers_get_all_requests_where_no_other_is_listed() -> None:
+def test_warming_servers_get_all_requests_where_no_other_is_listed(make_driver: DriverFactory) -> None:
     """With no warm server to compare with, a quota of nothing would reject every request."""
-    driver = Driver(settings(router_count=ROUTERS))
+    driver = make_driver(router_count=ROUTERS)
     driver.update_endpoints(entry("a", started_at=driver.now), entry("b", started_at=driver.now))
     assert None not in [driver.request(f"r{n}", key=f"k{n}", finish=True) for n in range(20)]
 
 
 @pytest.mark.parametrize(("router_count", "hedge_server"), [(1, "b"), (ROUTERS, "a")])
 def test_hedged_request_at_a_warming_server_counts_against_its_quota(
-    router_count: int, hedge_server: str
+    make_driver: DriverFactory, router_count: int, hedge_server: str
 ) -> None:
     """A large fleet hedges elsewhere once the quota is used up, though the server answers other requests."""
-    driver = Driver(settings(router_count=router_count))
+    driver = make_driver(router_count=router_count)
     driver.update_endpoints(entry("a"), entry("b", started_at=driver.now))
     warming = driver.server("b")
     warming.concurrency.latency = 0.01
@@ -209,14 +209,17 @@
     assert driver.servers_tried[name] == ["b", hedge_server]
 
 
-def test_warming_server_gets_no_more_than_its_share_of_a_surge() -> None:
+def test_warming_server_gets_no_more_than_its_share_of_a_surge(make_driver: DriverFactory) -> None:
     """A thousand requests in the second after its start."""
-    driver = Driver(
-        settings(
-            slow_start_duration=10.0, slow_start_initial_share=0.3, overload_multiple=2.0, overload_window=1.0
-        )
+    driver = make_driver(
+        entry("a"),
+        entry("b"),
+        entry("c"),
+        slow_start_duration=10.0,
+        slow_start_initial_share=0.3,
+        overload_multiple=2.0,
+        overload_window=1.0,
     )
-    driver.update_endpoints(entry("a"), entry("b"), entry("c"))
     for n in range(4000):
         if n == 3000:
             driver.update_endpoints(entry("a"), entry("b"), entry("c"), entry("d", started_at=driver.now))
@@ -226,19 +229,19 @@
     assert 5 < sent_to_warming < 1000 / 4 * 0.45
 
 
-def test_server_has_all_its_points_after_the_slow_start() -> None:
-    driver = Driver(settings(slow_start_duration=10.0, slow_start_initial_share=0.3))
+def test_server_has_all_its_points_after_the_slow_start(make_driver: DriverFactory) -> None:
+    driver = make_driver(slow_start_duration=10.0, slow_start_initial_share=0.3)
     driver.update_endpoints(entry("a"), entry("b", started_at=driver.now))
     driver.now += 10.0
     sent = [driver.request(f"r{n}", key=f"k{n}", finish=True) for n in range(400)]
     assert sent.count("b") > 120
 
 
-def test_share_of_keys_grows_during_the_slow_start() -> None:
+def test_share_of_keys_grows_during_the_slow_start(make_driver: DriverFactory) -> None:
     """A quota of at least one request at each router would add up to an overload at hundreds of them."""
     shares = []
     for age in (0.0, 5.0, 10.0):
-        driver = Driver(settings(slow_start_duration=10.0, slow_start_initial_share=0.3))
+        driver = make_driver(slow_start_duration=10.0, slow_start_initial_share=0.3)
         driver.update_endpoints(*(entry(f"s{i}") for i in range(9)), entry("warming", started_at=driver.now))
         driver.now += age
         shares.append(primary_servers(driver, "r").count("warming") / 2000 * 10)
@@ -246,9 +249,8 @@
     assert shares == pytest.approx([0.3, 0.65, 1.0], abs=0.2)
 
 
-def test_warming_server_takes_no_overflow_of_other_servers() -> None:
+def test_warming_server_takes_no_overflow_of_other_servers(driver: Driver) -> None:
     """In a burst, what its neighbours have no capacity for would overload a server just started."""
-    driver = Driver(settings())
     driver.update_endpoints(*(entry(n) for n in "abc"), entry("d", started_at=driver.now))
     for n in range(300):
         for name in "abc":
@@ -263,9 +265,9 @@
     return router.slow_start.usable_share(server.endpoint, router.health.success_rate, driver.now)
 
 
-def test_warming_server_gets_less_while_attempts_fail() -> None:
+def test_warming_server_gets_less_while_attempts_fail(make_driver: DriverFactory) -> None:
     """In an overload clients retry what failed, and the additional requests would overload it."""
-    driver = Driver(settings(slow_start_initial_share=0.3, max_attempts=1))
+    driver = make_driver(slow_start_initial_share=0.3, max_attempts=1)
     driver.update_endpoints(*(entry(n) for n in "abc"), entry("d", started_at=driver.now))
     assert primary_servers(driver, "a").count("d") > 80
     warming = driver.server("d")
--- a/tests/support/driver.py
+++ b/tests/support/driver.py
@@ -9,7 +9,7 @@
 
 from dataclasses import replace
 from enum import Enum
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, Protocol
 
 from cache_router.decisions.actions import Action, Cancel, Fail, Reject, Send, SetTimer
 from cache_router.decisions.events import (
@@ -289,3 +289,13 @@
         """Check that no request is open beyond the time that its client allows."""
         late = [n for n in self.open_requests if self.now > self.deadlines[n] + LATE_ANSWER_TOLERANCE]
         assert not late, f"rule 1: no answer in time for {late}"
+
+
+class DriverFactory(Protocol):
+    """Makes drivers of routers that know a fleet."""
+
+    def __call__(self, *endpoints: Endpoint, seed: int = 1, **changes: Any) -> Driver:
+        """Make a driver; its router receives `endpoints`, if there are any, as its first endpoint list.
+
+        `changes` are made to the settings that `settings` returns.
+        """
--- a/tests/support/router_scenarios.py
+++ b/tests/support/router_scenarios.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from typing import Any
 
 from cache_router.decisions.events import AttemptStatus, EndpointUpdate, EndpointUpdateKind
@@ -22,6 +23,11 @@
     ]
 
 
+def single_zone_fleet(names: Iterable[str]) -> list[Endpoint]:
+    """Ready caches of weight 1 in one zone and cell."""
+    return [entry(name) for name in names]
+
+
 def request_and_miss(driver: Driver, *names: str, key: str = "k") -> None:
     """Send requests that each miss in their cache."""
     for name in names:
