--- a/tests/cache_router/decisions/conftest.py
+++ b/tests/cache_router/decisions/conftest.py
@@ -7,7 +7,8 @@
 import pytest
 
 from cache_router.endpoint import Endpoint
-from tests.support.driver import Driver, DriverFactory, settings
+from tests.support.driver import Driver, DriverFactory
+from tests.support.router_inputs import settings
 from tests.support.router_scenarios import CACHE_ASIDE, fleet
 
 
--- a/tests/cache_router/decisions/test_admission_control.py
+++ b/tests/cache_router/decisions/test_admission_control.py
@@ -10,7 +10,8 @@
 from cache_router.decisions.events import AttemptStatus
 from cache_router.decisions.fleet_health import FleetHealth
 from cache_router.decisions.server import Server
-from tests.support.driver import DriverFactory, Outcome, entry, settings
+from tests.support.driver import DriverFactory, Outcome
+from tests.support.router_inputs import entry, settings
 
 
 class FixedRandom(random.Random):
--- a/tests/cache_router/decisions/test_attempt_feedback.py
+++ b/tests/cache_router/decisions/test_attempt_feedback.py
@@ -7,7 +7,8 @@
 from cache_router.decisions.attempt_feedback import NO_RESPONSE
 from cache_router.decisions.concurrency_limit import INITIAL_LIMIT
 from cache_router.decisions.events import AttemptStatus
-from tests.support.driver import Driver, DriverFactory, entry
+from tests.support.driver import Driver, DriverFactory
+from tests.support.router_inputs import entry
 from tests.support.router_scenarios import fleet, request_and_miss
 
 
--- a/tests/cache_router/decisions/test_attempt_sender.py
+++ b/tests/cache_router/decisions/test_attempt_sender.py
@@ -18,7 +18,7 @@
 from cache_router.decisions.pending_request import PendingRequest
 from cache_router.decisions.router import Router
 from cache_router.settings import RequestClass
-from tests.support.driver import ONCE, READ, settings
+from tests.support.router_inputs import ONCE, READ, settings
 from tests.support.router_scenarios import CACHE_ASIDE, fleet
 
 NOW = 100.0
--- a/tests/cache_router/decisions/test_concurrency_limit.py
+++ b/tests/cache_router/decisions/test_concurrency_limit.py
@@ -9,7 +9,8 @@
 from cache_router.decisions import concurrency_limit
 from cache_router.decisions.concurrency_limit import DECREASE_FACTOR, INITIAL_LIMIT, ConcurrencyLimit
 from cache_router.decisions.events import ANSWERED, FAILED, AttemptStatus
-from tests.support.driver import Driver, DriverFactory, Outcome, entry
+from tests.support.driver import Driver, DriverFactory, Outcome
+from tests.support.router_inputs import entry
 from tests.support.router_scenarios import fleet, request_and_miss
 
 
--- a/tests/cache_router/decisions/test_endpoints.py
+++ b/tests/cache_router/decisions/test_endpoints.py
@@ -8,7 +8,8 @@
 from cache_router.decisions.endpoints import POINTS_PER_UNIT, EndpointList
 from cache_router.decisions.events import EndpointUpdate, EndpointUpdateKind
 from cache_router.endpoint import Endpoint, EndpointState
-from tests.support.driver import DriverFactory, entry, settings
+from tests.support.driver import DriverFactory
+from tests.support.router_inputs import entry, settings
 from tests.support.router_scenarios import fleet
 
 
--- a/tests/cache_router/decisions/test_hash_ring.py
+++ b/tests/cache_router/decisions/test_hash_ring.py
@@ -15,8 +15,9 @@
     virtual_nodes,
 )
 from cache_router.endpoint import EndpointState
-from tests.support.driver import Driver, DriverFactory, entry, settings
+from tests.support.driver import Driver, DriverFactory
 from tests.support.reference_ring import primary_server, ring_positions
+from tests.support.router_inputs import entry, settings
 from tests.support.router_scenarios import primary_servers
 
 
--- a/tests/cache_router/decisions/test_hash_ring_updates.py
+++ b/tests/cache_router/decisions/test_hash_ring_updates.py
@@ -9,7 +9,7 @@
 
 from cache_router.decisions.hash_ring import BUCKET_FILL, HashRing
 from cache_router.endpoint import Endpoint
-from tests.support.driver import entry
+from tests.support.router_inputs import entry
 
 
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(0, 90)), max_size=60), st.integers(0, 2**64 - 1))
--- a/tests/cache_router/decisions/test_hedging.py
+++ b/tests/cache_router/decisions/test_hedging.py
@@ -9,7 +9,8 @@
 from cache_router.decisions import hedging
 from cache_router.decisions.events import AttemptStatus, EndpointUpdateKind
 from cache_router.endpoint import EndpointState
-from tests.support.driver import Driver, DriverFactory, entry
+from tests.support.driver import Driver, DriverFactory
+from tests.support.router_inputs import entry
 from tests.support.router_scenarios import CACHE_ASIDE, fleet, ignore_key_popularity, single_zone_fleet
 
 
--- a/tests/cache_router/decisions/test_idle_connection_closer.py
+++ b/tests/cache_router/decisions/test_idle_connection_closer.py
@@ -11,7 +11,7 @@
 from cache_router.decisions.events import EndpointUpdate, EndpointUpdateKind, Timer, TimerKind
 from cache_router.decisions.idle_connection_closer import IdleConnectionCloser
 from cache_router.decisions.idle_connections import IdleConnections
-from tests.support.driver import settings
+from tests.support.router_inputs import settings
 from tests.support.router_scenarios import fleet
 
 NOW = 100.0
--- a/tests/cache_router/decisions/test_idle_connections.py
+++ b/tests/cache_router/decisions/test_idle_connections.py
@@ -9,7 +9,8 @@
 from cache_router.decisions.events import AttemptStatus
 from cache_router.decisions.idle_connections import KEEP_SHARE, IdleConnections
 from cache_router.settings import Settings
-from tests.support.driver import Driver, DriverFactory, settings
+from tests.support.driver import Driver, DriverFactory
+from tests.support.router_inputs import settings
 from tests.support.router_scenarios import fleet
 
 
--- a/tests/cache_router/decisions/test_open_requests.py
+++ b/tests/cache_router/decisions/test_open_requests.py
@@ -16,7 +16,7 @@
 from cache_router.decisions.retry_policy import RetryPolicy
 from cache_router.decisions.server import Server
 from cache_router.settings import RequestClass
-from tests.support.driver import ONCE, READ, entry, settings
+from tests.support.router_inputs import ONCE, READ, entry, settings
 from tests.support.router_scenarios import CACHE_ASIDE, fleet
 
 
--- a/tests/cache_router/decisions/test_origin_queue.py
+++ b/tests/cache_router/decisions/test_origin_queue.py
@@ -15,7 +15,8 @@
 from cache_router.decisions.pending_request import PendingRequest
 from cache_router.decisions.server import Server
 from cache_router.settings import RequestClass
-from tests.support.driver import KEYED, READ, Driver, DriverFactory, Outcome, entry
+from tests.support.driver import Driver, DriverFactory, Outcome
+from tests.support.router_inputs import KEYED, READ, entry
 from tests.support.router_scenarios import CACHE_ASIDE, fleet, request_and_miss
 
 
--- a/tests/cache_router/decisions/test_origin_scheduler.py
+++ b/tests/cache_router/decisions/test_origin_scheduler.py
@@ -18,7 +18,7 @@
 from cache_router.decisions.pending_request import PendingRequest
 from cache_router.decisions.router import Router
 from cache_router.decisions.server import Server
-from tests.support.driver import READ, settings
+from tests.support.router_inputs import READ, settings
 from tests.support.router_scenarios import CACHE_ASIDE, fleet
 
 NOW = 100.0
--- a/tests/cache_router/decisions/test_overload_backoff.py
+++ b/tests/cache_router/decisions/test_overload_backoff.py
@@ -9,7 +9,8 @@
 
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, LoadReport
 from cache_router.decisions.overload_backoff import BACKOFF_JITTER, OverloadBackoff, OverloadState
-from tests.support.driver import Driver, DriverFactory, entry, settings
+from tests.support.driver import Driver, DriverFactory
+from tests.support.router_inputs import entry, settings
 from tests.support.router_scenarios import single_zone_fleet
 
 
--- a/tests/cache_router/decisions/test_pending_request.py
+++ b/tests/cache_router/decisions/test_pending_request.py
@@ -7,7 +7,7 @@
 from cache_router.decisions.events import AttemptStatus, Request
 from cache_router.decisions.pending_request import Attempt, PendingRequest
 from cache_router.decisions.server import Server
-from tests.support.driver import READ, entry
+from tests.support.router_inputs import READ, entry
 
 EXECUTION_RULED_OUT = {
     AttemptStatus.REJECTED,
--- a/tests/cache_router/decisions/test_request_lifecycle.py
+++ b/tests/cache_router/decisions/test_request_lifecycle.py
@@ -14,7 +14,7 @@
 )
 from cache_router.decisions.request_lifecycle import RequestLifecycle
 from cache_router.decisions.router import Router
-from tests.support.driver import READ, settings
+from tests.support.router_inputs import READ, settings
 from tests.support.router_scenarios import CACHE_ASIDE, fleet
 
 NOW = 100.0
--- a/tests/cache_router/decisions/test_router.py
+++ b/tests/cache_router/decisions/test_router.py
@@ -19,7 +19,8 @@
     TimerKind,
 )
 from cache_router.endpoint import Endpoint, EndpointState
-from tests.support.driver import Driver, DriverFactory, Outcome, entry
+from tests.support.driver import Driver, DriverFactory, Outcome
+from tests.support.router_inputs import entry
 from tests.support.router_scenarios import CACHE_ASIDE, fleet
 
 DRAINING = (entry("a", state=EndpointState.DRAINING), entry("b", weight=0.0, state=EndpointState.DRAINING))
--- a/tests/cache_router/decisions/test_router_properties.py
+++ b/tests/cache_router/decisions/test_router_properties.py
@@ -15,7 +15,8 @@
 from cache_router.decisions.server import Server
 from cache_router.endpoint import EndpointState
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings
-from tests.support.driver import Driver, entry, settings
+from tests.support.driver import Driver
+from tests.support.router_inputs import entry, settings
 from tests.support.router_scenarios import CACHE_ASIDE, fleet
 
 # weighted by repetition
--- a/tests/cache_router/decisions/test_server.py
+++ b/tests/cache_router/decisions/test_server.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cache_router.decisions.server import Server
-from tests.support.driver import entry
+from tests.support.router_inputs import entry
 
 
 @pytest.mark.parametrize(("live_weight", "load"), [(2.0, 0.0), (1.0, 1.0), (0.5, 3.0)])
--- a/tests/cache_router/decisions/test_server_selection.py
+++ b/tests/cache_router/decisions/test_server_selection.py
@@ -9,8 +9,9 @@
 from cache_router.decisions.pending_request import PendingRequest
 from cache_router.decisions.server import Server
 from cache_router.decisions.server_selection import ServerSelector
-from tests.support.driver import Driver, DriverFactory, Outcome, entry
+from tests.support.driver import Driver, DriverFactory, Outcome
 from tests.support.reference_ring import primary_server
+from tests.support.router_inputs import entry
 from tests.support.router_scenarios import (
     fleet,
     ignore_key_popularity,
--- a/tests/cache_router/decisions/test_slow_start.py
+++ b/tests/cache_router/decisions/test_slow_start.py
@@ -24,7 +24,8 @@
 )
 from cache_router.decisions.router import Router
 from cache_router.decisions.server import Server
-from tests.support.driver import Driver, DriverFactory, entry, settings
+from tests.support.driver import Driver, DriverFactory
+from tests.support.router_inputs import entry, settings
 from tests.support.router_scenarios import primary_servers
 
 ROUTERS, CACHES, START = 30, 10, 5.0
--- a/tests/cache_router/decisions/test_slow_start_quota.py
+++ b/tests/cache_router/decisions/test_slow_start_quota.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cache_router.decisions.slow_start_quota import SlowStartQuota, capacity_share, statistical_tolerance
-from tests.support.driver import entry, settings
+from tests.support.router_inputs import entry, settings
 
 WINDOW = 2.0
 SETTINGS = settings(
--- a/tests/cache_router/decisions/test_subscription.py
+++ b/tests/cache_router/decisions/test_subscription.py
@@ -12,7 +12,7 @@
 from cache_router.decisions.events import Timer, TimerKind
 from cache_router.decisions.subscription import EndpointSubscription
 from cache_router.settings import MIN_BACKOFF
-from tests.support.driver import settings
+from tests.support.router_inputs import settings
 
 NOW = 100.0
 
--- a/tests/cache_router/net/test_endpoint_table.py
+++ b/tests/cache_router/net/test_endpoint_table.py
@@ -17,8 +17,8 @@
 from cache_router.net.dispatcher import Dispatcher
 from cache_router.net.endpoint_table import EndpointTable, NetworkEndpoint
 from cache_router.net.origin_connection import OriginConnection
-from tests.support.driver import entry, settings
 from tests.support.loopback import HIT, Router, format_address, network_endpoint
+from tests.support.router_inputs import entry, settings
 
 ADDRESS = "127.0.0.1:1"
 A, B = network_endpoint("a", ADDRESS), network_endpoint("b", ADDRESS)
--- a/tests/cache_router/test_watch_budget.py
+++ b/tests/cache_router/test_watch_budget.py
@@ -17,9 +17,10 @@
 )
 from cache_router.decisions.router import Router
 from cache_router.settings import MIN_BACKOFF, WatchBudget
-from tests.support.driver import Driver, entry, settings
+from tests.support.driver import Driver
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, WatchRecorder, accept_poll, encode_endpoint_list
 from tests.support.loopback import Peer, http
+from tests.support.router_inputs import entry, settings
 from tests.support.router_scenarios import FAILED_CALL
 
 SETTINGS = {
--- a/tests/support/driver.py
+++ b/tests/support/driver.py
@@ -25,14 +25,9 @@
 from cache_router.decisions.router import Router
 from cache_router.decisions.server import Server
 from cache_router.endpoint import Endpoint, EndpointState
-from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings
+from cache_router.settings import Idempotency, IdempotencyScope, Settings
 from cache_router.simulator_wire import read_timer, write_timer
 
-READ = RequestClass("read", latency_objective=1.0)
-KEYED = RequestClass(
-    "keyed", 1.0, Idempotency.WITH_KEY, IdempotencyScope.ALL, idempotency_window=1.5, priority_weight=5.0
-)
-ONCE = RequestClass("once", 1.0, Idempotency.NOT_IDEMPOTENT, priority_weight=5.0)
 NOT_EXECUTED = {
     AttemptStatus.REJECTED,
     AttemptStatus.CONNECT_FAILED,
@@ -54,23 +49,6 @@
     CLIENT_DISCONNECTED = "client disconnected"
 
 
-def settings(**changes: Any) -> Settings:
-    """Settings with a class of each idempotency, hedging, cancellation and up to four attempts."""
-    base = Settings(
-        classes={c.name: c for c in (READ, KEYED, ONCE)},
-        hedging_allowed=True,
-        cancellation_allowed=True,
-        max_attempts=4,
-    )
-    return replace(base, **changes)
-
-
-def entry(server: str, **fields: Any) -> Endpoint:
-    """One entry of an endpoint list, of weight 1 unless `fields` say otherwise."""
-    fields.setdefault("weight", 1.0)
-    return Endpoint(server, **fields)
-
-
 def share_idempotency_keys(scope: IdempotencyScope, one: Endpoint, other: Endpoint) -> bool:
     """Whether both servers drop repeats of each other's idempotency keys."""
     if scope is IdempotencyScope.ALL:
--- a/tests/support/router_scenarios.py
+++ b/tests/support/router_scenarios.py
@@ -8,7 +8,8 @@
 from cache_router.decisions.events import AttemptStatus, EndpointUpdate, EndpointUpdateKind
 from cache_router.decisions.hash_ring import ring_hash
 from cache_router.endpoint import Endpoint
-from tests.support.driver import Driver, entry
+from tests.support.driver import Driver
+from tests.support.router_inputs import entry
 
 # settings of a deployment in which the router fetches misses from the origin
 CACHE_ASIDE: dict[str, Any] = {"cache_aside": True, "origin_kind": "origin"}
