--- a/tests/cache_router/decisions/test_admission_control.py
+++ b/tests/cache_router/decisions/test_admission_control.py
@@ -10,8 +10,9 @@
 from cache_router.decisions.events import AttemptStatus
 from cache_router.decisions.fleet_health import FleetHealth
 from cache_router.decisions.server import Server
-from tests.support.driver import DriverFactory, Outcome
+from tests.support.driver import DriverFactory
 from tests.support.router_inputs import entry, settings
+from tests.support.router_rules import Outcome
 
 
 class FixedRandom(random.Random):
@@ -41,9 +42,9 @@
     for n in range(40):
         driver.request(f"a{n}", key=f"k{n}")
         driver.complete_attempt(f"a{n}", AttemptStatus.OK, latency=0.1)
-    assert Outcome.REJECTED not in driver.outcomes.values()
+    assert Outcome.REJECTED not in [request.outcome for request in driver.requests.values()]
     driver.update_endpoints(*(entry(n, weight=0.2) for n in names))
-    sent = [driver.request(f"b{n}", key=f"k{n}", finish=f"b{n}" in driver.servers_tried) for n in range(400)]
+    sent = [driver.request(f"b{n}", key=f"k{n}") for n in range(400)]
     # a queue of 29 at 0.1 s each, against a quarter of the one second left: one in eleven or so is admitted
     assert 10 < sum(s is not None for s in sent) < 80
 
--- a/tests/cache_router/decisions/test_concurrency_limit.py
+++ b/tests/cache_router/decisions/test_concurrency_limit.py
@@ -9,8 +9,9 @@
 from cache_router.decisions import concurrency_limit
 from cache_router.decisions.concurrency_limit import DECREASE_FACTOR, INITIAL_LIMIT, ConcurrencyLimit
 from cache_router.decisions.events import ANSWERED, FAILED, AttemptStatus
-from tests.support.driver import Driver, DriverFactory, Outcome
+from tests.support.driver import Driver, DriverFactory
 from tests.support.router_inputs import entry
+from tests.support.router_rules import Outcome
 from tests.support.router_scenarios import fleet, request_and_miss
 
 
@@ -24,7 +25,7 @@
     sent = [driver.request(f"r{n}") for n in range(10)]
     assert sent.count("a") == 1
     assert sent.count(None) == 9
-    assert [driver.outcomes[f"r{n}"] for n in range(1, 10)] == [Outcome.REJECTED] * 9
+    assert [driver.outcome(f"r{n}") for n in range(1, 10)] == [Outcome.REJECTED] * 9
 
 
 def test_one_slow_answer_does_not_reduce_the_limit(make_driver: DriverFactory) -> None:
@@ -65,7 +66,7 @@
     assert cache_aside_driver.server("o").concurrency.latency < 0.1
     cache_aside_driver.server("o").concurrency.unanswered_since = float("inf")
     request_and_miss(cache_aside_driver, "r2", key="k2")
-    assert cache_aside_driver.servers_tried["r2"][-1] == "o"
+    assert cache_aside_driver.servers_tried("r2")[-1] == "o"
 
 
 def test_one_timeout_does_not_reduce_the_limit(make_driver: DriverFactory) -> None:
--- a/tests/cache_router/decisions/test_hedging.py
+++ b/tests/cache_router/decisions/test_hedging.py
@@ -27,8 +27,7 @@
     driver = make_driver(*fleet("a", "b", "c"), hedging_allowed=False)
     driver.request("r")
     driver.advance(1.9)
-    in_flight = [attempt for attempt, status in driver.attempt_statuses.items() if status is None]
-    assert len(in_flight) <= 1
+    assert len(driver.in_flight) <= 1
 
 
 @pytest.mark.parametrize("answers_others", [True, False])
@@ -36,17 +35,17 @@
     """Otherwise a lost answer costs the whole latency objective, though the server may still hold the key."""
     driver = make_driver(**CACHE_ASIDE)
     request_without_answer(driver, "r1")
-    first = driver.servers_tried["r1"][0]
+    first = driver.servers_tried("r1")[0]
     if answers_others:
         driver.now += 0.001
         driver.request("r2", key="k", finish=True)
     driver.advance(hedging.LATENCY_FACTOR * 0.01)
-    assert len(driver.servers_tried["r1"]) == 2
-    assert (driver.servers_tried["r1"][1] == first) is answers_others
+    assert len(driver.servers_tried("r1")) == 2
+    assert (driver.servers_tried("r1")[1] == first) is answers_others
     driver.complete_attempt("r1", AttemptStatus.MISS)  # fetched, though the first attempt is still in flight
-    assert driver.servers_tried["r1"][2] == "o"
+    assert driver.servers_tried("r1")[2] == "o"
     driver.serve("r1")
-    assert driver.attempt_statuses["r1", 0] is None
+    assert driver.requests["r1"].attempts[0].is_in_flight
     assert not driver.router.pending
 
 
@@ -57,15 +56,15 @@
     changes = {"hedging_allowed": False} if reason == "forbidden" else {}
     driver = make_driver(**{**CACHE_ASIDE, **changes})
     request_without_answer(driver, "r1", request_class="keyed" if reason == "not idempotent" else "read")
-    first = driver.servers_tried["r1"][0]
+    first = driver.servers_tried("r1")[0]
     driver.request("r2", key="k", finish=True)
     if reason == "no retry tokens":
         driver.router.retry_budget.tokens = 0.5
     if reason == "draining":
         driver.update_endpoints(entry(first, state=EndpointState.DRAINING), kind=EndpointUpdateKind.DELTA)
     driver.advance(hedging.LATENCY_FACTOR * 0.01)
-    assert first not in driver.servers_tried["r1"][1:]
-    assert reason == "draining" or len(driver.servers_tried["r1"]) == 1
+    assert first not in driver.servers_tried("r1")[1:]
+    assert reason == "draining" or len(driver.servers_tried("r1")) == 1
 
 
 def test_few_fast_answers_of_one_server_do_not_hasten_hedging(make_driver: DriverFactory) -> None:
@@ -79,10 +78,10 @@
     driver.complete_attempt("r", AttemptStatus.OK, latency=0.01)
     for n in range(60):
         if driver.request(f"u{n}", key=f"u{n}") is not None:
-            latency = 0.01 if driver.servers_tried[f"u{n}"][0] == fast else 0.1
+            latency = 0.01 if driver.servers_tried(f"u{n}")[0] == fast else 0.1
             driver.complete_attempt(f"u{n}", AttemptStatus.OK, latency=latency)
     driver.request("s", key="k")
     hedge_delays = [due - driver.now for due, context in driver.timers if context == "hedge:s"]
-    assert driver.servers_tried["s"] == [fast]
+    assert driver.servers_tried("s") == [fast]
     assert hedge_delays
     assert min(hedge_delays) > 0.3
--- a/tests/cache_router/decisions/test_origin_queue.py
+++ b/tests/cache_router/decisions/test_origin_queue.py
@@ -15,8 +15,9 @@
 from cache_router.decisions.pending_request import PendingRequest
 from cache_router.decisions.server import Server
 from cache_router.settings import RequestClass
-from tests.support.driver import Driver, DriverFactory, Outcome
+from tests.support.driver import Driver, DriverFactory
 from tests.support.router_inputs import KEYED, READ, entry
+from tests.support.router_rules import Outcome
 from tests.support.router_scenarios import CACHE_ASIDE, fleet, request_and_miss
 
 
@@ -86,18 +87,19 @@
         driver.request(f"r{n}", key=f"k{n}")
         driver.complete_attempt(f"r{n}", AttemptStatus.MISS)
     driver.advance(3.0)
-    assert len(driver.outcomes) == 60
+    ended = [name for name, request in driver.requests.items() if request.outcome is not None]
+    assert len(ended) == 60
 
 
 @pytest.mark.parametrize("cause", ["client disconnected", "attempt failed"])
 def test_queued_fetches_are_sent_after_one_is_lost(driver: Driver, cause: str) -> None:
     driver.server("o").concurrency.limit = 1.0
     request_and_miss(driver, "r1", "r2", "r3")
-    assert [driver.servers_tried[n] for n in ("r1", "r2", "r3")] == [["a", "o"], ["a"], ["a"]]
+    assert [driver.servers_tried(n) for n in ("r1", "r2", "r3")] == [["a", "o"], ["a"], ["a"]]
     if cause == "client disconnected":
         driver.disconnect("r1")
     driver.complete_attempt("r1", AttemptStatus.RESET)
-    assert [driver.servers_tried[n] for n in ("r2", "r3")] == [["a", "o"], ["a"]]
+    assert [driver.servers_tried(n) for n in ("r2", "r3")] == [["a", "o"], ["a"]]
     driver.advance(3.0)
     assert not driver.open_requests
 
@@ -108,12 +110,12 @@
     driver.server("o").concurrency.latency = 0.45
     for n in "123":
         request_and_miss(driver, f"r{n}", key=f"k{n}")
-    assert driver.servers_tried["r2"] == ["a", "o"]
-    assert driver.servers_tried["r3"] == ["a"]
+    assert driver.servers_tried("r2") == ["a", "o"]
+    assert driver.servers_tried("r3") == ["a"]
     driver.now += 0.5
     driver.serve("r1")
-    assert driver.servers_tried["r3"] == ["a"]
-    assert driver.outcomes["r3"] is Outcome.REJECTED
+    assert driver.servers_tried("r3") == ["a"]
+    assert driver.outcome("r3") is Outcome.REJECTED
 
 
 def test_fetch_is_sent_only_with_twice_the_origin_latency_left(driver: Driver) -> None:
@@ -122,7 +124,7 @@
     request_and_miss(driver, "r1", key="k1")
     driver.request("r2", key="k2", time_left=0.7)
     assert driver.complete_attempt("r2", AttemptStatus.MISS) is None
-    assert driver.outcomes["r2"] is Outcome.REJECTED
+    assert driver.outcome("r2") is Outcome.REJECTED
     driver.request("r3", key="k3", time_left=0.9)
     assert driver.complete_attempt("r3", AttemptStatus.MISS) == "o"
 
@@ -134,7 +136,7 @@
     assert driver.request("r1", key="k1", is_write=True) == "o"
     driver.server("o").concurrency.latency = 1.1
     assert driver.request("r2", key="k2", is_write=True) is None
-    assert driver.outcomes["r2"] is Outcome.REJECTED
+    assert driver.outcome("r2") is Outcome.REJECTED
 
 
 def test_higher_priority_weight_leaves_the_origin_queue_first(driver: Driver) -> None:
@@ -144,8 +146,8 @@
     request_and_miss(driver, "r2", key="k2")
     driver.request("w", request_class="keyed", key="k3", is_write=True)
     driver.complete_attempt("r1", AttemptStatus.RESET)
-    assert driver.servers_tried.get("w") == ["o"]
-    assert driver.servers_tried["r2"] == ["a"]
+    assert driver.servers_tried("w") == ["o"]
+    assert driver.servers_tried("r2") == ["a"]
 
 
 def test_origin_queue_drops_entries_of_ended_requests(driver: Driver) -> None:
@@ -165,10 +167,10 @@
     request_and_miss(driver, "r1", key="k1")
     request_and_miss(driver, "r2", key="k2")
     driver.advance(0.35)
-    assert "r2" not in driver.outcomes
+    assert driver.outcome("r2") is None
     driver.advance(0.1)
-    assert driver.outcomes["r2"] is Outcome.REJECTED
-    assert driver.servers_tried["r2"] == ["a"]
+    assert driver.outcome("r2") is Outcome.REJECTED
+    assert driver.servers_tried("r2") == ["a"]
 
 
 def test_queued_fetches_are_rejected_when_the_origin_slows_down(driver: Driver) -> None:
@@ -178,7 +180,7 @@
     driver.server("o").concurrency.limit = 1.0
     # the smoothed latency is 0.6 now, and twice that is past the latency objective
     driver.complete_attempt("r1", AttemptStatus.OK, latency=3.0)
-    assert driver.outcomes["r3"] is Outcome.REJECTED
+    assert driver.outcome("r3") is Outcome.REJECTED
 
 
 def test_queued_fetch_waits_longer_when_the_origin_gets_faster(driver: Driver) -> None:
@@ -188,9 +190,9 @@
     request_and_miss(driver, "r2", key="k2")
     driver.server("o").concurrency.latency = 0.1
     driver.advance(0.6)
-    assert "r2" not in driver.outcomes
+    assert driver.outcome("r2") is None
     driver.serve("r1")
-    assert driver.servers_tried["r2"] == ["a", "o"]
+    assert driver.servers_tried("r2") == ["a", "o"]
 
 
 @pytest.mark.parametrize(
--- a/tests/cache_router/decisions/test_retry_policy.py
+++ b/tests/cache_router/decisions/test_retry_policy.py
@@ -13,7 +13,8 @@
     RetryBudget,
 )
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass
-from tests.support.driver import DriverFactory, Outcome
+from tests.support.driver import DriverFactory
+from tests.support.router_rules import Outcome
 from tests.support.router_scenarios import fleet, single_zone_fleet
 
 MAY_HAVE_EXECUTED = [AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED]
@@ -27,7 +28,7 @@
     driver = make_driver(*fleet("a", "b", "c"))
     driver.request("r", request_class="once", is_write=True)
     assert driver.complete_attempt("r", status) is None
-    assert driver.outcomes["r"] is Outcome.FAILED
+    assert driver.outcome("r") is Outcome.FAILED
 
 
 @pytest.mark.parametrize("status", NOT_EXECUTED)
@@ -61,7 +62,7 @@
         second = driver.complete_attempt("r", AttemptStatus.RESET)
         assert {first, second} in ({"a", "c"}, {"b", "d"})
         assert driver.complete_attempt("r", AttemptStatus.RESET) is None
-        assert driver.outcomes["r"] is Outcome.FAILED
+        assert driver.outcome("r") is Outcome.FAILED
 
 
 @pytest.mark.parametrize(
@@ -98,7 +99,7 @@
         while driver.has_attempt_in_flight(f"r{n}"):
             driver.complete_attempt(f"r{n}", AttemptStatus.RESET)
         driver.now += 0.01
-    assert sum(map(len, driver.servers_tried.values())) <= 200 * 1.2 + 11
+    assert sum(len(request.attempts) for request in driver.requests.values()) <= 200 * 1.2 + 11
 
 
 def test_retry_after_a_rejection_is_free(make_driver: DriverFactory) -> None:
@@ -117,7 +118,7 @@
     driver.request("r", key="k")
     driver.router.retry_budget.tokens, driver.router.health.success_rate = 0.0, 0.2
     assert driver.complete_attempt("r", AttemptStatus.REJECTED) is None
-    assert driver.outcomes["r"] is Outcome.REJECTED
+    assert driver.outcome("r") is Outcome.REJECTED
 
 
 def test_error_answer_is_not_retried_at_another_cache(make_driver: DriverFactory) -> None:
@@ -125,7 +126,7 @@
     driver = make_driver(*fleet("a", "b"))
     driver.request("r")
     assert driver.complete_attempt("r", AttemptStatus.ERROR) is None
-    assert driver.outcomes["r"] is Outcome.REJECTED
+    assert driver.outcome("r") is Outcome.REJECTED
 
 
 def test_retry_after_a_failed_connect_is_free(make_driver: DriverFactory) -> None:
--- a/tests/cache_router/decisions/test_router.py
+++ b/tests/cache_router/decisions/test_router.py
@@ -19,8 +19,9 @@
     TimerKind,
 )
 from cache_router.endpoint import Endpoint, EndpointState
-from tests.support.driver import Driver, DriverFactory, Outcome
+from tests.support.driver import Driver, DriverFactory
 from tests.support.router_inputs import entry
+from tests.support.router_rules import Outcome
 from tests.support.router_scenarios import CACHE_ASIDE, fleet
 
 DRAINING = (entry("a", state=EndpointState.DRAINING), entry("b", weight=0.0, state=EndpointState.DRAINING))
@@ -33,23 +34,23 @@
     if endpoints_known is not None:
         driver.update_endpoints(*endpoints_known)
     driver.request("r")
-    assert not driver.servers_tried
+    assert driver.servers_tried("r") == []
     driver.advance(3.0)
-    assert driver.outcomes["r"] is Outcome.REJECTED
+    assert driver.outcome("r") is Outcome.REJECTED
 
 
 def test_queued_request_is_sent_when_a_server_is_listed(driver: Driver) -> None:
     driver.request("r")
     driver.now += 0.2
     driver.update_endpoints(*fleet("a"))
-    assert driver.servers_tried["r"] == ["a"]
+    assert driver.servers_tried("r") == ["a"]
 
 
 @pytest.mark.parametrize("time_left", [0.0, 0.001])
 def test_request_without_time_left_is_rejected_at_once(make_driver: DriverFactory, time_left: float) -> None:
     driver = make_driver(*fleet("a"))
     driver.request("r", time_left=time_left)
-    assert driver.outcomes["r"] is Outcome.REJECTED
+    assert driver.outcome("r") is Outcome.REJECTED
 
 
 def test_client_disconnect_cancels_the_attempt_and_ends_the_request(make_driver: DriverFactory) -> None:
@@ -82,7 +83,7 @@
     driver.handle(ResponseStarted("r", 0))
     driver.handle(TimerFired(Timer(TimerKind.QUEUE_DEADLINE, "r")))
     assert "r" in driver.open_requests
-    assert len(driver.servers_tried["r"]) == 1
+    assert len(driver.servers_tried("r")) == 1
 
 
 def test_equal_seeds_and_events_give_equal_actions(make_driver: DriverFactory) -> None:
@@ -111,7 +112,7 @@
         name = f"r{n}"
         if driver.request(name, key=f"k{n}") is not None:
             driver.complete_attempt(name, AttemptStatus.MISS if n % 3 else AttemptStatus.OK)
-        if driver.servers_tried.get(name, [""])[-1] == "o":
+        if driver.servers_tried(name)[-1:] == ["o"]:
             driver.serve(name)
         driver.advance(0.05)
     driver.advance(5.0)
--- a/tests/cache_router/decisions/test_router_properties.py
+++ b/tests/cache_router/decisions/test_router_properties.py
@@ -35,7 +35,7 @@
     def step(self, data: st.DataObject, n: int) -> None:
         """Feed the router one event; `n` numbers the request that may arrive."""
         event = data.draw(st.sampled_from(EVENTS))
-        in_flight = [attempt for attempt, status in self.attempt_statuses.items() if status is None]
+        in_flight = list(self.in_flight)
         if event == "request":
             names = sorted(self.settings.classes)
             self.request(
--- a/tests/cache_router/decisions/test_server_selection.py
+++ b/tests/cache_router/decisions/test_server_selection.py
@@ -9,9 +9,10 @@
 from cache_router.decisions.pending_request import PendingRequest
 from cache_router.decisions.server import Server
 from cache_router.decisions.server_selection import ServerSelector
-from tests.support.driver import Driver, DriverFactory, Outcome
+from tests.support.driver import Driver, DriverFactory
 from tests.support.reference_ring import primary_server
 from tests.support.router_inputs import entry
+from tests.support.router_rules import Outcome
 from tests.support.router_scenarios import (
     fleet,
     ignore_key_popularity,
@@ -42,7 +43,7 @@
     assert driver.request("r1", key="k") == second
     exhaust_capacity(driver, second)
     assert driver.request("r2", key="k") is None
-    assert driver.outcomes["r2"] is Outcome.REJECTED
+    assert driver.outcome("r2") is Outcome.REJECTED
     assert driver.server(third).concurrency.in_flight == 0
 
 
@@ -135,7 +136,7 @@
 
     monkeypatch.setattr(ServerSelector, "is_eligible", record_visit)
     assert driver.request("r", key="k") is None
-    assert driver.outcomes["r"] is Outcome.REJECTED
+    assert driver.outcome("r") is Outcome.REJECTED
     assert 0 < len(visited) <= server_selection.MAX_POINTS_VISITED
 
 
--- a/tests/cache_router/decisions/test_slow_start.py
+++ b/tests/cache_router/decisions/test_slow_start.py
@@ -216,7 +216,7 @@
     name = next(n for n in map(str, count()) if driver.request(n) == "b")
     warming.concurrency.unanswered_since = driver.now + 0.001  # it has answered others since
     driver.advance(hedging.LATENCY_FACTOR * 0.01)
-    assert driver.servers_tried[name] == ["b", hedge_server]
+    assert driver.servers_tried(name) == ["b", hedge_server]
 
 
 def test_warming_server_gets_no_more_than_its_share_of_a_surge(make_driver: DriverFactory) -> None:
@@ -235,7 +235,7 @@
             driver.update_endpoints(entry("a"), entry("b"), entry("c"), entry("d", started_at=driver.now))
         driver.now += 0.01 if n < 3000 else 0.001
         driver.request(f"r{n}", key=f"k{n}", finish=True)
-    sent_to_warming = sum(servers == ["d"] for servers in driver.servers_tried.values())
+    sent_to_warming = sum(request.servers_tried == ["d"] for request in driver.requests.values())
     assert 5 < sent_to_warming < 1000 / 4 * 0.45
 
 
@@ -265,8 +265,8 @@
     for n in range(300):
         for name in "abc":
             driver.server(name).concurrency.limit = 0.0
-        driver.request(f"r{n}", key=f"k{n}", finish=f"r{n}" in driver.servers_tried)
-    assert sum("d" in servers for servers in driver.servers_tried.values()) < 300 / 4 * 0.5
+        driver.request(f"r{n}", key=f"k{n}")
+    assert sum("d" in request.servers_tried for request in driver.requests.values()) < 300 / 4 * 0.5
 
 
 def usable_share(driver: Driver, server: Server) -> float:
