--- a/tests/cache_router/decisions/test_attempt_sender.py
+++ b/tests/cache_router/decisions/test_attempt_sender.py
@@ -6,20 +6,13 @@
 
 from cache_router.decisions.actions import Send, SetTimer
 from cache_router.decisions.attempt_sender import CACHE_LATENCY_TARGET, ORIGIN_LATENCY_TARGET, AttemptSender
-from cache_router.decisions.events import (
-    AttemptStatus,
-    EndpointUpdate,
-    EndpointUpdateKind,
-    Request,
-    Timer,
-    TimerKind,
-)
+from cache_router.decisions.events import AttemptStatus, Request, Timer, TimerKind
 from cache_router.decisions.hedging import LATENCY_FACTOR
 from cache_router.decisions.pending_request import PendingRequest
 from cache_router.decisions.router import Router
 from cache_router.settings import RequestClass
-from tests.support.router_inputs import ONCE, READ, settings
-from tests.support.router_scenarios import CACHE_ASIDE, fleet
+from tests.support.router_inputs import ONCE, READ
+from tests.support.router_scenarios import CACHE_ASIDE, started_router
 
 NOW = 100.0
 
@@ -27,9 +20,7 @@
 @pytest.fixture
 def router() -> Router:
     """A router with the caches "a" and "b" and the origin "o"."""
-    router = Router(settings(**CACHE_ASIDE), 1, NOW)
-    router.handle(NOW, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(fleet("a", "b", "o"))))
-    return router
+    return started_router("a", "b", "o", now=NOW, **CACHE_ASIDE)
 
 
 @pytest.fixture
--- a/tests/cache_router/decisions/test_concurrency_limit.py
+++ b/tests/cache_router/decisions/test_concurrency_limit.py
@@ -38,7 +38,7 @@
 
 
 def test_rejection_sets_the_limit_to_the_attempts_in_flight(make_driver: DriverFactory) -> None:
-    """What is in flight when a server rejects an attempt is what it has capacity for."""
+    """The attempts in flight when a server rejects one are what it has capacity for."""
     driver = make_driver(*fleet("a"))
     driver.server("a").concurrency.limit = 9.0
     for n in range(6):
@@ -59,7 +59,7 @@
 
 
 def test_one_timeout_hardly_raises_the_smoothed_latency_of_the_origin(cache_aside_driver: Driver) -> None:
-    """Otherwise misses would be rejected by the dozen until other fetches had come back."""
+    """Otherwise most misses would be rejected until other fetches had completed."""
     cache_aside_driver.server("o").concurrency.latency = 0.05
     request_and_miss(cache_aside_driver, "r1", key="k1")
     cache_aside_driver.complete_attempt("r1", AttemptStatus.TIMEOUT, latency=2.0)
--- a/tests/cache_router/decisions/test_hash_ring.py
+++ b/tests/cache_router/decisions/test_hash_ring.py
@@ -81,7 +81,7 @@
     moved = [key for key, server in enumerate(before) if server != after[key]]
     assert {before[key] for key in moved} == {f"s{size - 1}"}
     assert len(moved) < 2 * 2000 / size
-    driver.update_endpoints(*reversed(endpoints))  # nor does the order listed matter
+    driver.update_endpoints(*reversed(endpoints))  # the order of the list does not matter
     assert primary_servers(driver, "c") == before
 
 
--- a/tests/cache_router/decisions/test_hash_ring_updates.py
+++ b/tests/cache_router/decisions/test_hash_ring_updates.py
@@ -55,7 +55,7 @@
 
 
 def test_restarted_member_replaces_its_former_entry() -> None:
-    """A server that has restarted leaves nothing of its former self on the ring."""
+    """The ring keeps no reference to the earlier incarnation of a server."""
     ring: HashRing[Endpoint] = HashRing()
     old = entry("a")
     ring.place("a", old, 16)
--- a/tests/cache_router/decisions/test_idle_connection_closer.py
+++ b/tests/cache_router/decisions/test_idle_connection_closer.py
@@ -1,4 +1,4 @@
-"""When idle connections to a server are closed, and when the closer looks again."""
+"""When idle connections to a server are closed, and when the closer checks them again."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def actions_on_timer(time_left: float | None, server: str = "a") -> list[Action]:
-    """What the closer answers to the timer of a server, of the fleet of "a" and "b"."""
+    """The closer's actions on the timer of a server, in a fleet of "a" and "b"."""
     conf = settings(connection_idle_timeout=IDLE_TIMEOUT, clock_resolution=CLOCK_RESOLUTION)
     endpoints = EndpointList(conf)
     endpoints.apply(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(fleet("a", "b"))))
@@ -48,7 +48,7 @@
     assert actions_on_timer(time_left) == [CloseIdleConnections("a")]
 
 
-def test_closer_looks_again_when_the_time_is_over() -> None:
+def test_closer_checks_again_when_the_time_is_over() -> None:
     assert actions_on_timer(2.5) == [SetTimer(2.5, Timer(TimerKind.IDLE_CONNECTIONS, "a"))]
 
 
@@ -57,5 +57,5 @@
     assert actions_on_timer(time_left) == []
 
 
-def test_timer_of_a_removed_server_calls_for_nothing() -> None:
-    assert actions_on_timer(-1.0, server="gone") == []
+def test_timer_of_a_removed_server_causes_no_action() -> None:
+    assert actions_on_timer(-1.0, server="removed") == []
--- a/tests/cache_router/decisions/test_origin_queue.py
+++ b/tests/cache_router/decisions/test_origin_queue.py
@@ -151,7 +151,7 @@
 
 
 def test_origin_queue_drops_entries_of_ended_requests(driver: Driver) -> None:
-    """Without it, reads long ended would pile up behind a steady flow of writes of higher priority."""
+    """Otherwise entries of ended reads would accumulate while writes of higher priority keep arriving."""
     driver.server("o").concurrency.limit = 1.0
     for n in range(2000):
         request_and_miss(driver, f"r{n}", key=f"k{n}")
--- a/tests/cache_router/decisions/test_origin_scheduler.py
+++ b/tests/cache_router/decisions/test_origin_scheduler.py
@@ -5,21 +5,13 @@
 import pytest
 
 from cache_router.decisions.actions import Reject, Send, SetTimer
-from cache_router.decisions.events import (
-    AttemptStatus,
-    EndpointUpdate,
-    EndpointUpdateKind,
-    Request,
-    Timer,
-    TimerKind,
-)
+from cache_router.decisions.events import AttemptStatus, Request, Timer, TimerKind
 from cache_router.decisions.origin_queue import FETCH_LATENCIES_LEFT
 from cache_router.decisions.origin_scheduler import OriginScheduler
 from cache_router.decisions.pending_request import PendingRequest
-from cache_router.decisions.router import Router
 from cache_router.decisions.server import Server
-from tests.support.router_inputs import READ, settings
-from tests.support.router_scenarios import CACHE_ASIDE, fleet
+from tests.support.router_inputs import READ
+from tests.support.router_scenarios import CACHE_ASIDE, started_router
 
 NOW = 100.0
 ORIGIN_LATENCY = 0.2  # seconds
@@ -29,8 +21,7 @@
 @pytest.fixture
 def scheduler() -> OriginScheduler:
     """The scheduler of a router whose origin "o" takes one request at a time, and answers in 0.2 s."""
-    router = Router(settings(**CACHE_ASIDE), 1, NOW)
-    router.handle(NOW, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(fleet("a", "o"))))
+    router = started_router("a", "o", now=NOW, **CACHE_ASIDE)
     origin = router.endpoints.servers["o"].concurrency
     origin.limit = 1.0
     origin.latency = ORIGIN_LATENCY
--- a/tests/cache_router/decisions/test_outlier_detection.py
+++ b/tests/cache_router/decisions/test_outlier_detection.py
@@ -15,7 +15,7 @@
 
 
 def fail_attempts(driver: Driver, server: str, times: int, status: AttemptStatus) -> None:
-    """Send requests for a key of the server's: attempts there fail, and retries elsewhere are served."""
+    """Send requests for a key of the server; attempts at it fail, and retries at other servers are served."""
     for _ in range(times):
         name = f"f{driver.router.idle_connections.request_count}"
         if driver.request(name, key="k") == server:
@@ -128,7 +128,7 @@
 
 
 def eject_repeatedly(detector: OutlierDetector, history: FailureHistory, times: int) -> list[float]:
-    """Let each trial fail with a refused connection; the ejection times, in seconds."""
+    """Refuse the connection of each attempt on trial; returns the ejection times, in seconds."""
     ejection_times = []
     for _ in range(times):
         now = max(0.0, history.ejected_until)
--- a/tests/cache_router/decisions/test_request_lifecycle.py
+++ b/tests/cache_router/decisions/test_request_lifecycle.py
@@ -13,18 +13,15 @@
     Request,
 )
 from cache_router.decisions.request_lifecycle import RequestLifecycle
-from cache_router.decisions.router import Router
-from tests.support.router_inputs import READ, settings
-from tests.support.router_scenarios import CACHE_ASIDE, fleet
+from tests.support.router_inputs import READ
+from tests.support.router_scenarios import CACHE_ASIDE, fleet, started_router
 
 NOW = 100.0
 
 
 def new_lifecycle(*servers: str, cache_aside: bool = True) -> RequestLifecycle:
     """The requests of a router that knows these servers; "o" is the origin."""
-    router = Router(settings(**(CACHE_ASIDE if cache_aside else {})), 1, NOW)
-    router.handle(NOW, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(fleet(*servers))))
-    return router.requests
+    return started_router(*servers, now=NOW, **(CACHE_ASIDE if cache_aside else {})).requests
 
 
 def start_request(lifecycle: RequestLifecycle, request_class: str = "read", is_write: bool = False) -> str:
--- a/tests/cache_router/decisions/test_retry_policy.py
+++ b/tests/cache_router/decisions/test_retry_policy.py
@@ -92,7 +92,7 @@
 
 
 def test_retries_are_a_bounded_share_of_the_requests(make_driver: DriverFactory) -> None:
-    """Otherwise failing servers turn every request into many attempts, which feed the overload."""
+    """Otherwise failing servers turn every request into many attempts, which add to the overload."""
     driver = make_driver(*fleet("a", "b", "c", "d"))
     for n in range(200):
         driver.request(f"r{n}", key=f"k{n}")
--- a/tests/cache_router/decisions/test_router.py
+++ b/tests/cache_router/decisions/test_router.py
@@ -1,4 +1,4 @@
-"""The life of a request, and what the router answers where no server can take it."""
+"""Events of a request from its arrival to its end, and its final answer where no server has capacity."""
 
 from __future__ import annotations
 
@@ -66,8 +66,8 @@
         AttemptCompleted("x", 0, AttemptStatus.OK, True),
         ClientDisconnected("x"),
         TimerFired(Timer(TimerKind.QUEUE_DEADLINE, "x")),
-        TimerFired(Timer(TimerKind.IDLE_CONNECTIONS, "odd")),
-        TimerFired(Timer(TimerKind.HEDGE, "odd")),
+        TimerFired(Timer(TimerKind.IDLE_CONNECTIONS, "unknown")),
+        TimerFired(Timer(TimerKind.HEDGE, "unknown")),
         ResponseStarted("x", 0),
         EndpointUpdate(EndpointUpdateKind.DELTA, (entry("a", state=EndpointState.REMOVED),)),
         EndpointUpdate(EndpointUpdateKind.SNAPSHOT, ()),
--- a/tests/cache_router/decisions/test_router_properties.py
+++ b/tests/cache_router/decisions/test_router_properties.py
@@ -33,7 +33,7 @@
     """A driver that draws legal events from hypothesis."""
 
     def step(self, data: st.DataObject, n: int) -> None:
-        """Feed the router one event; `n` numbers the request that may arrive."""
+        """Give the router one event; `n` numbers the request that may arrive."""
         event = data.draw(st.sampled_from(EVENTS))
         in_flight = list(self.in_flight)
         if event == "request":
@@ -58,7 +58,7 @@
             self.disconnect(name)
 
     def random_endpoint_update(self, data: st.DataObject) -> None:
-        """Feed the router an endpoint update, or the failure of a call for one."""
+        """Give the router an endpoint update, or the failure of a call for one."""
         kind = data.draw(st.sampled_from(list(EndpointUpdateKind)))
         names = data.draw(st.lists(st.sampled_from("abcdo"), unique=True))
         states = st.sampled_from(
@@ -141,7 +141,7 @@
     """Broken on purpose: retries and rejects any request."""
 
     def __init__(self, conf: Settings, seed: int, now: float) -> None:
-        """Put the permissive policy in place of the router's own, in every part that asks it."""
+        """Replace the retry policy in every part of the router that has it."""
         super().__init__(conf, seed, now)
         policy = PermissivePolicy(conf)
         for part in (self.selector, self.hedging, self.requests, self.open_requests, self.origin_scheduler):
--- a/tests/cache_router/decisions/test_server_selection.py
+++ b/tests/cache_router/decisions/test_server_selection.py
@@ -23,7 +23,7 @@
 
 
 def exhaust_capacity(driver: Driver, *names: str) -> None:
-    """Let servers have no capacity for a further attempt."""
+    """Leave servers without capacity for another attempt."""
     for name in names:
         driver.server(name).concurrency.limit = 0.0
 
@@ -36,7 +36,7 @@
 
 
 def test_walk_ends_at_the_second_server_without_capacity(make_driver: DriverFactory) -> None:
-    """Further servers lack the key: hits would become misses, and these servers be overloaded as well."""
+    """Servers beyond it lack the key: hits would become misses, and would overload these servers as well."""
     driver = make_driver(*fleet("a", "b", "c", "d"))
     first, second, third, _ = servers_clockwise(driver, "k")
     exhaust_capacity(driver, first)
@@ -87,7 +87,7 @@
 
 
 def test_hot_key_spreads_to_the_next_servers_clockwise(make_driver: DriverFactory) -> None:
-    """A key whose requests are never answered goes to several servers in place of one."""
+    """A key whose requests are never answered goes to several servers instead of one."""
     driver = make_driver(*single_zone_fleet("abcd"))
     sent = [send_request(driver, f"r{n}", "hot") for n in range(8)]
     assert len(set(sent)) > 1
@@ -122,7 +122,7 @@
 def test_walk_visits_a_bounded_number_of_points(
     make_driver: DriverFactory, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With every server ineligible the walk would go round the whole ring for each request."""
+    """With every server ineligible the walk would visit the complete ring for each request."""
     driver = make_driver(*(entry(f"s{i}") for i in range(90)))
     for server in driver.router.endpoints.servers.values():
         server.concurrency.in_flight = 1
--- a/tests/cache_router/decisions/test_slow_start.py
+++ b/tests/cache_router/decisions/test_slow_start.py
@@ -80,7 +80,7 @@
         return STEADY
 
     def handle(self, now: float, number: int, event: Event) -> None:
-        """Feed one router an event and schedule what its actions lead to."""
+        """Give one router an event, and schedule the events that its actions cause."""
         for action in self.routers[number].handle(now, event):
             if isinstance(action, Send):
                 self.send(now, number, action)
@@ -98,7 +98,7 @@
         self.schedule(now + latency, number, completed)
 
     def schedule(self, at: float, number: int, event: Event) -> None:
-        """Let an event reach a router later."""
+        """Schedule an event of a router."""
         heapq.heappush(self.events, (at, next(self.event_order), number, event))
 
     def run(self, restarts: dict[float, range]) -> float:
@@ -123,7 +123,7 @@
         return self.worst_excess()
 
     def change(self, at: float, restarts: dict[float, range]) -> None:
-        """Show the warming server to all routers at its start, and restart those that restart now."""
+        """Update all routers at the start of the warming server, and start those routers that restart now."""
         if at == START:
             for number in range(ROUTERS):
                 if number in self.routers:
@@ -260,7 +260,7 @@
 
 
 def test_warming_server_takes_no_overflow_of_other_servers(driver: Driver) -> None:
-    """In a burst, what its neighbours have no capacity for would overload a server just started."""
+    """In a burst, requests beyond the capacity of its neighbours would overload a server just started."""
     driver.update_endpoints(*(entry(n) for n in "abc"), entry("d", started_at=driver.now))
     for n in range(300):
         for name in "abc":
--- a/tests/cache_router/decisions/test_subscription.py
+++ b/tests/cache_router/decisions/test_subscription.py
@@ -31,7 +31,7 @@
     assert actions == [SubscribeToEndpoints()] * must_subscribe
 
 
-def test_update_of_a_running_watch_calls_for_nothing() -> None:
+def test_update_of_a_running_watch_causes_no_action() -> None:
     subscription = new_subscription(must_subscribe=True)
     actions = subscription.actions.start_event()
     subscription.on_update(is_cached=False, now=NOW)
--- a/tests/cache_router/test_simulator_adapter.py
+++ b/tests/cache_router/test_simulator_adapter.py
@@ -135,8 +135,8 @@
 def test_client_disconnect_cancels_the_attempt() -> None:
     adapter = started_adapter()
     handle_events(adapter, 1.1, request_event("1"))
-    gone = handle_events(adapter, 1.2, {"op": "Aborted", "ticket": "1"})
-    assert gone == [{"op": "Cancel", "ticket": "1", "sendNo": 0}]
+    commands = handle_events(adapter, 1.2, {"op": "Aborted", "ticket": "1"})
+    assert commands == [{"op": "Cancel", "ticket": "1", "sendNo": 0}]
     assert handle_events(adapter, 1.3, completion_event("1", 0, "revoked", True)) == []
 
 
@@ -154,9 +154,12 @@
 def test_response_start_and_unused_events_cause_no_action() -> None:
     adapter = started_adapter()
     handle_events(adapter, 1.1, request_event("1"))
-    begun = {"op": "Begun", "ticket": "1", "sendNo": 0, "lag": 0.1, "server": "a"}
+    response_started = {"op": "Begun", "ticket": "1", "sendNo": 0, "lag": 0.1, "server": "a"}
     pong = {"op": "Pong", "server": "a", "outcome": "delivered", "lag": 0.1, "telemetry": None}
-    assert handle_events(adapter, 1.2, begun, pong, {"op": "Heard", "srcPeer": 1, "content": "00"}) == []
+    assert (
+        handle_events(adapter, 1.2, response_started, pong, {"op": "Heard", "srcPeer": 1, "content": "00"})
+        == []
+    )
 
 
 def test_killed_router_keeps_no_state() -> None:
--- a/tests/support/driver.py
+++ b/tests/support/driver.py
@@ -97,7 +97,7 @@
         return self.last_actions
 
     def check_action(self, action: Action) -> None:
-        """Check the rules for one action, and set the timer that it asks for."""
+        """Check the rules for one action, and start the timer that it sets."""
         self.rules.check_action(action, self.now)
         if isinstance(action, SetTimer):
             self.timers.append((self.now + action.delay, write_timer(action.timer)))
@@ -111,12 +111,12 @@
         return self.handle(update)
 
     def request(self, name: str, finish: bool = False, **fields: Any) -> str | None:
-        """Let a request arrive; returns the server of its first attempt, or None when none was sent.
+        """Give the router a request; returns the server of its first attempt, or None when none was sent.
 
         Args:
             name: the name of the request, which no earlier request has.
             finish: whether the attempt is answered at once.
-            fields: fields of the event, in place of a class "read" and 2 s left.
+            fields: fields of the event; without them its class is "read", with 2 s left.
         """
         fields.setdefault("request_class", "read")
         fields.setdefault("time_left", 2.0)
@@ -157,7 +157,7 @@
         return self.handle(ClientDisconnected(name))
 
     def advance(self, seconds: float) -> None:
-        """Let time pass, with timers and timeouts in their order."""
+        """Advance the clock, with timers and timeouts in the order in which they are due."""
         end = self.now + seconds
         while (due := self.next_due_event()) is not None and due.time <= end:
             self.now = max(self.now, due.time)
--- a/tests/support/router_rules.py
+++ b/tests/support/router_rules.py
@@ -1,4 +1,4 @@
-"""The rules that every router has to keep, checked against what its clients and servers see of it.
+"""The rules that every router has to keep, checked against what its clients and servers see.
 
 Rule 1: each request gets exactly one final answer, before its client's timeout.
 Rule 2: a request that is not idempotent is never executed twice.
--- a/tests/support/router_scenarios.py
+++ b/tests/support/router_scenarios.py
@@ -7,9 +7,10 @@
 
 from cache_router.decisions.events import AttemptStatus, EndpointUpdate, EndpointUpdateKind
 from cache_router.decisions.hash_ring import ring_hash
+from cache_router.decisions.router import Router
 from cache_router.endpoint import Endpoint
 from tests.support.driver import Driver
-from tests.support.router_inputs import entry
+from tests.support.router_inputs import entry, settings
 
 # settings of a deployment in which the router fetches misses from the origin
 CACHE_ASIDE: dict[str, Any] = {"cache_aside": True, "origin_kind": "origin"}
@@ -29,6 +30,13 @@
     return [entry(name) for name in names]
 
 
+def started_router(*names: str, now: float, **changes: Any) -> Router:
+    """A router that has received a list of the servers of `fleet`; `changes` are made to its settings."""
+    router = Router(settings(**changes), 1, now)
+    router.handle(now, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(fleet(*names))))
+    return router
+
+
 def request_and_miss(driver: Driver, *names: str, key: str = "k") -> None:
     """Send requests that each miss in their cache."""
     for name in names:
@@ -37,7 +45,7 @@
 
 
 def ignore_key_popularity(driver: Driver) -> None:
-    """Let the router treat every key as unpopular; it spreads a popular one over more servers."""
+    """Make the router treat every key as unpopular, because it spreads a popular one over more servers."""
     driver.router.selector.popularity.count = lambda *_: 0.0  # type: ignore[method-assign]
 
 
