--- a/tests/cache_router/decisions/test_router_rules.py
+++ b/tests/cache_router/decisions/test_router_rules.py
@@ -60,6 +60,17 @@
         (SetTimer(MAX_TIMER_DELAY, Timer(TimerKind.HEDGE, "r")), "SetTimer"),
         (SetTimer(0.1, Timer(TimerKind.HEDGE, "r" * MAX_TIMER_TOKEN)), "SetTimer"),
     ],
+    ids=[
+        "attempt of an unknown request",
+        "rejection of an unknown request",
+        "failure of an unknown request",
+        "attempt at an unlisted server",
+        "attempt at a draining server",
+        "cancellation of no attempt",
+        "timer in the past",
+        "timer too late for the wire",
+        "timer too long for the wire",
+    ],
 )
 def test_action_that_no_request_permits_breaks_a_rule(action: Action, message: str) -> None:
     with pytest.raises(AssertionError, match=message):
--- a/tests/cache_router/test_load_report.py
+++ b/tests/cache_router/test_load_report.py
@@ -14,13 +14,13 @@
 @pytest.mark.parametrize(
     "text",
     [
-        b"",
-        b"svc_ms=1",
-        b"svc_ms=nan,pending=1",
-        b"svc_ms=1,pending=inf",
-        b"svc_ms=-1,pending=0",
-        b"x" * 9000,
-        b"\xff=,=",
+        pytest.param(b"", id="empty"),
+        pytest.param(b"svc_ms=1", id="a field is absent"),
+        pytest.param(b"svc_ms=nan,pending=1", id="not a number"),
+        pytest.param(b"svc_ms=1,pending=inf", id="infinite"),
+        pytest.param(b"svc_ms=-1,pending=0", id="negative"),
+        pytest.param(b"x" * 9000, id="too long"),
+        pytest.param(b"\xff=,=", id="not ASCII"),
     ],
 )
 def test_malformed_report_is_ignored(text: bytes) -> None:
--- a/tests/cache_router/test_section_reader.py
+++ b/tests/cache_router/test_section_reader.py
@@ -37,15 +37,15 @@
 @pytest.mark.parametrize(
     ("value", "read"),
     [
-        ("3", lambda reader: reader.number("field", 0.0)),
-        (True, lambda reader: reader.number("field", 0.0)),
-        (0.5, lambda reader: reader.number("field", 0.0, minimum=1.0)),
-        (2, lambda reader: reader.flag("field")),
-        ("maybe", lambda reader: reader.choice("field", "no", WORDS)),
-        (["yes"], lambda reader: reader.choice("field", "no", WORDS)),
-        (["a", 1], lambda reader: reader.names("field")),
-        ([], lambda reader: reader.section("field")),
-        ({}, lambda reader: reader.named_sections("field")),
+        pytest.param("3", lambda reader: reader.number("field", 0.0), id="text for a number"),
+        pytest.param(True, lambda reader: reader.number("field", 0.0), id="flag for a number"),
+        pytest.param(0.5, lambda reader: reader.number("field", 0.0, minimum=1.0), id="below the minimum"),
+        pytest.param(2, lambda reader: reader.flag("field"), id="number for a flag"),
+        pytest.param("maybe", lambda reader: reader.choice("field", "no", WORDS), id="unknown word"),
+        pytest.param(["yes"], lambda reader: reader.choice("field", "no", WORDS), id="list for a word"),
+        pytest.param(["a", 1], lambda reader: reader.names("field"), id="number for a name"),
+        pytest.param([], lambda reader: reader.section("field"), id="list for a section"),
+        pytest.param({}, lambda reader: reader.named_sections("field"), id="section for a list"),
     ],
 )
 def test_error_names_the_field_by_its_path(value: object, read: Callable[[SectionReader], object]) -> None:
--- a/tests/cache_router/test_simulator_wire.py
+++ b/tests/cache_router/test_simulator_wire.py
@@ -70,17 +70,27 @@
 @pytest.mark.parametrize(
     ("message", "event"),
     [
-        (
+        pytest.param(
             {"op": "Request", "ticket": "1", "priority": "read", "timeBudget": -1, "update": None},
             Request("1", "read", 0.0, key=None, cost_hint=None, is_write=False),
+            id="request",
         ),
-        (
+        pytest.param(
             {"op": "Membership", "scope": "FULL", "lines": [{"server": "a", "readiness": "active"}]},
             EndpointUpdate(EndpointUpdateKind.SNAPSHOT, (Endpoint("a", EndpointState.READY),)),
+            id="complete endpoint list",
+        ),
+        pytest.param(
+            {"op": "Membership", "scope": "FAILED"},
+            EndpointUpdate(EndpointUpdateKind.FAILED, ()),
+            id="failed call",
+        ),
+        pytest.param(
+            {"op": "Wake", "ctx": f"{TimerKind.HEDGE.value}:1"},
+            TimerFired(Timer(TimerKind.HEDGE, "1")),
+            id="timer",
         ),
-        ({"op": "Membership", "scope": "FAILED"}, EndpointUpdate(EndpointUpdateKind.FAILED, ())),
-        ({"op": "Wake", "ctx": f"{TimerKind.HEDGE.value}:1"}, TimerFired(Timer(TimerKind.HEDGE, "1"))),
-        ({"op": "Wake", "ctx": "another:1"}, None),
+        pytest.param({"op": "Wake", "ctx": "another:1"}, None, id="unknown timer"),
     ],
 )
 def test_absent_and_null_fields_take_their_defaults(message: dict[str, Any], event: Event | None) -> None:
