--- a/tests/cache_router/decisions/test_slow_start.py
+++ b/tests/cache_router/decisions/test_slow_start.py
@@ -11,32 +11,49 @@
 from cache_router.decisions.events import AttemptStatus
 from cache_router.decisions.server import Server
 from tests.support.driver import Driver, DriverFactory
-from tests.support.fleet_simulation import ROUTERS, START, FailingFleetSimulation, FleetSimulation
+from tests.support.fleet_simulation import (
+    ROUTER_COUNT,
+    WARMING_STARTED_AT,
+    FailingFleetSimulation,
+    FleetSimulation,
+)
 from tests.support.router_inputs import entry
 from tests.support.router_scenarios import primary_servers
 
-ALL = range(ROUTERS)
+ALL_ROUTERS = range(ROUTER_COUNT)
 
 
 @pytest.mark.parametrize(
     ("make", "options", "restarts"),
     [
-        pytest.param(FleetSimulation, {}, {0.0: ALL}, id="any key"),
-        pytest.param(FleetSimulation, {"hot_share": 0.3}, {0.0: ALL}, id="hot key"),
+        pytest.param(FleetSimulation, {}, {0.0: ALL_ROUTERS}, id="any key"),
+        pytest.param(FleetSimulation, {"hot_share": 0.3}, {0.0: ALL_ROUTERS}, id="hot key"),
+        pytest.param(
+            FailingFleetSimulation,
+            {"hot_share": 0.3},
+            {0.0: ALL_ROUTERS},
+            id="hot key, resets and lost answers",
+        ),
         pytest.param(
-            FailingFleetSimulation, {"hot_share": 0.3}, {0.0: ALL}, id="hot key, resets and lost answers"
+            FleetSimulation,
+            {"hot_share": 0.3},
+            {WARMING_STARTED_AT: ALL_ROUTERS},
+            id="hot key, all just started",
         ),
-        pytest.param(FleetSimulation, {"hot_share": 0.3}, {START: ALL}, id="hot key, all just started"),
         pytest.param(
             FleetSimulation,
             {"hot_share": 0.3, "queued": 3},
-            {START: ALL},
+            {WARMING_STARTED_AT: ALL_ROUTERS},
             id="hot key, all just started with queued requests",
         ),
         pytest.param(
             FleetSimulation,
             {"hot_share": 0.3},
-            {0.0: ALL, START + 1: ALL[:15], START + 3: ALL[10:]},
+            {
+                0.0: ALL_ROUTERS,
+                WARMING_STARTED_AT + 1: ALL_ROUTERS[:15],
+                WARMING_STARTED_AT + 3: ALL_ROUTERS[10:],
+            },
             id="hot key, restarts",
         ),
     ],
@@ -59,12 +76,12 @@
 
 def test_warming_servers_get_all_requests_where_no_other_is_listed(make_driver: DriverFactory) -> None:
     """With no warm server to compare with, a quota of nothing would reject every request."""
-    driver = make_driver(router_count=ROUTERS)
+    driver = make_driver(router_count=ROUTER_COUNT)
     driver.update_endpoints(entry("a", started_at=driver.now), entry("b", started_at=driver.now))
     assert None not in [driver.request(f"r{n}", key=f"k{n}", finish=True) for n in range(20)]
 
 
-@pytest.mark.parametrize(("router_count", "hedge_server"), [(1, "b"), (ROUTERS, "a")])
+@pytest.mark.parametrize(("router_count", "hedge_server"), [(1, "b"), (ROUTER_COUNT, "a")])
 def test_hedged_request_at_a_warming_server_counts_against_its_quota(
     make_driver: DriverFactory, router_count: int, hedge_server: str
 ) -> None:
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -7,6 +7,7 @@
 import random
 from bisect import bisect_left
 from itertools import count
+from typing import NamedTuple
 
 from cache_router.decisions.actions import Send, SetTimer
 from cache_router.decisions.events import (
@@ -21,44 +22,73 @@
 from cache_router.decisions.router import Router
 from tests.support.router_inputs import entry, settings
 
-ROUTERS, CACHES, START = 30, 10, 5.0
-LATENCY = 0.02
-STEADY = AttemptStatus.OK, LATENCY
+ROUTER_COUNT = 30
+CACHE_COUNT = 10  # without the warming one
+WARMING_STARTED_AT = 5.0  # seconds
+KEY_COUNT = 20_000  # without the hot key
+REQUEST_SHARES = (1, 1, 1, 4)  # of which each router draws one
+LATENCY = 0.02  # seconds
+RESET_LATENCY = 0.005  # seconds
+TIMEOUT_LATENCY = 1.0  # seconds
+ORDINARY_ANSWER = AttemptStatus.OK, LATENCY
+
+
+class ScheduledEvent(NamedTuple):
+    """An event that a router receives later; `order` breaks ties between events at one time."""
+
+    time: float
+    order: int
+    router_number: int
+    event: Event
 
 
 class FleetSimulation:
     """Routers that share nothing but the endpoint list, and caches that answer after a fixed latency.
 
-    Records when an attempt reaches the one cache that warms up. `capacity` is that of each cache, in requests
-    a second; `hot_share` the share of requests for one key of the warming cache; `queued` the number of such
-    requests that each router has accepted before its first endpoint list. Times are in seconds.
+    Times are in seconds.
+
+    Attributes:
+        sent_to_warming: when each attempt reached the one cache that warms up.
+        hot_key: a key whose primary server is that cache.
     """
 
     def __init__(self, seed: int, capacity: float, hot_share: float = 0.0, queued: int = 0) -> None:
-        """Choose a hot key, and start no router yet."""
-        self.settings = settings(router_count=ROUTERS)
+        """Choose a hot key, and start no router yet.
+
+        Args:
+            seed: the seed of all random draws.
+            capacity: the capacity of each cache, in requests a second.
+            hot_share: the share of requests for the hot key.
+            queued: how many requests for the hot key each router accepts before its first endpoint list.
+        """
+        self.settings = settings(router_count=ROUTER_COUNT)
         self.capacity = capacity
         self.random = random.Random(seed)
         self.hot_share = hot_share
         self.queued = queued
-        self.request_rate = capacity * CACHES
+        self.request_rate = capacity * CACHE_COUNT
         self.event_order = count()
-        self.events: list[tuple[float, int, int, Event]] = []  # time, order, router, event
-        self.attempts: dict[str, int] = {}
+        self.events: list[ScheduledEvent] = []  # a heap
+        self.attempts: dict[str, int] = {}  # the number of the last attempt of each request
         self.sent_to_warming: list[float] = []
         self.hot_key = next(k for k in map(str, count()) if self.first_choice(k) == "warming")
         self.routers: dict[int, Router] = {}
 
     def endpoint_update(self, now: float) -> EndpointUpdate:
         """All servers that are listed at a time: the warming one is the last, from its start on."""
-        endpoints = *(entry(f"s{i}") for i in range(CACHES)), entry("warming", started_at=START)
-        return EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints if now >= START else endpoints[:-1])
+        endpoints = (
+            *(entry(f"s{i}") for i in range(CACHE_COUNT)),
+            entry("warming", started_at=WARMING_STARTED_AT),
+        )
+        return EndpointUpdate(
+            EndpointUpdateKind.SNAPSHOT, endpoints if now >= WARMING_STARTED_AT else endpoints[:-1]
+        )
 
     def first_choice(self, key: str) -> str:
         """The server to which a router sends a key at the start of the warming server."""
-        router = Router(settings(), 1, START)
-        router.handle(START, self.endpoint_update(START))
-        (send, *_) = router.handle(START, Request("r", "read", 1.0, key))
+        router = Router(settings(), 1, WARMING_STARTED_AT)
+        router.handle(WARMING_STARTED_AT, self.endpoint_update(WARMING_STARTED_AT))
+        (send, *_) = router.handle(WARMING_STARTED_AT, Request("r", "read", 1.0, key))
         return send.server if isinstance(send, Send) else ""
 
     def start_router(self, number: int, now: float) -> None:
@@ -70,7 +100,7 @@
 
     def answer(self) -> tuple[AttemptStatus, float]:
         """The status and the latency of the next attempt."""
-        return STEADY
+        return ORDINARY_ANSWER
 
     def handle(self, now: float, number: int, event: Event) -> None:
         """Give one router an event, and schedule the events that its actions cause."""
@@ -92,44 +122,57 @@
 
     def schedule(self, at: float, number: int, event: Event) -> None:
         """Schedule an event of a router."""
-        heapq.heappush(self.events, (at, next(self.event_order), number, event))
+        heapq.heappush(self.events, ScheduledEvent(at, next(self.event_order), number, event))
 
     def run(self, restarts: dict[float, range]) -> float:
-        """Run until the server is warm; returns the worst excess over what a window allows."""
-        changes = sorted([*restarts, START])
-        request_shares = [self.random.choice((1, 1, 1, 4)) for _ in range(ROUTERS)]
+        """Run until the warming cache has its full capacity.
+
+        Args:
+            restarts: the numbers of the routers that start, or start again, at each time.
+
+        Returns:
+            The worst excess over the attempts that any window allows.
+        """
+        changes = sorted([*restarts, WARMING_STARTED_AT])
+        request_shares = [self.random.choice(REQUEST_SHARES) for _ in range(ROUTER_COUNT)]
         now = 0.0
         for n in count():
             now += self.random.expovariate(self.request_rate)
-            if now > START + self.settings.slow_start_duration:
+            if now > WARMING_STARTED_AT + self.settings.slow_start_duration:
                 break
             while changes and changes[0] <= now:
                 self.change(changes.pop(0), restarts)
-            while self.events and self.events[0][0] <= now:
-                at, _, number, event = heapq.heappop(self.events)
-                self.handle(at, number, event)
-            number = self.random.choices(range(ROUTERS), request_shares)[0]
+            while self.events and self.events[0].time <= now:
+                due = heapq.heappop(self.events)
+                self.handle(due.time, due.router_number, due.event)
+            number = self.random.choices(range(ROUTER_COUNT), request_shares)[0]
             if number in self.routers:
-                is_hot = self.random.random() < self.hot_share
-                key = self.hot_key if is_hot else f"k{self.random.randrange(20_000)}"
-                self.handle(now, number, Request(f"r{n}", "read", 1.0, key))
+                self.handle(now, number, Request(f"r{n}", "read", 1.0, self.draw_key()))
         return self.worst_excess()
 
+    def draw_key(self) -> str:
+        """The key of the next request."""
+        is_hot = self.random.random() < self.hot_share
+        return self.hot_key if is_hot else f"k{self.random.randrange(KEY_COUNT)}"
+
     def change(self, at: float, restarts: dict[float, range]) -> None:
         """Update all routers at the start of the warming server, and start those routers that restart now."""
-        if at == START:
-            for number in range(ROUTERS):
+        if at == WARMING_STARTED_AT:
+            for number in range(ROUTER_COUNT):
                 if number in self.routers:
                     self.handle(at, number, self.endpoint_update(at))
         for number in restarts.get(at, ()):
             self.start_router(number, at)
 
     def worst_excess(self) -> float:
-        """The most attempts that a window had above its bound, two standard deviations and two attempts."""
+        """The most attempts that a window had beyond its bound and the statistical tolerance.
+
+        The tolerance is two standard deviations of the expected count, and two attempts.
+        """
         worst, conf = -math.inf, self.settings
         initial_share = conf.slow_start_initial_share
         for i, at in enumerate(self.sent_to_warming):
-            share = initial_share + (1 - initial_share) * (at - START) / conf.slow_start_duration
+            share = initial_share + (1 - initial_share) * (at - WARMING_STARTED_AT) / conf.slow_start_duration
             bound = conf.overload_multiple * share * self.capacity * conf.overload_window
             sent = bisect_left(self.sent_to_warming, at + conf.overload_window) - i
             worst = max(worst, sent - bound - 2 * math.sqrt(bound) - 2)
@@ -143,5 +186,7 @@
         """A reset, a timeout or an ordinary answer."""
         draw = self.random.random()
         if draw < 0.2:
-            return AttemptStatus.RESET, 0.005
-        return (AttemptStatus.TIMEOUT, 1.0) if draw < 0.3 else STEADY
+            return AttemptStatus.RESET, RESET_LATENCY
+        if draw < 0.3:
+            return AttemptStatus.TIMEOUT, TIMEOUT_LATENCY
+        return ORDINARY_ANSWER
