--- a/tests/cache_router/decisions/test_long_outage.py
+++ b/tests/cache_router/decisions/test_long_outage.py
@@ -5,16 +5,18 @@
 import pytest
 
 from cache_router.decisions.actions import SetTimer
-from tests.support.driver import Driver, settings
+from tests.support.driver import DriverFactory
 from tests.support.router_scenarios import FAILED_CALL
 
 FAILED_CALLS = 1100  # where updates are pushed and calls fail at once, an outage of about three minutes
 
 
 @pytest.mark.parametrize("must_subscribe", [False, True])
-def test_each_failed_call_of_a_long_outage_sets_a_timer_for_the_next(must_subscribe: bool) -> None:
+def test_each_failed_call_of_a_long_outage_sets_a_timer_for_the_next(
+    make_driver: DriverFactory, must_subscribe: bool
+) -> None:
     """A router without the timer of its next call would keep its list when discovery is back."""
-    driver = Driver(settings(must_subscribe=must_subscribe))
+    driver = make_driver(must_subscribe=must_subscribe)
     for call in range(FAILED_CALLS):
         timers = [action for action in driver.handle(FAILED_CALL) if isinstance(action, SetTimer)]
         assert len(timers) == 1, f"call {call}"
