--- a/tests/cache_router/net/test_descriptors.py
+++ b/tests/cache_router/net/test_descriptors.py
@@ -25,6 +25,9 @@
 # those that clients and attempts share; the router keeps the others for everything else
 SHARED_DESCRIPTORS = DESCRIPTOR_LIMIT - 32
 LONG_DEADLINE = "c=read,t=t,d=600000"
+# Seconds, of each class. A server that is silent for the shortest objective gets one attempt at a time:
+# after a longer pause of this process, fewer attempts than descriptors would be in flight.
+LATENCY_OBJECTIVE = 30.0
 
 
 async def poll_until(condition: Callable[[], object]) -> None:
@@ -122,6 +125,8 @@
         entries.append(peer_entry("o", origin, type="store", weight=1.0))
         config["known"]["endpoints"] = entries
         config["limits"] = {"sockets": allowed}
+        for request_class in config["settings"]["classes"]:
+            request_class.update(aim=LATENCY_OBJECTIVE, giveUp=LATENCY_OBJECTIVE)
         if agent_state == "silent":
             await agent.start_listening()
         async with router_process(config, tmp_path / "config.json", DESCRIPTOR_LIMIT) as process:
