--- a/tests/cache_router/net/test_attempt_runner.py
+++ b/tests/cache_router/net/test_attempt_runner.py
@@ -8,7 +8,8 @@
 
 from cache_router.decisions.actions import Action, Cancel, Fail, Reject, Send
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, Event, Request
-from tests.support.loopback import SETTINGS, Router, command, error_text, read
+from tests.support.loopback import command, error_text, read
+from tests.support.loopback_router import SETTINGS, Router
 
 
 async def test_useless_attempts_are_not_sent_and_a_request_is_answered_once(
--- a/tests/cache_router/net/test_client_connection.py
+++ b/tests/cache_router/net/test_client_connection.py
@@ -10,7 +10,8 @@
 from cache_router.net.address import Address
 from cache_router.net.client_connection import MAX_PIPELINED_COMMANDS, ClientConnection, PipelinedReply
 from tests.support.event_order import wait_until
-from tests.support.loopback import HIT, Link, Router, command, error_text, read
+from tests.support.loopback import HIT, Link, command, error_text, read
+from tests.support.loopback_router import Router
 
 
 async def test_replies_are_written_in_the_order_of_the_commands() -> None:
--- a/tests/cache_router/net/test_client_connection_closing.py
+++ b/tests/cache_router/net/test_client_connection_closing.py
@@ -11,7 +11,8 @@
 from cache_router.net.client_connection import ClientConnection
 from cache_router.net.client_connection_table import ClientConnectionTable
 from tests.support.event_order import wait_until
-from tests.support.loopback import Link, Router, error_text, read
+from tests.support.loopback import Link, error_text, read
+from tests.support.loopback_router import Router
 
 
 async def accepted_connection(router: Router, table: ClientConnectionTable) -> tuple[Link, ClientConnection]:
--- a/tests/cache_router/net/test_disconnect_races.py
+++ b/tests/cache_router/net/test_disconnect_races.py
@@ -19,7 +19,8 @@
     record_written_requests,
     wait_until,
 )
-from tests.support.loopback import HIT, MISS, Link, Router, command, http, keyed_write, read
+from tests.support.loopback import HIT, MISS, Link, command, http, keyed_write, read
+from tests.support.loopback_router import Router
 from tests.support.upstream_attempts import GET
 
 # how a client disconnects
--- a/tests/cache_router/net/test_dispatcher.py
+++ b/tests/cache_router/net/test_dispatcher.py
@@ -10,7 +10,8 @@
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, Event, Request
 from cache_router.net import dispatcher
 from cache_router.net.command import COST_HINT_FIELD, Command
-from tests.support.loopback import HIT, MISS, Router, error_text, http, keyed_write, read
+from tests.support.loopback import HIT, MISS, error_text, http, keyed_write, read
+from tests.support.loopback_router import Router
 
 
 @pytest.mark.parametrize(
--- a/tests/cache_router/net/test_endpoint_table.py
+++ b/tests/cache_router/net/test_endpoint_table.py
@@ -18,7 +18,8 @@
 from cache_router.net.endpoint_table import EndpointTable, NetworkEndpoint
 from cache_router.net.origin_connection import OriginConnection
 from tests.support.driver import entry, settings
-from tests.support.loopback import HIT, Router, format_address, network_endpoint
+from tests.support.loopback import HIT, format_address
+from tests.support.loopback_router import Router, network_endpoint
 
 ADDRESS = "127.0.0.1:1"
 A, B = network_endpoint("a", ADDRESS), network_endpoint("b", ADDRESS)
--- a/tests/cache_router/net/test_eviction.py
+++ b/tests/cache_router/net/test_eviction.py
@@ -11,7 +11,8 @@
 
 from cache_router.net import client_connection_table, eviction
 from tests.support.event_order import wait_until
-from tests.support.loopback import HIT, READ, SETTINGS, Link, Router, command, error_text, read
+from tests.support.loopback import HIT, Link, command, error_text, read
+from tests.support.loopback_router import READ, SETTINGS, Router
 
 
 async def test_incomplete_command_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/cache_router/net/test_late_connections.py
+++ b/tests/cache_router/net/test_late_connections.py
@@ -15,7 +15,8 @@
     record_written_requests,
     wait_until,
 )
-from tests.support.loopback import HIT, KEYED_WRITE, READ, SETTINGS, Router, http, keyed_write, read
+from tests.support.loopback import HIT, http, keyed_write, read
+from tests.support.loopback_router import KEYED_WRITE, READ, SETTINGS, Router
 
 
 @pytest.mark.parametrize("change", ["draining", "removed", "restarted"])
--- a/tests/cache_router/net/test_listener.py
+++ b/tests/cache_router/net/test_listener.py
@@ -9,7 +9,8 @@
 import pytest
 
 from cache_router.net import listener
-from tests.support.loopback import HIT, Router, command
+from tests.support.loopback import HIT, command
+from tests.support.loopback_router import Router
 
 
 async def test_failed_accept_is_retried_after_a_delay(
--- a/tests/cache_router/net/test_request_table.py
+++ b/tests/cache_router/net/test_request_table.py
@@ -11,7 +11,8 @@
 from cache_router.net.request_table import RequestInFlight, RequestTable
 from cache_router.net.upstream_attempt import UpstreamAttempt
 from tests.support.event_order import wait_until
-from tests.support.loopback import HIT, Router, error_text, read
+from tests.support.loopback import HIT, error_text, read
+from tests.support.loopback_router import Router
 from tests.support.upstream_attempts import GET
 
 
--- a/tests/cache_router/net/test_unread_disconnects.py
+++ b/tests/cache_router/net/test_unread_disconnects.py
@@ -8,7 +8,8 @@
 
 from cache_router.net import client_connection
 from tests.support.event_order import record_written_requests, wait_until
-from tests.support.loopback import HIT, MISS, Link, Router, command, http, keyed_write, read
+from tests.support.loopback import HIT, MISS, Link, command, http, keyed_write, read
+from tests.support.loopback_router import Router
 
 
 async def disconnect(router: Router, client: Link) -> None:
--- a/tests/cache_router/net/test_upstream_responses.py
+++ b/tests/cache_router/net/test_upstream_responses.py
@@ -8,7 +8,8 @@
 
 from cache_router.net import upstream_connection
 from cache_router.net.origin_connection import OriginConnection
-from tests.support.loopback import HIT, Router, http, keyed_write, read
+from tests.support.loopback import HIT, http, keyed_write, read
+from tests.support.loopback_router import Router
 
 
 async def test_late_second_response_is_not_taken_for_another_request() -> None:
--- a/tests/cache_router/net/test_watch_failures.py
+++ b/tests/cache_router/net/test_watch_failures.py
@@ -8,7 +8,8 @@
 
 from cache_router.settings import WatchBudget
 from tests.support.endpoint_lists import accept_poll, encode_endpoint_list, peer_entry
-from tests.support.loopback import SETTINGS, Link, Peer, Router, http, read_values
+from tests.support.loopback import Link, Peer, http
+from tests.support.loopback_router import SETTINGS, Router, read_values
 
 PUSHED = replace(
     SETTINGS, must_subscribe=False, drain_grace_period=0.5, overload_window=60.0, slow_start_duration=60.0
--- a/tests/cache_router/test_server.py
+++ b/tests/cache_router/test_server.py
@@ -19,7 +19,8 @@
 from cache_router.config import read_config
 from tests.support.coroutine_tests import DEFAULT_TIME_LIMIT
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
-from tests.support.loopback import HIT, Peer, format_address, http, read, read_values
+from tests.support.loopback import HIT, Peer, format_address, http, read
+from tests.support.loopback_router import read_values
 from tests.support.router_process import (
     CACHED_LIST,
     VALID_CONFIG,
--- a/tests/cache_router/test_shutdown.py
+++ b/tests/cache_router/test_shutdown.py
@@ -14,7 +14,8 @@
 from tests.support.coroutine_tests import DEFAULT_TIME_LIMIT
 from tests.support.endpoint_lists import encode_endpoint_list
 from tests.support.event_order import wait_until
-from tests.support.loopback import HIT, KEYED_WRITE, MISS, READ, SETTINGS, Link, Peer, Router, http, read
+from tests.support.loopback import HIT, MISS, Link, Peer, http, read
+from tests.support.loopback_router import KEYED_WRITE, READ, SETTINGS, Router
 from tests.support.router_process import config_with_cache, connected_client, listen_address, router_process
 
 
--- a/tests/support/event_order.py
+++ b/tests/support/event_order.py
@@ -10,7 +10,8 @@
 
 from cache_router.net.upstream_attempt import UpstreamAttempt
 from cache_router.net.upstream_connection import UpstreamConnection
-from tests.support.loopback import Link, Peer, Router
+from tests.support.loopback import Link, Peer
+from tests.support.loopback_router import Router
 
 
 class DelayedConnections:
