--- /dev/null
+++ b/tests/cache_router/conftest.py
@@ -0,0 +1,38 @@
+"""Fixtures that the router's tests on loopback share."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import AsyncIterator, Callable
+
+import pytest
+
+from tests.support.coroutine_tests import DEFAULT_TIME_LIMIT, LoopErrors
+from tests.support.loopback import Peer
+from tests.support.loopback_router import Router
+
+
+@pytest.fixture
+async def peer() -> AsyncIterator[Peer]:
+    """A listening server whose responses the test writes."""
+    async with Peer() as peer:
+        yield peer
+
+
+@pytest.fixture
+async def router(
+    request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch, loop_errors: LoopErrors
+) -> AsyncIterator[Router]:
+    """A running router between two cache servers and an origin; `router_with` changes its options.
+
+    It requests `monkeypatch`, so that what a test replaces stays replaced until the router has stopped. The
+    time limit of a test does not cover its fixtures, which therefore have their own.
+    """
+    asyncio.get_running_loop().set_exception_handler(lambda _, context: loop_errors.append(context))
+    create: Callable[[], Router] = getattr(request, "param", Router)
+    router = create()
+    async with asyncio.timeout(DEFAULT_TIME_LIMIT):
+        await router.__aenter__()
+    yield router
+    async with asyncio.timeout(DEFAULT_TIME_LIMIT):
+        await router.__aexit__(None, None, None)
--- a/tests/cache_router/net/test_cache_connection.py
+++ b/tests/cache_router/net/test_cache_connection.py
@@ -25,20 +25,21 @@
         (b"-ERR failed inflight=7,queue=2\r\n", AttemptStatus.ERROR, b""),
     ],
 )
-async def test_responses_of_a_cache_server(response: bytes, status: AttemptStatus, value: bytes) -> None:
+async def test_responses_of_a_cache_server(
+    peer: Peer, response: bytes, status: AttemptStatus, value: bytes
+) -> None:
     """Only an error that starts with BUSY is a rejection; after any other error the request may have run."""
-    async with Peer() as peer:
-        attempts = cache_attempts()
-        attempts.start(peer.address)
-        link = await peer.link()
-        *parts, info = await link.resp()
-        assert parts == [b"C.GET", b"k", b"r1"]
-        assert info_without_deadline(info.decode()) == "c=read"
-        link.write(response)
-        assert await attempts.outcome() == (status, value)
-        attempts.start(peer.address)  # and the connection is used again
-        await link.resp()
-        attempts.pool.close()
+    attempts = cache_attempts()
+    attempts.start(peer.address)
+    link = await peer.link()
+    *parts, info = await link.resp()
+    assert parts == [b"C.GET", b"k", b"r1"]
+    assert info_without_deadline(info.decode()) == "c=read"
+    link.write(response)
+    assert await attempts.outcome() == (status, value)
+    attempts.start(peer.address)  # and the connection is used again
+    await link.resp()
+    attempts.pool.close()
 
 
 @pytest.mark.parametrize(
@@ -56,12 +57,11 @@
         b"*3\r\n$3\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n",
     ],
 )
-async def test_malformed_response_is_an_error_and_closes_its_connection(response: bytes) -> None:
+async def test_malformed_response_is_an_error_and_closes_its_connection(peer: Peer, response: bytes) -> None:
     """What follows on such a connection can't be distinguished from the response to a later request."""
-    async with Peer() as peer:
-        attempts = cache_attempts()
-        link = await attempts.start_on(peer)
-        link.write(response)
-        assert await attempts.outcome() == (AttemptStatus.ERROR, b"")
-        assert await link.closed_by_peer()
-        assert attempts.pool.established_count == 0
+    attempts = cache_attempts()
+    link = await attempts.start_on(peer)
+    link.write(response)
+    assert await attempts.outcome() == (AttemptStatus.ERROR, b"")
+    assert await link.closed_by_peer()
+    assert attempts.pool.established_count == 0
--- a/tests/cache_router/net/test_client_connection.py
+++ b/tests/cache_router/net/test_client_connection.py
@@ -11,20 +11,19 @@
 from cache_router.net.client_connection import MAX_PIPELINED_COMMANDS, ClientConnection, PipelinedReply
 from tests.support.event_order import wait_until
 from tests.support.loopback import HIT, Link, command, error_text, read
-from tests.support.loopback_router import Router
+from tests.support.loopback_router import Router, router_with
 
 
-async def test_replies_are_written_in_the_order_of_the_commands() -> None:
+async def test_replies_are_written_in_the_order_of_the_commands(router: Router) -> None:
     """RESP replies carry no id: in another order a client would take one value for another."""
-    async with Router() as router:
-        client = await router.client()
-        client.write(read("r1") + read("r2") + command("PING"))
-        caches = [await router.cache(), await router.cache()]
-        by_request = {(await cache.resp())[2]: cache for cache in caches}
-        by_request[b"r2"].write(HIT.replace(b"value", b"later"))
-        await wait_until(lambda: "r2" not in router.dispatcher.requests)
-        by_request[b"r1"].write(HIT)
-        assert [await client.resp() for _ in range(3)] == [b"value", b"later", b"PONG"]
+    client = await router.client()
+    client.write(read("r1") + read("r2") + command("PING"))
+    caches = [await router.cache(), await router.cache()]
+    by_request = {(await cache.resp())[2]: cache for cache in caches}
+    by_request[b"r2"].write(HIT.replace(b"value", b"later"))
+    await wait_until(lambda: "r2" not in router.dispatcher.requests)
+    by_request[b"r1"].write(HIT)
+    assert [await client.resp() for _ in range(3)] == [b"value", b"later", b"PONG"]
 
 
 INVALID_COMMANDS = [
@@ -59,14 +58,15 @@
 
 
 @pytest.mark.parametrize(("sent", "expected"), INVALID_COMMANDS)
-async def test_invalid_command_gets_an_error_and_keeps_its_connection(sent: bytes, expected: str) -> None:
+async def test_invalid_command_gets_an_error_and_keeps_its_connection(
+    router: Router, sent: bytes, expected: str
+) -> None:
     """Such a command is complete: what follows can be read."""
-    async with Router() as router:
-        client = await router.client()
-        client.write(sent + command("PING"))
-        assert expected in error_text(await client.resp())
-        assert await client.resp() == b"PONG"
-        assert not router.dispatcher.requests
+    client = await router.client()
+    client.write(sent + command("PING"))
+    assert expected in error_text(await client.resp())
+    assert await client.resp() == b"PONG"
+    assert not router.dispatcher.requests
 
 
 @pytest.mark.parametrize(
@@ -85,55 +85,51 @@
         b"*1\r\n" * 9,
     ],
 )
-async def test_framing_error_closes_the_connection(sent: bytes) -> None:
+async def test_framing_error_closes_the_connection(router: Router, sent: bytes) -> None:
     """What follows might be a part of a value, and would be executed as a command."""
-    async with Router() as router:
-        client, other = await router.client(), await router.client()
-        client.write(sent)
-        assert error_text(await client.resp()).startswith("ERR")
-        assert await client.closed_by_peer()
-        await other.ping()
+    client, other = await router.client(), await router.client()
+    client.write(sent)
+    assert error_text(await client.resp()).startswith("ERR")
+    assert await client.closed_by_peer()
+    await other.ping()
 
 
-async def test_nothing_is_read_after_a_framing_error() -> None:
+async def test_nothing_is_read_after_a_framing_error(router: Router) -> None:
     """Otherwise input would be buffered without limit while an earlier reply is pending."""
-    async with Router() as router:
-        client, cache = await router.start_read()
-        client.write(b"noise\r\n" + b"x" * 100_000)
-        (connection,) = router.client_connections()
-        await wait_until(lambda: connection.pending_replies == 2)  # the last one is the error
-        assert not connection.is_reading()
-        assert not connection.has_buffered_input()
-        cache.write(HIT)
-        assert await client.resp() == b"value"
-        assert error_text(await client.resp()).startswith("ERR")
-        assert await client.closed_by_peer()
-
-
-async def test_connection_is_throttled_after_errors() -> None:
+    client, cache = await router.start_read()
+    client.write(b"noise\r\n" + b"x" * 100_000)
+    (connection,) = router.client_connections()
+    await wait_until(lambda: connection.pending_replies == 2)  # the last one is the error
+    assert not connection.is_reading()
+    assert not connection.has_buffered_input()
+    cache.write(HIT)
+    assert await client.resp() == b"value"
+    assert error_text(await client.resp()).startswith("ERR")
+    assert await client.closed_by_peer()
+
+
+async def test_connection_is_throttled_after_errors(router: Router) -> None:
     """A client that repeats a rejected command at once would take up all processor time."""
-    async with Router() as router:
-        loop = asyncio.get_running_loop()
-        client = await router.client()
-        started_at = loop.time()
-        client.write(read("r1", info="c=unheard-of,d=900") * 3)
-        for _ in range(3):
-            error_text(await client.resp())
-        assert loop.time() - started_at >= 2 * client_connection.ERROR_THROTTLE_TIME - 0.01
+    loop = asyncio.get_running_loop()
+    client = await router.client()
+    started_at = loop.time()
+    client.write(read("r1", info="c=unheard-of,d=900") * 3)
+    for _ in range(3):
+        error_text(await client.resp())
+    assert loop.time() - started_at >= 2 * client_connection.ERROR_THROTTLE_TIME - 0.01
 
 
-async def test_commands_beyond_the_pipeline_limit_are_processed_later() -> None:
+async def test_commands_beyond_the_pipeline_limit_are_processed_later(router: Router) -> None:
     """They stay in the buffer until earlier replies are written."""
-    async with Router() as router:
-        client = await router.client()
-        request_ids = [f"r{n}" for n in range(3 * MAX_PIPELINED_COMMANDS)]
-        client.write(b"".join(read(n, info="c=read,t=x,d=1") for n in request_ids) + read("last"))
-        cache = await router.cache()
-        assert (await cache.resp())[2] == b"last"
-        cache.write(HIT)
-        for _ in request_ids:
-            error_text(await client.resp())
-        assert await client.resp() == b"value"
+    client = await router.client()
+    request_ids = [f"r{n}" for n in range(3 * MAX_PIPELINED_COMMANDS)]
+    client.write(b"".join(read(n, info="c=read,t=x,d=1") for n in request_ids) + read("last"))
+    cache = await router.cache()
+    assert (await cache.resp())[2] == b"last"
+    cache.write(HIT)
+    for _ in request_ids:
+        error_text(await client.resp())
+    assert await client.resp() == b"value"
 
 
 async def client_with_full_pipeline(router: Router) -> tuple[Link, ClientConnection]:
@@ -146,52 +142,49 @@
     return client, connection
 
 
-async def test_number_of_pipelined_commands_is_bounded() -> None:
+async def test_number_of_pipelined_commands_is_bounded(router: Router) -> None:
     """Otherwise one client could make the router hold any number of requests."""
-    async with Router() as router:
-        _client, connection = await client_with_full_pipeline(router)
-        assert connection.pending_replies == MAX_PIPELINED_COMMANDS
-        assert not connection.is_reading()
+    _client, connection = await client_with_full_pipeline(router)
+    assert connection.pending_replies == MAX_PIPELINED_COMMANDS
+    assert not connection.is_reading()
 
 
-async def test_no_request_is_accepted_from_a_closing_connection() -> None:
+async def test_no_request_is_accepted_from_a_closing_connection(router: Router) -> None:
     """Its client has disconnected: the request would be processed until its deadline for nobody."""
-    async with Router() as router:
-        _client, connection = await client_with_full_pipeline(router)
-        connection.abort()
-        router.dispatcher.requests.respond("r0", b"-ERR failed\r\n")
-        await wait_until(lambda: not connection.pending_replies)
-        await asyncio.sleep(0)
-        # the decision module was not notified of the reply above, and has not removed it
-        assert set(router.dispatcher.requests) == {"r0"}
+    _client, connection = await client_with_full_pipeline(router)
+    connection.abort()
+    router.dispatcher.requests.respond("r0", b"-ERR failed\r\n")
+    await wait_until(lambda: not connection.pending_replies)
+    await asyncio.sleep(0)
+    # the decision module was not notified of the reply above, and has not removed it
+    assert set(router.dispatcher.requests) == {"r0"}
 
 
-async def test_ping_fails_until_a_cache_server_is_known() -> None:
+@router_with(with_endpoints=False)
+async def test_ping_fails_until_a_cache_server_is_known(router: Router) -> None:
     """Health checks must not direct clients to a router that can't serve them."""
-    async with Router(with_endpoints=False) as router:
-        client = await router.client()
-        client.write(command("PING"))
-        assert "no cache server" in error_text(await client.resp())
-        router.list_caches("a")
-        await client.ping()
+    client = await router.client()
+    client.write(command("PING"))
+    assert "no cache server" in error_text(await client.resp())
+    router.list_caches("a")
+    await client.ping()
 
 
 async def test_exception_closes_only_the_connection_that_caused_it(
-    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+    router: Router, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Otherwise one request that the code can't handle would end the router and all requests in flight."""
-    async with Router() as router:
-        other = await router.client()
-        first, cache = await router.start_read()
-        with monkeypatch.context() as patch:
-            patch.setattr(router.dispatcher, "accept", None)
-            first.write(read("r2"))
-            assert await first.closed_by_peer()
-        assert await cache.closed_by_peer()
-        assert not router.dispatcher.router.pending
-        client_address = Address(*first.writer.get_extra_info("sockname"))
-        assert f"connection of client {client_address}" in caplog.text
-        await other.ping()
+    other = await router.client()
+    first, cache = await router.start_read()
+    with monkeypatch.context() as patch:
+        patch.setattr(router.dispatcher, "accept", None)
+        first.write(read("r2"))
+        assert await first.closed_by_peer()
+    assert await cache.closed_by_peer()
+    assert not router.dispatcher.router.pending
+    client_address = Address(*first.writer.get_extra_info("sockname"))
+    assert f"connection of client {client_address}" in caplog.text
+    await other.ping()
 
 
 def test_pipelined_reply_has_a_request_until_it_is_rejected() -> None:
--- a/tests/cache_router/net/test_client_connection_closing.py
+++ b/tests/cache_router/net/test_client_connection_closing.py
@@ -12,7 +12,7 @@
 from cache_router.net.client_connection_table import ClientConnectionTable
 from tests.support.event_order import wait_until
 from tests.support.loopback import Link, error_text, read
-from tests.support.loopback_router import Router
+from tests.support.loopback_router import Router, router_with
 
 
 async def accepted_connection(router: Router, table: ClientConnectionTable) -> tuple[Link, ClientConnection]:
@@ -26,35 +26,35 @@
 
 
 @pytest.mark.parametrize("cause", ["abort", "reset"])
-async def test_closed_connection_is_removed_from_the_table(cause: str) -> None:
+async def test_closed_connection_is_removed_from_the_table(router: Router, cause: str) -> None:
     """A closed connection has no socket: examining it stopped the listener, and nobody could connect."""
-    async with Router() as router:
-        table = ClientConnectionTable()
-        client, connection = await accepted_connection(router, table)
-        other, remaining = await accepted_connection(router, table)
-        client.write(read("r1", info="c=unheard-of,d=900"))
-        error_text(await client.resp())
-        if cause == "abort":
-            connection.abort()
-            assert list(table) == [remaining]
-        else:
-            client.reset()
-            await wait_until(lambda: list(table) == [remaining])
-        await asyncio.sleep(2 * client_connection.ERROR_THROTTLE_TIME)
-        await other.ping()
-        assert list(table) == list(table.idle_since) == [remaining]
-        assert not table.awaiting_command_since
-        remaining.abort()
-
-
-async def test_aborted_connection_leaves_the_table_before_the_event_loop_reports_it_lost() -> None:
-    """The evictor compares the table's size with its budget again at once, and would evict one more."""
-    async with Router() as router:
-        client = await client_after_ping(router)
-        (connection,) = router.client_connections()
+    table = ClientConnectionTable()
+    client, connection = await accepted_connection(router, table)
+    other, remaining = await accepted_connection(router, table)
+    client.write(read("r1", info="c=unheard-of,d=900"))
+    error_text(await client.resp())
+    if cause == "abort":
         connection.abort()
-        assert not router.client_connections()
-        assert await client.closed_by_peer()
+        assert list(table) == [remaining]
+    else:
+        client.reset()
+        await wait_until(lambda: list(table) == [remaining])
+    await asyncio.sleep(2 * client_connection.ERROR_THROTTLE_TIME)
+    await other.ping()
+    assert list(table) == list(table.idle_since) == [remaining]
+    assert not table.awaiting_command_since
+    remaining.abort()
+
+
+async def test_aborted_connection_leaves_the_table_before_the_event_loop_reports_it_lost(
+    router: Router,
+) -> None:
+    """The evictor compares the table's size with its budget again at once, and would evict one more."""
+    client = await client_after_ping(router)
+    (connection,) = router.client_connections()
+    connection.abort()
+    assert not router.client_connections()
+    assert await client.closed_by_peer()
 
 
 async def client_after_ping(router: Router) -> Link:
@@ -64,25 +64,24 @@
     return client
 
 
-async def test_closing_connection_gets_no_further_error() -> None:
+async def test_closing_connection_gets_no_further_error(router: Router) -> None:
     """A reply after the close would be written to a transport that discards it."""
-    async with Router() as router:
-        client = await client_after_ping(router)
-        (connection,) = router.client_connections()
-        connection.close_if_between_requests()
-        connection.close_with_error("-ERR late")
-        assert not connection.pending_replies
-        assert await client.closed_by_peer()
+    client = await client_after_ping(router)
+    (connection,) = router.client_connections()
+    connection.close_if_between_requests()
+    connection.close_with_error("-ERR late")
+    assert not connection.pending_replies
+    assert await client.closed_by_peer()
 
 
-async def test_clients_are_accepted_after_a_throttled_connection_has_closed() -> None:
+@router_with(max_clients=1)
+async def test_clients_are_accepted_after_a_throttled_connection_has_closed(router: Router) -> None:
     """The end of throttling must not bring the connection back, also not at the connection limit."""
-    async with Router(max_clients=1) as router:
-        client = await router.client()
-        client.write(read("r1", info="c=unheard-of,d=900"))
-        error_text(await client.resp())
-        client.reset()
-        await wait_until(lambda: not router.client_connections())
-        await asyncio.sleep(2 * client_connection.ERROR_THROTTLE_TIME)
-        for _ in range(2):
-            await (await router.client()).ping()
+    client = await router.client()
+    client.write(read("r1", info="c=unheard-of,d=900"))
+    error_text(await client.resp())
+    client.reset()
+    await wait_until(lambda: not router.client_connections())
+    await asyncio.sleep(2 * client_connection.ERROR_THROTTLE_TIME)
+    for _ in range(2):
+        await (await router.client()).ping()
--- a/tests/cache_router/net/test_connection_pool.py
+++ b/tests/cache_router/net/test_connection_pool.py
@@ -11,34 +11,32 @@
 from tests.support.upstream_attempts import cache_attempts
 
 
-async def test_longest_idle_connection_is_used_first() -> None:
+async def test_longest_idle_connection_is_used_first(peer: Peer) -> None:
     """A late second response would come after the next request, and be taken for its response."""
-    async with Peer() as peer:
-        attempts = cache_attempts()
-        links = [await attempts.start_on(peer) for _ in range(2)]
-        for link in links:
-            link.write(HIT)
-            assert await attempts.outcome() == (AttemptStatus.OK, b"value")
-        links[1].write(HIT)  # a second response
-        attempts.start(peer.address)
-        await links[0].resp()
-        assert await links[1].closed_by_peer()
-        links[0].write(MISS)
-        assert await attempts.outcome() == (AttemptStatus.MISS, b"")
-        attempts.pool.close()
+    attempts = cache_attempts()
+    links = [await attempts.start_on(peer) for _ in range(2)]
+    for link in links:
+        link.write(HIT)
+        assert await attempts.outcome() == (AttemptStatus.OK, b"value")
+    links[1].write(HIT)  # a second response
+    attempts.start(peer.address)
+    await links[0].resp()
+    assert await links[1].closed_by_peer()
+    links[0].write(MISS)
+    assert await attempts.outcome() == (AttemptStatus.MISS, b"")
+    attempts.pool.close()
 
 
-async def test_connection_to_an_earlier_incarnation_is_not_used() -> None:
+async def test_connection_to_an_earlier_incarnation_is_not_used(peer: Peer) -> None:
     """A machine that has failed never closes it; a request written to it would wait for its deadline."""
-    async with Peer() as peer:
-        attempts = cache_attempts()
-        link = await attempts.start_on(peer)
-        link.write(HIT)
-        await attempts.outcome()
-        attempts.start(peer.address, incarnation="another")
-        assert await link.closed_by_peer()
-        assert (await (await peer.link()).resp())[2] == b"r1"
-        attempts.pool.close()
+    attempts = cache_attempts()
+    link = await attempts.start_on(peer)
+    link.write(HIT)
+    await attempts.outcome()
+    attempts.start(peer.address, incarnation="another")
+    assert await link.closed_by_peer()
+    assert (await (await peer.link()).resp())[2] == b"r1"
+    attempts.pool.close()
 
 
 async def test_refused_connection_is_a_failed_connect() -> None:
@@ -83,15 +81,14 @@
         second.close()
 
 
-async def test_idle_connection_is_closed_before_its_server_would() -> None:
+async def test_idle_connection_is_closed_before_its_server_would(peer: Peer) -> None:
     """A request written just as the server closes the connection is lost."""
-    async with Peer() as peer:
-        attempts = cache_attempts(idle_timeout=connection_pool.IDLE_MARGIN + 0.01)
-        link = await attempts.start_on(peer)
-        link.write(HIT)
-        assert await attempts.outcome() == (AttemptStatus.OK, b"value")
-        assert await link.closed_by_peer()
-        assert attempts.pool.established_count == 0
+    attempts = cache_attempts(idle_timeout=connection_pool.IDLE_MARGIN + 0.01)
+    link = await attempts.start_on(peer)
+    link.write(HIT)
+    assert await attempts.outcome() == (AttemptStatus.OK, b"value")
+    assert await link.closed_by_peer()
+    assert attempts.pool.established_count == 0
 
 
 async def test_connections_stay_within_their_limit() -> None:
--- a/tests/cache_router/net/test_disconnect_races.py
+++ b/tests/cache_router/net/test_disconnect_races.py
@@ -20,7 +20,7 @@
     wait_until,
 )
 from tests.support.loopback import HIT, MISS, Link, command, http, keyed_write, read
-from tests.support.loopback_router import Router
+from tests.support.loopback_router import Router, router_with
 from tests.support.upstream_attempts import GET
 
 # how a client disconnects
@@ -88,115 +88,112 @@
 
 
 @pytest.mark.parametrize("how", DISCONNECTS)
+@router_with(max_clients=1)
 async def test_request_of_a_client_that_disconnected_in_the_backlog_is_not_forwarded(
-    how: str, monkeypatch: pytest.MonkeyPatch
+    router: Router, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The connection is accepted, and its request read, only long after the disconnect."""
-    async with Router(max_clients=1) as router:
-        router.list_caches("a")
-        regular, cache = await router.client(), (await open_idle_connections(router))["a"]
-        written = record_written_requests(monkeypatch)
-        regular.write(read("u1"))
-        assert (await cache.resp())[2] == b"u1"
-        surplus = await router.client()  # one above the limit: later ones stay in the backlog
-        surplus.write(read("u2"))
-        other = await router.caches["a"].link()
-        assert (await other.resp())[2] == b"u2"
-        client = blocking_client(router)
-        client.sendall(read("r1"))
-        disconnect_blocking_client(client, how)
-        cache.write(HIT)
-        assert await regular.resp() == b"value"
-        last = await router.client()
-        await last.ping()  # so that the client before it has been accepted
-        other.write(HIT)
-        assert await surplus.resp() == b"value"
-        client.close()
-        await wait_until_settled(router)
-        assert "r1" not in written
+    router.list_caches("a")
+    regular, cache = await router.client(), (await open_idle_connections(router))["a"]
+    written = record_written_requests(monkeypatch)
+    regular.write(read("u1"))
+    assert (await cache.resp())[2] == b"u1"
+    surplus = await router.client()  # one above the limit: later ones stay in the backlog
+    surplus.write(read("u2"))
+    other = await router.caches["a"].link()
+    assert (await other.resp())[2] == b"u2"
+    client = blocking_client(router)
+    client.sendall(read("r1"))
+    disconnect_blocking_client(client, how)
+    cache.write(HIT)
+    assert await regular.resp() == b"value"
+    last = await router.client()
+    await last.ping()  # so that the client before it has been accepted
+    other.write(HIT)
+    assert await surplus.resp() == b"value"
+    client.close()
+    await wait_until_settled(router)
+    assert "r1" not in written
 
 
 @pytest.mark.parametrize("how", DISCONNECTS)
 @pytest.mark.parametrize("cause", ["pipeline", "error", "slow", "lag"])
 async def test_request_read_after_its_client_disconnected_is_not_forwarded(
-    cause: str, how: str, monkeypatch: pytest.MonkeyPatch
+    router: Router, cause: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The end of the stream comes after the request, and may be read only long after it."""
-    async with Router() as router:
-        router.list_caches("a")
-        cache = (await open_idle_connections(router))["a"]
-        written = record_written_requests(monkeypatch)
-        client = blocking_client(router)
-        connection = await connection_of(router, client)
-        if cause == "pipeline":
-            monkeypatch.setattr(client_connection, "MAX_PIPELINED_COMMANDS", 1)
-            client.sendall(read("r0"))
-            assert (await cache.resp())[2] == b"r0"
-        elif cause == "error":
-            client.sendall(command("GET", "k"))
-            await wait_until(connection.is_throttled_only)
-        elif cause == "slow":
-            connection.pause_writing()
-        client.sendall(read("r1"))
-        disconnect_blocking_client(client, how)
-        if cause == "pipeline":
-            cache.write(HIT)
-        elif cause == "slow":
-            connection.resume_writing()
-        await wait_until(lambda: connection not in router.client_connections())
-        client.close()
-        await wait_until_settled(router)
-        assert "r1" not in written
+    router.list_caches("a")
+    cache = (await open_idle_connections(router))["a"]
+    written = record_written_requests(monkeypatch)
+    client = blocking_client(router)
+    connection = await connection_of(router, client)
+    if cause == "pipeline":
+        monkeypatch.setattr(client_connection, "MAX_PIPELINED_COMMANDS", 1)
+        client.sendall(read("r0"))
+        assert (await cache.resp())[2] == b"r0"
+    elif cause == "error":
+        client.sendall(command("GET", "k"))
+        await wait_until(connection.is_throttled_only)
+    elif cause == "slow":
+        connection.pause_writing()
+    client.sendall(read("r1"))
+    disconnect_blocking_client(client, how)
+    if cause == "pipeline":
+        cache.write(HIT)
+    elif cause == "slow":
+        connection.resume_writing()
+    await wait_until(lambda: connection not in router.client_connections())
+    client.close()
+    await wait_until_settled(router)
+    assert "r1" not in written
 
 
 @pytest.mark.parametrize("how", DISCONNECTS)
 async def test_nothing_is_written_for_a_client_that_disconnected_just_before_the_connection_is_established(
-    how: str, monkeypatch: pytest.MonkeyPatch
+    router: Router, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The event loop handles the new connection first, and the client's disconnect right after it."""
-    async with Router() as router:
-        _links = await open_idle_connections(router)
-        written = record_written_requests(monkeypatch)
-        connections = DelayedConnections(monkeypatch, *router.caches.values())
-        client = blocking_client(router)
-        await connection_of(router, client)
-        for cache in router.caches.values():
-            router.cache_pool.close_idle(cache.address)
-        assert router.cache_pool.idle_count == 0
-        client.sendall(read("r1"))
-        await first_connection(router)
-        disconnect_blocking_client(client, how)
-        connections.released.set()
-        await wait_until_settled(router)
-        assert written == []
-        client.close()
+    _links = await open_idle_connections(router)
+    written = record_written_requests(monkeypatch)
+    connections = DelayedConnections(monkeypatch, *router.caches.values())
+    client = blocking_client(router)
+    await connection_of(router, client)
+    for cache in router.caches.values():
+        router.cache_pool.close_idle(cache.address)
+    assert router.cache_pool.idle_count == 0
+    client.sendall(read("r1"))
+    await first_connection(router)
+    disconnect_blocking_client(client, how)
+    connections.released.set()
+    await wait_until_settled(router)
+    assert written == []
+    client.close()
 
 
 @pytest.mark.parametrize("how", DISCONNECTS)
 @pytest.mark.parametrize("cause", ["miss", "reset", "timer"])
 async def test_read_is_not_attempted_again_for_a_client_that_disconnected_at_the_same_time(
-    cause: str, how: str, monkeypatch: pytest.MonkeyPatch
+    router: Router, cause: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The event loop handles what causes the attempt first, and the client's disconnect right after it."""
-    async with Router() as router:
-        links = await open_idle_connections(router)
-        written = record_written_requests(monkeypatch)
-        DelayedConnections(monkeypatch, *router.caches.values())
-        client = blocking_client(router)
-        await connection_of(router, client)
-        client.sendall(read("r1"))
-        cache = await next_reader(links)
-        if cause == "miss":
-            cache.write(MISS)
-        elif cause == "reset":
-            cache.reset()
-            await asyncio.sleep(0)  # in which the reset is sent
-        disconnect_blocking_client(client, how)
-        if cause == "timer":
-            fire_hedge_timer(router, monkeypatch)
-        await wait_until_settled(router)
-        assert written == ["r1"]
-        client.close()
+    links = await open_idle_connections(router)
+    written = record_written_requests(monkeypatch)
+    DelayedConnections(monkeypatch, *router.caches.values())
+    client = blocking_client(router)
+    await connection_of(router, client)
+    client.sendall(read("r1"))
+    cache = await next_reader(links)
+    if cause == "miss":
+        cache.write(MISS)
+    elif cause == "reset":
+        cache.reset()
+        await asyncio.sleep(0)  # in which the reset is sent
+    disconnect_blocking_client(client, how)
+    if cause == "timer":
+        fire_hedge_timer(router, monkeypatch)
+    await wait_until_settled(router)
+    assert written == ["r1"]
+    client.close()
 
 
 def fire_hedge_timer(router: Router, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -211,19 +208,18 @@
 
 @pytest.mark.parametrize("how", DISCONNECTS)
 async def test_rejected_write_is_not_attempted_again_for_a_client_that_disconnected_at_the_same_time(
-    how: str, monkeypatch: pytest.MonkeyPatch
+    router: Router, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The event loop handles the rejection first, and the client's disconnect right after it."""
-    async with Router() as router:
-        links = await open_idle_connections(router)
-        origin = links["o"]
-        written = record_written_requests(monkeypatch)
-        client = blocking_client(router)
-        await connection_of(router, client)
-        client.sendall(keyed_write("r1"))
-        await origin.http()
-        origin.write(http("503 Busy", b"", "Not-Started: 1"))
-        disconnect_blocking_client(client, how)
-        await wait_until_settled(router)
-        assert written == ["r1"]
-        client.close()
+    links = await open_idle_connections(router)
+    origin = links["o"]
+    written = record_written_requests(monkeypatch)
+    client = blocking_client(router)
+    await connection_of(router, client)
+    client.sendall(keyed_write("r1"))
+    await origin.http()
+    origin.write(http("503 Busy", b"", "Not-Started: 1"))
+    disconnect_blocking_client(client, how)
+    await wait_until_settled(router)
+    assert written == ["r1"]
+    client.close()
--- a/tests/cache_router/net/test_discovery.py
+++ b/tests/cache_router/net/test_discovery.py
@@ -14,36 +14,32 @@
 from tests.support.loopback import Peer, http
 
 
-async def test_watch_continues_from_the_received_index() -> None:
+async def test_watch_continues_from_the_received_index(peer: Peer) -> None:
     """Each poll asks for what is newer than the last update."""
-    async with Peer() as peer:
-        recorder = WatchRecorder(peer)
-        first, link = await accept_poll(peer)
-        assert first == "GET /registry/instances?after=41&wait_ms=1000 HTTP/1.1"
-        link.write(
-            http("200 OK", encode_endpoint_list(43, False, {**ENDPOINT_ENTRY, "status": "terminating"}))
-        )
-        kind, (endpoint,) = await recorder.next_update()
-        assert kind is EndpointUpdateKind.DELTA
-        assert endpoint.entry.state is EndpointState.DRAINING
-        first, link = await accept_poll(peer)
-        assert "after=43&" in first
-        link.write(http("200 OK", encode_endpoint_list(50, True, ENDPOINT_ENTRY)))
-        assert (await recorder.next_update())[0] is EndpointUpdateKind.SNAPSHOT
-        assert "after=50&" in (await accept_poll(peer))[0]
-        recorder.discovery.close()
-
-
-async def test_subscribing_during_a_watch_makes_no_second_poll() -> None:
+    recorder = WatchRecorder(peer)
+    first, link = await accept_poll(peer)
+    assert first == "GET /registry/instances?after=41&wait_ms=1000 HTTP/1.1"
+    link.write(http("200 OK", encode_endpoint_list(43, False, {**ENDPOINT_ENTRY, "status": "terminating"})))
+    kind, (endpoint,) = await recorder.next_update()
+    assert kind is EndpointUpdateKind.DELTA
+    assert endpoint.entry.state is EndpointState.DRAINING
+    first, link = await accept_poll(peer)
+    assert "after=43&" in first
+    link.write(http("200 OK", encode_endpoint_list(50, True, ENDPOINT_ENTRY)))
+    assert (await recorder.next_update())[0] is EndpointUpdateKind.SNAPSHOT
+    assert "after=50&" in (await accept_poll(peer))[0]
+    recorder.discovery.close()
+
+
+async def test_subscribing_during_a_watch_makes_no_second_poll(peer: Peer) -> None:
     """One poll is in flight at a time, also when the decisions subscribe again."""
-    async with Peer() as peer:
-        recorder = WatchRecorder(peer)
-        recorder.discovery.subscribe()
-        _, link = await accept_poll(peer)
-        link.write(http("200 OK", encode_endpoint_list(42, False)))
-        await recorder.updates.get()
-        assert "after=42&" in (await accept_poll(peer))[0]  # and none after 41 before it
-        recorder.discovery.close()
+    recorder = WatchRecorder(peer)
+    recorder.discovery.subscribe()
+    _, link = await accept_poll(peer)
+    link.write(http("200 OK", encode_endpoint_list(42, False)))
+    await recorder.updates.get()
+    assert "after=42&" in (await accept_poll(peer))[0]  # and none after 41 before it
+    recorder.discovery.close()
 
 
 @pytest.mark.parametrize(
@@ -59,17 +55,18 @@
         b"",
     ],
 )
-async def test_failed_poll_is_notified_and_the_next_continues_from_the_last_index(response: bytes) -> None:
+async def test_failed_poll_is_notified_and_the_next_continues_from_the_last_index(
+    peer: Peer, response: bytes
+) -> None:
     """An incomplete list applied would remove ready servers; an exception would end the watch."""
-    async with Peer() as peer:
-        recorder = WatchRecorder(peer)
-        _, link = await accept_poll(peer)
-        link.write(response)
-        link.close()
-        assert await recorder.updates.get() is None
-        recorder.discovery.subscribe()
-        assert "after=41&" in (await accept_poll(peer))[0]
-        recorder.discovery.close()
+    recorder = WatchRecorder(peer)
+    _, link = await accept_poll(peer)
+    link.write(response)
+    link.close()
+    assert await recorder.updates.get() is None
+    recorder.discovery.subscribe()
+    assert "after=41&" in (await accept_poll(peer))[0]
+    recorder.discovery.close()
 
 
 async def test_refused_connection_is_notified_as_a_failed_poll() -> None:
@@ -79,32 +76,28 @@
     assert await WatchRecorder(peer).updates.get() is None
 
 
-async def test_poll_of_a_silent_discovery_times_out() -> None:
+async def test_poll_of_a_silent_discovery_times_out(peer: Peer) -> None:
     """Its changes count as notified: a router that waited longer would send to draining servers."""
-    async with Peer() as peer:
-        recorder = WatchRecorder(
-            peer,
-            WatchBudget(
-                response_timeout=0.05, max_backoff=0.0, scheduling_slack=0.0, notification_deadline=0.15
-            ),
-        )
-        _, link = await accept_poll(peer)
-        assert await recorder.updates.get() is None
-        assert await link.closed_by_peer()
+    recorder = WatchRecorder(
+        peer,
+        WatchBudget(response_timeout=0.05, max_backoff=0.0, scheduling_slack=0.0, notification_deadline=0.15),
+    )
+    _, link = await accept_poll(peer)
+    assert await recorder.updates.get() is None
+    assert await link.closed_by_peer()
 
 
-async def test_exception_in_an_update_is_notified_as_a_failed_poll() -> None:
+async def test_exception_in_an_update_is_notified_as_a_failed_poll(peer: Peer) -> None:
     """A watch that ended without a notification would leave the router with its old list until a restart."""
-    async with Peer() as peer:
 
-        def faulty(kind: EndpointUpdateKind, endpoints: list[NetworkEndpoint]) -> None:
-            raise RuntimeError("faulty")
+    def faulty(kind: EndpointUpdateKind, endpoints: list[NetworkEndpoint]) -> None:
+        raise RuntimeError("faulty")
 
-        recorder = WatchRecorder(peer, on_update=faulty)
-        _, link = await accept_poll(peer)
-        link.write(http("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
-        assert await recorder.updates.get() is None
-        assert not recorder.discovery.is_watching
+    recorder = WatchRecorder(peer, on_update=faulty)
+    _, link = await accept_poll(peer)
+    link.write(http("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
+    assert await recorder.updates.get() is None
+    assert not recorder.discovery.is_watching
 
 
 async def test_watch_of_a_new_address_requests_the_complete_list_and_the_old_one_notifies_nothing() -> None:
@@ -124,18 +117,17 @@
         recorder.discovery.close()
 
 
-async def test_first_update_ends_the_wait_for_it() -> None:
+async def test_first_update_ends_the_wait_for_it(peer: Peer) -> None:
     """A start waits for the agent's list, and a failed poll is none."""
-    async with Peer() as peer:
-        recorder = WatchRecorder(peer)
-        waiting = asyncio.create_task(recorder.discovery.wait_for_first_update())
-        _, link = await accept_poll(peer)
-        link.write(http("503 Busy"))
-        assert await recorder.updates.get() is None
-        assert not waiting.done()
-        recorder.discovery.subscribe()
-        _, link = await accept_poll(peer)
-        link.write(http("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
-        await waiting
-        assert not recorder.updates.empty()
-        recorder.discovery.close()
+    recorder = WatchRecorder(peer)
+    waiting = asyncio.create_task(recorder.discovery.wait_for_first_update())
+    _, link = await accept_poll(peer)
+    link.write(http("503 Busy"))
+    assert await recorder.updates.get() is None
+    assert not waiting.done()
+    recorder.discovery.subscribe()
+    _, link = await accept_poll(peer)
+    link.write(http("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
+    await waiting
+    assert not recorder.updates.empty()
+    recorder.discovery.close()
--- a/tests/cache_router/net/test_dispatcher.py
+++ b/tests/cache_router/net/test_dispatcher.py
@@ -11,7 +11,7 @@
 from cache_router.net import dispatcher
 from cache_router.net.command import COST_HINT_FIELD, Command
 from tests.support.loopback import HIT, MISS, error_text, http, keyed_write, read
-from tests.support.loopback_router import Router
+from tests.support.loopback_router import Router, router_with
 
 
 @pytest.mark.parametrize(
@@ -32,106 +32,100 @@
     assert dispatcher.read_cost_hint(command) == cost
 
 
-async def test_hit_is_returned_to_the_client() -> None:
+async def test_hit_is_returned_to_the_client(router: Router) -> None:
     """A read is forwarded with its key, id and info fields, except for the deadline."""
-    async with Router() as router:
-        client = await router.client()
-        client.write(read("r1", "key", "c=read,t=x,d=2000,h=90,size=7"))
-        cache = await router.cache()
-        verb, key, request, info = await cache.resp()
-        assert (verb, key, request) == (b"C.GET", b"key", b"r1")
-        fields = dict(pair.split("=") for pair in info.decode().split(","))
-        assert list(fields) == ["c", "t", "d", "h", "size"]
-        assert fields["size"] == "7"
-        assert 0 < int(fields["d"]) < 2000  # the time that is left
-        cache.write(HIT)
-        assert await client.resp() == b"value"
-
-
-async def test_miss_is_fetched_from_the_origin() -> None:
+    client = await router.client()
+    client.write(read("r1", "key", "c=read,t=x,d=2000,h=90,size=7"))
+    cache = await router.cache()
+    verb, key, request, info = await cache.resp()
+    assert (verb, key, request) == (b"C.GET", b"key", b"r1")
+    fields = dict(pair.split("=") for pair in info.decode().split(","))
+    assert list(fields) == ["c", "t", "d", "h", "size"]
+    assert fields["size"] == "7"
+    assert 0 < int(fields["d"]) < 2000  # the time that is left
+    cache.write(HIT)
+    assert await client.resp() == b"value"
+
+
+async def test_miss_is_fetched_from_the_origin(router: Router) -> None:
     """The value then comes from the origin, under the same request id."""
-    async with Router() as router:
-        client, cache = await router.start_read()
-        cache.write(MISS)
-        origin = await router.origin.link()
-        first, headers, _ = await origin.http()
-        assert first == "GET /k HTTP/1.1"
-        assert headers["request-id"] == "r1"
-        origin.write(http("200 OK", b"fetched"))
-        assert await client.resp() == b"fetched"
-
-
-async def test_write_is_forwarded_to_the_origin_unchanged() -> None:
+    client, cache = await router.start_read()
+    cache.write(MISS)
+    origin = await router.origin.link()
+    first, headers, _ = await origin.http()
+    assert first == "GET /k HTTP/1.1"
+    assert headers["request-id"] == "r1"
+    origin.write(http("200 OK", b"fetched"))
+    assert await client.resp() == b"fetched"
+
+
+async def test_write_is_forwarded_to_the_origin_unchanged(router: Router) -> None:
     """The value may hold any bytes, and the idempotency key goes with it."""
-    async with Router() as router:
-        client = await router.client()
-        client.write(keyed_write("r1", value=b"two\r\nlines"))
-        origin = await router.origin.link()
-        first, headers, body = await origin.http()
-        assert first == "PUT /k HTTP/1.1"
-        assert body == b"two\r\nlines"
-        assert "k=5c0f" in headers["request-info"].split(",")
-        origin.write(http("200 OK", b"receipt"))
-        assert await client.resp() == b"receipt"
-
-
-async def test_read_is_retried_after_a_connection_reset() -> None:
+    client = await router.client()
+    client.write(keyed_write("r1", value=b"two\r\nlines"))
+    origin = await router.origin.link()
+    first, headers, body = await origin.http()
+    assert first == "PUT /k HTTP/1.1"
+    assert body == b"two\r\nlines"
+    assert "k=5c0f" in headers["request-info"].split(",")
+    origin.write(http("200 OK", b"receipt"))
+    assert await client.resp() == b"receipt"
+
+
+async def test_read_is_retried_after_a_connection_reset(router: Router) -> None:
     """A read is idempotent and may run twice."""
-    async with Router() as router:
-        client, first = await router.start_read()
-        first.reset()
-        second = await router.cache()
-        assert (await second.resp())[2] == b"r1"
-        second.write(HIT)
-        assert await client.resp() == b"value"
+    client, first = await router.start_read()
+    first.reset()
+    second = await router.cache()
+    assert (await second.resp())[2] == b"r1"
+    second.write(HIT)
+    assert await client.resp() == b"value"
 
 
-async def test_attempts_of_a_disconnected_client_are_cancelled() -> None:
+async def test_attempts_of_a_disconnected_client_are_cancelled(router: Router) -> None:
     """Otherwise cache servers would continue to work for a client that no longer waits."""
-    async with Router() as router:
-        client, cache = await router.start_read()
-        client.close()
-        assert await cache.closed_by_peer()
-        assert not router.dispatcher.router.pending
-        assert not router.dispatcher.router.attempts
+    client, cache = await router.start_read()
+    client.close()
+    assert await cache.closed_by_peer()
+    assert not router.dispatcher.router.pending
+    assert not router.dispatcher.router.attempts
 
 
-async def test_request_without_a_response_is_rejected_at_its_deadline() -> None:
+async def test_request_without_a_response_is_rejected_at_its_deadline(router: Router) -> None:
     """A client that has no reply by its deadline counts the request as lost."""
-    async with Router() as router:
-        loop = asyncio.get_running_loop()
-        sent_at = loop.time()
-        client, cache = await router.start_read(info="c=read,t=x,d=150")
-        assert error_text(await client.resp()).startswith("BUSY")
-        assert loop.time() - sent_at >= 0.15 - dispatcher.DEADLINE_MARGIN - 0.001
-        assert await cache.closed_by_peer()
-        assert not router.dispatcher.requests
+    loop = asyncio.get_running_loop()
+    sent_at = loop.time()
+    client, cache = await router.start_read(info="c=read,t=x,d=150")
+    assert error_text(await client.resp()).startswith("BUSY")
+    assert loop.time() - sent_at >= 0.15 - dispatcher.DEADLINE_MARGIN - 0.001
+    assert await cache.closed_by_peer()
+    assert not router.dispatcher.requests
 
 
+@router_with(with_endpoints=False)
 async def test_events_posted_while_actions_run_are_handled_afterwards(
-    monkeypatch: pytest.MonkeyPatch,
+    router: Router, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A re-entrant call would see a state that the outer call has not finished changing."""
-    async with Router(with_endpoints=False) as router:
-        events: list[Event] = []
-        is_answered: list[bool] = []  # at each event
-
-        def handle(now: float, event: Event) -> list[Action]:
-            events.append(event)
-            request = router.dispatcher.requests.get("r1")
-            is_answered.append(request is None or request.is_closed)
-            if isinstance(event, Request):
-                return [Send("r1", "unknown"), LogMessage("after"), Fail("r1")]
-            return []
-
-        monkeypatch.setattr(router.dispatcher.router, "handle", handle)
-        client = await router.client()
-        client.write(read("r1"))
-        assert error_text(await client.resp()) == "ERR failed"
-        request, completed = events
-        assert isinstance(request, Request)
-        assert isinstance(completed, AttemptCompleted)
-        assert completed.status is AttemptStatus.CONNECT_FAILED
-        assert not completed.request_closed  # when the attempt ended, at its start
-        # though its event was handled only after the last of the actions
-        assert is_answered == [False, True]
+    events: list[Event] = []
+    is_answered: list[bool] = []  # at each event
+
+    def handle(now: float, event: Event) -> list[Action]:
+        events.append(event)
+        request = router.dispatcher.requests.get("r1")
+        is_answered.append(request is None or request.is_closed)
+        if isinstance(event, Request):
+            return [Send("r1", "unknown"), LogMessage("after"), Fail("r1")]
+        return []
+
+    monkeypatch.setattr(router.dispatcher.router, "handle", handle)
+    client = await router.client()
+    client.write(read("r1"))
+    assert error_text(await client.resp()) == "ERR failed"
+    request, completed = events
+    assert isinstance(request, Request)
+    assert isinstance(completed, AttemptCompleted)
+    assert completed.status is AttemptStatus.CONNECT_FAILED
+    assert not completed.request_closed  # when the attempt ended, at its start
+    # though its event was handled only after the last of the actions
+    assert is_answered == [False, True]
--- a/tests/cache_router/net/test_endpoint_table.py
+++ b/tests/cache_router/net/test_endpoint_table.py
@@ -27,28 +27,27 @@
 
 
 @pytest.mark.parametrize("change", ["removed", "draining", "restarted", "replaced"])
-async def test_idle_connections_to_an_ended_process_are_closed(change: str) -> None:
+async def test_idle_connections_to_an_ended_process_are_closed(router: Router, change: str) -> None:
     """A machine that has failed never closes them, and another process may be started at its address."""
-    async with Router() as router:
-        client, cache = await router.start_read()
-        cache.write(HIT)
-        assert await client.resp() == b"value"
-        assert router.cache_pool.idle_count == 1
-        address = format_address(cache.writer.get_extra_info("sockname"))
-        endpoints = router.dispatcher.endpoints
-        (name,) = (n for n in endpoints if endpoints[n].address == address)
-        entry = endpoints[name].entry
-        updated = {
-            "removed": replace(entry, state=EndpointState.REMOVED),
-            "draining": replace(entry, state=EndpointState.DRAINING),
-            "restarted": replace(entry, started_at=9.0),
-            "replaced": replace(entry, state=EndpointState.REMOVED),
-        }
-        changes = [NetworkEndpoint(updated[change], address)]
-        if change == "replaced":
-            changes.append(NetworkEndpoint(replace(entry, name="new"), address))
-        router.dispatcher.on_endpoint_update(EndpointUpdateKind.DELTA, changes)
-        assert await cache.closed_by_peer()
+    client, cache = await router.start_read()
+    cache.write(HIT)
+    assert await client.resp() == b"value"
+    assert router.cache_pool.idle_count == 1
+    address = format_address(cache.writer.get_extra_info("sockname"))
+    endpoints = router.dispatcher.endpoints
+    (name,) = (n for n in endpoints if endpoints[n].address == address)
+    entry = endpoints[name].entry
+    updated = {
+        "removed": replace(entry, state=EndpointState.REMOVED),
+        "draining": replace(entry, state=EndpointState.DRAINING),
+        "restarted": replace(entry, started_at=9.0),
+        "replaced": replace(entry, state=EndpointState.REMOVED),
+    }
+    changes = [NetworkEndpoint(updated[change], address)]
+    if change == "replaced":
+        changes.append(NetworkEndpoint(replace(entry, name="new"), address))
+    router.dispatcher.on_endpoint_update(EndpointUpdateKind.DELTA, changes)
+    assert await cache.closed_by_peer()
 
 
 def make_pools() -> tuple[ConnectionPool, ConnectionPool]:
--- a/tests/cache_router/net/test_eviction.py
+++ b/tests/cache_router/net/test_eviction.py
@@ -12,7 +12,7 @@
 from cache_router.net import client_connection_table, eviction
 from tests.support.event_order import wait_until
 from tests.support.loopback import HIT, Link, command, error_text, read
-from tests.support.loopback_router import READ, SETTINGS, Router
+from tests.support.loopback_router import READ, SETTINGS, Router, router_with
 
 
 async def test_incomplete_command_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -31,26 +31,26 @@
         await regular.ping()
 
 
-async def test_idle_client_is_evicted_at_the_connection_limit() -> None:
+@router_with(max_clients=2)
+async def test_idle_client_is_evicted_at_the_connection_limit(router: Router) -> None:
     """Out of descriptors, neither attempts nor polls of discovery can connect: idle clients are evicted."""
-    async with Router(max_clients=2) as router:
-        idle = await router.client()
-        busy, cache = await router.start_read()
-        third = await router.client()
-        assert await idle.closed_by_peer()
-        await third.ping()
-        cache.write(HIT)
-        assert await busy.resp() == b"value"
+    idle = await router.client()
+    busy, cache = await router.start_read()
+    third = await router.client()
+    assert await idle.closed_by_peer()
+    await third.ping()
+    cache.write(HIT)
+    assert await busy.resp() == b"value"
 
 
-async def test_new_client_is_not_evicted_while_all_others_are_busy() -> None:
+@router_with(max_clients=1)
+async def test_new_client_is_not_evicted_while_all_others_are_busy(router: Router) -> None:
     """Evicted itself, it would lose its first request."""
-    async with Router(max_clients=1) as router:
-        busy, cache = await router.start_read()
-        newest = await router.client()
-        await newest.ping()
-        cache.write(HIT)
-        assert await busy.resp() == b"value"
+    busy, cache = await router.start_read()
+    newest = await router.client()
+    await newest.ping()
+    cache.write(HIT)
+    assert await busy.resp() == b"value"
 
 
 async def client_after_pings(router: Router, times: int) -> Link:
@@ -61,62 +61,64 @@
     return client
 
 
-async def test_clients_awaiting_a_command_are_evicted_first(monkeypatch: pytest.MonkeyPatch) -> None:
+@router_with(max_clients=3)
+async def test_clients_awaiting_a_command_are_evicted_first(
+    router: Router, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Hundreds of silent clients would otherwise evict regular ones, which reuse their connections."""
     monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", 0.0)
-    async with Router(max_clients=3) as router:
-        regular = await client_after_pings(router, 1)
-        silent, incomplete = await router.client(), await router.client()
-        incomplete.write(b"*4\r\n$5\r\nC.G")
-        newer = []  # referenced, or they would be closed
-        for evicted in (silent, incomplete):
-            newer.append(await client_after_pings(router, 1))
-            assert await evicted.closed_by_peer()
-        await regular.ping()
-
-
-async def test_throttled_clients_are_evicted_first() -> None:
+    regular = await client_after_pings(router, 1)
+    silent, incomplete = await router.client(), await router.client()
+    incomplete.write(b"*4\r\n$5\r\nC.G")
+    newer = []  # referenced, or they would be closed
+    for evicted in (silent, incomplete):
+        newer.append(await client_after_pings(router, 1))
+        assert await evicted.closed_by_peer()
+    await regular.ping()
+
+
+@router_with(max_clients=2)
+async def test_throttled_clients_are_evicted_first(router: Router) -> None:
     """They are never idle, as the next error follows the last, and would otherwise never be evicted."""
-    async with Router(max_clients=2) as router:
-        regular, erroneous = await client_after_pings(router, 1), await client_after_pings(router, 2)
-        erroneous.write(read("r1", info="c=unheard-of,d=900") * 100)
-        error_text(await erroneous.resp())
-        _newest = await client_after_pings(router, 1)
-        with suppress(ConnectionResetError):
-            await erroneous.reader.read()  # to its end
-        await regular.ping()
+    regular, erroneous = await client_after_pings(router, 1), await client_after_pings(router, 2)
+    erroneous.write(read("r1", info="c=unheard-of,d=900") * 100)
+    error_text(await erroneous.resp())
+    _newest = await client_after_pings(router, 1)
+    with suppress(ConnectionResetError):
+        await erroneous.reader.read()  # to its end
+    await regular.ping()
 
 
-async def test_clients_with_a_single_command_are_evicted_before_regular_ones() -> None:
+@router_with(max_clients=2)
+async def test_clients_with_a_single_command_are_evicted_before_regular_ones(router: Router) -> None:
     """Otherwise many single-command clients would make regular ones reconnect for every request."""
-    async with Router(max_clients=2) as router:
-        regular, single = await client_after_pings(router, 2), await client_after_pings(router, 1)
-        _newest = await client_after_pings(router, 1)
-        assert await single.closed_by_peer()
-        await regular.ping()
+    regular, single = await client_after_pings(router, 2), await client_after_pings(router, 1)
+    _newest = await client_after_pings(router, 1)
+    assert await single.closed_by_peer()
+    await regular.ping()
 
 
-async def test_many_single_command_clients_are_accepted_at_once() -> None:
+@router_with(max_clients=4)
+async def test_many_single_command_clients_are_accepted_at_once(router: Router) -> None:
     """Accepted only after others were idle for long, regular clients waited in the backlog past deadlines."""
-    async with Router(max_clients=4) as router:
-        clients = []
-        for _ in range(20):
-            clients.append(await router.client())  # sends nothing
-            clients.append(await client_after_pings(router, 1))
+    clients = []
+    for _ in range(20):
+        clients.append(await router.client())  # sends nothing
+        clients.append(await client_after_pings(router, 1))
 
 
+@router_with(max_clients=4)
 async def test_idle_clients_are_evicted_above_half_of_the_connection_limit(
-    monkeypatch: pytest.MonkeyPatch,
+    router: Router, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Otherwise clients that send one command and stay would keep memory and descriptors occupied."""
     monkeypatch.setattr(eviction, "IDLE_TIMEOUT", 1.0)
-    async with Router(max_clients=4) as router:
-        regular = [await client_after_pings(router, 2) for _ in range(3)]
-        single = await client_after_pings(router, 1)
-        assert await single.closed_by_peer()
-        assert len(router.client_connections()) == 3
-        assert await regular[0].closed_by_peer()
-        await regular[2].ping()
+    regular = [await client_after_pings(router, 2) for _ in range(3)]
+    single = await client_after_pings(router, 1)
+    assert await single.closed_by_peer()
+    assert len(router.client_connections()) == 3
+    assert await regular[0].closed_by_peer()
+    await regular[2].ping()
 
 
 async def client_with_unread_reply(router: Router, value: bytes, monkeypatch: pytest.MonkeyPatch) -> Link:
@@ -145,16 +147,16 @@
     return client
 
 
+@router_with(max_clients=1)
 async def test_connection_is_not_evicted_before_its_reply_has_gone_out(
-    monkeypatch: pytest.MonkeyPatch,
+    router: Router, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A reply cut short by the router is lost."""
     value = b"x" * 60_000
-    async with Router(max_clients=1) as router:
-        client = await client_with_unread_reply(router, value, monkeypatch)
-        other = await router.client()
-        await other.ping()  # the eviction would have happened by now
-        assert await client.resp() == value
+    client = await client_with_unread_reply(router, value, monkeypatch)
+    other = await router.client()
+    await other.ping()  # the eviction would have happened by now
+    assert await client.resp() == value
 
 
 async def test_client_that_never_reads_its_reply_is_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/cache_router/net/test_late_connections.py
+++ b/tests/cache_router/net/test_late_connections.py
@@ -21,51 +21,49 @@
 
 @pytest.mark.parametrize("change", ["draining", "removed", "restarted"])
 async def test_connection_established_after_a_drain_notice_is_not_written_to(
-    change: str, monkeypatch: pytest.MonkeyPatch
+    router: Router, change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Established later than the drain grace period allows, it wrote to a server known to be draining."""
-    async with Router() as router:
-        connections = DelayedConnections(monkeypatch, *router.caches.values())
-        client = await router.client()
-        client.write(read("r1"))
-        name, link = await first_connection(router)
-        endpoint = router.dispatcher.endpoints[name]
-        updated = {
-            "draining": replace(endpoint.entry, state=EndpointState.DRAINING),
-            "removed": replace(endpoint.entry, state=EndpointState.REMOVED),
-            "restarted": replace(endpoint.entry, started_at=9.0),
-        }
-        router.dispatcher.on_endpoint_update(
-            EndpointUpdateKind.DELTA, [replace(endpoint, entry=updated[change])]
-        )
-        connections.released.set()
-        assert await link.closed_by_peer()  # without a byte
-        if change == "restarted":
-            other = await router.cache()  # it may be the restarted server
-        else:
-            other = await next(p for n, p in router.caches.items() if n != name).link()
-        assert (await other.resp())[2] == b"r1"
-        other.write(HIT)
-        assert await client.resp() == b"value"
+    connections = DelayedConnections(monkeypatch, *router.caches.values())
+    client = await router.client()
+    client.write(read("r1"))
+    name, link = await first_connection(router)
+    endpoint = router.dispatcher.endpoints[name]
+    updated = {
+        "draining": replace(endpoint.entry, state=EndpointState.DRAINING),
+        "removed": replace(endpoint.entry, state=EndpointState.REMOVED),
+        "restarted": replace(endpoint.entry, started_at=9.0),
+    }
+    router.dispatcher.on_endpoint_update(EndpointUpdateKind.DELTA, [replace(endpoint, entry=updated[change])])
+    connections.released.set()
+    assert await link.closed_by_peer()  # without a byte
+    if change == "restarted":
+        other = await router.cache()  # it may be the restarted server
+    else:
+        other = await next(p for n, p in router.caches.items() if n != name).link()
+    assert (await other.resp())[2] == b"r1"
+    other.write(HIT)
+    assert await client.resp() == b"value"
 
 
-async def test_attempt_carries_the_time_left_when_it_is_written(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_attempt_carries_the_time_left_when_it_is_written(
+    router: Router, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Computed before connecting, it let a server work long after the client's deadline."""
     loop = asyncio.get_running_loop()
-    async with Router() as router:
-        connections = DelayedConnections(monkeypatch, *router.caches.values())
-        client = await router.client()
-        sent_at = loop.time()
-        client.write(read("r1"))
-        _, link = await first_connection(router)
-        await asyncio.sleep(0.3)
-        elapsed = loop.time() - sent_at
-        connections.released.set()
-        info = (await link.resp())[3].decode()
-        time_left = int(dict(pair.split("=") for pair in info.split(","))["d"]) / 1000
-        assert 0 < time_left <= 2.0 - elapsed + 0.001
-        link.write(HIT)
-        assert await client.resp() == b"value"
+    connections = DelayedConnections(monkeypatch, *router.caches.values())
+    client = await router.client()
+    sent_at = loop.time()
+    client.write(read("r1"))
+    _, link = await first_connection(router)
+    await asyncio.sleep(0.3)
+    elapsed = loop.time() - sent_at
+    connections.released.set()
+    info = (await link.resp())[3].decode()
+    time_left = int(dict(pair.split("=") for pair in info.split(","))["d"]) / 1000
+    assert 0 < time_left <= 2.0 - elapsed + 0.001
+    link.write(HIT)
+    assert await client.resp() == b"value"
 
 
 @pytest.mark.parametrize("cancellation_allowed", [True, False])
--- a/tests/cache_router/net/test_origin_connection.py
+++ b/tests/cache_router/net/test_origin_connection.py
@@ -48,18 +48,19 @@
         (http("404 None"), AttemptStatus.ERROR, b""),
     ],
 )
-async def test_responses_of_the_origin(response: bytes, status: AttemptStatus, value: bytes) -> None:
+async def test_responses_of_the_origin(
+    peer: Peer, response: bytes, status: AttemptStatus, value: bytes
+) -> None:
     """Only a rejection that says so was not started; any other request with an error may have run."""
-    async with Peer() as peer:
-        attempts = origin_attempts()
-        link, first, headers, _ = await start_on_origin(peer, attempts)
-        assert first == "GET /k HTTP/1.1"
-        assert (headers["request-id"], info_without_deadline(headers["request-info"])) == ("r1", "c=read")
-        link.write(response)
-        assert await attempts.outcome() == (status, value)
-        attempts.start(peer.address)  # and the connection is used again
-        await link.http()
-        attempts.pool.close()
+    attempts = origin_attempts()
+    link, first, headers, _ = await start_on_origin(peer, attempts)
+    assert first == "GET /k HTTP/1.1"
+    assert (headers["request-id"], info_without_deadline(headers["request-info"])) == ("r1", "c=read")
+    link.write(response)
+    assert await attempts.outcome() == (status, value)
+    attempts.start(peer.address)  # and the connection is used again
+    await link.http()
+    attempts.pool.close()
 
 
 @pytest.mark.parametrize(
@@ -78,38 +79,37 @@
         (b"", AttemptStatus.RESET),
     ],
 )
-async def test_malformed_and_broken_responses_of_the_origin(response: bytes, status: AttemptStatus) -> None:
+async def test_malformed_and_broken_responses_of_the_origin(
+    peer: Peer, response: bytes, status: AttemptStatus
+) -> None:
     """A response that was cut off is a reset; one that can't be used ends its attempt at once."""
-    async with Peer() as peer:
-        attempts = origin_attempts()
-        link, *_ = await start_on_origin(peer, attempts)
-        link.write(response)
-        link.close()
-        assert (await attempts.outcome())[0] is status
-        assert await link.closed_by_peer()
-        assert attempts.pool.idle_count == 0
+    attempts = origin_attempts()
+    link, *_ = await start_on_origin(peer, attempts)
+    link.write(response)
+    link.close()
+    assert (await attempts.outcome())[0] is status
+    assert await link.closed_by_peer()
+    assert attempts.pool.idle_count == 0
 
 
 @pytest.mark.parametrize("key", [b"a/../b", b"a?x=1", b"a b", b"a\r\nX: y", b"%2e", "ó".encode(), b"\xff#"])
-async def test_key_is_encoded_as_one_path_segment(key: bytes) -> None:
+async def test_key_is_encoded_as_one_path_segment(peer: Peer, key: bytes) -> None:
     """A key that names another path would read or overwrite another resource."""
-    async with Peer() as peer:
-        attempts = origin_attempts()
-        put = Command(b"C.SET", key, b"r1", {"d": "900"}, 900, b"slot")
-        _, first, _, body = await start_on_origin(peer, attempts, put)
-        method, path, _ = first.split(" ")
-        assert method == "PUT"
-        assert body == b"slot"
-        assert not set(path[1:]) & set("/?# ")
-        assert path == "/" + "".join(chr(c) if c in UNRESERVED else f"%{c:02X}" for c in key)
-        attempts.pool.close()
+    attempts = origin_attempts()
+    put = Command(b"C.SET", key, b"r1", {"d": "900"}, 900, b"slot")
+    _, first, _, body = await start_on_origin(peer, attempts, put)
+    method, path, _ = first.split(" ")
+    assert method == "PUT"
+    assert body == b"slot"
+    assert not set(path[1:]) & set("/?# ")
+    assert path == "/" + "".join(chr(c) if c in UNRESERVED else f"%{c:02X}" for c in key)
+    attempts.pool.close()
 
 
-async def test_request_that_cannot_be_encoded_ends_its_attempt_at_once() -> None:
+async def test_request_that_cannot_be_encoded_ends_its_attempt_at_once(peer: Peer) -> None:
     """Without an outcome its request would stay in flight until the deadline."""
-    async with Peer() as peer:
-        attempts = origin_attempts()
-        attempts.start(peer.address, Command(b"C.GET", b"k", b"r1", {"x": "a\r\nb", "d": "9"}, 9))
-        assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
-        assert await (await peer.link()).closed_by_peer()
-        assert attempts.pool.established_count == 0
+    attempts = origin_attempts()
+    attempts.start(peer.address, Command(b"C.GET", b"k", b"r1", {"x": "a\r\nb", "d": "9"}, 9))
+    assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
+    assert await (await peer.link()).closed_by_peer()
+    assert attempts.pool.established_count == 0
--- a/tests/cache_router/net/test_request_table.py
+++ b/tests/cache_router/net/test_request_table.py
@@ -16,26 +16,24 @@
 from tests.support.upstream_attempts import GET
 
 
-async def test_request_id_in_use_is_rejected() -> None:
+async def test_request_id_in_use_is_rejected(router: Router) -> None:
     """Two requests under one id would get each other's replies."""
-    async with Router() as router:
-        other = await router.client()
-        client, cache = await router.start_read()
-        other.write(read("r1"))
-        assert "in use" in error_text(await other.resp())
-        cache.write(HIT)
-        assert await client.resp() == b"value"
-        other.write(read("r1"))  # nor right after the reply
-        assert "in use" in error_text(await other.resp())
-
-
-async def test_answered_request_is_removed_at_once() -> None:
+    other = await router.client()
+    client, cache = await router.start_read()
+    other.write(read("r1"))
+    assert "in use" in error_text(await other.resp())
+    cache.write(HIT)
+    assert await client.resp() == b"value"
+    other.write(read("r1"))  # nor right after the reply
+    assert "in use" in error_text(await other.resp())
+
+
+async def test_answered_request_is_removed_at_once(router: Router) -> None:
     """Otherwise its id and value would stay in memory until its deadline, for up to ten minutes."""
-    async with Router() as router:
-        client, cache = await router.start_read(info="c=read,t=x,d=600000,h=" + "9" * 400)
-        cache.write(HIT)
-        assert await client.resp() == b"value"
-        assert not router.dispatcher.requests
+    client, cache = await router.start_read(info="c=read,t=x,d=600000,h=" + "9" * 400)
+    cache.write(HIT)
+    assert await client.resp() == b"value"
+    assert not router.dispatcher.requests
 
 
 class AdjustableClock(Clock):
--- a/tests/cache_router/net/test_unread_disconnects.py
+++ b/tests/cache_router/net/test_unread_disconnects.py
@@ -23,75 +23,72 @@
 @pytest.mark.parametrize("state", ["error", "framing", "slow"])
 @pytest.mark.parametrize("response", [MISS, None])  # an attempt at the origin would follow, or a retry
 async def test_no_attempt_follows_for_a_client_that_disconnected_while_not_read(
-    state: str, response: bytes | None, monkeypatch: pytest.MonkeyPatch
+    router: Router, state: str, response: bytes | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The end of the stream comes behind unread input, so that the event loop does not report it."""
     monkeypatch.setattr(client_connection, "ERROR_THROTTLE_TIME", 60.0)
-    async with Router() as router:
-        written = record_written_requests(monkeypatch)
-        client = await router.client()
-        client.write(read("r1") + {"error": command("GET", "k"), "framing": b"noise\r\n"}.get(state, b""))
-        cache = await router.cache()
-        await cache.resp()
-        if state == "slow":  # as its transport does when the client reads no replies
-            router.client_connections()[0].pause_writing()
-        await disconnect(router, client)
-        if response is None:
-            cache.reset()
-        else:
-            cache.write(response)
-        await wait_until(lambda: not router.dispatcher.requests)
-        assert written == ["r1"]
-        assert not router.dispatcher.router.pending
-        assert router.origin.links.empty()
-        await wait_until(lambda: not router.client_connections())
+    written = record_written_requests(monkeypatch)
+    client = await router.client()
+    client.write(read("r1") + {"error": command("GET", "k"), "framing": b"noise\r\n"}.get(state, b""))
+    cache = await router.cache()
+    await cache.resp()
+    if state == "slow":  # as its transport does when the client reads no replies
+        router.client_connections()[0].pause_writing()
+    await disconnect(router, client)
+    if response is None:
+        cache.reset()
+    else:
+        cache.write(response)
+    await wait_until(lambda: not router.dispatcher.requests)
+    assert written == ["r1"]
+    assert not router.dispatcher.router.pending
+    assert router.origin.links.empty()
+    await wait_until(lambda: not router.client_connections())
 
 
 @pytest.mark.parametrize("is_read", [True, False])
 async def test_no_attempt_follows_for_a_client_that_disconnected_while_queued(
-    is_read: bool, monkeypatch: pytest.MonkeyPatch
+    router: Router, is_read: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A slot of the origin that becomes free must not go to a request that nobody waits for."""
     monkeypatch.setattr(client_connection, "ERROR_THROTTLE_TIME", 60.0)
-    async with Router() as router:
-        written = record_written_requests(monkeypatch)
-        decisions = router.dispatcher.router
-        first = await router.client()
-        first.write(keyed_write("w1"))  # uses up the concurrency limit of the origin
-        origin = await router.origin.link()
-        await origin.http()
-        decisions.endpoints.origins[0].concurrency.limit = 1.0
-        client = await router.client()
-        client.write(keyed_write("w2") + (b"" if is_read else command("GET", "k")))
-        await wait_until(lambda: "w2" in decisions.pending and decisions.pending["w2"].is_queued)
-        connection = router.client_connections()[1]
-        if is_read:
-            client.close()
-            await wait_until(lambda: connection not in router.client_connections())
-        else:
-            await wait_until(lambda: not connection.is_reading())
-            client.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
-            await wait_until(connection.is_hung_up)
-        origin.write(http("200 OK", b"receipt"))
-        assert await first.resp() == b"receipt"
-        await wait_until(lambda: not router.dispatcher.requests)
-        assert written == ["w1"]
-        assert not decisions.pending
+    written = record_written_requests(monkeypatch)
+    decisions = router.dispatcher.router
+    first = await router.client()
+    first.write(keyed_write("w1"))  # uses up the concurrency limit of the origin
+    origin = await router.origin.link()
+    await origin.http()
+    decisions.endpoints.origins[0].concurrency.limit = 1.0
+    client = await router.client()
+    client.write(keyed_write("w2") + (b"" if is_read else command("GET", "k")))
+    await wait_until(lambda: "w2" in decisions.pending and decisions.pending["w2"].is_queued)
+    connection = router.client_connections()[1]
+    if is_read:
+        client.close()
+        await wait_until(lambda: connection not in router.client_connections())
+    else:
+        await wait_until(lambda: not connection.is_reading())
+        client.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
+        await wait_until(connection.is_hung_up)
+    origin.write(http("200 OK", b"receipt"))
+    assert await first.resp() == b"receipt"
+    await wait_until(lambda: not router.dispatcher.requests)
+    assert written == ["w1"]
+    assert not decisions.pending
 
 
 async def test_no_attempt_follows_for_a_pipelining_client_that_disconnected(
-    monkeypatch: pytest.MonkeyPatch,
+    router: Router, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Input beyond the limit of pipelined commands stays unread, and the end of the stream behind it."""
-    async with Router() as router:
-        written = record_written_requests(monkeypatch)
-        client, cache = await router.start_read("r0")
-        request_ids = [f"r{n}" for n in range(1, 2 * client_connection.MAX_PIPELINED_COMMANDS)]
-        client.write(b"".join(read(n) for n in request_ids))
-        await wait_until(lambda: not router.client_connections()[0].is_reading())
-        await disconnect(router, client)
-        before = list(written)
-        cache.write(HIT)
-        await wait_until(lambda: not router.client_connections())
-        assert written == before
-        assert not router.dispatcher.router.pending
+    written = record_written_requests(monkeypatch)
+    client, cache = await router.start_read("r0")
+    request_ids = [f"r{n}" for n in range(1, 2 * client_connection.MAX_PIPELINED_COMMANDS)]
+    client.write(b"".join(read(n) for n in request_ids))
+    await wait_until(lambda: not router.client_connections()[0].is_reading())
+    await disconnect(router, client)
+    before = list(written)
+    cache.write(HIT)
+    await wait_until(lambda: not router.client_connections())
+    assert written == before
+    assert not router.dispatcher.router.pending
--- a/tests/cache_router/net/test_upstream_connection.py
+++ b/tests/cache_router/net/test_upstream_connection.py
@@ -45,149 +45,138 @@
     return connection
 
 
-async def test_owner_is_notified_of_the_states_of_its_connection() -> None:
+async def test_owner_is_notified_of_the_states_of_its_connection(peer: Peer) -> None:
     """A connection that its owner counts after its end would take the place of another."""
-    async with Peer() as peer:
-        owner = RecordingOwner()
-        responses: asyncio.Queue[UpstreamResponse] = asyncio.Queue()
-        connection = await connect(owner, peer)
-        assert owner.notifications == ["connected"]
-        link = await peer.link()
-        for _ in range(2):
-            connection.send(UpstreamAttempt(GET, 0.5, responses.put_nowait))
-            await link.resp()
-            link.write(HIT)
-            assert (await responses.get()).status is AttemptStatus.OK
-        assert owner.notifications == ["connected", "idle", "idle"]
-        link.close()
-        await wait_until(lambda: "closed" in owner.notifications)
-        assert owner.notifications == ["connected", "idle", "idle", "closed"]
-
-
-async def test_aborted_connection_notifies_its_owner_at_once() -> None:
+    owner = RecordingOwner()
+    responses: asyncio.Queue[UpstreamResponse] = asyncio.Queue()
+    connection = await connect(owner, peer)
+    assert owner.notifications == ["connected"]
+    link = await peer.link()
+    for _ in range(2):
+        connection.send(UpstreamAttempt(GET, 0.5, responses.put_nowait))
+        await link.resp()
+        link.write(HIT)
+        assert (await responses.get()).status is AttemptStatus.OK
+    assert owner.notifications == ["connected", "idle", "idle"]
+    link.close()
+    await wait_until(lambda: "closed" in owner.notifications)
+    assert owner.notifications == ["connected", "idle", "idle", "closed"]
+
+
+async def test_aborted_connection_notifies_its_owner_at_once(peer: Peer) -> None:
     """Counted until the event loop has closed it, it would keep another from being opened."""
-    async with Peer() as peer:
-        owner = RecordingOwner()
-        connection = await connect(owner, peer)
-        connection.abort()
-        assert owner.notifications == ["connected", "closed"]
-        assert not connection.is_usable()
+    owner = RecordingOwner()
+    connection = await connect(owner, peer)
+    connection.abort()
+    assert owner.notifications == ["connected", "closed"]
+    assert not connection.is_usable()
 
 
 @pytest.mark.parametrize("arrival", ["bytes", "close"])
-async def test_idle_connection_is_not_usable_once_bytes_or_a_close_arrive(arrival: str) -> None:
+async def test_idle_connection_is_not_usable_once_bytes_or_a_close_arrive(peer: Peer, arrival: str) -> None:
     """A request written after them would be lost, or be answered by what precedes it."""
-    async with Peer() as peer:
-        connection = await connect(RecordingOwner(), peer)
-        link = await peer.link()
-        assert connection.is_usable()
-        # before the event loop of the router can see it
-        if arrival == "bytes":
-            link.write(HIT)
-        else:
-            link.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
-        assert not connection.is_usable()
-        connection.abort()
-
-
-async def test_sending_an_attempt_stops_the_idle_timeout() -> None:
-    """It would close the connection under the request."""
-    async with Peer() as peer:
-        responses: asyncio.Queue[UpstreamResponse] = asyncio.Queue()
-        connection = await connect(RecordingOwner(), peer)
-        connection.abort_after(0.0)
-        connection.send(UpstreamAttempt(GET, 0.5, responses.put_nowait))
-        link = await peer.link()
-        await link.resp()
-        await asyncio.sleep(0.01)
+    connection = await connect(RecordingOwner(), peer)
+    link = await peer.link()
+    assert connection.is_usable()
+    # before the event loop of the router can see it
+    if arrival == "bytes":
         link.write(HIT)
-        assert (await responses.get()).status is AttemptStatus.OK
-        connection.abort()
+    else:
+        link.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
+    assert not connection.is_usable()
+    connection.abort()
+
+
+async def test_sending_an_attempt_stops_the_idle_timeout(peer: Peer) -> None:
+    """It would close the connection under the request."""
+    responses: asyncio.Queue[UpstreamResponse] = asyncio.Queue()
+    connection = await connect(RecordingOwner(), peer)
+    connection.abort_after(0.0)
+    connection.send(UpstreamAttempt(GET, 0.5, responses.put_nowait))
+    link = await peer.link()
+    await link.resp()
+    await asyncio.sleep(0.01)
+    link.write(HIT)
+    assert (await responses.get()).status is AttemptStatus.OK
+    connection.abort()
 
 
 @pytest.mark.parametrize("kind", [CacheConnection, OriginConnection])
 async def test_incomplete_response_ends_its_attempt(
-    kind: type[UpstreamConnection], monkeypatch: pytest.MonkeyPatch
+    peer: Peer, kind: type[UpstreamConnection], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Otherwise a response shorter than announced would keep its request in flight until the deadline."""
     monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_TIMEOUT", 0.02)
-    async with Peer() as peer:
-        attempts = AttemptRecorder(ConnectionPool(kind, 8, 1.0, 60.0, 0.0))
-        attempts.start(peer.address)
-        link = await peer.link()
-        await (link.resp() if kind is CacheConnection else link.http())
-        link.write(b"*3\r\n$9\r\nvalue\r\n" if kind is CacheConnection else http("200 OK", b"value")[:-1])
-        assert await attempts.outcome() == (AttemptStatus.ERROR, b"")
-        assert await link.closed_by_peer()
-        assert attempts.pool.established_count == 0
-
-
-async def test_data_after_a_response_closes_the_connection() -> None:
+    attempts = AttemptRecorder(ConnectionPool(kind, 8, 1.0, 60.0, 0.0))
+    attempts.start(peer.address)
+    link = await peer.link()
+    await (link.resp() if kind is CacheConnection else link.http())
+    link.write(b"*3\r\n$9\r\nvalue\r\n" if kind is CacheConnection else http("200 OK", b"value")[:-1])
+    assert await attempts.outcome() == (AttemptStatus.ERROR, b"")
+    assert await link.closed_by_peer()
+    assert attempts.pool.established_count == 0
+
+
+async def test_data_after_a_response_closes_the_connection(peer: Peer) -> None:
     """These bytes would be taken for the response to the next request."""
-    async with Peer() as peer:
-        attempts = cache_attempts()
-        link = await attempts.start_on(peer)
-        link.write(HIT + HIT)
-        assert await attempts.outcome() == (AttemptStatus.OK, b"value")
-        assert await link.closed_by_peer()
-        assert attempts.pool.idle_count == 0
+    attempts = cache_attempts()
+    link = await attempts.start_on(peer)
+    link.write(HIT + HIT)
+    assert await attempts.outcome() == (AttemptStatus.OK, b"value")
+    assert await link.closed_by_peer()
+    assert attempts.pool.idle_count == 0
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-async def test_disconnect_after_the_last_byte_is_a_reset(how: str) -> None:
+async def test_disconnect_after_the_last_byte_is_a_reset(peer: Peer, how: str) -> None:
     """Sent elsewhere, a request that is not idempotent might run twice."""
-    async with Peer() as peer:
-        attempts = cache_attempts()
-        link = await attempts.start_on(peer)
-        getattr(link, how)()
-        assert await attempts.outcome() == (AttemptStatus.RESET, b"")
+    attempts = cache_attempts()
+    link = await attempts.start_on(peer)
+    getattr(link, how)()
+    assert await attempts.outcome() == (AttemptStatus.RESET, b"")
 
 
-async def test_disconnect_before_the_last_byte_is_a_failed_connect() -> None:
+async def test_disconnect_before_the_last_byte_is_a_failed_connect(peer: Peer) -> None:
     """Counted as a reset, a request that is not idempotent could not be retried, though it can't have run."""
-    async with Peer() as peer:
-        attempts = cache_attempts()
-        attempts.start(peer.address, HUGE_SET)
-        link = await peer.link()
-        await link.reader.read(1)
-        link.reset()
-        assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
+    attempts = cache_attempts()
+    attempts.start(peer.address, HUGE_SET)
+    link = await peer.link()
+    await link.reader.read(1)
+    link.reset()
+    assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
 
 
-async def test_disconnect_after_a_request_written_in_pieces_is_a_reset() -> None:
+async def test_disconnect_after_a_request_written_in_pieces_is_a_reset(peer: Peer) -> None:
     """Bytes that the event loop buffers are written only when the kernel has them."""
-    async with Peer() as peer:
-        attempts = cache_attempts()
-        attempts.start(peer.address, HUGE_SET)
-        link = await peer.link()
-        assert len(await link.resp()) == 5
-        link.reset()
-        assert await attempts.outcome() == (AttemptStatus.RESET, b"")
+    attempts = cache_attempts()
+    attempts.start(peer.address, HUGE_SET)
+    link = await peer.link()
+    assert len(await link.resp()) == 5
+    link.reset()
+    assert await attempts.outcome() == (AttemptStatus.RESET, b"")
 
 
-async def test_abandoning_an_attempt_closes_its_connection() -> None:
+async def test_abandoning_an_attempt_closes_its_connection(peer: Peer) -> None:
     """Otherwise the server would continue to work, and its late response would be taken for the next one."""
-    async with Peer() as peer:
-        attempts = cache_attempts()
-        attempt = attempts.start(peer.address)
-        link = await peer.link()
-        await link.resp()
-        attempt.abandon()
-        assert await link.closed_by_peer()
-        assert attempts.results.empty()
+    attempts = cache_attempts()
+    attempt = attempts.start(peer.address)
+    link = await peer.link()
+    await link.resp()
+    attempt.abandon()
+    assert await link.closed_by_peer()
+    assert attempts.results.empty()
 
 
-async def test_abandoning_an_attempt_while_connecting_sends_nothing() -> None:
+async def test_abandoning_an_attempt_while_connecting_sends_nothing(peer: Peer) -> None:
     """Written all the same, the request would run for nobody, and delay the next one."""
-    async with Peer() as peer:
-        attempts = cache_attempts()
-        attempt = attempts.start(peer.address)
-        assert attempts.pool.connecting_count == 1
-        attempt.abandon()
-        await wait_until(lambda: not attempts.pool.connecting_count)
-        attempts.start(peer.address)
-        link = await peer.link()
-        assert (await link.resp())[2] == b"r1"
-        assert attempts.pool.established_count == 1
-        assert attempts.results.empty()
-        attempts.pool.close()
+    attempts = cache_attempts()
+    attempt = attempts.start(peer.address)
+    assert attempts.pool.connecting_count == 1
+    attempt.abandon()
+    await wait_until(lambda: not attempts.pool.connecting_count)
+    attempts.start(peer.address)
+    link = await peer.link()
+    assert (await link.resp())[2] == b"r1"
+    assert attempts.pool.established_count == 1
+    assert attempts.results.empty()
+    attempts.pool.close()
--- a/tests/cache_router/net/test_upstream_responses.py
+++ b/tests/cache_router/net/test_upstream_responses.py
@@ -9,36 +9,36 @@
 from cache_router.net import upstream_connection
 from cache_router.net.origin_connection import OriginConnection
 from tests.support.loopback import HIT, http, keyed_write, read
-from tests.support.loopback_router import Router
+from tests.support.loopback_router import Router, router_with
 
 
-async def test_late_second_response_is_not_taken_for_another_request() -> None:
+@router_with(reuse_delay=60.0)
+async def test_late_second_response_is_not_taken_for_another_request(router: Router) -> None:
     """On a connection reused at once it came after the next request, and was served as its value."""
-    async with Router(reuse_delay=60.0) as router:
-        client, first = await router.start_read()
-        first.write(HIT)
-        assert await client.resp() == b"value"
-        client.write(read("r2"))
-        second = await router.cache()  # a new connection
-        assert (await second.resp())[2] == b"r2"
-        first.write(HIT.replace(b"value", b"stale"))
-        assert await first.closed_by_peer()
-        second.write(HIT.replace(b"value", b"fresh"))
-        assert await client.resp() == b"fresh"
-
-
-async def test_connection_is_reused_after_the_reuse_delay() -> None:
+    client, first = await router.start_read()
+    first.write(HIT)
+    assert await client.resp() == b"value"
+    client.write(read("r2"))
+    second = await router.cache()  # a new connection
+    assert (await second.resp())[2] == b"r2"
+    first.write(HIT.replace(b"value", b"stale"))
+    assert await first.closed_by_peer()
+    second.write(HIT.replace(b"value", b"fresh"))
+    assert await client.resp() == b"fresh"
+
+
+@router_with(reuse_delay=0.0)
+async def test_connection_is_reused_after_the_reuse_delay(router: Router) -> None:
     """After the delay no late response is expected any more, and reuse saves a handshake."""
-    async with Router(reuse_delay=0.0) as router:
-        client, cache = await router.start_read()
-        cache.write(HIT)
-        assert await client.resp() == b"value"
-        client.write(read("r2"))
-        assert (await cache.resp())[2] == b"r2"
+    client, cache = await router.start_read()
+    cache.write(HIT)
+    assert await client.resp() == b"value"
+    client.write(read("r2"))
+    assert (await cache.resp())[2] == b"r2"
 
 
 async def test_informational_response_does_not_start_the_completion_timeout(
-    monkeypatch: pytest.MonkeyPatch,
+    router: Router, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The origin sends `100 Continue` at once and its response when its work is done."""
     monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_TIMEOUT", 0.0)
@@ -50,14 +50,13 @@
         received.set()
 
     monkeypatch.setattr(OriginConnection, "data_received", recorded)
-    async with Router() as router:
-        client = await router.client()
-        client.write(keyed_write("r1"))
-        origin = await router.origin.link()
-        await origin.http()
-        origin.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        await received.wait()
-        for _ in range(5):  # enough for a timer of 0 s
-            await asyncio.sleep(0)
-        origin.write(http("200 OK", b"receipt"))
-        assert await client.resp() == b"receipt"
+    client = await router.client()
+    client.write(keyed_write("r1"))
+    origin = await router.origin.link()
+    await origin.http()
+    origin.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+    await received.wait()
+    for _ in range(5):  # enough for a timer of 0 s
+        await asyncio.sleep(0)
+    origin.write(http("200 OK", b"receipt"))
+    assert await client.resp() == b"receipt"
--- a/tests/cache_router/test_shutdown.py
+++ b/tests/cache_router/test_shutdown.py
@@ -15,7 +15,7 @@
 from tests.support.endpoint_lists import encode_endpoint_list
 from tests.support.event_order import wait_until
 from tests.support.loopback import HIT, MISS, Link, Peer, http, read
-from tests.support.loopback_router import KEYED_WRITE, READ, SETTINGS, Router
+from tests.support.loopback_router import KEYED_WRITE, READ, SETTINGS, Router, router_with
 from tests.support.router_process import config_with_cache, connected_client, listen_address, router_process
 
 
@@ -63,29 +63,29 @@
             assert await process.wait() == 0
 
 
-async def test_client_in_the_backlog_at_shutdown_is_served() -> None:
+@router_with(max_clients=1)
+async def test_client_in_the_backlog_at_shutdown_is_served(router: Router) -> None:
     """The kernel has accepted it and its request: closing the listening socket would reset both."""
-    async with Router(max_clients=1) as router:
-        first, cache = await router.start_read()
-        second = await router.client()
-        await wait_until(lambda: len(router.client_connections()) == 2)  # one too many, and none to evict
-        second.write(read("r2"))
-        third = await router.client()
-        third.write(read("r3"))
-        served = await router.cache()
-        assert (await served.resp())[2] == b"r2"
-        shutdown = asyncio.create_task(router.listener.stop(0.0, DEFAULT_TIME_LIMIT))
-        await wait_until(lambda: router.listener.is_draining)
-        cache.write(HIT)
-        served.write(HIT)
-        assert await first.resp() == await second.resp() == b"value"
-        assert await first.closed_by_peer()
-        assert await second.closed_by_peer()
-        last = await next_request(router, cache, served)
-        last.write(HIT)
-        assert await third.resp() == b"value"
-        assert await third.closed_by_peer()
-        await shutdown
+    first, cache = await router.start_read()
+    second = await router.client()
+    await wait_until(lambda: len(router.client_connections()) == 2)  # one too many, and none to evict
+    second.write(read("r2"))
+    third = await router.client()
+    third.write(read("r3"))
+    served = await router.cache()
+    assert (await served.resp())[2] == b"r2"
+    shutdown = asyncio.create_task(router.listener.stop(0.0, DEFAULT_TIME_LIMIT))
+    await wait_until(lambda: router.listener.is_draining)
+    cache.write(HIT)
+    served.write(HIT)
+    assert await first.resp() == await second.resp() == b"value"
+    assert await first.closed_by_peer()
+    assert await second.closed_by_peer()
+    last = await next_request(router, cache, served)
+    last.write(HIT)
+    assert await third.resp() == b"value"
+    assert await third.closed_by_peer()
+    await shutdown
 
 
 async def next_request(router: Router, *links: Link) -> Link:
@@ -101,33 +101,33 @@
     return accept.result()
 
 
-async def test_client_just_accepted_at_shutdown_may_send_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_client_just_accepted_at_shutdown_may_send_its_request(
+    router: Router, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Closed without a reply it would count as a refused connection, and many of them as lost requests."""
-    async with Router() as router:
-        client = await router.client()
-        await wait_until(router.client_connections)
-        monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", DEFAULT_TIME_LIMIT)
-        shutdown = asyncio.create_task(router.listener.stop(0.0, DEFAULT_TIME_LIMIT))
-        await wait_until(lambda: router.listener.is_closed)
-        client.write(read("r1"))
-        cache = await router.cache()
-        await cache.resp()
-        cache.write(HIT)
-        assert await client.resp() == b"value"
-        assert await client.closed_by_peer()
-        await shutdown
-
-
-async def test_last_reply_while_draining_closes_its_connection() -> None:
+    client = await router.client()
+    await wait_until(router.client_connections)
+    monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", DEFAULT_TIME_LIMIT)
+    shutdown = asyncio.create_task(router.listener.stop(0.0, DEFAULT_TIME_LIMIT))
+    await wait_until(lambda: router.listener.is_closed)
+    client.write(read("r1"))
+    cache = await router.cache()
+    await cache.resp()
+    cache.write(HIT)
+    assert await client.resp() == b"value"
+    assert await client.closed_by_peer()
+    await shutdown
+
+
+async def test_last_reply_while_draining_closes_its_connection(router: Router) -> None:
     """Left open any longer, the client would send its next request to a process that ends."""
-    async with Router() as router:
-        client, cache = await router.start_read()
-        (connection,) = router.client_connections()
-        shutdown = asyncio.create_task(router.listener.stop(0.0, DEFAULT_TIME_LIMIT))
-        await wait_until(lambda: router.listener.is_draining)
-        router.dispatcher.requests.respond("r1", b"-ERR failed\r\n")
-        assert not connection.is_connected()  # closing, as the client has not disconnected
-        assert isinstance(await client.resp(), hiredis.ReplyError)
-        assert await client.closed_by_peer()
-        await shutdown
-        del cache  # open until here
+    client, cache = await router.start_read()
+    (connection,) = router.client_connections()
+    shutdown = asyncio.create_task(router.listener.stop(0.0, DEFAULT_TIME_LIMIT))
+    await wait_until(lambda: router.listener.is_draining)
+    router.dispatcher.requests.respond("r1", b"-ERR failed\r\n")
+    assert not connection.is_connected()  # closing, as the client has not disconnected
+    assert isinstance(await client.resp(), hiredis.ReplyError)
+    assert await client.closed_by_peer()
+    await shutdown
+    del cache  # open until here
--- a/tests/support/loopback_router.py
+++ b/tests/support/loopback_router.py
@@ -3,9 +3,12 @@
 from __future__ import annotations
 
 import asyncio
+from functools import partial
 from types import TracebackType
 from typing import Any, Self
 
+import pytest
+
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.endpoint import Endpoint
 from cache_router.net.cache_connection import CacheConnection
@@ -139,3 +142,9 @@
         cache = await self.cache()
         assert (await cache.resp())[2] == request.encode()
         return client, cache
+
+
+def router_with(**options: Any) -> pytest.MarkDecorator:
+    """Return the mark of a test whose `router` fixture is created with these arguments of `Router`."""
+    name = ",".join(options)
+    return pytest.mark.parametrize("router", [partial(Router, **options)], ids=[name], indirect=True)
