--- a/tests/cache_router/conftest.py
+++ b/tests/cache_router/conftest.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.support.coroutine_tests import DEFAULT_TIME_LIMIT, LoopErrors
-from tests.support.loopback import Peer
+from tests.support.loopback import Clients, Peer
 from tests.support.loopback_router import Router
 
 
@@ -19,6 +19,13 @@
         yield peer
 
 
+@pytest.fixture
+async def clients() -> AsyncIterator[Clients]:
+    """Connections that the test opens as a client; they are closed after it."""
+    async with Clients() as clients:
+        yield clients
+
+
 @pytest.fixture
 async def router(
     request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch, loop_errors: LoopErrors
--- a/tests/cache_router/net/test_client_connection_closing.py
+++ b/tests/cache_router/net/test_client_connection_closing.py
@@ -22,7 +22,7 @@
     _transport, connection = await asyncio.get_running_loop().connect_accepted_socket(
         lambda: ClientConnection(router.dispatcher, table), accepted_socket
     )
-    return Link(*await asyncio.open_connection(sock=client_socket)), connection
+    return router.clients.add(Link(*await asyncio.open_connection(sock=client_socket))), connection
 
 
 @pytest.mark.parametrize("cause", ["abort", "reset"])
--- a/tests/cache_router/net/test_descriptors.py
+++ b/tests/cache_router/net/test_descriptors.py
@@ -11,11 +11,10 @@
 import pytest
 
 from tests.support.endpoint_lists import encode_endpoint_list, peer_entry
-from tests.support.loopback import HIT, Link, Peer, command, format_address, http, read
+from tests.support.loopback import HIT, Clients, Link, Peer, command, format_address, http, read
 from tests.support.router_process import (
     PROCESS_TEST_TIMEOUT,
     config_with_cache,
-    connected_client,
     discard_log,
     listen_address,
     router_process,
@@ -75,18 +74,21 @@
         self.server = await asyncio.start_server(self._accept, sock=self.socket)
 
 
-async def exhaust_descriptors(address: tuple[str, int], caches: list[Peer], origin: Peer) -> list[Link]:
-    """Let attempts that hang and idle clients use up all that they may; return the connections of clients."""
-    busy_clients = [await connected_client(address) for _ in range(3)]
+async def exhaust_descriptors(
+    clients: Clients, address: tuple[str, int], caches: list[Peer], origin: Peer
+) -> None:
+    """Let attempts that hang and idle clients use up all that they may."""
+    busy_clients = [await clients.connect_and_ping(address) for _ in range(3)]
     for n in range(31):
         for i in (0, 1):
             busy_clients[i].write(read(f"r{i}-{n}", f"k{i}-{n}", LONG_DEADLINE))
         busy_clients[2].write(command("C.SET", f"k{n}", f"w{n}", "c=pay,t=t,d=600000,k=1", "v"))
     await poll_until(lambda: sum(p.links.qsize() for p in caches) == SHARED_DESCRIPTORS * 3 // 8)
     await poll_until(lambda: origin.links.qsize() == SHARED_DESCRIPTORS // 8)
-    idle_clients = [await connected_client(address) for _ in range(DESCRIPTOR_LIMIT)]
-    idle_clients += [await idle_client(address) for _ in range(DESCRIPTOR_LIMIT)]
-    return [*busy_clients, *idle_clients]
+    for _ in range(DESCRIPTOR_LIMIT):
+        await clients.connect_and_ping(address)
+    for _ in range(DESCRIPTOR_LIMIT):
+        await clients.connect(address)
 
 
 async def read_until_served(client: Link, caches: list[Peer], expected: set[Peer]) -> None:
@@ -112,7 +114,7 @@
 @pytest.mark.parametrize("agent_state", ["refused", "silent"])
 @pytest.mark.time_limit(PROCESS_TEST_TIMEOUT)
 async def test_endpoint_list_is_received_while_descriptors_are_exhausted(
-    agent_state: str, allowed: int, tmp_path: Path
+    clients: Clients, agent_state: str, allowed: int, tmp_path: Path
 ) -> None:
     """Idle clients, silent ones and attempts that hang, as many of each as the router admits."""
     async with listening_peers(5) as (*caches, fresh, origin):
@@ -127,7 +129,7 @@
         async with router_process(config, tmp_path / "config.json", DESCRIPTOR_LIMIT) as process:
             address = await listen_address(process.stderr)
             log_reader = asyncio.create_task(discard_log(process.stderr))
-            clients = await exhaust_descriptors(address, caches, origin)
+            await exhaust_descriptors(clients, address, caches, origin)
             # not at once: the router may have closed idle clients and not accepted the silent ones yet
             await poll_until(lambda: open_descriptors(process) > SHARED_DESCRIPTORS)
             assert open_descriptors(process) <= DESCRIPTOR_LIMIT
@@ -142,14 +144,7 @@
             await poll.http()
             poll.write(response)
             assert "after=50&" in (await (await agent.link()).http())[0]
-            client = await idle_client(address)
+            client = await clients.connect(address)
             await read_until_served(client, [*caches, fresh], {caches[0], fresh})
             log_reader.cancel()
-            for link in (*clients, client):
-                link.close()
         await agent.__aexit__(None, None, None)
-
-
-async def idle_client(address: tuple[str, int]) -> Link:
-    """Open a client's connection on which nothing is sent."""
-    return Link(*await asyncio.open_connection(*address))
--- a/tests/cache_router/net/test_eviction.py
+++ b/tests/cache_router/net/test_eviction.py
@@ -135,7 +135,7 @@
     small_buffer.connect(router.listener.address)
     with monkeypatch.context() as patch:
         patch.setattr(socket.socket, "accept", accept_with_small_buffer)
-        client = Link(*await asyncio.open_connection(sock=small_buffer, limit=1024))
+        client = router.clients.add(Link(*await asyncio.open_connection(sock=small_buffer, limit=1024)))
         await wait_until(router.client_connections)
     client.write(read("r1"))
     cache = await router.cache()
--- a/tests/cache_router/test_server.py
+++ b/tests/cache_router/test_server.py
@@ -3,9 +3,11 @@
 from __future__ import annotations
 
 import asyncio
+import gc
 import os
 import signal
 import socket
+import warnings
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from pathlib import Path
@@ -19,13 +21,12 @@
 from cache_router.config import read_config
 from tests.support.coroutine_tests import DEFAULT_TIME_LIMIT
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
-from tests.support.loopback import HIT, Peer, format_address, http, read
+from tests.support.loopback import HIT, Clients, Peer, format_address, http, read
 from tests.support.loopback_router import read_values
 from tests.support.router_process import (
     CACHED_LIST,
     VALID_CONFIG,
     config_with_cache,
-    connected_client,
     listen_address,
     router_process,
 )
@@ -37,7 +38,12 @@
     if config is not None:
         path.write_bytes(config)
     monkeypatch.setenv("RELAY_CONFIG", str(path))
-    return main()
+    status = main()
+    # a listener that could not be bound leaves its socket to the end of the process, which does not end here
+    with warnings.catch_warnings():
+        warnings.simplefilter("ignore", ResourceWarning)
+        gc.collect()
+    return status
 
 
 @pytest.mark.parametrize(
@@ -133,7 +139,9 @@
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
-async def test_sigterm_ends_the_process_once_all_requests_are_answered(mode: str, tmp_path: Path) -> None:
+async def test_sigterm_ends_the_process_once_all_requests_are_answered(
+    clients: Clients, mode: str, tmp_path: Path
+) -> None:
     """Ended too early it loses accepted requests; too late it is killed with requests in flight."""
     async with (
         Peer() as cache,
@@ -144,7 +152,7 @@
         assert "after=1&" in (await watch.http())[0]
         watch.write(http("200 OK", encode_endpoint_list(2, False)))
         address = await listen_address(process.stderr)
-        client = await connected_client(address)
+        client = await clients.connect_and_ping(address)
         client.write(read("r1"))
         cache_link = await cache.link()
         await cache_link.resp()
@@ -152,7 +160,7 @@
         assert process.stderr is not None
         line = await process.stderr.readline()
         assert b" INFO cache_router.server draining " + format_address(address).encode() + b": " in line
-        late = await connected_client(address)
+        late = await clients.connect_and_ping(address)
         assert await late.closed_by_peer()
         cache_link.write(HIT)
         assert await client.resp() == b"value"
@@ -161,7 +169,9 @@
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
-async def test_sighup_moves_the_watch_to_the_new_address_under_load(mode: str, tmp_path: Path) -> None:
+async def test_sighup_moves_the_watch_to_the_new_address_under_load(
+    clients: Clients, mode: str, tmp_path: Path
+) -> None:
     """Unhandled, SIGHUP kills the router; a watch of the old address would miss later drains."""
     path = tmp_path / "config.json"
     async with Peer() as cache, Peer() as first, Peer() as second, Peer() as third:
@@ -169,7 +179,7 @@
         async with router_process(config, path) as process:
             watch, address = await first.link(), await listen_address(process.stderr)
             await watch.http()
-            client = await connected_client(address)
+            client = await clients.connect_and_ping(address)
             client.write(read("r0"))
             for number, discovery in enumerate((second, third), 1):
                 path.write_bytes(orjson.dumps({**config, "discovery": discovery.address}))
@@ -209,7 +219,7 @@
 
 
 async def test_router_listens_only_after_its_first_endpoint_list(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    clients: Clients, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The drain deadline of discovery's list counts from the start; the cached list may be outdated."""
     monkeypatch.setattr(server, "FIRST_LIST_TIMEOUT", DEFAULT_TIME_LIMIT)
@@ -230,14 +240,14 @@
             budget = read_config(orjson.dumps(config)).settings.watch_budget
             poll = await agent.link()
             assert f"after=2&wait_ms={int(budget.long_poll_wait * 1000)} " in (await poll.http())[0]
-            client = await connected_client(address)
+            client = await clients.connect_and_ping(address)
             await read_values(client, ready, 8)
             assert draining.links.empty()
             client.close()
 
 
 async def test_router_serves_from_the_cached_list_while_discovery_is_silent(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    clients: Clients, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Discovery may be unavailable for long, and has then sent nothing newer."""
     monkeypatch.setattr(server, "FIRST_LIST_TIMEOUT", 0.01)
@@ -250,7 +260,7 @@
         await (await agent.link()).http()
         while True:
             try:
-                client = await connected_client(address)
+                client = await clients.connect_and_ping(address)
                 break
             except ConnectionRefusedError:
                 await asyncio.sleep(0)
--- a/tests/cache_router/test_shutdown.py
+++ b/tests/cache_router/test_shutdown.py
@@ -14,9 +14,9 @@
 from tests.support.coroutine_tests import DEFAULT_TIME_LIMIT
 from tests.support.endpoint_lists import encode_endpoint_list
 from tests.support.event_order import wait_until
-from tests.support.loopback import HIT, MISS, Link, Peer, http, read
+from tests.support.loopback import HIT, MISS, Clients, Link, Peer, http, read
 from tests.support.loopback_router import KEYED_WRITE, READ, SETTINGS, Router, router_with
-from tests.support.router_process import config_with_cache, connected_client, listen_address, router_process
+from tests.support.router_process import config_with_cache, listen_address, router_process
 
 
 @pytest.mark.parametrize("waiting_for", ["server", "origin", "capacity"])
@@ -45,7 +45,9 @@
         await wait_until(lambda: not router.dispatcher.requests)
 
 
-async def test_shutdown_time_follows_from_the_longest_client_timeout(tmp_path: Path) -> None:
+async def test_shutdown_time_follows_from_the_longest_client_timeout(
+    clients: Clients, tmp_path: Path
+) -> None:
     """The request at a server that hangs would be cut off at the end of the process, or by SIGKILL."""
     async with Peer() as cache, Peer() as agent:
         config = config_with_cache(cache, agent, "automatic")
@@ -55,7 +57,7 @@
             watch = await agent.link()
             await watch.http()
             watch.write(http("200 OK", encode_endpoint_list(2, False)))
-            client = await connected_client(await listen_address(process.stderr))
+            client = await clients.connect_and_ping(await listen_address(process.stderr))
             client.write(read("r1", info="c=read,t=t,d=600000"))
             await (await cache.link()).resp()
             process.send_signal(signal.SIGTERM)
--- a/tests/cache_router/test_startup.py
+++ b/tests/cache_router/test_startup.py
@@ -23,12 +23,11 @@
 from cache_router.net.endpoint_list_reader import read_endpoint_list
 from cache_router.net.origin_connection import OriginConnection
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
-from tests.support.loopback import Peer, http
+from tests.support.loopback import Clients, Peer, http
 from tests.support.router_process import (
     PROCESS_TEST_TIMEOUT,
     VALID_CONFIG,
     config_with_cache,
-    connected_client,
     listen_address,
     router_process,
 )
@@ -109,7 +108,7 @@
 
 @pytest.mark.time_limit(PROCESS_TEST_TIMEOUT)
 async def test_startup_with_840_entries_polls_the_complete_list_once(
-    tmp_path: Path, record_property: Callable[[str, object], None]
+    clients: Clients, tmp_path: Path, record_property: Callable[[str, object], None]
 ) -> None:
     """When many routers start together, a second poll for the list would wait behind all first ones."""
     async with Peer() as agent:
@@ -120,7 +119,7 @@
             poll = await agent.link()
             assert "after=1&" in (await poll.http())[0]
             poll.write(http("200 OK", encode_endpoint_list(2, True, *entries)))
-            client = await connected_client(await listen_address(process.stderr))
+            client = await clients.connect_and_ping(await listen_address(process.stderr))
             record_property("processor_seconds", processor_seconds(process))
             watch = await agent.link()  # for changes after the list, and not for the list again
             first, _, _ = await watch.http()
--- a/tests/project/test_configuration_page.py
+++ b/tests/project/test_configuration_page.py
@@ -19,13 +19,8 @@
 from cache_router.net.endpoint_list_reader import EndpointListMessage
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.settings import RequestClass, Settings
-from tests.support.loopback import Peer
-from tests.support.router_process import (
-    PROCESS_TEST_TIMEOUT,
-    connected_client,
-    listen_address,
-    router_process,
-)
+from tests.support.loopback import Clients, Peer
+from tests.support.router_process import PROCESS_TEST_TIMEOUT, listen_address, router_process
 
 ROOT = Path(__file__).parents[2]
 PAGE = (ROOT / "docs" / "CONFIGURATION.md").read_text()
@@ -253,11 +248,11 @@
 @pytest.mark.time_limit(PROCESS_TEST_TIMEOUT)
 async def test_router_starts_with_the_example(tmp_path: Path) -> None:
     """Free ports replace the fixed ones, which other processes on the machine may use."""
-    async with Peer() as discovery:
+    async with Peer() as discovery, Clients() as clients:
         addresses = {"listen": "127.0.0.1:0", "discovery": discovery.address}
         config = {**orjson.loads(EXAMPLE), **addresses}
         async with router_process(config, tmp_path / "config.json") as process:
-            client = await connected_client(await listen_address(process.stderr))
+            client = await clients.connect_and_ping(await listen_address(process.stderr))
             client.close()
             process.terminate()
             assert await process.wait() == 0
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -8,6 +8,8 @@
 import asyncio
 import socket
 import struct
+from collections.abc import Iterable
+from contextlib import suppress
 from types import TracebackType
 from typing import Any, Self
 
@@ -99,6 +101,51 @@
         own_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
+    async def abort(self) -> None:
+        """Close the connection at once, without sending what is buffered, and wait until it is closed."""
+        self.writer.transport.abort()
+        with suppress(OSError):  # the error that ended the connection earlier
+            await self.writer.wait_closed()
+
+
+async def abort_all(links: Iterable[Link]) -> None:
+    """Abort connections, and wait until all are closed."""
+    for link in links:
+        await link.abort()
+
+
+class Clients:
+    """Connections that a test opens as a client; they stay open until the context ends."""
+
+    def __init__(self) -> None:
+        """Create a context without a connection."""
+        self._links: list[Link] = []
+
+    async def __aenter__(self) -> Self:
+        """Return the context itself; connections are opened in it."""
+        return self
+
+    async def __aexit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        """Abort all connections."""
+        await abort_all(self._links)
+
+    def add(self, link: Link) -> Link:
+        """Close a connection with the others at the end, and return it."""
+        self._links.append(link)
+        return link
+
+    async def connect(self, address: tuple[str, int]) -> Link:
+        """Open a connection on which nothing is sent yet."""
+        return self.add(Link(*await asyncio.open_connection(*address)))
+
+    async def connect_and_ping(self, address: tuple[str, int]) -> Link:
+        """Open a connection, and wait for the reply to a PING."""
+        link = await self.connect(address)
+        await link.ping()
+        return link
+
 
 class Peer:
     """A listening server; the test writes the responses on its connections itself."""
@@ -107,6 +154,8 @@
         """Create a server that listens once its context is entered."""
         self.links: asyncio.Queue[Link] = asyncio.Queue()
         self.served: list[Link] = []  # connections on which `serve` reads
+        self._accepted: list[Link] = []  # all connections, also those that the test has taken
+        self._is_closed = False
 
     async def __aenter__(self) -> Self:
         """Listen on a free port of loopback."""
@@ -117,11 +166,18 @@
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Stop listening; connections stay open."""
+        """Stop listening, and abort all connections."""
+        self._is_closed = True
         self.server.close()
+        await abort_all(self._accepted)
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.links.put_nowait(Link(reader, writer))
+        link = Link(reader, writer)
+        if self._is_closed:  # the event loop had accepted the connection already
+            await link.abort()
+            return
+        self._accepted.append(link)
+        self.links.put_nowait(link)
 
     async def link(self) -> Link:
         """Return the next connection that is made to this server."""
--- a/tests/support/loopback_router.py
+++ b/tests/support/loopback_router.py
@@ -20,7 +20,7 @@
 from cache_router.net.listener import Listener
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings, WatchBudget
-from tests.support.loopback import HIT, Link, Peer, read
+from tests.support.loopback import HIT, Clients, Link, Peer, read
 
 # an idempotent class, and one that is idempotent with a key
 READ = RequestClass("read", latency_objective=1.0)
@@ -67,6 +67,7 @@
         self.discovery: Discovery | None = None
         self.caches = {"a": Peer(), "b": Peer()}
         self.origin = Peer()
+        self.clients = Clients()
         self.cache_pool = ConnectionPool(CacheConnection, 16, 1.0, 60.0, reuse_delay)
         self.origin_pool = ConnectionPool(OriginConnection, 16, 1.0, 60.0, reuse_delay)
         self.dispatcher = Dispatcher(settings, 1, self.cache_pool, self.origin_pool, self._subscribe)
@@ -108,7 +109,7 @@
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Abort the connections of clients, and stop everything."""
+        """Abort the router's connections, stop it, and close those of clients and servers."""
         for connection in self.listener.open_connections():
             connection.abort()
         await self.listener.stop(0.0, 1.0)
@@ -116,12 +117,13 @@
             self.discovery.close()
         self.cache_pool.close()
         self.origin_pool.close()
+        await self.clients.__aexit__(kind, error, trace)
         for peer in (*self.caches.values(), self.origin):
             await peer.__aexit__(kind, error, trace)
 
     async def client(self) -> Link:
-        """Open a new client's connection."""
-        return Link(*await asyncio.open_connection(*self.listener.address))
+        """Open a new client's connection, which stays open until the router stops."""
+        return await self.clients.connect(self.listener.address)
 
     def client_connections(self) -> list[ClientConnection]:
         """Return the router's side of the clients' open connections, in order of acceptance."""
--- a/tests/support/router_process.py
+++ b/tests/support/router_process.py
@@ -16,7 +16,7 @@
 
 from cache_router.net.address import parse_address
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, peer_entry
-from tests.support.loopback import Link, Peer
+from tests.support.loopback import Peer
 from tests.support.settings_json import SETTINGS_JSON
 
 PROCESS_TEST_TIMEOUT = 60.0  # seconds for a test with a process of its own, which starts on a busy machine
@@ -32,13 +32,6 @@
 }
 
 
-async def connected_client(address: tuple[str, int]) -> Link:
-    """Open a client's connection and wait for the reply to a PING."""
-    client = Link(*await asyncio.open_connection(*address))
-    await client.ping()
-    return client
-
-
 async def listen_address(log: asyncio.StreamReader | None) -> tuple[str, int]:
     """Read the address at which the program listens from its log."""
     assert log is not None
