--- a/tests/cache_router/net/test_disconnect_races.py
+++ b/tests/cache_router/net/test_disconnect_races.py
@@ -153,7 +153,7 @@
     router: Router, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The event loop handles the new connection first, and the client's disconnect right after it."""
-    _links = await open_idle_connections(router)
+    await open_idle_connections(router)
     written = record_written_requests(monkeypatch)
     connections = DelayedConnections(monkeypatch, *router.caches.values())
     client = blocking_client(router)
--- a/tests/cache_router/net/test_eviction.py
+++ b/tests/cache_router/net/test_eviction.py
@@ -70,9 +70,8 @@
     regular = await client_after_pings(router, 1)
     silent, incomplete = await router.client(), await router.client()
     incomplete.write(b"*4\r\n$5\r\nC.G")
-    newer = []  # referenced, or they would be closed
     for evicted in (silent, incomplete):
-        newer.append(await client_after_pings(router, 1))
+        await client_after_pings(router, 1)
         assert await evicted.closed_by_peer()
     await regular.ping()
 
@@ -83,7 +82,7 @@
     regular, erroneous = await client_after_pings(router, 1), await client_after_pings(router, 2)
     erroneous.write(read("r1", info="c=unheard-of,d=900") * 100)
     error_text(await erroneous.resp())
-    _newest = await client_after_pings(router, 1)
+    await client_after_pings(router, 1)
     with suppress(ConnectionResetError):
         await erroneous.reader.read()  # to its end
     await regular.ping()
@@ -93,7 +92,7 @@
 async def test_clients_with_a_single_command_are_evicted_before_regular_ones(router: Router) -> None:
     """Otherwise many single-command clients would make regular ones reconnect for every request."""
     regular, single = await client_after_pings(router, 2), await client_after_pings(router, 1)
-    _newest = await client_after_pings(router, 1)
+    await client_after_pings(router, 1)
     assert await single.closed_by_peer()
     await regular.ping()
 
--- a/tests/cache_router/net/test_upstream_attempt.py
+++ b/tests/cache_router/net/test_upstream_attempt.py
@@ -5,6 +5,8 @@
 import asyncio
 from functools import partial
 
+import pytest
+
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net.upstream_attempt import UpstreamAttempt, UpstreamResponse
 from tests.support.upstream_attempts import GET
@@ -58,17 +60,19 @@
     assert connection.aborts == 0
 
 
-async def test_abandoned_attempt_stops_the_task_that_connects_only_until_it_is_connected() -> None:
+@pytest.mark.parametrize("is_connected", [False, True])
+async def test_abandoned_attempt_stops_the_task_that_connects_only_until_it_is_connected(
+    is_connected: bool,
+) -> None:
     """The task outlives the connecting: it is the one that sends the request."""
-    for is_connected in (False, True):
-        connecting = asyncio.create_task(asyncio.sleep(60.0))
-        attempt = UpstreamAttempt(GET, 0.5, lambda response: None)
-        attempt.mark_connecting(connecting)
-        if is_connected:
-            attempt.mark_connected()
-        attempt.abandon()
-        assert bool(connecting.cancelling()) is not is_connected
-        connecting.cancel()
+    connecting = asyncio.create_task(asyncio.sleep(60.0))
+    attempt = UpstreamAttempt(GET, 0.5, lambda response: None)
+    attempt.mark_connecting(connecting)
+    if is_connected:
+        attempt.mark_connected()
+    attempt.abandon()
+    assert bool(connecting.cancelling()) is not is_connected
+    connecting.cancel()
 
 
 async def test_timeout_runs_unless_the_attempt_has_ended() -> None:
--- a/tests/cache_router/test_shutdown.py
+++ b/tests/cache_router/test_shutdown.py
@@ -123,7 +123,7 @@
 
 async def test_last_reply_while_draining_closes_its_connection(router: Router) -> None:
     """Left open any longer, the client would send its next request to a process that ends."""
-    client, cache = await router.start_read()
+    client, _ = await router.start_read()
     (connection,) = router.client_connections()
     shutdown = asyncio.create_task(router.listener.stop(0.0, DEFAULT_TIME_LIMIT))
     await wait_until(lambda: router.listener.is_draining)
@@ -132,4 +132,3 @@
     assert isinstance(await client.resp(), hiredis.ReplyError)
     assert await client.closed_by_peer()
     await shutdown
-    del cache  # open until here
