--- a/tests/cache_router/net/test_cache_connection.py
+++ b/tests/cache_router/net/test_cache_connection.py
@@ -6,7 +6,7 @@
 
 from cache_router.decisions.events import AttemptStatus
 from tests.support.loopback import HIT, MISS, Peer
-from tests.support.upstream_attempts import cache_attempts, info_without_deadline
+from tests.support.upstream_attempts import AttemptRecorders, info_without_deadline
 
 OVERSIZED_VALUE = b"$70000\r\n" + b"x" * 70000
 
@@ -26,10 +26,10 @@
     ],
 )
 async def test_responses_of_a_cache_server(
-    peer: Peer, response: bytes, status: AttemptStatus, value: bytes
+    peer: Peer, attempt_recorders: AttemptRecorders, response: bytes, status: AttemptStatus, value: bytes
 ) -> None:
     """Only an error that starts with BUSY is a rejection; after any other error the request may have run."""
-    attempts = cache_attempts()
+    attempts = attempt_recorders.on_caches()
     attempts.start(peer.address)
     link = await peer.link()
     *parts, info = await link.resp()
@@ -39,7 +39,6 @@
     assert await attempts.outcome() == (status, value)
     attempts.start(peer.address)  # and the connection is used again
     await link.resp()
-    attempts.pool.close()
 
 
 @pytest.mark.parametrize(
@@ -57,9 +56,11 @@
         b"*3\r\n$3\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n",
     ],
 )
-async def test_malformed_response_is_an_error_and_closes_its_connection(peer: Peer, response: bytes) -> None:
+async def test_malformed_response_is_an_error_and_closes_its_connection(
+    peer: Peer, attempt_recorders: AttemptRecorders, response: bytes
+) -> None:
     """What follows on such a connection can't be distinguished from the response to a later request."""
-    attempts = cache_attempts()
+    attempts = attempt_recorders.on_caches()
     link = await attempts.start_on(peer)
     link.write(response)
     assert await attempts.outcome() == (AttemptStatus.ERROR, b"")
--- a/tests/cache_router/net/test_connection_pool.py
+++ b/tests/cache_router/net/test_connection_pool.py
@@ -8,12 +8,12 @@
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net import connection_pool
 from tests.support.loopback import HIT, MISS, Peer, format_address
-from tests.support.upstream_attempts import cache_attempts
+from tests.support.upstream_attempts import AttemptRecorders
 
 
-async def test_longest_idle_connection_is_used_first(peer: Peer) -> None:
+async def test_longest_idle_connection_is_used_first(peer: Peer, attempt_recorders: AttemptRecorders) -> None:
     """A late second response would come after the next request, and be taken for its response."""
-    attempts = cache_attempts()
+    attempts = attempt_recorders.on_caches()
     links = [await attempts.start_on(peer) for _ in range(2)]
     for link in links:
         link.write(HIT)
@@ -24,49 +24,49 @@
     assert await links[1].closed_by_peer()
     links[0].write(MISS)
     assert await attempts.outcome() == (AttemptStatus.MISS, b"")
-    attempts.pool.close()
 
 
-async def test_connection_to_an_earlier_incarnation_is_not_used(peer: Peer) -> None:
+async def test_connection_to_an_earlier_incarnation_is_not_used(
+    peer: Peer, attempt_recorders: AttemptRecorders
+) -> None:
     """A machine that has failed never closes it; a request written to it would wait for its deadline."""
-    attempts = cache_attempts()
+    attempts = attempt_recorders.on_caches()
     link = await attempts.start_on(peer)
     link.write(HIT)
     await attempts.outcome()
     attempts.start(peer.address, incarnation="another")
     assert await link.closed_by_peer()
     assert (await (await peer.link()).resp())[2] == b"r1"
-    attempts.pool.close()
 
 
-async def test_refused_connection_is_a_failed_connect() -> None:
+async def test_refused_connection_is_a_failed_connect(attempt_recorders: AttemptRecorders) -> None:
     """Counted otherwise, a request that is not idempotent could not be sent elsewhere."""
     async with Peer() as peer:
         address = peer.address
-    attempts = cache_attempts()
+    attempts = attempt_recorders.on_caches()
     attempts.start(address)
     assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
     assert attempts.pool.established_count == 0
 
 
-async def test_connecting_times_out() -> None:
+async def test_connecting_times_out(attempt_recorders: AttemptRecorders) -> None:
     """An unreachable machine sends nothing: without a timeout the request would wait until its deadline."""
     with socket.socket() as full, socket.socket() as first:
         full.bind(("127.0.0.1", 0))
         full.listen(0)  # a backlog of one, which `first` occupies; the next gets no response
         first.connect(full.getsockname())
-        attempts = cache_attempts(connect_timeout=0.05)
+        attempts = attempt_recorders.on_caches(connect_timeout=0.05)
         attempts.start(format_address(full.getsockname()))
         assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
 
 
-async def test_closed_idle_connection_is_not_used() -> None:
+async def test_closed_idle_connection_is_not_used(attempt_recorders: AttemptRecorders) -> None:
     """A request written to it would end as a reset, and one that is not idempotent would fail needlessly."""
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as server:
         server.setblocking(False)
         address = format_address(server.getsockname())
-        attempts = cache_attempts()
+        attempts = attempt_recorders.on_caches()
         attempts.start(address)
         first, _ = await loop.sock_accept(server)
         await loop.sock_recv(first, 4096)
@@ -81,9 +81,11 @@
         second.close()
 
 
-async def test_idle_connection_is_closed_before_its_server_would(peer: Peer) -> None:
+async def test_idle_connection_is_closed_before_its_server_would(
+    peer: Peer, attempt_recorders: AttemptRecorders
+) -> None:
     """A request written just as the server closes the connection is lost."""
-    attempts = cache_attempts(idle_timeout=connection_pool.IDLE_MARGIN + 0.01)
+    attempts = attempt_recorders.on_caches(idle_timeout=connection_pool.IDLE_MARGIN + 0.01)
     link = await attempts.start_on(peer)
     link.write(HIT)
     assert await attempts.outcome() == (AttemptStatus.OK, b"value")
@@ -91,10 +93,10 @@
     assert attempts.pool.established_count == 0
 
 
-async def test_connections_stay_within_their_limit() -> None:
+async def test_connections_stay_within_their_limit(attempt_recorders: AttemptRecorders) -> None:
     """Otherwise a burst would use up the descriptors that clients need."""
     async with Peer() as one, Peer() as other:
-        attempts = cache_attempts(max_connections=1)
+        attempts = attempt_recorders.on_caches(max_connections=1)
         attempts.start(one.address)
         link = await one.link()
         await link.resp()
@@ -106,13 +108,14 @@
         attempts.start(other.address)  # an idle one is closed for it
         assert await link.closed_by_peer()
         await (await other.link()).resp()
-        attempts.pool.close()
 
 
-async def test_longest_idle_connection_to_any_server_is_closed_for_another() -> None:
+async def test_longest_idle_connection_to_any_server_is_closed_for_another(
+    attempt_recorders: AttemptRecorders,
+) -> None:
     """Closed at one server each time, that server would need a handshake for every request."""
     async with Peer() as one, Peer() as two, Peer() as three:
-        attempts = cache_attempts(max_connections=2)
+        attempts = attempt_recorders.on_caches(max_connections=2)
         first, second = await attempts.start_on(one), await attempts.start_on(two)
         for link in (second, first):
             link.write(HIT)
@@ -120,4 +123,3 @@
         attempts.start(three.address)
         assert await second.closed_by_peer()
         assert attempts.pool.idle_count == 1
-        attempts.pool.close()
--- a/tests/cache_router/net/test_origin_connection.py
+++ b/tests/cache_router/net/test_origin_connection.py
@@ -9,7 +9,7 @@
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net.command import Command
 from tests.support.loopback import Link, Peer, http
-from tests.support.upstream_attempts import GET, AttemptRecorder, info_without_deadline, origin_attempts
+from tests.support.upstream_attempts import GET, AttemptRecorder, AttemptRecorders, info_without_deadline
 
 # the characters that RFC 3986 allows unescaped in a path
 UNRESERVED = (string.ascii_letters + string.digits + "-._~").encode()
@@ -49,10 +49,10 @@
     ],
 )
 async def test_responses_of_the_origin(
-    peer: Peer, response: bytes, status: AttemptStatus, value: bytes
+    peer: Peer, attempt_recorders: AttemptRecorders, response: bytes, status: AttemptStatus, value: bytes
 ) -> None:
     """Only a rejection that says so was not started; any other request with an error may have run."""
-    attempts = origin_attempts()
+    attempts = attempt_recorders.on_origin()
     link, first, headers, _ = await start_on_origin(peer, attempts)
     assert first == "GET /k HTTP/1.1"
     assert (headers["request-id"], info_without_deadline(headers["request-info"])) == ("r1", "c=read")
@@ -60,7 +60,6 @@
     assert await attempts.outcome() == (status, value)
     attempts.start(peer.address)  # and the connection is used again
     await link.http()
-    attempts.pool.close()
 
 
 @pytest.mark.parametrize(
@@ -80,10 +79,10 @@
     ],
 )
 async def test_malformed_and_broken_responses_of_the_origin(
-    peer: Peer, response: bytes, status: AttemptStatus
+    peer: Peer, attempt_recorders: AttemptRecorders, response: bytes, status: AttemptStatus
 ) -> None:
     """A response that was cut off is a reset; one that can't be used ends its attempt at once."""
-    attempts = origin_attempts()
+    attempts = attempt_recorders.on_origin()
     link, *_ = await start_on_origin(peer, attempts)
     link.write(response)
     link.close()
@@ -93,9 +92,11 @@
 
 
 @pytest.mark.parametrize("key", [b"a/../b", b"a?x=1", b"a b", b"a\r\nX: y", b"%2e", "ó".encode(), b"\xff#"])
-async def test_key_is_encoded_as_one_path_segment(peer: Peer, key: bytes) -> None:
+async def test_key_is_encoded_as_one_path_segment(
+    peer: Peer, attempt_recorders: AttemptRecorders, key: bytes
+) -> None:
     """A key that names another path would read or overwrite another resource."""
-    attempts = origin_attempts()
+    attempts = attempt_recorders.on_origin()
     put = Command(b"C.SET", key, b"r1", {"d": "900"}, 900, b"slot")
     _, first, _, body = await start_on_origin(peer, attempts, put)
     method, path, _ = first.split(" ")
@@ -103,12 +104,13 @@
     assert body == b"slot"
     assert not set(path[1:]) & set("/?# ")
     assert path == "/" + "".join(chr(c) if c in UNRESERVED else f"%{c:02X}" for c in key)
-    attempts.pool.close()
 
 
-async def test_request_that_cannot_be_encoded_ends_its_attempt_at_once(peer: Peer) -> None:
+async def test_request_that_cannot_be_encoded_ends_its_attempt_at_once(
+    peer: Peer, attempt_recorders: AttemptRecorders
+) -> None:
     """Without an outcome its request would stay in flight until the deadline."""
-    attempts = origin_attempts()
+    attempts = attempt_recorders.on_origin()
     attempts.start(peer.address, Command(b"C.GET", b"k", b"r1", {"x": "a\r\nb", "d": "9"}, 9))
     assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
     assert await (await peer.link()).closed_by_peer()
--- a/tests/cache_router/net/test_upstream_connection.py
+++ b/tests/cache_router/net/test_upstream_connection.py
@@ -17,7 +17,7 @@
 from cache_router.net.upstream_connection import UpstreamConnection
 from tests.support.event_order import wait_until
 from tests.support.loopback import HIT, Peer, http
-from tests.support.upstream_attempts import GET, HUGE_SET, AttemptRecorder, cache_attempts
+from tests.support.upstream_attempts import GET, HUGE_SET, AttemptRecorders
 
 
 class RecordingOwner:
@@ -103,11 +103,14 @@
 
 @pytest.mark.parametrize("kind", [CacheConnection, OriginConnection])
 async def test_incomplete_response_ends_its_attempt(
-    peer: Peer, kind: type[UpstreamConnection], monkeypatch: pytest.MonkeyPatch
+    peer: Peer,
+    attempt_recorders: AttemptRecorders,
+    kind: type[UpstreamConnection],
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Otherwise a response shorter than announced would keep its request in flight until the deadline."""
     monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_TIMEOUT", 0.02)
-    attempts = AttemptRecorder(ConnectionPool(kind, 8, 1.0, 60.0, 0.0))
+    attempts = attempt_recorders.on_pool(ConnectionPool(kind, 8, 1.0, 60.0, 0.0))
     attempts.start(peer.address)
     link = await peer.link()
     await (link.resp() if kind is CacheConnection else link.http())
@@ -117,9 +120,11 @@
     assert attempts.pool.established_count == 0
 
 
-async def test_data_after_a_response_closes_the_connection(peer: Peer) -> None:
+async def test_data_after_a_response_closes_the_connection(
+    peer: Peer, attempt_recorders: AttemptRecorders
+) -> None:
     """These bytes would be taken for the response to the next request."""
-    attempts = cache_attempts()
+    attempts = attempt_recorders.on_caches()
     link = await attempts.start_on(peer)
     link.write(HIT + HIT)
     assert await attempts.outcome() == (AttemptStatus.OK, b"value")
@@ -128,17 +133,21 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-async def test_disconnect_after_the_last_byte_is_a_reset(peer: Peer, how: str) -> None:
+async def test_disconnect_after_the_last_byte_is_a_reset(
+    peer: Peer, attempt_recorders: AttemptRecorders, how: str
+) -> None:
     """Sent elsewhere, a request that is not idempotent might run twice."""
-    attempts = cache_attempts()
+    attempts = attempt_recorders.on_caches()
     link = await attempts.start_on(peer)
     getattr(link, how)()
     assert await attempts.outcome() == (AttemptStatus.RESET, b"")
 
 
-async def test_disconnect_before_the_last_byte_is_a_failed_connect(peer: Peer) -> None:
+async def test_disconnect_before_the_last_byte_is_a_failed_connect(
+    peer: Peer, attempt_recorders: AttemptRecorders
+) -> None:
     """Counted as a reset, a request that is not idempotent could not be retried, though it can't have run."""
-    attempts = cache_attempts()
+    attempts = attempt_recorders.on_caches()
     attempts.start(peer.address, HUGE_SET)
     link = await peer.link()
     await link.reader.read(1)
@@ -146,9 +155,11 @@
     assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
 
 
-async def test_disconnect_after_a_request_written_in_pieces_is_a_reset(peer: Peer) -> None:
+async def test_disconnect_after_a_request_written_in_pieces_is_a_reset(
+    peer: Peer, attempt_recorders: AttemptRecorders
+) -> None:
     """Bytes that the event loop buffers are written only when the kernel has them."""
-    attempts = cache_attempts()
+    attempts = attempt_recorders.on_caches()
     attempts.start(peer.address, HUGE_SET)
     link = await peer.link()
     assert len(await link.resp()) == 5
@@ -156,9 +167,11 @@
     assert await attempts.outcome() == (AttemptStatus.RESET, b"")
 
 
-async def test_abandoning_an_attempt_closes_its_connection(peer: Peer) -> None:
+async def test_abandoning_an_attempt_closes_its_connection(
+    peer: Peer, attempt_recorders: AttemptRecorders
+) -> None:
     """Otherwise the server would continue to work, and its late response would be taken for the next one."""
-    attempts = cache_attempts()
+    attempts = attempt_recorders.on_caches()
     attempt = attempts.start(peer.address)
     link = await peer.link()
     await link.resp()
@@ -167,9 +180,11 @@
     assert attempts.results.empty()
 
 
-async def test_abandoning_an_attempt_while_connecting_sends_nothing(peer: Peer) -> None:
+async def test_abandoning_an_attempt_while_connecting_sends_nothing(
+    peer: Peer, attempt_recorders: AttemptRecorders
+) -> None:
     """Written all the same, the request would run for nobody, and delay the next one."""
-    attempts = cache_attempts()
+    attempts = attempt_recorders.on_caches()
     attempt = attempts.start(peer.address)
     assert attempts.pool.connecting_count == 1
     attempt.abandon()
@@ -179,4 +194,3 @@
     assert (await link.resp())[2] == b"r1"
     assert attempts.pool.established_count == 1
     assert attempts.results.empty()
-    attempts.pool.close()
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 import asyncio
+from types import TracebackType
+from typing import Self
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net.cache_connection import CacheConnection
@@ -52,18 +54,40 @@
     return others
 
 
-def origin_attempts() -> AttemptRecorder:
-    """Return a recorder of attempts on an origin, over connections that may be reused at once."""
-    return AttemptRecorder(ConnectionPool(OriginConnection, 8, 1.0, 60.0, 0.0))
+class AttemptRecorders:
+    """Makes recorders of attempts, and closes the connections of all of them when its context ends."""
 
+    def __init__(self) -> None:
+        """Create a context without a recorder."""
+        self._recorders: list[AttemptRecorder] = []
 
-def cache_attempts(
-    max_connections: int = 8, idle_timeout: float = 60.0, connect_timeout: float = 1.0
-) -> AttemptRecorder:
-    """Return a recorder of attempts on cache servers, over connections that may be reused at once.
+    def __enter__(self) -> Self:
+        """Return the context itself; recorders are made in it."""
+        return self
 
-    Times are in seconds.
-    """
-    return AttemptRecorder(
-        ConnectionPool(CacheConnection, max_connections, connect_timeout, idle_timeout, 0.0)
-    )
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        """Close the connections of all recorders."""
+        for recorder in self._recorders:
+            recorder.pool.close()
+
+    def on_pool(self, pool: ConnectionPool) -> AttemptRecorder:
+        """Return a recorder of attempts over a pool."""
+        recorder = AttemptRecorder(pool)
+        self._recorders.append(recorder)
+        return recorder
+
+    def on_origin(self) -> AttemptRecorder:
+        """Return a recorder of attempts on an origin, over connections that may be reused at once."""
+        return self.on_pool(ConnectionPool(OriginConnection, 8, 1.0, 60.0, 0.0))
+
+    def on_caches(
+        self, max_connections: int = 8, idle_timeout: float = 60.0, connect_timeout: float = 1.0
+    ) -> AttemptRecorder:
+        """Return a recorder of attempts on cache servers, over connections that may be reused at once.
+
+        Times are in seconds.
+        """
+        pool = ConnectionPool(CacheConnection, max_connections, connect_timeout, idle_timeout, 0.0)
+        return self.on_pool(pool)
