--- a/cache_router/decisions/action_buffer.py
+++ b/cache_router/decisions/action_buffer.py
@@ -1,4 +1,4 @@
-"""Where the parts of a router put the actions that an event calls for."""
+"""Buffer in which the parts of a router collect the actions for an event."""
 
 from collections.abc import Callable
 
@@ -6,11 +6,11 @@
 
 
 class ActionBuffer:
-    """The actions for the event being handled, in the order in which the host must carry them out.
+    """Collects the actions for the event being handled, in the order in which the host must execute them.
 
     Attributes:
-        add: Appends an action to those for the event being handled. It is the list's own method, which saves
-            a call for each action.
+        add: Appends an action for the event being handled. It is the `append` method of the list itself,
+            which saves a call for each action.
     """
 
     add: Callable[[Action], None]
@@ -20,13 +20,13 @@
         self.start_event()
 
     def decided(self) -> list[Action]:
-        """The actions so far for the event being handled, or handled last."""
+        """Return the actions so far for the event being handled, or those for the last event."""
         return self._actions
 
     def start_event(self) -> list[Action]:
-        """Start the list for the next event, and return it; it fills while the event is handled.
+        """Start a list for the next event and return it; actions are added while the event is handled.
 
-        A list is never used twice: the host still has the one of the event before.
+        A list is never reused, because the host still holds the list of the previous event.
         """
         actions: list[Action] = []
         self._actions = actions
--- a/cache_router/decisions/actions.py
+++ b/cache_router/decisions/actions.py
@@ -1,6 +1,6 @@
-"""The actions that the decisions return for an event, and that a host carries out in order.
+"""Actions that the decisions return for an event; the host executes them in order.
 
-Actions are plain data. Delays are in seconds.
+Actions are immutable records. Delays are in seconds.
 """
 
 from dataclasses import dataclass
@@ -10,11 +10,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Start an attempt; a request's attempts are numbered from 0 in the order sent."""
+    """Send an attempt to a server; the attempts of a request are numbered from 0 in the order sent."""
 
     request_id: str
     server: str
-    timeout: float | None = None  # seconds; None: until the client's own timeout
+    timeout: float | None = None  # seconds; None stands for the client timeout
 
 
 @dataclass(slots=True, frozen=True)
@@ -22,7 +22,7 @@
     """Final answer: the client may safely send the request again."""
 
     request_id: str
-    retry_after: float = 0.0  # seconds that the client should wait before a retry; 0 is no advice
+    retry_after: float = 0.0  # seconds that the client should wait before a retry; 0 omits Retry-After
 
 
 @dataclass(slots=True, frozen=True)
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Request a `TimerFired` of the same timer after a delay."""
+    """Request a `TimerFired` event with the same timer after `delay`."""
 
     delay: float
     timer: Timer
@@ -57,12 +57,12 @@
 
 @dataclass(slots=True, frozen=True)
 class SubscribeToEndpoints:
-    """Request the endpoint list, and its changes from now on."""
+    """Request the endpoint list and its later changes."""
 
 
 @dataclass(slots=True, frozen=True)
 class LogMessage:
-    """One line for the operators."""
+    """Write a line to the log."""
 
     message: str
 
--- a/cache_router/decisions/attempt_feedback.py
+++ b/cache_router/decisions/attempt_feedback.py
@@ -1,4 +1,4 @@
-"""Feedback of completed attempts: forwards an outcome to each decision that keeps state of servers."""
+"""Feedback from completed attempts to the parts of a router that keep state of servers."""
 
 from dataclasses import dataclass
 
@@ -12,15 +12,15 @@
 from cache_router.decisions.server import Server
 from cache_router.decisions.slow_start import SlowStart
 
-# statuses that do not show whether the server responds
+# statuses that do not show that the server responds
 NO_RESPONSE = (AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT)
 
 
 @dataclass(slots=True)
 class AttemptFeedback:
-    """Notifies the decisions of a completed attempt, in a fixed order.
+    """Notifies the parts that keep state of servers of a completed attempt, in a fixed order.
 
-    The concurrency limit adapts last, after an ejection has capped it.
+    The concurrency limit adapts last, because an ejection caps it first.
     """
 
     endpoints: EndpointList
@@ -31,7 +31,7 @@
     idle_connections: IdleConnections
 
     def on_attempt_completed(self, attempt: Attempt, event: AttemptCompleted, now: float) -> None:
-        """Record the outcome of an attempt that has just ended."""
+        """Record the outcome of an attempt that has ended."""
         server = attempt.server
         status = event.status
         server.concurrency.on_attempt_completed(now)
@@ -46,7 +46,7 @@
         server.concurrency.adapt(status, event.latency, attempt.target_latency, now)
 
     def detect_outlier(self, server: Server, status: AttemptStatus, now: float) -> None:
-        """Count the status of an attempt at a cache, and cap the limit of a cache that this ejects."""
+        """Record the status of an attempt at a cache; if this ejects the cache, cap its concurrency limit."""
         is_listed = self.endpoints.is_listed(server)
         if self.outliers.record(server.failures, status, is_listed, now):
             server.concurrency.cap_at_initial()
--- a/cache_router/decisions/attempt_sender.py
+++ b/cache_router/decisions/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Sending an attempt, to a cache or to the origin: records it, and sets the timer of its hedged request."""
+"""Sending of attempts to caches and the origin, with the timers of their hedged requests."""
 
 from dataclasses import dataclass, field
 
@@ -11,20 +11,20 @@
 from cache_router.decisions.slow_start import SlowStart
 from cache_router.decisions.timers import TimerSet
 
-# shares of the latency objective; answers that are slower on average show too many attempts in flight
+# shares of the latency objective; a higher mean latency indicates too many attempts in flight at the server
 CACHE_LATENCY_TARGET = 0.25
-ORIGIN_LATENCY_TARGET = 0.5  # the origin is slow by nature
+ORIGIN_LATENCY_TARGET = 0.5  # the origin is slower than a cache even without load
 
 
 @dataclass(slots=True)
 class AttemptSender:
-    """Owns the attempts in flight, also those whose requests have ended."""
+    """Sends attempts, and owns those in flight, including attempts of requests that have ended."""
 
     hedging: Hedging
     slow_start: SlowStart
     actions: ActionBuffer
-    in_flight: dict[tuple[str, int], Attempt] = field(default_factory=dict)  # by request id and number
-    timers: TimerSet = field(init=False)  # of hedged requests, by request id
+    in_flight: dict[tuple[str, int], Attempt] = field(default_factory=dict)  # keyed by request id and number
+    timers: TimerSet = field(init=False)  # timers of hedged requests, by request id
 
     def __post_init__(self) -> None:
         self.timers = TimerSet(TimerKind.HEDGE, self.actions)
@@ -45,13 +45,13 @@
             self.timers.cancel(request_id)
 
     def send_hedge(self, pending: PendingRequest, now: float) -> None:
-        """Send a hedged request if its last attempt is still unanswered and nothing forbids another."""
+        """Send a hedged request if the last attempt is still unanswered and another one is permitted."""
         server = self.hedging.choose_server(pending, now)
         if server is not None:
             self.send(pending, server, now)
 
     def complete(self, request_id: str, attempt_number: int, status: AttemptStatus) -> Attempt | None:
-        """Take an attempt that has ended out of those in flight; None when it is not one of them."""
+        """Remove an attempt that has ended from those in flight and return it; None when it is unknown."""
         attempt = self.in_flight.pop((request_id, attempt_number), None)
         if attempt is not None:
             attempt.complete(status)
--- a/cache_router/decisions/events.py
+++ b/cache_router/decisions/events.py
@@ -1,6 +1,6 @@
-"""The events that a host hands to `router.Router.handle`.
+"""Events that a host passes to `router.Router.handle`.
 
-Events are plain data. Times are seconds on one clock that only advances; the host owns that clock.
+Events are immutable records. Times are in seconds on one monotonic clock, which the host owns.
 """
 
 from dataclasses import dataclass, field
@@ -10,29 +10,29 @@
 
 
 class EndpointUpdateKind(Enum):
-    """How an update relates to the endpoint list already held."""
+    """Content of an endpoint update, relative to the endpoint list that the router holds."""
 
     DELTA = "delta"  # changed entries only
     SNAPSHOT = "snapshot"  # the complete list
-    CACHED = "cached"  # the complete list as it was known before the router started
-    FAILED = "failed"  # discovery could not be reached; the update has no endpoints
+    CACHED = "cached"  # the complete list that was stored before the router started
+    FAILED = "failed"  # no endpoints, because the call to discovery failed
 
 
 class AttemptStatus(Enum):
-    """How an attempt ended."""
+    """Outcome of an attempt."""
 
     OK = "ok"
     ERROR = "error"
-    REJECTED = "rejected"  # by a server that has no capacity left
+    REJECTED = "rejected"  # the server has no capacity left
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_SENT = "not_sent"  # for a reason of the router's own
+    NOT_SENT = "not_sent"  # the router could not send it; the server is not at fault
     MISS = "miss"  # the cache does not have the key
 
 
-# the status itself proves that the server did not execute the request
+# statuses that prove that the server did not execute the request
 NOT_EXECUTED = (
     AttemptStatus.REJECTED,
     AttemptStatus.CONNECT_FAILED,
@@ -40,43 +40,43 @@
     AttemptStatus.MISS,
 )
 ANSWERED = (AttemptStatus.OK, AttemptStatus.MISS)
-# fast failures, which are no measure of a server's load
+# fast failures, whose latency says nothing about the server's load
 FAILED = (AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.CONNECT_FAILED)
 
 
 class TimerKind(Enum):
-    """What a timer is set for."""
+    """Purpose of a timer. The kind determines what the timer's subject identifies."""
 
-    HEDGE = "hedge"  # the subject is a request's id
-    IDLE_CONNECTIONS = "idle"  # the subject is a server's name
-    ENDPOINT_POLL = "poll"  # no subject
-    QUEUE_DEADLINE = "queue"  # the subject is a request's id
+    HEDGE = "hedge"  # the subject is a request id
+    IDLE_CONNECTIONS = "idle"  # the subject is a server name
+    ENDPOINT_POLL = "poll"  # there is no subject
+    QUEUE_DEADLINE = "queue"  # the subject is a request id
 
 
 @dataclass(slots=True, frozen=True)
 class Timer:
-    """Which timer is set or due; a host returns it unchanged in `TimerFired`.
+    """Identifies a timer; the host returns it unchanged in `TimerFired`.
 
-    Timers of one kind and subject are set for the same purpose, and compare equal.
+    Timers of the same kind and subject have the same purpose and compare equal.
     """
 
     kind: TimerKind
     subject: str = ""
-    serial: int = field(default=0, compare=False)  # distinguishes it from others of the same purpose
+    serial: int = field(default=0, compare=False)  # distinguishes timers that compare equal
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdate:
-    """A change of the endpoint list, or the failure of a call for it."""
+    """A change of the endpoint list, or the failure of a call to discovery."""
 
     kind: EndpointUpdateKind
     endpoints: tuple[Endpoint, ...] = ()
-    discovery_address: str = ""  # of a failed call, for the log; empty where discovery has none
+    discovery_address: str = ""  # address of the failed call, for the log; empty if discovery has none
 
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryAddressChanged:
-    """Discovery has another address from now on; the watch at the previous address has ended."""
+    """The address of discovery has changed; the watch at the previous address has ended."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -87,7 +87,7 @@
     request_class: str
     time_left: float
     key: str | None = None
-    cost_hint: float | None = None  # seconds of a server's work, as the client estimates it
+    cost_hint: float | None = None  # client's estimate of the processing time at a server, in seconds
     is_write: bool = False
 
 
@@ -101,15 +101,15 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """A server's own measurements, which are late and noisy."""
+    """Load as measured by the server itself; reports arrive late and are noisy."""
 
-    service_time: float  # seconds that a recent request took, without queueing
-    queue_length: float  # requests that wait in the server's queue
+    service_time: float  # processing time of a recent request in seconds, without queueing
+    queue_length: float  # number of requests waiting in the server's queue
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptCompleted:
-    """The end of an attempt."""
+    """An attempt has ended."""
 
     request_id: str
     attempt_number: int
@@ -121,21 +121,21 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client disconnected; its request needs no answer."""
+    """The client has disconnected; its request needs no answer."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class ShutdownStarted:
-    """The router shuts down: every request must have its final answer `answer_within` seconds from now."""
+    """The router shuts down and must give every final answer within `answer_within` seconds."""
 
     answer_within: float
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer set earlier is due."""
+    """A timer that was set earlier is due."""
 
     timer: Timer
 
--- a/cache_router/decisions/hedging.py
+++ b/cache_router/decisions/hedging.py
@@ -15,7 +15,7 @@
 from cache_router.decisions.slow_start import SlowStart
 from cache_router.settings import Idempotency, Settings
 
-LATENCY_FACTOR = 6.0  # of the usual latency; beyond it an answer is more likely lost than late
+LATENCY_FACTOR = 6.0  # multiple of the usual latency after which an answer is more likely lost than late
 
 
 @dataclass(slots=True)
@@ -31,7 +31,7 @@
     settings: Settings
 
     def delay(self, pending: PendingRequest, server: Server, now: float) -> float | None:
-        """Seconds after an attempt at which to hedge it; None when that is forbidden or would be too late."""
+        """Return the seconds from an attempt to its hedged request; None when forbidden or too late."""
         if not self._may_be_hedged(pending, server):
             return None
         usual_latency = max(server.concurrency.latency, self.health.queueing_latency)
@@ -39,9 +39,10 @@
         return delay if now + delay < pending.deadline else None
 
     def choose_server(self, pending: PendingRequest, now: float) -> Server | None:
-        """The server for a hedged request that is due, paid from the retry budget; None when none is sent.
+        """Return the server for a hedged request that is due; None when none must be sent.
 
-        The first choice is the server of the last attempt, which most likely has the key.
+        A hedged request takes a token from the retry budget. The first choice is the server of the last
+        attempt, which most likely has the key.
         """
         last = pending.attempts[-1]
         is_progressing = pending.is_queued or pending.response_started or pending.to_origin
@@ -56,13 +57,16 @@
         return server
 
     def _may_be_hedged(self, pending: PendingRequest, server: Server) -> bool:
-        """Whether an attempt at a cache, of known latency, may be repeated without harm."""
+        """Return whether an attempt may be hedged: at a cache of known latency, for an idempotent request."""
         if not self.settings.hedging_allowed or not server.is_cache or not server.concurrency.latency:
             return False
         return pending.request_class.idempotency is Idempotency.IDEMPOTENT
 
     def _answers_others(self, attempt: Attempt, now: float) -> bool:
-        """Whether the server has answered another request since the attempt was sent; else it may be down."""
+        """Return whether the server has answered another attempt since this one was sent.
+
+        Otherwise the server may be down.
+        """
         server = attempt.server
         if not self.endpoints.is_listed(server) or not server.endpoint.is_ready:
             return False
--- a/cache_router/decisions/open_requests.py
+++ b/cache_router/decisions/open_requests.py
@@ -1,4 +1,4 @@
-"""The requests that have no final answer yet, and the ways in which one of them ends.
+"""Requests without a final answer, and the ways in which they end.
 
 A request ends when the host has forwarded a response to the client, when its client has disconnected, or with
 the router's own final answer: a rejection or a failure.
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class OpenRequests:
-    """Owns the pending requests: each is added once, and leaves with its only final answer."""
+    """Owns the pending requests. Each is added once and removed at its end, so it has one final answer."""
 
     settings: Settings
     endpoints: EndpointList
@@ -27,15 +27,15 @@
     by_id: dict[str, PendingRequest] = field(default_factory=dict)
 
     def add(self, pending: PendingRequest) -> None:
-        """Accept a request, which must be answered from now on."""
+        """Add an accepted request, which must be answered from now on."""
         self.by_id[pending.request.request_id] = pending
 
     def find(self, request_id: str) -> PendingRequest | None:
-        """The pending request of this id, None when it has ended or was never accepted."""
+        """Return the pending request with this id; None when it has ended or was never accepted."""
         return self.by_id.get(request_id)
 
     def close(self, pending: PendingRequest) -> None:
-        """End a request; cancel its attempts in flight where the settings permit that."""
+        """End a request, and cancel its attempts in flight where the settings permit that."""
         request_id = pending.request.request_id
         if pending.is_queued:
             pending.mark_dequeued()
@@ -47,9 +47,9 @@
                 self.actions.add(Cancel(request_id, number))
 
     def reject_or_fail(self, pending: PendingRequest) -> None:
-        """Give the final answer: a rejection where the class permits one, else a failure.
+        """End a request with the router's own final answer: a rejection if it is safe, else a failure.
 
-        Nothing happens while an attempt may still bring the response, or when the response has started.
+        Do nothing while an attempt is in flight that may still succeed, or once a response has started.
         """
         if pending.response_started or pending.has_open_attempts():
             return
@@ -61,7 +61,7 @@
         self.close(pending)
 
     def _retry_after(self, pending: PendingRequest) -> float:
-        """Seconds until the load that caused the rejection has passed; an earlier retry is useless."""
+        """Return the seconds until the load behind the rejection has passed; an earlier retry is useless."""
         origin = self.endpoints.least_loaded_origin() if pending.to_origin else None
         latency = origin.concurrency.latency if origin is not None else self.health.queueing_latency
         return min(self.settings.max_retry_after, latency)
--- a/cache_router/decisions/origin_scheduler.py
+++ b/cache_router/decisions/origin_scheduler.py
@@ -1,6 +1,6 @@
-"""Serves the queue for the origin: sends requests while there is capacity, and ends those that are too late.
+"""Scheduling of the queue for the origin, by the origin's capacity and the deadlines of the requests.
 
-A request that no server at all can take waits in the same queue, until a server is listed.
+A request that no server at all can take waits in the same queue until a server is listed.
 """
 
 from dataclasses import dataclass, field
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class OriginScheduler:
-    """Decides when a queued request is sent to the origin, and when it no longer can be."""
+    """Decides when a queued request is sent to the origin, and when it is too late to send it."""
 
     settings: Settings
     endpoints: EndpointList
@@ -29,7 +29,7 @@
     open_requests: OpenRequests
     sender: AttemptSender
     actions: ActionBuffer
-    timers: TimerSet = field(init=False)  # of queued requests, by request id
+    timers: TimerSet = field(init=False)  # deadline timers of queued requests, by request id
 
     def __post_init__(self) -> None:
         self.timers = TimerSet(TimerKind.QUEUE_DEADLINE, self.actions)
@@ -41,24 +41,27 @@
         self.serve(now)
 
     def set_deadline_timer(self, pending: PendingRequest, now: float) -> None:
-        """Set the timer by which a queued request is answered even if no other event reaches the router."""
+        """Set the timer that ends a queued request in time even if no other event reaches the router."""
         delay = self._time_to_latest_start(pending, now)
         self.timers.set_unless_due_earlier(pending.request.request_id, delay, now)
 
     def on_deadline_timer(self, request_id: str, now: float) -> None:
-        """End a queued request that is too late, or set its timer again: the origin may be faster by now."""
+        """End a queued request if it is too late to send it, else set its timer again.
+
+        The origin may have become faster since the timer was set.
+        """
         pending = self.open_requests.find(request_id)
         if pending is None or not pending.is_queued:
             return
         delay = self._time_to_latest_start(pending, now)
-        # rounding may fire a timer too early, by up to half a step of the clock
+        # through rounding, a timer may fire early by up to half the clock resolution
         if delay <= self.settings.clock_resolution / 2:
             self.open_requests.reject_or_fail(pending)
         else:
             self.timers.set(request_id, delay, now)
 
     def serve(self, now: float) -> None:
-        """Send queued requests while the origin has capacity, then end those that are too late."""
+        """Send queued requests while the origin has capacity, then end those that it is too late to send."""
         if not self.queue:
             return
         self._send_while_capacity_lasts(now)
@@ -67,7 +70,7 @@
         self.queue.drop_void_entries()
 
     def _time_to_latest_start(self, pending: PendingRequest, now: float) -> float:
-        """Seconds until it is too late to send a queued request."""
+        """Return the seconds until it is too late to send a queued request."""
         latest = latest_start(pending, self.endpoints.least_loaded_origin())
         return max(0.0, latest - now)
 
@@ -85,10 +88,10 @@
 
 
 def _is_in_time(pending: PendingRequest, origin: Server, now: float) -> bool:
-    """Whether an answer can be back in time.
+    """Return whether the origin is expected to answer before the deadline.
 
-    An idle origin gets one request in any case. Its answer is the only way to notice that the origin has
-    become faster.
+    An idle origin is sent one request in any case until its deadline, because only a response can show that
+    the origin has become faster.
     """
     if origin.concurrency.in_flight:
         return now < latest_start(pending, origin)
--- a/cache_router/decisions/pending_request.py
+++ b/cache_router/decisions/pending_request.py
@@ -1,6 +1,6 @@
 """A client's request until its final answer, and the attempts made for it.
 
-Both records change through their own methods only, so that each transition has a name and one place.
+Both records are changed only by their own methods, so that each state transition is one named method.
 """
 
 from dataclasses import dataclass, field
@@ -12,16 +12,16 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One forwarding of a request to a server. Times are in seconds."""
+    """One sending of a request to one server."""
 
     server: Server
-    target_latency: float  # a slower answer is a sign that too many requests are in flight at the server
-    sent_at: float
-    is_open: bool = True
-    may_have_executed: bool = True  # until its status proves the contrary
+    target_latency: float  # seconds; a higher latency indicates too many requests in flight at the server
+    sent_at: float  # seconds on the router's clock
+    is_open: bool = True  # False once the attempt has ended
+    may_have_executed: bool = True  # False once the status proves that the server did not execute the request
 
     def complete(self, status: AttemptStatus) -> None:
-        """Record how the attempt ended; some statuses prove that the server did not execute the request."""
+        """Record the end of the attempt, and whether the server may have executed the request."""
         self.is_open = False
         self.may_have_executed = status not in NOT_EXECUTED
 
@@ -32,41 +32,44 @@
 
     request: Request
     request_class: RequestClass
-    deadline: float  # on the router's clock; the client cannot use an answer after it
-    to_origin: bool  # a write, or a read that missed
+    deadline: float  # seconds on the router's clock; the client cannot use a later answer
+    to_origin: bool  # attempts go to the origin: for a write, or for a read after a miss
     attempts: list[Attempt] = field(default_factory=list)
     is_queued: bool = False
     response_started: bool = False
 
     def has_open_attempts(self) -> bool:
-        """Whether an attempt is still in flight."""
+        """Return whether an attempt is still in flight."""
         return any(attempt.is_open for attempt in self.attempts)
 
     def add_attempt(self, attempt: Attempt) -> int:
-        """Record an attempt that is being sent and return its number; a request's first attempt has 0."""
+        """Record an attempt that is being sent and return its number; the first attempt has the number 0."""
         self.attempts.append(attempt)
         return len(self.attempts) - 1
 
     def mark_queued(self) -> None:
-        """The request waits in the queue for the origin."""
+        """Record that the request waits in the queue for the origin."""
         self.is_queued = True
 
     def mark_dequeued(self) -> None:
-        """The request no longer waits in the queue; an entry that the queue still has of it is void."""
+        """Record that the request no longer waits; an entry that is left in the queue becomes void."""
         self.is_queued = False
 
     def mark_response_started(self) -> None:
-        """The client receives a response; from now on the request cannot be rejected or failed."""
+        """Record that the client is receiving a response: the request can no longer be rejected or failed."""
         self.response_started = True
 
     def redirect_to_origin(self) -> None:
-        """Send all further attempts to the origin, after a cache answered that it does not have the key."""
+        """Direct all further attempts to the origin, after a miss at a cache server."""
         self.to_origin = True
 
     def cut_deadline(self, deadline: float) -> None:
-        """Set an earlier deadline; a later one changes nothing."""
+        """Set an earlier deadline; a later one has no effect."""
         self.deadline = min(self.deadline, deadline)
 
     def give_up_retries(self, now: float) -> None:
-        """Start no further attempt: one in flight may still bring the answer, else the request ends."""
+        """Prevent further attempts by setting the deadline to now.
+
+        An attempt in flight may still bring the answer. Without one, the request ends.
+        """
         self.deadline = now
--- a/cache_router/decisions/request_lifecycle.py
+++ b/cache_router/decisions/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request: accepted, attempted, retried, hedged, and ended by exactly one final answer."""
+"""Lifecycle of a request: accepted, sent, retried, hedged, and ended by exactly one final answer."""
 
 from dataclasses import dataclass
 
@@ -38,7 +38,7 @@
     origin_scheduler: OriginScheduler
 
     def on_request(self, request: Request, now: float) -> None:
-        """Accept a request, and take its first step."""
+        """Accept a request, then send its first attempt, queue it or end it."""
         class_name = request.request_class
         request_class = self.settings.classes.get(class_name) or _unknown_class(class_name)
         time_left = request.time_left - self.settings.clock_resolution
@@ -51,19 +51,19 @@
         self._advance(pending, now)
 
     def on_response_started(self, request_id: str) -> None:
-        """A response flows to the client."""
+        """Record that the client has received the first part of a response."""
         pending = self.open_requests.find(request_id)
         if pending is not None:
             pending.mark_response_started()
 
     def on_client_disconnected(self, request_id: str) -> None:
-        """The client left: its request needs no answer."""
+        """End the request of a client that has disconnected; it needs no answer."""
         pending = self.open_requests.find(request_id)
         if pending is not None:
             self.open_requests.close(pending)
 
     def on_attempt_completed(self, event: AttemptCompleted, now: float) -> None:
-        """Record the outcome of an attempt, then take the next step of its request and of the queue."""
+        """Record the outcome of an attempt, then advance its request and serve the queue for the origin."""
         attempt = self.sender.complete(event.request_id, event.attempt_number, event.status)
         if attempt is None:
             return
@@ -76,18 +76,18 @@
             self.origin_scheduler.serve(now)
 
     def on_hedge_timer(self, request_id: str, now: float) -> None:
-        """Hedge a request that may still have no answer."""
+        """Send a hedged request if the request is still unanswered."""
         pending = self.open_requests.find(request_id)
         if pending is not None:
             self.sender.send_hedge(pending, now)
 
     def on_endpoint_update(self, now: float) -> None:
-        """The endpoint list has changed: a server may now take the requests that waited for one."""
+        """Advance all queued requests: the changed endpoint list may have a server for them."""
         for pending in self.origin_scheduler.queue.drain():
             self._advance(pending, now)
 
     def on_shutdown(self, answer_within: float, now: float) -> None:
-        """Bring forward the final answers: the router stops in `answer_within` seconds."""
+        """Shorten the deadlines, so that every final answer is given within `answer_within` seconds."""
         deadline = now + answer_within - self.settings.clock_resolution
         for pending in self.open_requests.by_id.values():
             pending.cut_deadline(deadline)
@@ -95,7 +95,7 @@
                 self.origin_scheduler.set_deadline_timer(pending, now)
 
     def _advance(self, pending: PendingRequest, now: float) -> None:
-        """Send the next attempt, queue the request for one, or end it."""
+        """Send the request's next attempt, queue the request, or end it."""
         to_cache = self.endpoints.ring.size > 0 and not pending.to_origin
         server = self.selector.choose(pending, now) if to_cache else self.endpoints.least_loaded_origin()
         if now >= pending.deadline or (pending.attempts and not self._may_retry(pending, server, now)):
@@ -108,13 +108,14 @@
             self.sender.send(pending, server, now)
 
     def _may_retry(self, pending: PendingRequest, server: Server | None, now: float) -> bool:
-        """Whether there is a server for a retry, and the retry policy permits it."""
+        """Return whether there is a server for a retry and the retry policy permits the retry."""
         return server is not None and self.retry_policy.permits_attempt(pending, server, now)
 
     def _continue_after_attempt(self, pending: PendingRequest, event: AttemptCompleted, now: float) -> None:
-        """End a request that was answered; look for another server unless an attempt may still succeed.
+        """End a request that was answered; retry any other unless an attempt in flight may still succeed.
 
-        A miss is an answer, so the request goes to the origin even while a hedged request is in flight.
+        A miss is a conclusive response: the request goes to the origin even while another of its attempts is
+        in flight.
         """
         if event.request_closed or event.status is AttemptStatus.OK:
             self.open_requests.close(pending)
@@ -124,7 +125,7 @@
             self._retry(pending, event.status, now)
 
     def _retry(self, pending: PendingRequest, status: AttemptStatus, now: float) -> None:
-        """Go to the origin after a miss; after any other status retry while the budget lasts."""
+        """Redirect the request to the origin after a miss; otherwise retry it while the budget lasts."""
         if status is AttemptStatus.MISS and self.settings.cache_aside:
             pending.redirect_to_origin()
         elif not self._take_retry(pending, status):
@@ -132,15 +133,15 @@
         self._advance(pending, now)
 
     def _take_retry(self, pending: PendingRequest, status: AttemptStatus) -> bool:
-        """Take a retry out of the budget; False when a retry is useless or none is left.
+        """Take a retry from the budget; return False when a retry is useless or none is left.
 
-        Attempts at the origin are bounded by its concurrency limit, and cost no retry.
+        Attempts at the origin are bounded by its concurrency limit, so they take nothing from the budget.
         """
         if status is AttemptStatus.ERROR and not self.settings.cache_aside:
-            return False  # the caches fetch from the origin: when that fails, a retry is one fetch more
+            return False  # the caches fetch from the origin; after a failed fetch, a retry adds another one
         return pending.to_origin or self.retry_budget.take_for_retry(status, self.health.success_rate)
 
 
 def _unknown_class(name: str) -> RequestClass:
-    """A class for a request whose own class is unknown: an objective of 0 s, so that it is never sent."""
+    """Return a class for a request of an unknown class; its objective of 0 s keeps it from being sent."""
     return RequestClass(name, 0.0, Idempotency.NOT_IDEMPOTENT)
--- a/cache_router/decisions/retry_policy.py
+++ b/cache_router/decisions/retry_policy.py
@@ -1,4 +1,4 @@
-"""What a request's class permits after the first attempt, and the budget of retries of all requests."""
+"""Retry policy: the further attempts that a request's class permits, and the retry budget of all requests."""
 
 from dataclasses import dataclass
 
@@ -8,16 +8,16 @@
 from cache_router.endpoint import Endpoint
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings
 
-RETRIES_PER_REQUEST = 0.2  # enough for the loss of a server, too few to feed an overload
-MAX_SAVED_RETRIES = 10.0  # so that the requests of a lost server can all be retried at once
-# of attempts at caches; at this rate or above, the retry after a cheap failure is free
+RETRIES_PER_REQUEST = 0.2  # enough after the loss of a server, too few to sustain an overload
+MAX_SAVED_RETRIES = 10.0  # enough to retry at once all requests that were in flight at a lost server
+# success rate of attempts at caches from which on the retry after a cheap failure is free
 FREE_RETRY_SUCCESS_RATE = 0.3
 # fast failures that cost no server any work
 CHEAP_FAILURES = (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED)
 
 
 def recognises_repeats(scope: IdempotencyScope, one: Endpoint, other: Endpoint) -> bool:
-    """Whether two servers drop repeats of each other's idempotency keys."""
+    """Return whether each of two servers drops a request whose idempotency key the other has received."""
     if scope is IdempotencyScope.ZONE:
         return one.zone == other.zone
     return scope is IdempotencyScope.ALL or one.cell == other.cell
@@ -25,12 +25,12 @@
 
 @dataclass(slots=True)
 class RetryPolicy:
-    """Bounds the number of attempts, and prevents a second execution of what is not idempotent."""
+    """Bounds the attempts of a request, and prevents a second execution if it is not idempotent."""
 
     settings: Settings
 
     def permits_attempt(self, pending: PendingRequest, server: Server, now: float) -> bool:
-        """Whether the request may be sent to this server as well."""
+        """Return whether the next attempt of the request may be sent to this server."""
         if not pending.attempts:
             return True
         if len(pending.attempts) >= self.settings.max_attempts:
@@ -49,9 +49,10 @@
         return all(recognises_repeats(scope, attempt.server.endpoint, endpoint) for attempt in executed)
 
     def permits_rejection(self, pending: PendingRequest) -> bool:
-        """Whether a rejection, after which the client sends the request again, is a safe final answer.
+        """Return whether a rejection is a safe final answer, though the client then sends the request again.
 
-        It is safe when a second execution does no harm, or when every server recognises the repeat.
+        It is safe when the request cannot have been executed, when a second execution does no harm, or when
+        every server recognises the repeat.
         """
         idempotency = pending.request_class.idempotency
         if idempotency is Idempotency.IDEMPOTENT:
@@ -62,9 +63,10 @@
         return idempotency is Idempotency.WITH_KEY and scope is IdempotencyScope.ALL
 
     def _is_within_window(self, request_class: RequestClass, executed: list[Attempt], now: float) -> bool:
-        """Whether servers will still know the request's key when another attempt reaches one of them.
+        """Return whether servers still recognise the request's idempotency key when another attempt arrives.
 
-        The attempt may wait for a connection first. A repeat after the window would be executed again.
+        The attempt may have to wait for a connection first. A repeat that arrives after the idempotency
+        window would be executed again.
         """
         window_end = min(attempt.sent_at for attempt in executed) + request_class.idempotency_window
         return now + self.settings.connect_timeout < window_end
@@ -77,24 +79,24 @@
     tokens: float = MAX_SAVED_RETRIES
 
     def on_request(self) -> None:
-        """Add the share of a retry that an accepted request is worth."""
+        """Add the share of a token that each accepted request contributes."""
         self.tokens = min(MAX_SAVED_RETRIES, self.tokens + RETRIES_PER_REQUEST)
 
     def has_token(self) -> bool:
-        """Whether a complete retry is left."""
+        """Return whether a whole token is left."""
         return self.tokens >= 1
 
     def take_token(self) -> bool:
-        """Take one retry out of the budget; False when less than one was left."""
+        """Take one token; return False when less than a whole one was left."""
         is_left = self.has_token()
         self.tokens = max(0.0, self.tokens - 1)
         return is_left
 
     def take_for_retry(self, failure: AttemptStatus, success_rate: float) -> bool:
-        """Pay for the retry after a failure; False when the budget does not permit it.
+        """Take a token for the retry after a failure; return False when the budget does not permit the retry.
 
-        The retry after a cheap failure is free, unless most attempts fail: then each request would become
-        many attempts.
+        The retry after a cheap failure is free, unless most attempts fail: free retries would then turn each
+        request into many attempts.
         """
         if failure in CHEAP_FAILURES and success_rate >= FREE_RETRY_SUCCESS_RATE:
             return True
--- a/cache_router/decisions/router.py
+++ b/cache_router/decisions/router.py
@@ -1,7 +1,7 @@
-"""Every decision of a router, as a state machine without I/O and without a clock.
+"""The decisions of a router, as a state machine without I/O and without a clock.
 
-A host hands `events` to `Router.handle` with the time, and carries out the `actions` that it answers with.
-This module creates the parts of a router and hands each event to the part that decides on it:
+A host passes `events` with the time to `Router.handle`, and executes the `actions` that it returns. This
+module creates the parts of a router and dispatches each event to the part that handles it:
 
 - `request_lifecycle`: requests, attempts, hedged requests, shutdown;
 - `origin_scheduler`: the queue for the origin;
@@ -38,18 +38,23 @@
 from cache_router.decisions.subscription import EndpointSubscription
 from cache_router.settings import Settings
 
-SILENCE_TIMEOUT = 1.0  # shortest latency objectives; longer than ordinary pauses, soon enough to matter
+# multiple of the shortest latency objective; longer than ordinary pauses between the responses of a server,
+# but short enough that the detection of a silent server is still useful
+SILENCE_TIMEOUT = 1.0
 
 
 class Router:
-    """The decisions of one router; its parts share a generator, so that a seed reproduces every decision."""
+    """Makes the decisions of one router.
+
+    All parts share one random number generator, so that a seed reproduces every decision.
+    """
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         generator = random.Random(seed)
         shortest_objective = min(c.latency_objective for c in settings.classes.values())
         silence_timeout = SILENCE_TIMEOUT * shortest_objective
         self.settings = settings
-        self.now = now  # of the event handled last
+        self.now = now  # time of the event handled last
         self._actions = ActionBuffer()
         # state of the servers
         self.endpoints = EndpointList(settings)
@@ -68,7 +73,7 @@
         self.selector = ServerSelector(*shared, self.retry_policy, popularity, silence_timeout, generator)
         self.hedging = Hedging(*shared, self.retry_policy, self.retry_budget, self.selector, settings)
         self.feedback = AttemptFeedback(*shared, self.outliers, self.overload, self.idle_connections)
-        # parts that answer events with actions
+        # parts that add the actions for an event
         poller = EndpointPoller(settings, generator, now)
         self.subscription = EndpointSubscription(settings, poller, self._actions)
         self.idle_connection_closer = IdleConnectionCloser(
@@ -86,16 +91,16 @@
 
     @property
     def pending(self) -> dict[str, PendingRequest]:
-        """The requests without a final answer, by their ids."""
+        """Requests without a final answer, keyed by request id."""
         return self.open_requests.by_id
 
     @property
     def attempts(self) -> dict[tuple[str, int], Attempt]:
-        """The attempts in flight, by request id and number; also those of requests that have ended."""
+        """Attempts in flight, keyed by request id and attempt number; includes those of ended requests."""
         return self.sender.in_flight
 
     def handle(self, now: float, event: events.Event) -> list[Action]:
-        """Take one event at `now`, in seconds on a clock that never falls, and return the actions for it."""
+        """Handle one event at `now`, in seconds on a monotonic clock, and return the actions for it."""
         self.now = now
         actions = self._actions.start_event()
         if isinstance(event, events.AttemptCompleted):
@@ -117,9 +122,10 @@
         return actions
 
     def decided_actions(self) -> list[Action]:
-        """The actions of the last event, also if an exception ended its handling: the host carries them out.
+        """Return the actions for the last event, also those decided before an exception ended its handling.
 
-        The state of the router has them already. An attempt that it counts as in flight must be sent.
+        The host executes them even then, because the router's state already includes them: an attempt that
+        counts as in flight must be sent.
         """
         return self._actions.decided()
 
@@ -136,13 +142,13 @@
             self.origin_scheduler.on_deadline_timer(timer.subject, now)
 
     def _on_endpoint_update(self, update: events.EndpointUpdate, now: float) -> None:
-        """Apply an update before the parts that depend on the list take it."""
+        """Apply an update to the endpoint list, then notify the parts that depend on the list."""
         if update.kind is EndpointUpdateKind.FAILED:
             self.subscription.on_failure(update.discovery_address, now)
             return
         if self.endpoints.apply(update):
             self._on_endpoints_changed(now)
-        # last, so that an update that cannot be applied is no success of its call
+        # last, so that a call whose update cannot be applied does not count as a success
         self.subscription.on_update(update.kind is EndpointUpdateKind.CACHED, now)
 
     def _on_endpoints_changed(self, now: float) -> None:
--- a/cache_router/decisions/timers.py
+++ b/cache_router/decisions/timers.py
@@ -1,7 +1,7 @@
-"""The timers of one kind: at most one is in force for each subject.
+"""Timers of one kind, with at most one active timer for each subject.
 
-A host cannot take a timer back once it has been set. Each timer therefore has a serial number, and one that
-has been replaced or cancelled is void: it fires, and nothing follows.
+A host cannot cancel a timer that has been set. Each timer therefore has a serial number. A timer that has
+been replaced or cancelled is void: it still fires, and is then ignored.
 """
 
 from dataclasses import dataclass, field
@@ -13,10 +13,10 @@
 
 
 class TimerInForce(NamedTuple):
-    """A timer that is set, and neither fired nor void."""
+    """A timer that has been set and is neither fired nor void."""
 
     serial: int
-    due: float  # on the router's clock
+    due: float  # seconds on the router's clock
 
 
 @dataclass(slots=True)
@@ -25,31 +25,31 @@
 
     kind: TimerKind
     actions: ActionBuffer
-    _in_force: dict[str, TimerInForce] = field(default_factory=dict)  # by subject
+    _in_force: dict[str, TimerInForce] = field(default_factory=dict)  # keyed by subject
     _last_serial: int = 0
 
     def __len__(self) -> int:
-        """How many timers are in force."""
+        """Return the number of active timers."""
         return len(self._in_force)
 
     def set(self, subject: str, delay: float, now: float) -> None:
-        """Set the timer of a subject; an earlier one of the same subject becomes void."""
+        """Set the timer of a subject; its previous timer becomes void."""
         self._last_serial += 1
         self._in_force[subject] = TimerInForce(self._last_serial, now + delay)
         self.actions.add(SetTimer(delay, Timer(self.kind, subject, self._last_serial)))
 
     def set_unless_due_earlier(self, subject: str, delay: float, now: float) -> None:
-        """Set the timer of a subject, unless one in force is due by then and can set the next."""
+        """Set the timer of a subject, unless its active timer is due by then and can set the next one."""
         in_force = self._in_force.get(subject)
         if in_force is None or in_force.due > now + delay:
             self.set(subject, delay, now)
 
     def cancel(self, subject: str) -> None:
-        """Make the timer of a subject void, if there is one."""
+        """Make the active timer of a subject void, if there is one."""
         self._in_force.pop(subject, None)
 
     def take(self, timer: Timer) -> bool:
-        """Take a timer that has fired; False when it is void."""
+        """Remove a timer that has fired; return False when the timer is void."""
         in_force = self._in_force.get(timer.subject)
         if in_force is None or in_force.serial != timer.serial:
             return False
