--- a/cache_router/decisions/timers.py
+++ b/cache_router/decisions/timers.py
@@ -12,7 +12,7 @@
 from cache_router.decisions.events import Timer, TimerKind
 
 
-class TimerInForce(NamedTuple):
+class ActiveTimer(NamedTuple):
     """A timer that has been set and is neither fired nor void."""
 
     serial: int
@@ -25,33 +25,33 @@
 
     kind: TimerKind
     actions: ActionBuffer
-    _in_force: dict[str, TimerInForce] = field(default_factory=dict)  # keyed by subject
+    _active: dict[str, ActiveTimer] = field(default_factory=dict)  # keyed by subject
     _last_serial: int = 0
 
     def __len__(self) -> int:
         """Return the number of active timers."""
-        return len(self._in_force)
+        return len(self._active)
 
     def set(self, subject: str, delay: float, now: float) -> None:
         """Set the timer of a subject; its previous timer becomes void."""
         self._last_serial += 1
-        self._in_force[subject] = TimerInForce(self._last_serial, now + delay)
+        self._active[subject] = ActiveTimer(self._last_serial, now + delay)
         self.actions.add(SetTimer(delay, Timer(self.kind, subject, self._last_serial)))
 
     def set_unless_due_earlier(self, subject: str, delay: float, now: float) -> None:
         """Set the timer of a subject, unless its active timer is due by then and can set the next one."""
-        in_force = self._in_force.get(subject)
-        if in_force is None or in_force.due > now + delay:
+        active = self._active.get(subject)
+        if active is None or active.due > now + delay:
             self.set(subject, delay, now)
 
     def cancel(self, subject: str) -> None:
         """Make the active timer of a subject void, if there is one."""
-        self._in_force.pop(subject, None)
+        self._active.pop(subject, None)
 
     def take(self, timer: Timer) -> bool:
         """Remove a timer that has fired; return False when the timer is void."""
-        in_force = self._in_force.get(timer.subject)
-        if in_force is None or in_force.serial != timer.serial:
+        active = self._active.get(timer.subject)
+        if active is None or active.serial != timer.serial:
             return False
-        del self._in_force[timer.subject]
+        del self._active[timer.subject]
         return True
