--- a/tests/cache_router/decisions/conftest.py
+++ b/tests/cache_router/decisions/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the decisions: drivers of one router, without or with an endpoint list."""
+"""Fixtures for the tests of the decisions: drivers of one router, without or with an endpoint list."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def make_driver() -> DriverFactory:
-    """Makes drivers of routers that know a fleet, under the test's settings with changes."""
+    """A function that makes the driver of a router, given its endpoints and changes to the settings."""
 
     def make(*endpoints: Endpoint, seed: int = 1, **changes: Any) -> Driver:
         driver = Driver(settings(**changes), seed)
@@ -27,11 +27,11 @@
 
 @pytest.fixture
 def driver(make_driver: DriverFactory) -> Driver:
-    """A driver of a router that has received no endpoint list."""
+    """The driver of a router that has received no endpoint list."""
     return make_driver()
 
 
 @pytest.fixture
 def cache_aside_driver(make_driver: DriverFactory) -> Driver:
-    """A driver of a router that fetches the misses of the cache "a" from the origin "o"."""
+    """The driver of a router that sends a request that missed at the cache "a" to the origin "o"."""
     return make_driver(*fleet("a", "o"), **CACHE_ASIDE)
--- a/tests/cache_router/decisions/test_action_buffer.py
+++ b/tests/cache_router/decisions/test_action_buffer.py
@@ -1,4 +1,4 @@
-"""The actions of one event are kept in order, and apart from those of other events."""
+"""The actions for one event keep their order, and are separate from those for other events."""
 
 from __future__ import annotations
 
--- a/tests/cache_router/decisions/test_admission_control.py
+++ b/tests/cache_router/decisions/test_admission_control.py
@@ -16,10 +16,10 @@
 
 
 class FixedRandom(random.Random):
-    """Draws one half each time."""
+    """A generator that draws 0.5 each time."""
 
     def random(self) -> float:
-        """The middle of the range of ordinary draws."""
+        """Return the middle of the range from which `random.Random` draws."""
         return 0.5
 
 
@@ -35,7 +35,7 @@
 
 
 def test_load_is_shed_by_the_reported_queues(make_driver: DriverFactory) -> None:
-    """In an overload without shedding, queues grow until every answer is late."""
+    """Without load shedding, queues grow during an overload until every answer is late."""
     driver = make_driver(live_weights=True, max_attempts=1)
     names = "abcdefgh"
     driver.update_endpoints(*(entry(n, weight=6.0) for n in names))
@@ -45,13 +45,13 @@
     assert Outcome.REJECTED not in [request.outcome for request in driver.requests.values()]
     driver.update_endpoints(*(entry(n, weight=0.2) for n in names))
     sent = [driver.request(f"b{n}", key=f"k{n}") for n in range(400)]
-    # a queue of 29 at 0.1 s each, against a quarter of the one second left: one in eleven or so is admitted
+    # 29 queued requests of 0.1 s each; at most 0.25 s of the one second left: about one in eleven is admitted
     assert 10 < sum(s is not None for s in sent) < 80
 
 
 def test_load_is_shed_by_own_latencies_where_no_load_is_reported(make_driver: DriverFactory) -> None:
-    """The latency of its own attempts is all that the router knows of the overload."""
+    """Without load reports, only the latency of its own attempts shows the router an overload."""
     driver = make_driver(*(entry(f"s{n}") for n in range(30)), max_attempts=1)
     driver.router.health.queueing_latency = 4.0
     sent = [driver.request(f"r{n}", key=f"k{n}") for n in range(200)]
-    assert 20 < sum(s is not None for s in sent) < 90  # one second left of four: one in four is admitted
+    assert 20 < sum(s is not None for s in sent) < 90  # waits up to 4 s, one second left: admits one in four
--- a/tests/cache_router/decisions/test_attempt_feedback.py
+++ b/tests/cache_router/decisions/test_attempt_feedback.py
@@ -1,4 +1,4 @@
-"""What each decision records of a completed attempt."""
+"""State that the parts of a router record of a completed attempt."""
 
 from __future__ import annotations
 
--- a/tests/cache_router/decisions/test_attempt_sender.py
+++ b/tests/cache_router/decisions/test_attempt_sender.py
@@ -1,4 +1,4 @@
-"""Attempts in flight: what sending one records, and the timer of its hedged request."""
+"""Attempts in flight: the state recorded when one is sent, and the timer of its hedged request."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 @pytest.fixture
 def sender(router: Router) -> AttemptSender:
-    """The part of the router that sends."""
+    """The part of the router that sends attempts."""
     return router.sender
 
 
 def new_pending_request(request_class: RequestClass = READ) -> PendingRequest:
-    """A request "r" that is due in a second."""
+    """Return a request "r" with a deadline of one second."""
     return PendingRequest(
         Request("r", request_class.name, 1.0), request_class, deadline=NOW + 1.0, to_origin=False
     )
--- a/tests/cache_router/decisions/test_extreme_values.py
+++ b/tests/cache_router/decisions/test_extreme_values.py
@@ -1,10 +1,9 @@
-"""Values at the edges of their ranges: none makes the decisions raise, and none moves a mean without bound.
+"""Extreme values raise no exception in the decisions, and move no mean without bound.
 
-What happened: a list in which one of three servers had the weight 1e308 raised OverflowError in
-`EndpointList` (`2.0 ** math.ceil(math.log2(...))`) at each of 51 polls in 8 s, so that the changes of the
-other servers never came into force. One load report with `svc_ms=1e300` kept every server's backoff at 11.3
-s instead of 0.26 s for 3,066 answers. One attempt that a client lets hang for ten minutes had the same
-effect on the queueing latency.
+Guards against three faults. One weight of 1e308 raised OverflowError in `EndpointList` (`2.0 **
+math.ceil(math.log2(...))`) at each of 51 polls in 8 s, so that changes of the two other servers were never
+applied. One load report with `svc_ms=1e300` kept every server's backoff at 11.3 s instead of 0.26 s for
+3,066 answers. One attempt that hung for ten minutes had the same effect on the queueing latency.
 """
 
 from __future__ import annotations
@@ -40,7 +39,7 @@
 
 
 def answer_with_report(driver: Driver, name: str, service_time: float) -> None:
-    """Answer a request, with a load report of a server without a queue."""
+    """Send a request and answer it, with the load report of a server without a queue."""
     driver.request(name)
     report = LoadReport(service_time, queue_length=0.0)
     driver.handle(AttemptCompleted(name, 0, AttemptStatus.OK, True, 0.05, report))
@@ -73,7 +72,7 @@
 
 
 def test_window_of_no_length_divides_nothing(make_driver: DriverFactory) -> None:
-    """The throughput of warm servers is measured over the window."""
+    """The throughput of warm servers is measured over the overload window, which may be 0."""
     rules = {**SETTINGS_JSON["rules"], "overloadFor": 0}
     window = read_settings({**SETTINGS_JSON, "rules": rules}).overload_window
     driver = make_driver(*(entry(name) for name in "ab"), overload_window=window)
--- a/tests/cache_router/decisions/test_hedging.py
+++ b/tests/cache_router/decisions/test_hedging.py
@@ -1,4 +1,4 @@
-"""When a read is hedged, and when it must not be."""
+"""Conditions under which a read is hedged, and under which it must not be."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def request_without_answer(driver: Driver, name: str, **fields: Any) -> None:
-    """Send a request to a fleet whose servers usually answer fast; this one stays unanswered."""
+    """Send a request that stays unanswered to a fleet whose servers usually answer fast."""
     driver.update_endpoints(*fleet("a", "b", "o"))
     for server in driver.router.endpoints.servers.values():
         server.concurrency.latency = 0.01
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("answers_others", [True, False])
 def test_read_without_answer_is_hedged(make_driver: DriverFactory, answers_others: bool) -> None:
-    """Otherwise a lost answer costs the whole latency objective, though the server may still hold the key."""
+    """Without hedging, a lost answer costs the whole latency objective, though servers may have the key."""
     driver = make_driver(**CACHE_ASIDE)
     request_without_answer(driver, "r1")
     first = driver.servers_tried("r1")[0]
@@ -43,7 +43,8 @@
     driver.advance(hedging.LATENCY_FACTOR * 0.01)
     assert len(driver.servers_tried("r1")) == 2
     assert (driver.servers_tried("r1")[1] == first) is answers_others
-    driver.complete_attempt("r1", AttemptStatus.MISS)  # fetched, though the first attempt is still in flight
+    # the request goes to the origin, though its first attempt is still in flight
+    driver.complete_attempt("r1", AttemptStatus.MISS)
     assert driver.servers_tried("r1")[2] == "o"
     driver.serve("r1")
     assert driver.requests["r1"].attempts[0].is_in_flight
@@ -69,10 +70,10 @@
 
 
 def test_few_fast_answers_of_one_server_do_not_hasten_hedging(make_driver: DriverFactory) -> None:
-    """The delay follows the latency of all servers.
+    """The hedge delay depends on the latency of all servers.
 
-    One or two answers of a server may be fast at random, and needless hedged requests would be a tenth of all
-    attempts.
+    One or two answers of a server may be fast by chance. With a delay derived from them, needless hedged
+    requests were a tenth of all attempts.
     """
     driver = make_driver(*single_zone_fleet("abcdef"))
     fast = driver.request("r", key="k")
--- a/tests/cache_router/decisions/test_open_requests.py
+++ b/tests/cache_router/decisions/test_open_requests.py
@@ -1,4 +1,4 @@
-"""Requests without a final answer, and which final answer the router gives."""
+"""Requests without a final answer, and the choice of their final answer."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def new_open_requests(**changes: Any) -> OpenRequests:
-    """Open requests with a buffer of their own, of a router that knows the origin "o" only."""
+    """Return the open requests, with their own action buffer, of a router that knows only the origin "o"."""
     conf = settings(**CACHE_ASIDE, **changes)
     endpoints = EndpointList(conf)
     endpoints.apply(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(fleet("o"))))
@@ -34,7 +34,7 @@
     request_class: RequestClass = READ,
     to_origin: bool = False,
 ) -> PendingRequest:
-    """Accept a request "r" with one attempt for each status; None is the status of one in flight."""
+    """Add a request "r" with one attempt for each status; None stands for an attempt in flight."""
     pending = PendingRequest(Request("r", request_class.name, 1.0), request_class, 101.0, to_origin)
     for status in statuses:
         attempt = Attempt(Server(entry("a")), target_latency=0.25, sent_at=100.0)
--- a/tests/cache_router/decisions/test_origin_queue.py
+++ b/tests/cache_router/decisions/test_origin_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for capacity at the origin: priority, deadlines, Retry-After."""
+"""Requests that wait for capacity at the origin: their priority, deadlines and Retry-After."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 @pytest.fixture
 def driver(cache_aside_driver: Driver) -> Driver:
-    """A router with an origin: the queue for the origin serves no other."""
+    """The driver of a router with an origin; other routers do not use the queue for the origin."""
     return cache_aside_driver
 
 
 def new_pending_request(
     name: str, request_class: RequestClass = READ, deadline: float = 101.0, is_write: bool = False
 ) -> PendingRequest:
-    """A request for the origin."""
+    """Return a request for the origin."""
     request = Request(name, request_class.name, 1.0, is_write=is_write)
     return PendingRequest(request, request_class, deadline, to_origin=True)
 
@@ -105,7 +105,7 @@
 
 
 def test_fetch_that_cannot_complete_in_time_is_rejected(driver: Driver) -> None:
-    """With a slow origin it would come back after its latency objective, and delay others."""
+    """At a slow origin, the fetch would end after its latency objective and delay other fetches."""
     driver.server("o").concurrency.limit = 2.0
     driver.server("o").concurrency.latency = 0.45
     for n in "123":
@@ -119,7 +119,7 @@
 
 
 def test_fetch_is_sent_only_with_twice_the_origin_latency_left(driver: Driver) -> None:
-    """A fetch that its client cancels is not even stored in a cache."""
+    """A fetch that its client cancels is wasted, because it is not stored in a cache."""
     driver.server("o").concurrency.latency = 0.4
     request_and_miss(driver, "r1", key="k1")
     driver.request("r2", key="k2", time_left=0.7)
@@ -130,7 +130,7 @@
 
 
 def test_write_is_sent_with_once_the_origin_latency_left(driver: Driver) -> None:
-    """A write stores nothing in a cache; a fetch's margin would reject most at a slow origin."""
+    """A write stores nothing in a cache. With the margin of a fetch, a slow origin would get few writes."""
     driver.request("r0", key="k0", is_write=True)
     driver.server("o").concurrency.latency = 0.6
     assert driver.request("r1", key="k1", is_write=True) == "o"
@@ -140,7 +140,7 @@
 
 
 def test_higher_priority_weight_leaves_the_origin_queue_first(driver: Driver) -> None:
-    """Otherwise writes wait behind the misses of reads when the origin is slow."""
+    """Without priorities, writes wait behind reads that missed when the origin is slow."""
     driver.server("o").concurrency.limit = 1.0
     request_and_miss(driver, "r1", key="k1")
     request_and_miss(driver, "r2", key="k2")
@@ -151,7 +151,7 @@
 
 
 def test_origin_queue_drops_entries_of_ended_requests(driver: Driver) -> None:
-    """Otherwise entries of ended reads would accumulate while writes of higher priority keep arriving."""
+    """Entries of ended reads would otherwise accumulate while writes of higher priority keep arriving."""
     driver.server("o").concurrency.limit = 1.0
     for n in range(2000):
         request_and_miss(driver, f"r{n}", key=f"k{n}")
@@ -161,7 +161,7 @@
 
 
 def test_queued_fetch_is_rejected_once_it_cannot_complete_in_time(driver: Driver) -> None:
-    """The rejection does not wait for the latency objective, long before which a fetch has become useless."""
+    """It is rejected before its latency objective ends, because a fetch becomes useless long before that."""
     driver.server("o").concurrency.limit = 1.0
     driver.server("o").concurrency.latency = 0.3
     request_and_miss(driver, "r1", key="k1")
@@ -178,7 +178,7 @@
     for n in "123":
         request_and_miss(driver, f"r{n}", key=f"k{n}")
     driver.server("o").concurrency.limit = 1.0
-    # the smoothed latency is 0.6 now, and twice that is past the latency objective
+    # the smoothed latency is 0.6 s now, and twice that exceeds the latency objective
     driver.complete_attempt("r1", AttemptStatus.OK, latency=3.0)
     assert driver.outcome("r3") is Outcome.REJECTED
 
--- a/tests/cache_router/decisions/test_origin_scheduler.py
+++ b/tests/cache_router/decisions/test_origin_scheduler.py
@@ -1,4 +1,4 @@
-"""The service of the queue for the origin, step by step: capacity, deadlines, timers."""
+"""Scheduling of the queue for the origin: capacity, deadlines and timers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 NOW = 100.0
 ORIGIN_LATENCY = 0.2  # seconds
-LATEST_START = 1.0 - FETCH_LATENCIES_LEFT * ORIGIN_LATENCY  # seconds after NOW, for requests due after one
+LATEST_START = 1.0 - FETCH_LATENCIES_LEFT * ORIGIN_LATENCY  # seconds after NOW, for a deadline of 1 s
 
 
 @pytest.fixture
@@ -29,21 +29,21 @@
 
 
 def add_read(scheduler: OriginScheduler, request_id: str) -> PendingRequest:
-    """Accept a read that missed, due in a second."""
+    """Add an open read that missed at a cache, with a deadline of one second."""
     pending = PendingRequest(Request(request_id, "read", 1.0), READ, deadline=NOW + 1.0, to_origin=True)
     scheduler.open_requests.add(pending)
     return pending
 
 
 def origin_of(scheduler: OriginScheduler) -> Server:
-    """The only member of the origin."""
+    """Return the only member of the origin."""
     origin = scheduler.endpoints.least_loaded_origin()
     assert origin is not None
     return origin
 
 
 def complete_at_origin(scheduler: OriginScheduler, request_id: str) -> None:
-    """The origin has answered the only attempt of a request."""
+    """Complete the only attempt of a request with an answer of the origin."""
     assert scheduler.sender.complete(request_id, 0, AttemptStatus.OK) is not None
     origin_of(scheduler).concurrency.on_attempt_completed(NOW)
 
--- a/tests/cache_router/decisions/test_pending_request.py
+++ b/tests/cache_router/decisions/test_pending_request.py
@@ -1,4 +1,4 @@
-"""The records of a request and of its attempts, and the ways in which they change."""
+"""State transitions of a pending request and of its attempts."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 def new_attempt() -> Attempt:
-    """An attempt at some cache, in flight."""
+    """Return an attempt in flight at a cache."""
     return Attempt(Server(entry("a")), target_latency=0.25, sent_at=100.0)
 
 
 def new_pending_request(deadline: float = 101.0) -> PendingRequest:
-    """A read for a cache, without attempts."""
+    """Return a read for a cache, without attempts."""
     return PendingRequest(Request("r", "read", 1.0), READ, deadline, to_origin=False)
 
 
--- a/tests/cache_router/decisions/test_request_lifecycle.py
+++ b/tests/cache_router/decisions/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The steps of a request, by the methods that take one event each."""
+"""Lifecycle of a request, tested through the methods that handle one event each."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 def new_lifecycle(*servers: str, cache_aside: bool = True) -> RequestLifecycle:
-    """The requests of a router that knows these servers; "o" is the origin."""
+    """Return the request lifecycle of a router that knows these servers; "o" is the origin."""
     return started_router(*servers, now=NOW, **(CACHE_ASIDE if cache_aside else {})).requests
 
 
 def start_request(lifecycle: RequestLifecycle, request_class: str = "read", is_write: bool = False) -> str:
-    """Accept a request "r", and return the server of its first attempt."""
+    """Start a request "r", and return the server of its first attempt."""
     actions = lifecycle.sender.actions.start_event()
     lifecycle.on_request(Request("r", request_class, 2.0, key="k", is_write=is_write), NOW)
     (send,) = (action for action in actions if isinstance(action, Send))
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize("cache_aside", [True, False])
 def test_error_is_retried_only_where_the_router_fetches_from_the_origin(cache_aside: bool) -> None:
-    """Where the caches fetch, an error is most likely the origin's, and each retry costs one fetch more."""
+    """Where the caches fetch, most errors come from the origin, and each retry adds another fetch."""
     lifecycle = new_lifecycle("a", "b", cache_aside=cache_aside)
     other = "b" if start_request(lifecycle) == "a" else "a"
     actions = lifecycle.sender.actions.start_event()
--- a/tests/cache_router/decisions/test_retry_policy.py
+++ b/tests/cache_router/decisions/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""What a request's class permits after an attempt, and the budget of retries."""
+"""Retries that a request's class permits after an attempt, and the retry budget."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
 
 
 def test_retries_are_a_bounded_share_of_the_requests(make_driver: DriverFactory) -> None:
-    """Otherwise failing servers turn every request into many attempts, which add to the overload."""
+    """Without the bound, failing servers turn every request into many attempts, which add to the overload."""
     driver = make_driver(*fleet("a", "b", "c", "d"))
     for n in range(200):
         driver.request(f"r{n}", key=f"k{n}")
@@ -103,7 +103,7 @@
 
 
 def test_retry_after_a_rejection_is_free(make_driver: DriverFactory) -> None:
-    """Servers with short queues reject many attempts while others still have capacity."""
+    """Servers with short queues reject many attempts while other servers still have capacity."""
     driver = make_driver(*fleet("a", "b", "c", "d"))
     driver.router.retry_budget.tokens = 0.0
     first = driver.request("r", key="k")
@@ -113,7 +113,7 @@
 
 
 def test_retry_after_a_rejection_takes_a_token_when_most_attempts_fail(make_driver: DriverFactory) -> None:
-    """In an overload most attempts are rejected: free retries would make five attempts of each request."""
+    """In an overload most attempts are rejected; free retries would turn each request into five attempts."""
     driver = make_driver(*fleet("a", "b", "c", "d"))
     driver.request("r", key="k")
     driver.router.retry_budget.tokens, driver.router.health.success_rate = 0.0, 0.2
@@ -122,7 +122,7 @@
 
 
 def test_error_answer_is_not_retried_at_another_cache(make_driver: DriverFactory) -> None:
-    """With a failing origin the other cache would fetch the key again, and fail as well."""
+    """While the origin fails, another cache would fetch the key from it again, and fail as well."""
     driver = make_driver(*fleet("a", "b"))
     driver.request("r")
     assert driver.complete_attempt("r", AttemptStatus.ERROR) is None
--- a/tests/cache_router/decisions/test_router.py
+++ b/tests/cache_router/decisions/test_router.py
@@ -1,4 +1,4 @@
-"""Events of a request from its arrival to its end, and its final answer where no server has capacity."""
+"""Events of a request from its arrival to its end, and its final answer when no server is ready."""
 
 from __future__ import annotations
 
@@ -102,7 +102,7 @@
 
 
 def test_memory_stays_bounded_over_many_keys_servers_and_requests(make_driver: DriverFactory) -> None:
-    """State is kept of the requests in flight and the servers listed only."""
+    """State is kept only for requests in flight and listed servers."""
     driver = make_driver(**CACHE_ASIDE)
     for n in range(3000):
         if n % 20 == 0:
--- a/tests/cache_router/decisions/test_router_properties.py
+++ b/tests/cache_router/decisions/test_router_properties.py
@@ -1,4 +1,4 @@
-"""The rules that the driver checks, under random legal sequences of events."""
+"""The rules that the driver checks hold under random valid sequences of events."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 class RandomDriver(Driver):
-    """A driver that draws legal events from hypothesis."""
+    """A driver that draws valid events from hypothesis."""
 
     def step(self, data: st.DataObject, n: int) -> None:
-        """Give the router one event; `n` numbers the request that may arrive."""
+        """Draw one event for the router; `n` makes the name of a new request unique."""
         event = data.draw(st.sampled_from(EVENTS))
         in_flight = list(self.in_flight)
         if event == "request":
@@ -58,7 +58,7 @@
             self.disconnect(name)
 
     def random_endpoint_update(self, data: st.DataObject) -> None:
-        """Give the router an endpoint update, or the failure of a call for one."""
+        """Draw an endpoint update, or the failure of a call to discovery."""
         kind = data.draw(st.sampled_from(list(EndpointUpdateKind)))
         names = data.draw(st.lists(st.sampled_from("abcdo"), unique=True))
         states = st.sampled_from(
@@ -81,7 +81,7 @@
 
 
 def request_classes(scope: IdempotencyScope) -> dict[str, RequestClass]:
-    """A class of each idempotency, and one with a short latency objective."""
+    """Return a class of each idempotency, and one with a short latency objective."""
     keyed = RequestClass(
         "keyed", 1.0, Idempotency.WITH_KEY, scope, idempotency_window=0.5, priority_weight=5.0
     )
@@ -91,7 +91,7 @@
 
 
 def run_random_events(data: st.DataObject, make: type[Router] = Router) -> None:
-    """Drive a router of random settings with random events, until every request must have ended."""
+    """Drive a router of random settings with random events until every request must have ended."""
     random_settings = settings(
         classes=request_classes(data.draw(st.sampled_from(list(IdempotencyScope)))),
         hedging_allowed=data.draw(st.booleans()),
@@ -105,8 +105,8 @@
     for n in range(data.draw(st.integers(5, 40))):
         driver.step(data, n)
     driver.advance(10.0)
-    assert not driver.open_requests, "rule 1: left without an answer"
-    assert not driver.router.pending, "a request that has ended is still kept"
+    assert not driver.open_requests, "rule 1: a request without an answer"
+    assert not driver.router.pending, "the router still has a request that has ended"
 
 
 RANDOM_EXAMPLES = hypothesis_settings(
@@ -126,7 +126,7 @@
 
 
 class PermissivePolicy(RetryPolicy):
-    """Broken on purpose: permits any request to be sent again, or rejected."""
+    """A deliberate fault: permits every request to be sent again or rejected."""
 
     def permits_attempt(self, pending: PendingRequest, server: Server, now: float) -> bool:
         """Permit every attempt."""
@@ -138,10 +138,10 @@
 
 
 class UnrestrictedRetryRouter(Router):
-    """Broken on purpose: retries and rejects any request."""
+    """A deliberate fault: retries and rejects every request, whatever its class permits."""
 
     def __init__(self, conf: Settings, seed: int, now: float) -> None:
-        """Replace the retry policy in every part of the router that has it."""
+        """Replace the retry policy in every part of the router that uses it."""
         super().__init__(conf, seed, now)
         policy = PermissivePolicy(conf)
         for part in (self.selector, self.hedging, self.requests, self.open_requests, self.origin_scheduler):
@@ -149,15 +149,15 @@
 
 
 def is_queue_timer(action: Action) -> bool:
-    """Whether an action sets the timer that answers a queued request in time."""
+    """Return whether an action sets the deadline timer of a queued request."""
     return isinstance(action, SetTimer) and action.timer.kind is TimerKind.QUEUE_DEADLINE
 
 
 class TimerlessRouter(Router):
-    """Broken on purpose: sets no timer for queued requests."""
+    """A deliberate fault: sets no deadline timers for queued requests."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Handle an event, but leave out the timers of queued requests."""
+        """Handle an event, but omit the deadline timers of queued requests."""
         return [action for action in super().handle(now, event) if not is_queue_timer(action)]
 
 
--- a/tests/cache_router/decisions/test_router_rules.py
+++ b/tests/cache_router/decisions/test_router_rules.py
@@ -1,4 +1,4 @@
-"""The rules that the driver checks: each of them fails for an action that breaks it."""
+"""The checks of the driver's rules: each rule is reported as broken when an action breaks it."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def rules_with_request(request_class: str = "read", conf: Settings = SETTINGS) -> RouterRules:
-    """Rules with the servers "a" to "d", of two zones, the draining server "x" and an open request "r"."""
+    """Return rules with servers "a" to "d" in two zones, a draining server "x" and an open request "r"."""
     rules = RouterRules(conf)
     endpoints = (*fleet("a", "b", "c", "d"), entry("x", state=EndpointState.DRAINING))
     rules.record_endpoint_update(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints))
@@ -42,7 +42,7 @@
 
 
 def lose_first_attempt(rules: RouterRules) -> None:
-    """Send a request to "a", whose answer is lost."""
+    """Send the request to "a", and lose the answer."""
     rules.check_action(Send("r", "a"), NOW)
     rules.record_completion("r", 0, AttemptStatus.RESET)
 
@@ -116,7 +116,7 @@
 def test_request_that_may_have_executed_is_repeated_only_where_its_class_permits_it(
     request_class: str, server: str, seconds: float, is_permitted: bool
 ) -> None:
-    """The idempotency window is 1.5 s; "a" and "c" are of one zone."""
+    """The idempotency window is 1.5 s; "a" and "c" are in the same zone."""
     rules = rules_with_request(request_class)
     lose_first_attempt(rules)
     if is_permitted:
--- a/tests/cache_router/decisions/test_router_sequences.py
+++ b/tests/cache_router/decisions/test_router_sequences.py
@@ -1,7 +1,7 @@
-"""Long random sequences of every event that a router has, with what must hold after each and at the end.
+"""Invariants of a router under long random sequences of all its events.
 
-`test_router_properties.py` draws short sequences without changes of address, shutdowns, load reports,
-outages or the life of a poll; none of the faults that `docs/incidents/` describes was in its reach.
+`test_router_properties.py` draws short sequences without changes of discovery's address, shutdowns, load
+reports, outages or polls in flight. It cannot reveal any of the faults described in `docs/incidents/`.
 """
 
 from __future__ import annotations
@@ -40,9 +40,9 @@
 SEEDS = range(40)
 EVENT_COUNT = 600
 SERVERS = "abcdefo"
-LONG_OUTAGE = 1100  # failed calls
+LONG_OUTAGE = 1100  # consecutive failed calls to discovery
 SHUTDOWN_TIME = 1.0  # seconds
-SETTLE_TIME = 60.0  # seconds after which nothing is in flight and no timer is set
+SETTLE_TIME = 60.0  # seconds after which nothing is in flight and no timer of a request is set
 GIVEN_WEIGHTS = [0.0, -1.0, 0.2, 1.0, 1.0, 3.0, 1e308, 5e-324]
 SERVICE_TIMES = [0.0, 0.01, 0.05, 0.3, 1e297]  # seconds
 LATENCIES = [0.0, 0.01, 0.05, 0.5, 2.0, 599.0]
@@ -51,29 +51,29 @@
 
 
 class SequenceDriver(Driver):
-    """A driver that draws events, and plays the host's part of a watch."""
+    """A driver that draws events, and tracks the polls of the watch as a host does."""
 
     def __init__(self, conf: Settings, seed: int) -> None:
-        """Start a router that has polled nothing yet."""
+        """Start a router that has not polled discovery yet."""
         self.is_polling = False
-        self.is_hastened = False  # timers of polls fire before they are due
-        self.poll_due = 0.0  # of the timer of a poll that was set last
+        self.is_hastened = False  # poll timers fire before they are due
+        self.poll_due = 0.0  # time at which the latest poll timer is due
         super().__init__(conf, seed)
         self.random = random.Random(seed)
         self.request_count = 0
 
     def handle(self, event: Event) -> list[Action]:
-        """Give the router one event, and check what must hold after each."""
+        """Give the router one event, and check the invariants that hold after every event."""
         baseline = self.router.overload.baseline_service_time
         if isinstance(event, DiscoveryAddressChanged):
-            self.is_polling = not self.settings.must_subscribe  # else the router asks for it
+            self.is_polling = not self.settings.must_subscribe  # otherwise the router requests the poll
         actions = super().handle(event)
         polls = sum(isinstance(action, SubscribeToEndpoints) for action in actions)
-        assert polls + self.is_polling <= 1, "a poll is started beside the one in flight"
+        assert polls + self.is_polling <= 1, "a poll is started while another is in flight"
         self.is_polling |= polls > 0
         if isinstance(event, TimerFired) and polls and not self.is_hastened:
             assert self.now >= self.poll_due - self.settings.clock_resolution, (
-                "a poll before its backoff is over"
+                "a poll is started before its backoff has passed"
             )
         for action in actions:
             if isinstance(action, SetTimer) and action.timer.kind is TimerKind.ENDPOINT_POLL:
@@ -82,9 +82,9 @@
         return actions
 
     def check_state(self, baseline_before: float) -> None:
-        """One poll or one timer for it; budgets and means within their bounds."""
+        """Check that there is at most one poll or poll timer, and that budgets and means are in bounds."""
         router = self.router
-        assert self.is_polling + len(router.subscription.timers) <= 1, "two polls, or timers for them"
+        assert self.is_polling + len(router.subscription.timers) <= 1, "more than one poll or poll timer"
         assert 0 <= router.retry_budget.tokens <= MAX_SAVED_RETRIES
         assert 0 <= router.health.success_rate <= 1
         longest = max(each.client_timeout for each in self.settings.classes.values())
@@ -95,7 +95,7 @@
         assert 0 <= router.overload.baseline_service_time <= bound * (1 + 1e-9)
 
     def step(self) -> None:
-        """Draw one event."""
+        """Draw one event, and give it to the router."""
         steps: list[Callable[[], None]] = [
             *[self.draw_request] * 5,
             *[self.draw_completion] * 6,
@@ -109,7 +109,7 @@
         self.random.choice(steps)()
 
     def draw_request(self) -> None:
-        """A request of any class, with any time left."""
+        """Draw a request of any class, with any time left."""
         self.request_count += 1
         self.request(
             f"r{self.request_count}",
@@ -120,7 +120,7 @@
         )
 
     def draw_completion(self) -> None:
-        """An attempt ends, with a load report or without."""
+        """Draw the end of an attempt, with or without a load report."""
         if not self.in_flight:
             return
         name, number = self.random.choice(list(self.in_flight))
@@ -135,11 +135,11 @@
         self.handle(AttemptCompleted(name, number, status, is_final, latency, report if has_report else None))
 
     def draw_time(self) -> None:
-        """Time passes, and all that is due in it happens."""
+        """Draw a time step, and give the router every event that is due in it."""
         self.advance(self.random.choice(TIME_STEPS))
 
     def draw_update(self) -> None:
-        """A list or changes of it arrive, which needs a poll."""
+        """Draw an endpoint update if a poll is in flight."""
         if not self.is_polling:
             return
         kind = self.random.choice([EndpointUpdateKind.DELTA, EndpointUpdateKind.SNAPSHOT])
@@ -147,7 +147,7 @@
         self.update_endpoints(*(self.draw_endpoint(name) for name in names), kind=kind)
 
     def draw_endpoint(self, name: str) -> Endpoint:
-        """An entry of the list, as its reader passes it on."""
+        """Draw an entry of the endpoint list, with a weight bounded as by the reader of the list."""
         return Endpoint(
             name,
             state=self.random.choice(
@@ -161,7 +161,7 @@
         )
 
     def fail_call(self) -> None:
-        """The poll in flight fails; rarely, so do many after it."""
+        """Fail the poll in flight, and rarely also the many polls of a long outage."""
         if not self.is_polling:
             return
         calls = LONG_OUTAGE if self.random.random() < 0.01 else 1
@@ -174,7 +174,7 @@
         self.is_hastened = False
 
     def poll_again(self) -> None:
-        """Fire the timer of the next poll now; those before it are void, or it would start a second poll."""
+        """Fire all poll timers now: only the latest may start a poll, as the earlier ones are void."""
         tokens = [timer for timer in self.timers if read_timer(timer[1]) == Timer(TimerKind.ENDPOINT_POLL)]
         for timer in tokens:
             self.timers.remove(timer)
@@ -185,12 +185,12 @@
         assert self.is_polling
 
     def draw_disconnect(self) -> None:
-        """A client leaves."""
+        """Disconnect a random client."""
         if self.open_requests:
             self.disconnect(self.random.choice(sorted(self.open_requests)))
 
     def start_response(self) -> None:
-        """The host may start to forward a response of an attempt that then succeeds."""
+        """Start the response of an attempt in half of the cases, and complete that attempt with success."""
         served = [(name, n) for name, n in self.in_flight if name in self.open_requests]
         if not served or self.random.random() < 0.5:
             return
@@ -199,7 +199,7 @@
         self.complete_attempt(name, AttemptStatus.OK, number)
 
     def shut_down(self) -> None:
-        """Shut down: the host times out each attempt in flight when the router must have answered."""
+        """Shut down the router; attempts still in flight at the end of the shutdown time out."""
         self.handle(ShutdownStarted(SHUTDOWN_TIME))
         self.advance(SHUTDOWN_TIME)
         while self.in_flight:
@@ -207,12 +207,12 @@
             self.complete_attempt(name, AttemptStatus.TIMEOUT, number)
 
     def change_address(self) -> None:
-        """SIGHUP brings another discovery."""
+        """Change the address of discovery, as a reload on SIGHUP does."""
         self.handle(DiscoveryAddressChanged())
 
 
 def draw_settings(generator: random.Random) -> Settings:
-    """Settings of any site."""
+    """Draw the settings of a site."""
     classes = request_classes(generator.choice(list(IdempotencyScope)))
     classes["short"] = RequestClass("short", 0.05, client_timeout=0.1)
     return settings(
@@ -235,7 +235,7 @@
 def test_state_holds_and_settles_under_any_sequence_of_events(seed: int) -> None:
     driver = SequenceDriver(draw_settings(random.Random(seed)), seed)
     driver.update_endpoints(*(driver.draw_endpoint(name) for name in SERVERS), kind=EndpointUpdateKind.CACHED)
-    driver.is_polling = True  # a host polls at its start where updates are pushed
+    driver.is_polling = True  # where updates are pushed, the host starts the first poll itself
     for _ in range(EVENT_COUNT):
         driver.step()
     driver.shut_down()
--- a/tests/cache_router/decisions/test_single_timers.py
+++ b/tests/cache_router/decisions/test_single_timers.py
@@ -1,10 +1,9 @@
-"""At most one timer is in force for each purpose.
+"""At most one timer is active for each purpose.
 
-What happened: after 20 changes of discovery's address during an outage, a router made 12 failing polls a
-second instead of 6 where updates are pushed, and 3.1 instead of 0.4 where it polls itself. A host cannot
-take a timer back. A change of address started a poll at once and left the timer of the old backoff set;
-when that fired, its poll failed and set a timer of its own. So each change added a chain of polls that
-lasted until discovery answered. The other timers were set a second time in the same way.
+A host cannot cancel a timer. When a change of discovery's address started a poll and left the old backoff
+timer active, each change added a chain of failing polls until discovery answered. After 20 changes in an
+outage, a router made 12 polls a second instead of 6 where updates are pushed, and 3.1 instead of 0.4 where
+it polls itself. Timers of the other kinds were duplicated in the same way.
 """
 
 from __future__ import annotations
@@ -24,13 +23,13 @@
 
 
 def timer_count(driver: Driver, kind: TimerKind) -> int:
-    """How many timers of a kind are set and have not fired."""
+    """Return the number of timers of a kind that are set and have not fired."""
     timers = (read_timer(token) for _, token in driver.timers)
     return sum(timer is not None and timer.kind is kind for timer in timers)
 
 
 def fire_all_timers(driver: Driver) -> list[Action]:
-    """Advance to each timer that is set, fire it, and return the actions of all."""
+    """Advance to each timer that is set, fire it, and return the actions of all these events."""
     actions: list[Action] = []
     for _ in range(len(driver.timers)):
         due = driver.next_due_event()
@@ -42,7 +41,7 @@
 
 
 def polls(actions: Sequence[Action]) -> int:
-    """How many polls of discovery the actions start."""
+    """Return the number of polls of discovery that the actions start."""
     return sum(isinstance(action, SubscribeToEndpoints) for action in actions)
 
 
@@ -54,7 +53,7 @@
     driver.handle(FAILED_CALL)
     for _ in range(ADDRESS_CHANGES):
         driver.handle(DiscoveryAddressChanged())
-        driver.handle(FAILED_CALL)  # of the poll at the new address, which starts at once
+        driver.handle(FAILED_CALL)  # the poll at the new address, started at once, fails
     assert polls(fire_all_timers(driver)) == 1
 
 
@@ -64,17 +63,17 @@
 ) -> None:
     driver = make_driver(must_subscribe=must_subscribe)
     driver.handle(FAILED_CALL)
-    driver.handle(DiscoveryAddressChanged())  # starts a poll, which is in flight from now on
+    driver.handle(DiscoveryAddressChanged())  # starts a poll, which stays in flight
     assert polls(fire_all_timers(driver)) == 0
 
 
 def test_answers_of_a_server_leave_one_timer_for_its_idle_connections(make_driver: DriverFactory) -> None:
-    """A timer that fires sets the next one, so that a second one would never end on a server in use."""
+    """A timer that fires sets the next one, so a duplicate would never end while the server is in use."""
     servers = fleet(*"abcdefghij")
     driver = make_driver(*servers, router_count=CONNECTIONS_PER_PRICE + 1)
     for n in range(400):
         driver.request(f"r{n}", finish=True)
-        # while the first requests raise the measured rate, each makes the connections due earlier
+        # each of the first requests raises the measured rate, which makes the timer due earlier
         assert timer_count(driver, TimerKind.IDLE_CONNECTIONS) <= len(servers) or n < 100, f"request {n}"
         driver.advance(0.1)
 
@@ -82,7 +81,7 @@
 def test_request_that_waits_for_the_origin_has_one_timer_after_many_updates(
     make_driver: DriverFactory,
 ) -> None:
-    """Each update of the endpoint list takes the waiting requests out of the queue, and queues them again."""
+    """Each endpoint update takes the waiting requests out of the queue, and queues them again."""
     driver = make_driver(*fleet("a", "o"), **CACHE_ASIDE)
     driver.server("o").concurrency.limit = 0.0
     request_and_miss(driver, "r")
@@ -92,7 +91,7 @@
 
 
 def test_retry_is_not_hedged_at_the_time_of_the_attempt_before_it(make_driver: DriverFactory) -> None:
-    """A hedged request sent too early is work for a server that is about to answer."""
+    """A hedged request that is sent too early only adds load while an answer is about to arrive."""
     driver = make_driver(*fleet("a", "b", "c"))
     for n in range(30):  # so that the latency of each server is known
         driver.request(f"known-{n}", key=f"k{n}", finish=True)
