--- a/cache_router/decisions/actions.py
+++ b/cache_router/decisions/actions.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Send an attempt to a server; the attempts of a request are numbered from 0 in the order sent."""
+    """Start an attempt at a server; the attempts of a request are numbered from 0 in the order sent."""
 
     request_id: str
     server: str
--- a/cache_router/decisions/hedging.py
+++ b/cache_router/decisions/hedging.py
@@ -39,7 +39,7 @@
         return delay if now + delay < pending.deadline else None
 
     def choose_server(self, pending: PendingRequest, now: float) -> Server | None:
-        """Return the server for a hedged request that is due; None when none must be sent.
+        """Return the server for a hedged request that is due; None when no hedged request is to be sent.
 
         A hedged request takes a token from the retry budget. The first choice is the server of the last
         attempt, which most likely has the key.
--- a/cache_router/decisions/open_requests.py
+++ b/cache_router/decisions/open_requests.py
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class OpenRequests:
-    """Owns the pending requests. Each is added once and removed at its end, so it has one final answer."""
+    """Owns the pending requests. Each is removed when it ends, so that it gets no second final answer."""
 
     settings: Settings
     endpoints: EndpointList
--- a/cache_router/decisions/origin_queue.py
+++ b/cache_router/decisions/origin_queue.py
@@ -7,12 +7,12 @@
 from cache_router.decisions.server import Server
 
 # time that must be left before the deadline of a request, as a multiple of the origin's usual latency
-FETCH_LATENCIES_LEFT = 2.0  # has a margin, because a fetch that its client cancels is not stored in a cache
-WRITE_LATENCIES_LEFT = 1.0  # has no margin, because a write stores nothing in a cache
+FETCH_LATENCIES_LEFT = 2.0  # leaves a margin: a fetch that its client cancels is not stored in a cache
+WRITE_LATENCIES_LEFT = 1.0  # leaves no margin: a write stores nothing in a cache
 
 
 def latest_start(pending: PendingRequest, origin: Server | None) -> float:
-    """Return the time on the router's clock from which on the origin is expected to miss the deadline."""
+    """Return the time, on the router's clock, from which it is too late to send a request to the origin."""
     if origin is None:
         return pending.deadline
     latencies = WRITE_LATENCIES_LEFT if pending.request.is_write else FETCH_LATENCIES_LEFT
--- a/cache_router/decisions/retry_policy.py
+++ b/cache_router/decisions/retry_policy.py
@@ -10,7 +10,7 @@
 
 RETRIES_PER_REQUEST = 0.2  # enough after the loss of a server, too few to sustain an overload
 MAX_SAVED_RETRIES = 10.0  # enough to retry at once all requests that were in flight at a lost server
-# success rate of attempts at caches from which on the retry after a cheap failure is free
+# lowest success rate of attempts at caches at which the retry after a cheap failure is free
 FREE_RETRY_SUCCESS_RATE = 0.3
 # fast failures that cost no server any work
 CHEAP_FAILURES = (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED)
@@ -49,7 +49,7 @@
         return all(recognises_repeats(scope, attempt.server.endpoint, endpoint) for attempt in executed)
 
     def permits_rejection(self, pending: PendingRequest) -> bool:
-        """Return whether a rejection is a safe final answer, though the client then sends the request again.
+        """Return whether a rejection is a safe final answer if the client then sends the request again.
 
         It is safe when the request cannot have been executed, when a second execution does no harm, or when
         every server recognises the repeat.
@@ -87,7 +87,7 @@
         return self.tokens >= 1
 
     def take_token(self) -> bool:
-        """Take one token; return False when less than a whole one was left."""
+        """Take one token; when less than a whole one is left, take that part and return False."""
         is_left = self.has_token()
         self.tokens = max(0.0, self.tokens - 1)
         return is_left
