--- a/tests/cache_router/decisions/test_attempt_sender.py
+++ b/tests/cache_router/decisions/test_attempt_sender.py
@@ -50,7 +50,7 @@
     assert not pending.attempts[0].may_have_executed
 
 
-def test_attempt_that_is_not_in_flight_completes_only_once(router: Router, sender: AttemptSender) -> None:
+def test_attempt_completes_only_once(router: Router, sender: AttemptSender) -> None:
     sender.send(new_pending_request(), router.endpoints.servers["a"], NOW)
     assert sender.complete("r", 0, AttemptStatus.OK) is not None
     assert sender.complete("r", 0, AttemptStatus.OK) is None
--- a/tests/cache_router/decisions/test_extreme_values.py
+++ b/tests/cache_router/decisions/test_extreme_values.py
@@ -71,7 +71,7 @@
     assert all(driver.request(f"r{n}", key=f"k{n}", finish=True) is not None for n in range(20))
 
 
-def test_window_of_no_length_divides_nothing(make_driver: DriverFactory) -> None:
+def test_overload_window_of_zero_causes_no_division_by_zero(make_driver: DriverFactory) -> None:
     """The throughput of warm servers is measured over the overload window, which may be 0."""
     rules = {**SETTINGS_JSON["rules"], "overloadFor": 0}
     window = read_settings({**SETTINGS_JSON, "rules": rules}).overload_window
--- a/tests/cache_router/decisions/test_hedging.py
+++ b/tests/cache_router/decisions/test_hedging.py
@@ -15,7 +15,7 @@
 from tests.support.router_scenarios import CACHE_ASIDE, fleet, ignore_key_popularity, single_zone_fleet
 
 
-def request_without_answer(driver: Driver, name: str, **fields: Any) -> None:
+def send_unanswered_request(driver: Driver, name: str, **fields: Any) -> None:
     """Send a request that stays unanswered to a fleet whose servers usually answer fast."""
     driver.update_endpoints(*fleet("a", "b", "o"))
     for server in driver.router.endpoints.servers.values():
@@ -35,7 +35,7 @@
 def test_read_without_answer_is_hedged(make_driver: DriverFactory, answers_others: bool) -> None:
     """Without hedging, a lost answer costs the whole latency objective, though servers may have the key."""
     driver = make_driver(**CACHE_ASIDE)
-    request_without_answer(driver, "r1")
+    send_unanswered_request(driver, "r1")
     first = driver.servers_tried("r1")[0]
     if answers_others:
         driver.now += 0.001
@@ -57,7 +57,7 @@
 ) -> None:
     changes = {"hedging_allowed": False} if reason == "forbidden" else {}
     driver = make_driver(**{**CACHE_ASIDE, **changes})
-    request_without_answer(driver, "r1", request_class="keyed" if reason == "not idempotent" else "read")
+    send_unanswered_request(driver, "r1", request_class="keyed" if reason == "not idempotent" else "read")
     first = driver.servers_tried("r1")[0]
     driver.request("r2", key="k", finish=True)
     if reason == "no retry tokens":
@@ -69,7 +69,7 @@
     assert reason == "draining" or len(driver.servers_tried("r1")) == 1
 
 
-def test_few_fast_answers_of_one_server_do_not_hasten_hedging(make_driver: DriverFactory) -> None:
+def test_few_fast_answers_of_one_server_do_not_shorten_the_hedge_delay(make_driver: DriverFactory) -> None:
     """The hedge delay depends on the latency of all servers.
 
     One or two answers of a server may be fast by chance. With a delay derived from them, needless hedged
--- a/tests/cache_router/decisions/test_pending_request.py
+++ b/tests/cache_router/decisions/test_pending_request.py
@@ -64,7 +64,7 @@
     assert pending.deadline == 100.2
 
 
-def test_marks_of_a_request_change_one_at_a_time() -> None:
+def test_flags_of_a_request_change_one_at_a_time() -> None:
     pending = new_pending_request()
     pending.mark_queued()
     assert (pending.is_queued, pending.to_origin, pending.response_started) == (True, False, False)
--- a/tests/cache_router/decisions/test_request_lifecycle.py
+++ b/tests/cache_router/decisions/test_request_lifecycle.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("time_left", [2.0, 0.5])
-def test_deadline_is_the_earlier_of_the_objective_and_the_time_of_the_client(time_left: float) -> None:
+def test_deadline_is_the_earlier_of_the_latency_objective_and_the_time_left(time_left: float) -> None:
     lifecycle = new_lifecycle("a", "b")
     lifecycle.on_request(Request("r", "read", time_left), NOW)
     pending = lifecycle.open_requests.by_id["r"]
--- a/tests/cache_router/decisions/test_router_sequences.py
+++ b/tests/cache_router/decisions/test_router_sequences.py
@@ -40,13 +40,13 @@
 SEEDS = range(40)
 EVENT_COUNT = 600
 SERVERS = "abcdefo"
-LONG_OUTAGE = 1100  # consecutive failed calls to discovery
+LONG_OUTAGE_CALLS = 1100  # consecutive failed calls
 SHUTDOWN_TIME = 1.0  # seconds
 SETTLE_TIME = 60.0  # seconds after which nothing is in flight and no timer of a request is set
-GIVEN_WEIGHTS = [0.0, -1.0, 0.2, 1.0, 1.0, 3.0, 1e308, 5e-324]
+LISTED_WEIGHTS = [0.0, -1.0, 0.2, 1.0, 1.0, 3.0, 1e308, 5e-324]
 SERVICE_TIMES = [0.0, 0.01, 0.05, 0.3, 1e297]  # seconds
 LATENCIES = [0.0, 0.01, 0.05, 0.5, 2.0, 599.0]
-QUEUES = [0.0, 0.5, 3.0, 40.0, 1e300]
+QUEUE_LENGTHS = [0.0, 0.5, 3.0, 40.0, 1e300]
 TIME_STEPS = [0.0, 0.001, 0.02, 0.1, 0.5, 2.0]
 
 
@@ -56,7 +56,7 @@
     def __init__(self, conf: Settings, seed: int) -> None:
         """Start a router that has not polled discovery yet."""
         self.is_polling = False
-        self.is_hastened = False  # poll timers fire before they are due
+        self.fires_polls_early = False  # whether poll timers fire before they are due
         self.poll_due = 0.0  # time at which the latest poll timer is due
         super().__init__(conf, seed)
         self.random = random.Random(seed)
@@ -71,7 +71,7 @@
         polls = sum(isinstance(action, SubscribeToEndpoints) for action in actions)
         assert polls + self.is_polling <= 1, "a poll is started while another is in flight"
         self.is_polling |= polls > 0
-        if isinstance(event, TimerFired) and polls and not self.is_hastened:
+        if isinstance(event, TimerFired) and polls and not self.fires_polls_early:
             assert self.now >= self.poll_due - self.settings.clock_resolution, (
                 "a poll is started before its backoff has passed"
             )
@@ -129,7 +129,7 @@
         is_final = status is AttemptStatus.OK or name not in self.open_requests
         if is_final and name in self.open_requests:
             self.rules.record_outcome(name, Outcome.SERVED)
-        report = LoadReport(self.random.choice(SERVICE_TIMES), self.random.choice(QUEUES))
+        report = LoadReport(self.random.choice(SERVICE_TIMES), self.random.choice(QUEUE_LENGTHS))
         latency = self.random.choice(LATENCIES)
         has_report = self.random.random() < 0.5
         self.handle(AttemptCompleted(name, number, status, is_final, latency, report if has_report else None))
@@ -156,7 +156,7 @@
             kind="origin" if name == "o" else self.random.choice(["std", "large"]),
             zone=self.random.choice("xy"),
             cell=self.random.randint(0, 1),
-            weight=bounded_weight(self.random.choice(GIVEN_WEIGHTS)),
+            weight=bounded_weight(self.random.choice(LISTED_WEIGHTS)),
             started_at=self.random.choice([0.0, self.now, self.now - 1.0]),
         )
 
@@ -164,16 +164,16 @@
         """Fail the poll in flight, and rarely also the many polls of a long outage."""
         if not self.is_polling:
             return
-        calls = LONG_OUTAGE if self.random.random() < 0.01 else 1
-        self.is_hastened = calls > 1
+        calls = LONG_OUTAGE_CALLS if self.random.random() < 0.01 else 1
+        self.fires_polls_early = calls > 1
         for _ in range(calls):
             self.is_polling = False
             self.handle(FAILED_CALL)
-            if self.is_hastened:
-                self.poll_again()
-        self.is_hastened = False
+            if self.fires_polls_early:
+                self.fire_poll_timers()
+        self.fires_polls_early = False
 
-    def poll_again(self) -> None:
+    def fire_poll_timers(self) -> None:
         """Fire all poll timers now: only the latest may start a poll, as the earlier ones are void."""
         tokens = [timer for timer in self.timers if read_timer(timer[1]) == Timer(TimerKind.ENDPOINT_POLL)]
         for timer in tokens:
--- a/tests/cache_router/decisions/test_single_timers.py
+++ b/tests/cache_router/decisions/test_single_timers.py
@@ -40,7 +40,7 @@
     return actions
 
 
-def polls(actions: Sequence[Action]) -> int:
+def poll_count(actions: Sequence[Action]) -> int:
     """Return the number of polls of discovery that the actions start."""
     return sum(isinstance(action, SubscribeToEndpoints) for action in actions)
 
@@ -54,7 +54,7 @@
     for _ in range(ADDRESS_CHANGES):
         driver.handle(DiscoveryAddressChanged())
         driver.handle(FAILED_CALL)  # the poll at the new address, started at once, fails
-    assert polls(fire_all_timers(driver)) == 1
+    assert poll_count(fire_all_timers(driver)) == 1
 
 
 @pytest.mark.parametrize("must_subscribe", [False, True])
@@ -64,7 +64,7 @@
     driver = make_driver(must_subscribe=must_subscribe)
     driver.handle(FAILED_CALL)
     driver.handle(DiscoveryAddressChanged())  # starts a poll, which stays in flight
-    assert polls(fire_all_timers(driver)) == 0
+    assert poll_count(fire_all_timers(driver)) == 0
 
 
 def test_answers_of_a_server_leave_one_timer_for_its_idle_connections(make_driver: DriverFactory) -> None:
