--- a/cache_router/decisions/actions.py
+++ b/cache_router/decisions/actions.py
@@ -14,7 +14,7 @@
 
     request_id: str
     server: str
-    timeout: float | None = None  # seconds; None stands for the client timeout
+    timeout: float | None = None  # seconds; None if only the client timeout applies
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/cache_router/decisions/test_hedging.py
+++ b/tests/cache_router/decisions/test_hedging.py
@@ -72,8 +72,8 @@
 def test_few_fast_answers_of_one_server_do_not_shorten_the_hedge_delay(make_driver: DriverFactory) -> None:
     """The hedge delay depends on the latency of all servers.
 
-    One or two answers of a server may be fast by chance. With a delay derived from them, needless hedged
-    requests were a tenth of all attempts.
+    One or two answers of a server may be unusually fast. With a delay derived from them, needless hedged
+    requests would be a tenth of all attempts.
     """
     driver = make_driver(*single_zone_fleet("abcdef"))
     fast = driver.request("r", key="k")
--- a/tests/cache_router/decisions/test_open_requests.py
+++ b/tests/cache_router/decisions/test_open_requests.py
@@ -34,7 +34,7 @@
     request_class: RequestClass = READ,
     to_origin: bool = False,
 ) -> PendingRequest:
-    """Add a request "r" with one attempt for each status; None stands for an attempt in flight."""
+    """Add a request "r" with one attempt for each status; None is the status of an attempt in flight."""
     pending = PendingRequest(Request("r", request_class.name, 1.0), request_class, 101.0, to_origin)
     for status in statuses:
         attempt = Attempt(Server(entry("a")), target_latency=0.25, sent_at=100.0)
--- a/tests/cache_router/decisions/test_origin_queue.py
+++ b/tests/cache_router/decisions/test_origin_queue.py
@@ -130,7 +130,7 @@
 
 
 def test_write_is_sent_with_once_the_origin_latency_left(driver: Driver) -> None:
-    """A write stores nothing in a cache. With the margin of a fetch, a slow origin would get few writes."""
+    """A write stores nothing in a cache. The margin of a fetch would reject most writes at a slow origin."""
     driver.request("r0", key="k0", is_write=True)
     driver.server("o").concurrency.latency = 0.6
     assert driver.request("r1", key="k1", is_write=True) == "o"
--- a/tests/cache_router/decisions/test_router_properties.py
+++ b/tests/cache_router/decisions/test_router_properties.py
@@ -138,7 +138,7 @@
 
 
 class UnrestrictedRetryRouter(Router):
-    """A deliberate fault: retries and rejects every request, whatever its class permits."""
+    """A deliberate fault: retries and rejects requests of every class."""
 
     def __init__(self, conf: Settings, seed: int, now: float) -> None:
         """Replace the retry policy in every part of the router that uses it."""
