--- a/cache_router/net/__init__.py
+++ b/cache_router/net/__init__.py
@@ -1,1 +1,4 @@
-"""The router's sockets: clients, cache servers, the origin and discovery; the decision module has none."""
+"""The network code: connections to clients, cache servers, the origin and discovery.
+
+The decision module has no sockets.
+"""
--- a/cache_router/net/client_connection.py
+++ b/cache_router/net/client_connection.py
@@ -16,9 +16,9 @@
 from cache_router.net.socket_state import has_unread_bytes, is_hung_up
 
 MAX_COMMAND_SIZE = MAX_VALUE + MAX_KEY + MAX_INFO + 4096  # bytes buffered for an incomplete command
-MAX_COMMAND_PARTS = 16
-MAX_PIPELINED_COMMANDS = 32  # commands of one connection whose replies are pending
-CLOSE_TIMEOUT = 0.5  # seconds for the client of a closing connection to read its last reply
+MAX_COMMAND_PARTS = 16  # items of the array that encodes a command
+MAX_PIPELINED_COMMANDS = 32  # commands per connection whose replies are pending
+CLOSE_TIMEOUT = 0.5  # seconds that a closing connection waits for its client to read the last reply
 ERROR_THROTTLE_TIME = 0.1  # seconds for which a connection is not read after an error
 PONG_REPLY = b"+PONG\r\n"
 NOT_READY_REPLY = b"-ERR no cache server is known\r\n"
@@ -27,17 +27,17 @@
 
 @dataclass(slots=True, eq=False)
 class PipelinedReply:
-    """The place of a command's reply among the replies of its connection, which are written in order."""
+    """The reply to one command; a connection writes its replies in the order of the commands."""
 
-    request_id: str | None = None  # of a request that was passed to the dispatcher
-    data: bytes | None = None  # None while the reply is pending
+    request_id: str | None = None  # id of the request in the dispatcher, if there is one
+    data: bytes | None = None  # encoded reply, or None while it is pending
 
     def start_request(self, request_id: str) -> None:
-        """Note that the dispatcher is to answer a request with this reply."""
+        """Record the id of the request that this reply answers."""
         self.request_id = request_id
 
     def reject_request(self) -> None:
-        """Note that the dispatcher has no request for this reply."""
+        """Record that the dispatcher has not accepted the request."""
         self.request_id = None
 
     def complete(self, data: bytes) -> None:
@@ -46,7 +46,7 @@
 
 
 class ClientConnectionOwner(Protocol):
-    """What connections share, and report their states to; `ClientConnectionTable` describes the reports."""
+    """The state that connections share and the receiver of their reports; see `ClientConnectionTable`."""
 
     @property
     def draining(self) -> bool:
@@ -60,19 +60,19 @@
         """Handle a new connection."""
 
     def on_data_received(self, connection: ClientConnection) -> None:
-        """Handle that `read_buffer` has bytes of a connection."""
+        """Handle bytes of a connection that have been read into `read_buffer`."""
 
     def on_busy(self, connection: ClientConnection) -> None:
-        """Handle that a connection has a reply pending, is throttled or is closing."""
+        """Handle a connection that has a reply pending, is throttled or is closing."""
 
     def on_awaiting_command(self, connection: ClientConnection) -> None:
-        """Handle that a connection awaits its first command, or the rest of one."""
+        """Handle a connection that awaits its first command, or the rest of an incomplete one."""
 
     def on_idle(self, connection: ClientConnection) -> None:
-        """Handle that a connection is between two commands."""
+        """Handle a connection that is between two commands."""
 
     def on_closed(self, connection: ClientConnection) -> None:
-        """Handle that a connection is closed; may be called twice."""
+        """Handle a connection that has closed; may be called twice."""
 
 
 class ClientConnection(asyncio.BufferedProtocol):
@@ -84,11 +84,11 @@
         self._owner = owner
         self._reader = RespReader(MAX_COMMAND_PARTS, MAX_VALUE, MAX_COMMAND_SIZE)
         self._replies: deque[PipelinedReply] = deque()
-        self._commands_received = 0  # complete ones
+        self._commands_received = 0  # number of complete commands
         self._reading_enabled = True
         self._writing_enabled = True
-        self._throttled = False  # after an error
-        self._closing_after_error = False  # no further command is processed
+        self._throttled = False  # whether reading is paused after an error
+        self._closing_after_error = False  # if set, no further command is processed
 
     # Called by the event loop
 
@@ -102,23 +102,23 @@
         return self._owner.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Process the bytes that were read."""
+        """Process new bytes in the shared buffer."""
         self._owner.on_data_received(self)
         self._reader.feed(self._owner.read_buffer[:nbytes])
         self._process_input()
 
     def pause_writing(self) -> None:
-        """Process no more commands while the client does not read its replies."""
+        """Stop processing commands while the client does not read its replies."""
         self._writing_enabled = False
         self._update_reading()
 
     def resume_writing(self) -> None:
-        """Continue with the commands that have arrived since `pause_writing`."""
+        """Process the commands that have arrived since `pause_writing`."""
         self._writing_enabled = True
         self._process_input()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the closed connection, and notify the dispatcher for each request in flight."""
+        """Report the closed connection, and notify the dispatcher of each request in flight."""
         self._owner.on_closed(self)
         for reply in self._replies:
             if reply.data is None and reply.request_id is not None:
@@ -131,12 +131,12 @@
         try:
             self._process_commands()
         except Exception:
-            # A fault here ends only this connection: its requests end with it, and other clients are served.
+            # An unexpected error ends only this connection and its requests; other clients are still served.
             log.exception("connection of client %s", self.client_address)
             self._transport.abort()
 
     def _process_commands(self) -> None:
-        # A closing connection processes no command: its client's disconnect would be reported to nobody.
+        # A closing connection starts no request: the disconnect of its client would not be reported for it.
         while self._accepts_commands() and not self._transport.is_closing():
             try:
                 parts = self._reader.next()
@@ -171,14 +171,14 @@
         return not blocked and len(self._replies) < MAX_PIPELINED_COMMANDS
 
     def _update_reading(self) -> None:
-        """Pause or resume reading: not reading while commands aren't accepted bounds a client's memory."""
+        """Read only while commands are accepted, which bounds the memory that a client occupies."""
         reading = self._accepts_commands()
         if reading != self._reading_enabled and not self._transport.is_closing():
             self._reading_enabled = reading
             (self._transport.resume_reading if reading else self._transport.pause_reading)()
 
     def _throttle(self) -> None:
-        """Stop reading for a while: a client that sends errors at full speed would take the whole core."""
+        """Pause reading for a while: a client that sends errors at full speed would use a whole core."""
         self._throttled = True
         asyncio.get_running_loop().call_later(ERROR_THROTTLE_TIME, self._end_throttling)
 
@@ -189,7 +189,7 @@
     # Replies
 
     def _complete_reply(self, reply: PipelinedReply, data: bytes) -> None:
-        """Write a reply once all replies before it have been written."""
+        """Complete a reply, and write all replies that precede the first pending one."""
         reply.complete(data)
         while self._replies and (complete_data := self._replies[0].data) is not None:
             self._replies.popleft()
@@ -199,7 +199,7 @@
         if self._closing_after_error and not self._replies:
             self._close()
         elif self._owner.draining and not self._replies and self._writing_enabled:
-            # at once, before the client sends its next request
+            # Close now, before the client sends its next request.
             self.close_if_between_requests()
         elif not self._reading_enabled and not self._closing_after_error:
             asyncio.get_running_loop().call_soon(self._process_input)
@@ -215,14 +215,14 @@
     # Closing
 
     def close_with_error(self, error: str) -> None:
-        """Reply with an error line after the pending replies, and close; a closing connection is left alone.
+        """Send an error line after the pending replies, and close; ignored if the connection is closing.
 
-        For a stream in which the start of the next command is unknown, or does not arrive.
+        Used if the start of the next command can't be found, or if no complete command arrives in time.
         """
         if self._transport.is_closing():
             return
         self._closing_after_error = True
-        # What arrives while earlier replies are pending would fill memory and never be processed.
+        # Input that arrives while earlier replies are pending would be buffered and never processed.
         self._update_reading()
         self._reader.clear()
         reply = PipelinedReply()
@@ -230,19 +230,19 @@
         self._complete_reply(reply, error.encode("ascii", "replace") + b"\r\n")
 
     def close_if_between_requests(self) -> None:
-        """Close, unless a part of a command has arrived."""
+        """Close the connection unless a part of a command has arrived."""
         if self._reader.is_empty() and not self.has_unread_input():
             self._close()
 
     def _close(self) -> None:
-        """Close once the written replies have been sent, and after CLOSE_TIMEOUT at the latest."""
+        """Close once the buffered replies have been sent, or after CLOSE_TIMEOUT at the latest."""
         self._transport.close()
         if self.has_unsent_output():
             # A client that does not read its replies would hold the descriptor until its process ends.
             asyncio.get_running_loop().call_later(CLOSE_TIMEOUT, self._transport.abort)
 
     def abort(self) -> None:
-        """Close at once, without sending what is buffered, and report that to the owner.
+        """Close immediately, discard buffered output, and report the connection as closed.
 
         The event loop calls `connection_lost` only later; until then the connection would be counted as open.
         """
@@ -293,8 +293,8 @@
     def is_hung_up(self) -> bool:
         """Return whether the client has closed or reset the connection, or the router has closed it.
 
-        The kernel is asked: the end of the stream follows all input, so the event loop reads it late, or
-        never while reading is paused.
+        This asks the kernel. The end of the stream follows all input, so that the event loop reads it late,
+        or never while reading is paused.
         """
         return is_hung_up(self._transport)
 
--- a/cache_router/net/client_connection_table.py
+++ b/cache_router/net/client_connection_table.py
@@ -1,4 +1,4 @@
-"""The open connections of clients, and which of them are between commands."""
+"""The table of clients' open connections and their states."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from typing import Protocol
 
 READ_BUFFER_SIZE = 64 * 1024  # bytes
-# seconds that a new client has to send its first command, however many connections there are
+# seconds for a new client to send its first command before it may be evicted, at any number of connections
 FIRST_COMMAND_GRACE = 0.05
 
 
 class OpenConnection(Protocol):
-    """What the listener and the evictor need of a client's connection in the table."""
+    """The methods of a client's connection that the listener and the evictor use."""
 
     def has_sent_single_command(self) -> bool:
         """Return whether exactly one complete command has arrived."""
@@ -31,13 +31,13 @@
         """Return whether the connection is throttled, has no reply pending and is not closing."""
 
     def close_if_between_requests(self) -> None:
-        """Close, unless a part of a command has arrived."""
+        """Close the connection unless a part of a command has arrived."""
 
     def close_with_error(self, error: str) -> None:
-        """Reply with an error line after the pending replies, and close."""
+        """Send an error line after the pending replies, and close."""
 
     def abort(self) -> None:
-        """Close at once and leave the table, without sending what is buffered."""
+        """Close immediately, discard buffered output, and leave the table."""
 
 
 class ClientConnectionTable:
@@ -51,12 +51,12 @@
     def __init__(self) -> None:
         """Create an empty table; an event loop need not run yet."""
         self.draining = False  # whether connections close as soon as no reply is pending on them
-        # shared by all connections: each takes out what was read before another one reads
+        # One buffer serves all connections: each copies its bytes out before another connection reads.
         self.read_buffer = memoryview(bytearray(READ_BUFFER_SIZE))
-        self._open: dict[OpenConnection, None] = {}  # in order of acceptance
+        self._open: dict[OpenConnection, None] = {}  # ordered set, in order of acceptance
         self._awaiting_command_since: dict[OpenConnection, float] = {}
         self._idle_since: dict[OpenConnection, float] = {}
-        self._changed = asyncio.Event()  # see `wait_for_change`
+        self._changed = asyncio.Event()  # wakes `wait_for_change`
 
     def __len__(self) -> int:
         """Return the number of open connections."""
@@ -68,12 +68,12 @@
 
     @property
     def awaiting_command_since(self) -> Mapping[OpenConnection, float]:
-        """When each connection started to await its first command, or the rest of one; the earliest first."""
+        """The times since which connections await their first command or the rest of one, earliest first."""
         return self._awaiting_command_since
 
     @property
     def idle_since(self) -> Mapping[OpenConnection, float]:
-        """When each idle connection became idle; the earliest first."""
+        """The times at which the idle connections became idle, earliest first."""
         return self._idle_since
 
     def awaiting_beyond_grace(self) -> Iterator[OpenConnection]:
@@ -89,21 +89,21 @@
         self.on_awaiting_command(connection)
 
     def on_data_received(self, connection: OpenConnection) -> None:
-        """Note that a connection is not idle; if it is idle after this data, its idle time starts again."""
+        """Mark a connection as not idle; if it is idle after this data, its idle time starts again."""
         self._idle_since.pop(connection, None)
 
     def on_busy(self, connection: OpenConnection) -> None:
-        """Note that a connection has a reply pending, is throttled or is closing."""
+        """Mark a connection as busy: it has a reply pending, is throttled or is closing."""
         self._awaiting_command_since.pop(connection, None)
         self._idle_since.pop(connection, None)
 
     def on_awaiting_command(self, connection: OpenConnection) -> None:
-        """Note that no command has arrived yet on a connection, or only a part of the next one."""
+        """Mark a connection as awaiting its first command, or the rest of an incomplete one."""
         self._idle_since.pop(connection, None)
         self._enter(self._awaiting_command_since, connection)
 
     def on_idle(self, connection: OpenConnection) -> None:
-        """Note that all commands of a connection are answered and that no part of another has arrived."""
+        """Mark a connection as idle: its commands are answered and no part of another has arrived."""
         self._awaiting_command_since.pop(connection, None)
         self._enter(self._idle_since, connection)
 
@@ -124,7 +124,7 @@
     # Changes of the table
 
     def start_draining(self) -> None:
-        """Make every connection, also one accepted later, close once no reply is pending on it."""
+        """Let every connection close once no reply is pending on it, including those accepted later."""
         self.draining = True
 
     def notify_change(self) -> None:
@@ -134,8 +134,8 @@
     async def wait_for_change(self) -> None:
         """Wait until a connection closes, becomes idle or starts to await a command.
 
-        Returns after FIRST_COMMAND_GRACE at the latest: by then the newest connections that have sent nothing
-        are beyond their grace.
+        Returns after FIRST_COMMAND_GRACE at the latest: by then the grace period has ended for the newest
+        connections that have sent nothing.
         """
         self._changed.clear()
         with suppress(TimeoutError):
--- a/cache_router/net/clock.py
+++ b/cache_router/net/clock.py
@@ -1,4 +1,4 @@
-"""The clock of a running router, which supplies the times that the decisions receive."""
+"""The clock of a running router, which supplies the times that the decision module receives."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 class Clock:
     """Unix time in seconds.
 
-    The system's time is read once, when the clock is created. After that the clock follows the monotonic
-    clock, so that a correction of the system's time does not make it jump.
+    The system time is read once, when the clock is created. After that the clock follows the monotonic
+    clock, so that a correction of the system time does not make it jump.
     """
 
     def __init__(self) -> None:
-        """Read the system's time."""
+        """Read the system time."""
         self._offset = time.time() - time.monotonic()
 
     def now(self) -> float:
--- a/cache_router/net/command.py
+++ b/cache_router/net/command.py
@@ -1,4 +1,4 @@
-"""A client's command: its parts, the checks on them, and the form in which it is forwarded."""
+"""Parsing and validation of clients' commands, and the encoding of their info fields."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 MAX_INFO = 1024  # bytes
 MAX_REQUEST_ID = 64  # bytes
 MAX_DEADLINE_MS = 600_000
-MAX_DEADLINE_DIGITS = 9  # so that no long text is converted to a number just to be rejected
+MAX_DEADLINE_DIGITS = 9  # longer texts are rejected without converting them to a number
 VISIBLE_ASCII = re.compile(rb"[!-~]+")
-# The key is a part of the path of a request to the origin. These keys would name other requests: the origin's
-# own paths, and the relative segments that a reader of the path resolves.
+# The key becomes a part of the path of a request to the origin. With these keys the path would have another
+# meaning: `.` and `..` are resolved as relative segments, and the others are paths of the origin itself.
 RESERVED_KEYS = (b".", b"..", b"stats", b"health/live")
 GET = b"C.GET"
 SET = b"C.SET"
@@ -26,12 +26,12 @@
 CLASS_FIELD = "c"  # class of the request
 IDEMPOTENCY_KEY_FIELD = "k"
 COST_HINT_FIELD = "h"  # the client's estimate of the request's cost, in microseconds
-DEADLINE_FIELD = "d"  # time for which the sender waits, in milliseconds
+DEADLINE_FIELD = "d"  # time for which the sender waits for a response, in milliseconds
 NOT_A_COMMAND = "a command is an array of bulk strings"
 
 
 class CommandError(RouterError, ValueError):
-    """A command that is rejected; the message goes to the client."""
+    """A command is invalid or can't be accepted; the message is sent to the client."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -69,7 +69,7 @@
     Raises:
         CommandError: The text is too long, not visible ASCII or malformed, or has a name twice.
     """
-    # the origin receives the fields as a header: a line break would start another header or request
+    # The origin receives the fields as a header: a line break would start another header or request.
     if len(text) > MAX_INFO or not VISIBLE_ASCII.fullmatch(text):
         raise CommandError("names and values must be visible ASCII, 1024 bytes at most")
     info: dict[str, str] = {}
@@ -111,7 +111,7 @@
 
 
 def _parse_deadline(text: str) -> int:
-    # the router remembers a request until its deadline: without a limit, old requests would fill the memory
+    # The router keeps a request until its deadline: without a limit, old requests would fill the memory.
     if not text.isdigit() or len(text) > MAX_DEADLINE_DIGITS or int(text) > MAX_DEADLINE_MS:
         raise CommandError("d must be a whole number of milliseconds, 600000 at most")
     return int(text)
--- a/cache_router/net/dispatcher.py
+++ b/cache_router/net/dispatcher.py
@@ -1,8 +1,8 @@
-"""Connects the decision module to the sockets.
+"""The dispatcher between the decision module and the sockets.
 
-Turns what happens on sockets into events, carries out the actions that the decision module returns, in their
-order, and decides nothing. `request_table` holds the requests in flight, `endpoint_table` the endpoints, and
-`attempt_runner` runs the attempts.
+It passes commands, responses and timers to the decision module as events, executes the actions that the
+decision module returns, in their order, and decides nothing itself. `request_table` holds the requests in
+flight, `endpoint_table` the endpoints, and `attempt_runner` runs the attempts.
 """
 
 from __future__ import annotations
@@ -50,28 +50,29 @@
 from cache_router.net.request_table import RequestInFlight, RequestTable
 from cache_router.settings import Idempotency, RequestClass, Settings
 
-# Seconds before the client's deadline, which counts from its send. Measured: the network takes 1.3 ms at most
-# in each direction, and this process 1.4 ms at the 99th percentile; the remainder covers a busy core.
+# Seconds by which the router's deadline precedes that of the client, which counts from its send. The network
+# takes 1.3 ms at most in each direction and this process 1.4 ms at the 99th percentile; the remainder covers
+# a busy core.
 DEADLINE_MARGIN = 0.02
-# of a number of microseconds; longer numbers might not fit a float
+# digits of a cost hint in microseconds; a longer number might not fit a float
 MAX_COST_HINT_DIGITS = 12
 
 log = logging.getLogger(__name__)
 
 
 def read_cost_hint(command: Command) -> float | None:
-    """Return the client's estimate of its request's cost in seconds, if it gave one that can be read."""
+    """Return the client's estimate of the cost in seconds, or None if it is missing or malformed."""
     hint = command.info.get(COST_HINT_FIELD, "")
     return int(hint) / 1e6 if hint.isdigit() and len(hint) <= MAX_COST_HINT_DIGITS else None
 
 
 class Dispatcher:
-    """One router: its events and actions, its timers, and the requests that it accepts.
+    """Accepts requests, passes events to the decision module, and executes its actions and timers.
 
     All methods run in the event loop's thread.
 
     Attributes:
-        settings: As given.
+        settings: The operators' settings.
         router: The decision module, which handles the events.
         requests: The requests in flight.
         endpoints: The endpoints that the router knows.
@@ -85,14 +86,14 @@
         origins: ConnectionPool,
         subscribe: Callable[[], None],
     ) -> None:
-        """Create a router that knows no endpoints yet.
+        """Create a dispatcher without endpoints.
 
         Args:
             settings: The operators' settings.
-            seed: Of the decision module's random numbers.
-            caches: The connections to cache servers.
-            origins: The connections to origins.
-            subscribe: Called when the decision module polls for endpoint updates.
+            seed: Seed of the decision module's random numbers.
+            caches: Connections to cache servers.
+            origins: Connections to origins.
+            subscribe: Called when the decision module requests a poll for endpoint updates.
         """
         self.settings = settings
         self._subscribe = subscribe
@@ -114,28 +115,28 @@
         self._recovery = EventRecovery(settings, self.requests, subscribe, self.post)
 
     def post(self, event: Event) -> None:
-        """Pass an event to the decision module, after the events whose actions are being carried out."""
+        """Queue an event for the decision module, and handle it unless another one is being handled."""
         self._events.append(event)
         if not self._is_handling:
             self._handle_events()
 
     def _handle_events(self) -> None:
-        """Handle the events that are posted, also those that are posted meanwhile."""
+        """Handle the queued events, including those that are posted during this call."""
         self._is_handling = True
         try:
             while self._events:
                 self._handle(self._events.popleft())
         finally:
             self._is_handling = False
-            # Not earlier: the decision module may still send for a request that it has just ended, and must
-            # be notified that this attempt was not sent.
+            # Not earlier: the decision module may return an attempt for a request that it has just ended, and
+            # must be notified that this attempt was not sent.
             self.requests.release_finished()
 
     def _handle(self, event: Event) -> None:
-        """Hand one event to the decision module, and carry out its actions.
+        """Pass one event to the decision module, and execute its actions.
 
-        A fault of either is logged once. The actions that were decided before it are carried out, and what
-        the router owes for the event is made up for, so that the fault costs no more than this event.
+        An exception in either is logged once. If the decision module raises, the actions that it decided
+        before are executed, and `EventRecovery` handles the event, so that no other event is affected.
         """
         try:
             actions = self.router.handle(self._clock.now(), event)
@@ -180,7 +181,7 @@
         return self.endpoints.has_ready_cache()
 
     def on_discovery_address_changed(self) -> None:
-        """Notify the decision module that another discovery sends the endpoint updates from now on."""
+        """Notify the decision module that endpoint updates come from another address from now on."""
         self.post(DiscoveryAddressChanged())
 
     def on_watch_failed(self, discovery_address: str) -> None:
@@ -191,7 +192,7 @@
         """Apply a complete endpoint list, or the changed entries of one.
 
         Raises:
-            EndpointUpdateError: The list is not in force, and must be received as a whole.
+            EndpointUpdateError: The update was not applied; a complete list must be received.
         """
         self.endpoints.apply(kind, endpoints)
         update = EndpointUpdate(kind, tuple(e.entry for e in endpoints))
@@ -209,7 +210,7 @@
         Args:
             command: The request.
             respond: Called once with the final answer, unless the client disconnects first.
-            is_connected: Returns whether the client is connected, as the kernel knows it.
+            is_connected: Returns whether the client is connected according to the kernel.
 
         Raises:
             CommandError: The request can't be accepted; `respond` is then never called.
@@ -230,13 +231,13 @@
         Raises:
             CommandError: The request can't be accepted.
         """
-        # two requests in flight under one id would get each other's answers
+        # Two requests in flight under one id would get each other's answers.
         if self.requests.is_id_used(request_id):
             raise CommandError("this request id is in use")
         request_class = self.settings.classes.get(command.info.get(CLASS_FIELD, ""))
         if request_class is None:
             raise CommandError("class is unknown")
-        # without its key no server could distinguish a retry from a second request, and would carry out both
+        # Without the key a server can't distinguish a retry from a second request, and would execute both.
         if request_class.idempotency is Idempotency.WITH_KEY and not command.info.get(IDEMPOTENCY_KEY_FIELD):
             raise CommandError("k is missing")
         return request_class
@@ -247,18 +248,18 @@
             self.post(ClientDisconnected(request_id))
 
     def start_shutdown(self, seconds: float) -> None:
-        """Answer every request, also those that are accepted later, within `seconds` from now."""
+        """Answer all requests within `seconds` from now, including those that are accepted later."""
         self.requests.limit_deadlines(seconds)
         self.post(ShutdownStarted(seconds))
 
     def _on_deadline(self, request: RequestInFlight) -> None:
-        """Time out the attempts of a request; if the decision module leaves it open, it has failed."""
+        """Time out the attempts of a request; if the decision module leaves it open, fail it soon after."""
         self._attempts.time_out_all(request)
         if not request.is_closed:
             self._recovery.fail_after_grace(request.request_id)
 
     def _reject(self, action: Reject) -> None:
-        """Answer that a request was not carried out, with its Retry-After in milliseconds."""
+        """Reply that a request was rejected, with its Retry-After in milliseconds if it has one."""
         retry_after_ms = math.ceil(action.retry_after * 1000)
         answer = b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms else b"-BUSY\r\n"
         self.requests.respond(action.request_id, answer)
--- a/cache_router/net/event_recovery.py
+++ b/cache_router/net/event_recovery.py
@@ -1,7 +1,7 @@
-"""What must still happen when the decision module has failed to handle an event.
+"""Recovery from events that the decision module has failed to handle.
 
-A fault in the decisions may cost the event in which it occurs. It must not cost an answer to a client, the
-watch on the endpoint list, or an update of it.
+A fault in the decision module may lose the event in which it occurs. It must not leave a request without an
+answer, end the watch on the endpoint list, or lose an update of the list.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 from cache_router.net.request_table import RequestTable
 from cache_router.settings import Settings
 
-# seconds after the deadline of a request, which has a margin of its own, in which it is answered in any case
+# seconds after a request's deadline at which it fails if it has no answer; the deadline itself has a margin
 ANSWER_GRACE = 0.01
 FAILED_REPLY = b"-ERR failed\r\n"
 log = logging.getLogger(__name__)
 
 
 class EventRecovery:
-    """Answers, watches and resynchronizes in place of the decision module."""
+    """Fails requests, renews the watch and detects lost endpoint updates in place of the decisions."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         subscribe: Callable[[], None],
         post: Callable[[Event], None],
     ) -> None:
-        """Create a recovery.
+        """Create a recovery for one decision module.
 
         Args:
             settings: The operators' settings.
@@ -59,9 +59,9 @@
         return self._failed_update is update
 
     def make_up_for(self, event: Event) -> None:
-        """Do what must follow an event that could not be handled.
+        """Recover from an event that could not be handled.
 
-        An attempt in flight brings another event, so that its request is not ended here.
+        A request that has an attempt in flight stays open, because the attempt's end is another event.
         """
         match event:
             case Request() | AttemptCompleted():
@@ -79,7 +79,7 @@
                 self._failed_update = event
 
     def fail_after_grace(self, request_id: str) -> None:
-        """Answer a request whose deadline has passed, unless the decision module does so at the same time."""
+        """Fail a request whose deadline has passed, unless it is answered within ANSWER_GRACE."""
         asyncio.get_running_loop().call_later(ANSWER_GRACE, self._fail_overdue, request_id)
 
     def _fail_overdue(self, request_id: str) -> None:
@@ -89,9 +89,9 @@
             self._fail_unless_in_flight(request_id)
 
     def _fail_unless_in_flight(self, request_id: str) -> None:
-        """Answer that a request has failed, unless an attempt may still bring its response."""
+        """Answer that a request has failed, unless it still has an attempt in flight."""
         request = self._requests.get(request_id)
         if request is None or request.attempts or request.is_closed:
             return
         self._requests.respond(request_id, FAILED_REPLY)
-        self._post(ClientDisconnected(request_id))  # the decision module forgets it
+        self._post(ClientDisconnected(request_id))  # removes it from the decision module
--- a/cache_router/net/eviction.py
+++ b/cache_router/net/eviction.py
@@ -1,4 +1,4 @@
-"""Eviction of clients' connections, to keep within the descriptor budget and to close overdue ones."""
+"""Eviction of clients' connections that exceed the descriptor budget or are overdue."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from cache_router.net.client_connection_table import ClientConnectionTable, OpenConnection
 
-# seconds for a complete command to arrive; clients expect a reply within 3 s
+# seconds within which a complete command must arrive; clients expect a reply within 3 s
 COMMAND_TIMEOUT = 2.0
 # seconds after which an idle connection may be closed while more than half of the budget is in use
 IDLE_TIMEOUT = 2.0
-# the same for a connection that has sent a single command
+# idle timeout of a connection that has sent a single command, in seconds
 SINGLE_COMMAND_IDLE_TIMEOUT = 0.1
 # seconds between checks for overdue connections
 OVERDUE_CHECK_INTERVAL = 0.1
@@ -21,7 +21,7 @@
 
 
 class Evictor:
-    """Closes connections of clients that exceed the budget or are overdue."""
+    """Closes clients' connections that exceed the budget or are overdue."""
 
     def __init__(
         self, connections: ClientConnectionTable, max_connections: int, longest_client_timeout: float
@@ -30,18 +30,18 @@
 
         Args:
             connections: The open connections.
-            max_connections: How many of the process's descriptors clients may use.
-            longest_client_timeout: Seconds after which no client waits for its reply any more.
+            max_connections: Number of descriptors that clients may use.
+            longest_client_timeout: Time in seconds after which no client waits for its reply.
         """
         self._connections = connections
         self._max_connections = max_connections
         self._longest_client_timeout = longest_client_timeout
 
     async def evict_excess(self) -> None:
-        """Evict until the budget is kept; wait while every connection has a request in flight.
+        """Evict connections until the budget is met; wait while none may be evicted.
 
-        Otherwise the process would run out of descriptors for cache servers and discovery. While this method
-        waits, nothing is accepted and further clients wait in the backlog.
+        Without eviction the process would run out of descriptors for cache servers and discovery. While this
+        method waits, no client is accepted, and further clients wait in the backlog.
         """
         while len(self._connections) > self._max_connections:
             candidate = next(self._candidates(), None)
@@ -53,11 +53,11 @@
     def _candidates(self) -> Iterator[OpenConnection]:
         """Iterate over the connections that may be evicted, in the order of eviction.
 
-        1. Connections that have just sent an error, also with unread input: they are never idle, because the
-           next error follows the last one.
+        1. Throttled connections, even with unread input: a client that keeps sending invalid commands is
+           never idle.
         2. Connections that have awaited a command for too long.
         3. Idle connections that have sent a single command.
-        4. Other idle connections, whose clients are the ones that reuse their connections.
+        4. Other idle connections, whose clients reuse them.
         """
         for connection in self._connections:
             if connection.is_throttled_only():
@@ -79,7 +79,7 @@
             try:
                 self._close_overdue(asyncio.get_running_loop().time())
             except Exception:
-                log.exception("overdue connections")  # the next check is as necessary as this one
+                log.exception("overdue connections")  # later checks must still run
 
     def _close_overdue(self, now: float) -> None:
         self._reject_incomplete_commands(now)
@@ -87,14 +87,14 @@
         self._evict_surplus_idle(now)
 
     def _reject_incomplete_commands(self, now: float) -> None:
-        """Close connections that have sent nothing, or a part of a command, for too long."""
+        """Close connections that have not completed a command within COMMAND_TIMEOUT."""
         for connection, since in list(self._connections.awaiting_command_since.items()):
             if now - since < COMMAND_TIMEOUT:
                 break
             connection.close_with_error(INCOMPLETE_COMMAND_REPLY)
 
     def _evict_unread_replies(self, now: float) -> None:
-        """Evict connections whose client has not read its last reply and can't be waiting for it any more."""
+        """Evict connections whose client has not read its last reply within the longest client timeout."""
         for connection, since in list(self._connections.idle_since.items()):
             if now - since > self._longest_client_timeout and connection.has_unsent_output():
                 connection.abort()
--- a/cache_router/net/listener.py
+++ b/cache_router/net/listener.py
@@ -13,8 +13,8 @@
 from cache_router.net.dispatcher import Dispatcher
 from cache_router.net.eviction import Evictor
 
-ACCEPT_BACKLOG = 512  # connections that the kernel accepts ahead of this process
-# seconds after a failed accept: without descriptors it fails again at once, and retries would take the core
+ACCEPT_BACKLOG = 512  # connections that the kernel queues until they are accepted
+# seconds to wait after a failed accept; when descriptors run out, immediate retries would use a whole core
 ACCEPT_RETRY_DELAY = 0.1
 log = logging.getLogger(__name__)
 
@@ -29,7 +29,7 @@
         longest_client_timeout = max(c.client_timeout for c in dispatcher.settings.classes.values())
         self._evictor = Evictor(self._connections, max_connections, longest_client_timeout)
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self._connection_pending = asyncio.Event()  # also set when draining starts
+        self._connection_pending = asyncio.Event()  # set when a client connects or draining starts
         self._accept_task: asyncio.Task[None]
         self._overdue_task: asyncio.Task[None]
 
@@ -74,7 +74,7 @@
         self._overdue_task = asyncio.create_task(self._evictor.close_overdue_periodically())
 
     async def _accept_clients(self) -> None:
-        """Accept until draining starts, and then the clients that are still in the kernel's backlog."""
+        """Accept clients until draining has started and the kernel's backlog is empty."""
         while True:
             try:
                 client, client_address = self._socket.accept()
@@ -91,15 +91,14 @@
                 await self._open_connection(client, Address(*client_address))
                 await self._evictor.evict_excess()
             except Exception:
-                log.exception(
-                    "accept of client %s", Address(*client_address)
-                )  # others are still to be accepted
-        # at once: a connection that the kernel accepts later would be reset together with its request
+                # The loop continues: other clients are still to be accepted.
+                log.exception("accept of client %s", Address(*client_address))
+        # Close now: a connection that the kernel queues later would be reset, and its request lost.
         self._socket.close()
         self._connections.notify_change()
 
     async def _open_connection(self, client: socket.socket, address: Address) -> None:
-        """Create the connection of an accepted socket."""
+        """Create a client's connection on an accepted socket."""
         client.setblocking(False)
         try:
             await asyncio.get_running_loop().connect_accepted_socket(
--- a/cache_router/net/request_table.py
+++ b/cache_router/net/request_table.py
@@ -11,25 +11,25 @@
 from cache_router.net.command import Command
 from cache_router.net.upstream_attempt import UpstreamAttempt
 
-# Seconds for which the id of a finished request is rejected at least: another client that repeats it might
-# get the value that the first client requested.
+# Minimum time in seconds for which the id of a finished request is rejected. Another client that reuses the
+# id might get the value that the first client requested.
 ID_REUSE_DELAY = 2.0
 
 
 @dataclass(slots=True, eq=False)
 class RequestInFlight:
-    """A request, kept until it is closed and has no attempt in flight. It changes by its methods only."""
+    """A request until it is closed and has no attempt in flight; only its methods change it."""
 
     request_id: str
     command: Command
-    respond: Callable[[bytes], None]  # takes the final answer
-    is_connected: Callable[[], bool]  # whether its client is, as the kernel knows it
-    deadline: float  # on the table's clock
+    respond: Callable[[bytes], None]  # called with the final answer
+    is_connected: Callable[[], bool]  # returns whether the client is connected according to the kernel
+    deadline: float  # time on the table's clock, in seconds
     _deadline_timer: asyncio.TimerHandle
-    attempts_started: int = 0  # including those that have ended
-    is_closed: bool = False  # answered, or its client has disconnected
+    attempts_started: int = 0  # number of attempts, including those that have ended
+    is_closed: bool = False  # whether it is answered or its client has disconnected
     deadline_passed: bool = False
-    attempts: dict[int, UpstreamAttempt] = field(default_factory=dict)  # in flight, by number
+    attempts: dict[int, UpstreamAttempt] = field(default_factory=dict)  # attempts in flight, by number
 
     def add_attempt(self, attempt: UpstreamAttempt) -> None:
         """Add the next attempt, whose number is `attempts_started`."""
@@ -41,21 +41,21 @@
         return self.attempts.pop(number, None)
 
     def mark_closed(self) -> None:
-        """Note that the request has been answered, or that its client has disconnected."""
+        """Mark the request as closed: it has been answered, or its client has disconnected."""
         self.is_closed = True
 
     def mark_deadline_passed(self) -> None:
-        """Note that the deadline has passed: no attempt may be sent any more."""
+        """Mark the deadline as passed: no further attempt may be sent."""
         self.deadline_passed = True
 
     def set_deadline(self, deadline: float, timer: asyncio.TimerHandle) -> None:
-        """Replace the deadline; `timer` runs out at that time."""
+        """Replace the deadline and its timer, which fires at that time."""
         self.stop_deadline_timer()
         self.deadline = deadline
         self._deadline_timer = timer
 
     def stop_deadline_timer(self) -> None:
-        """Stop the timer, which would otherwise run out for a request that is no longer in flight."""
+        """Stop the timer, which would otherwise fire for a request that is no longer in flight."""
         self._deadline_timer.cancel()
 
 
@@ -63,14 +63,14 @@
     """Requests in flight by id. Times are in seconds, on the table's clock."""
 
     def __init__(self, on_deadline: Callable[[RequestInFlight], None], clock: Clock) -> None:
-        """`on_deadline` is called with a request whose deadline has passed."""
+        """Create an empty table; `on_deadline` is called with each request whose deadline has passed."""
         self._on_deadline = on_deadline
         self._clock = clock
         self._requests: dict[str, RequestInFlight] = {}
-        # ids of requests that have been closed or have lost an attempt since `release_finished` was called
+        # ids of requests that were closed or had an attempt end since the last `release_finished`
         self._release_candidates: list[str] = []
         self._latest_deadline = math.inf
-        # two generations, so that ids are dropped in bulk
+        # ids of finished requests, in two generations, so that they are dropped in bulk
         self._recently_used_ids: set[str] = set()
         self._previously_used_ids: set[str] = set()
         self._ids_rotated_at = clock.now()
@@ -117,7 +117,7 @@
         return time_left
 
     def respond(self, request_id: str, answer: bytes) -> None:
-        """Give a request its final answer, unless it is closed."""
+        """Close a request and send its final answer, unless it is already closed."""
         request = self._requests.get(request_id)
         if request is not None and not request.is_closed:
             self._close(request)
@@ -160,7 +160,8 @@
         self._release_candidates.clear()
 
     def _start_deadline_timer(self, request_id: str, seconds: float) -> asyncio.TimerHandle:
-        # with the id, not the request: a reference cycle would be left to the garbage collector
+        # The timer holds the id, not the request, which holds the timer: a reference cycle would be left to
+        # the garbage collector.
         return asyncio.get_running_loop().call_later(seconds, self._pass_deadline, request_id)
 
     def _pass_deadline(self, request_id: str) -> None:
--- a/cache_router/net/resp.py
+++ b/cache_router/net/resp.py
@@ -25,7 +25,7 @@
 
 
 class RespError(RouterError, ValueError):
-    """Bytes that are not RESP2, or announce more than is accepted; what follows them can't be read."""
+    """The input is not RESP2 or exceeds a limit; the rest of the stream can't be parsed."""
 
 
 class _IncompleteMessageError(Exception):
@@ -33,7 +33,7 @@
 
 
 class Incompleteness(Enum):
-    """The type of `INCOMPLETE`, which is equal to no message."""
+    """The type of `INCOMPLETE`, which differs from every message."""
 
     INCOMPLETE = auto()
 
@@ -77,8 +77,8 @@
         self._max_items = max_items
         self._max_bulk = max_bulk
         self._max_message = max_message
-        self._buffer = bytearray()  # from the first byte of the next message
-        self._position = 0  # index in the buffer
+        self._buffer = bytearray()  # received bytes from the start of the next message
+        self._position = 0  # index of the next byte to parse
 
     def feed(self, data: bytes | memoryview) -> None:
         """Append received bytes to the buffer."""
@@ -95,10 +95,10 @@
     def next(self) -> Message | Literal[Incompleteness.INCOMPLETE]:
         """Return the next message, or `INCOMPLETE` if its end has not arrived yet.
 
-        Each call reads the message from its first byte, because nearly all messages arrive in one piece.
+        Each call parses the message from its first byte, because nearly all messages arrive in one piece.
 
         Raises:
-            RespError: The bytes are not RESP2, or announce more than is accepted.
+            RespError: The input is not RESP2 or exceeds a limit.
         """
         if not self._buffer:
             return INCOMPLETE
@@ -137,7 +137,7 @@
         buffer, start = self._buffer, self._position
         end = buffer.find(LINE_END, start, start + max_length + len(LINE_END))
         if end < 0:
-            # the last byte may be the first one of the line's end
+            # The last byte may be the CR of the line end.
             if len(buffer) - start > max_length + 1:
                 raise RespError("line is too long")
             raise _IncompleteMessageError
@@ -156,11 +156,11 @@
             return None
         buffer, start = self._buffer, self._position
         end = start + length
-        # the announced length decides, so that no memory is held for a string that is rejected in the end
+        # The announced length is checked, so that no memory is held for a string that is rejected later.
         if length > self._max_bulk or end > self._max_message:
             raise RespError("string is too long")
         terminator = buffer[end : end + len(LINE_END)]
-        # a wrong length would give a wrong value, and what follows it could not be read
+        # A wrong length would give a wrong value, and the rest of the stream could not be parsed.
         if terminator != LINE_END[: len(terminator)]:
             raise RespError("length does not fit")
         if len(terminator) < len(LINE_END):
@@ -172,7 +172,7 @@
         count = self._read_number(LENGTH)
         if count < 0:
             return None
-        # announced arrays may never arrive: they must cost neither memory nor stack
+        # The items of an announced array may never arrive: it must cost neither memory nor stack.
         if count > self._max_items or depth >= MAX_DEPTH:
             raise RespError("array is too long or too deep")
         return [self._read_message(depth + 1) for _ in range(count)]
--- a/cache_router/net/socket_state.py
+++ b/cache_router/net/socket_state.py
@@ -12,13 +12,13 @@
 
 
 def is_hung_up(transport: asyncio.BaseTransport) -> bool:
-    """Return whether the peer has closed or reset the connection, also if earlier bytes are unread."""
+    """Return whether the peer has closed or reset the connection, even if earlier bytes are unread."""
     hung_up = select.POLLRDHUP | select.POLLHUP | select.POLLERR
     return bool(_poll_events(transport, select.POLLRDHUP) & hung_up)
 
 
 def _poll_events(transport: asyncio.BaseTransport, events: int) -> int:
-    """Return the requested poll(2) events, and errors, that hold for a transport's socket now.
+    """Return the events of a transport's socket that poll(2) reports now: the requested ones, and errors.
 
     A socket that is already closed counts as hung up.
     """
