--- a/tests/cache_router/net/conftest.py
+++ b/tests/cache_router/net/conftest.py
@@ -11,6 +11,6 @@
 
 @pytest.fixture
 async def attempt_recorders() -> AsyncIterator[AttemptRecorders]:
-    """Makes recorders of attempts, whose connections are closed after the test."""
+    """Yield a factory of attempt recorders; their connections are closed after the test."""
     with AttemptRecorders() as recorders:
         yield recorders
--- a/tests/cache_router/net/test_client_connection.py
+++ b/tests/cache_router/net/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Commands of a client's connection, well formed and not, and the order of their replies."""
+"""Valid and invalid commands on a client's connection, and the order of their replies."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 INVALID_COMMANDS = [
     (command("GET", "k"), "unknown command"),
     (command("CLIENT", "LIST"), "unknown command"),
-    (command("A\r\n+PONG"), "unknown command"),  # echoed unescaped, it would be a second reply
+    (command("A\r\n+PONG"), "unknown command"),  # if echoed unescaped, a second reply
     (command("C.GET", "k", "r1"), "wrong number"),
     (command("C.SET", "k", "r1", "c=book,d=900"), "wrong number"),
     (command("C.GET", "", "r1", "c=read,d=900"), "key"),
@@ -61,7 +61,7 @@
 async def test_invalid_command_gets_an_error_and_keeps_its_connection(
     router: Router, sent: bytes, expected: str
 ) -> None:
-    """Such a command is complete: what follows can be read."""
+    """An invalid command is still complete, so that the start of the next command is known."""
     client = await router.client()
     client.write(sent + command("PING"))
     assert expected in error_text(await client.resp())
@@ -77,16 +77,16 @@
         b"*x\r\n",
         b"*100000000\r\n",  # rejected at the header, before a list of that length is allocated
         b"*4\r\n$-5\r\n",
-        b"*4\r\n$62914560\r\n",  # rejected before the value comes
+        b"*4\r\n$62914560\r\n",  # rejected before the value arrives
         b"*5\r\n" + b"$60000\r\n%b\r\n" % (b"x" * 60000) + b"$60000\r\n",  # longer than any valid command
         b"*1\r\n$4\r\nPINGPONG\r\n",
-        b"*1\r\n$" + b"0" * 40,  # lines that do not end
+        b"*1\r\n$" + b"0" * 40,  # a line that is too long, like the next
         b"+" + b"x" * 2000,
         b"*1\r\n" * 9,
     ],
 )
 async def test_framing_error_closes_the_connection(router: Router, sent: bytes) -> None:
-    """What follows might be a part of a value, and would be executed as a command."""
+    """The bytes that follow might be a part of a value, and would be executed as a command."""
     client, other = await router.client(), await router.client()
     client.write(sent)
     assert error_text(await client.resp()).startswith("ERR")
@@ -99,7 +99,7 @@
     client, cache = await router.start_read()
     client.write(b"noise\r\n" + b"x" * 100_000)
     (connection,) = router.client_connections()
-    await wait_until(lambda: connection.pending_replies == 2)  # the last one is the error
+    await wait_until(lambda: connection.pending_replies == 2)  # the read and the error
     assert not connection.is_reading()
     assert not connection.has_buffered_input()
     cache.write(HIT)
@@ -120,7 +120,7 @@
 
 
 async def test_commands_beyond_the_pipeline_limit_are_processed_later(router: Router) -> None:
-    """They stay in the buffer until earlier replies are written."""
+    """The commands stay in the buffer until earlier replies are written."""
     client = await router.client()
     request_ids = [f"r{n}" for n in range(3 * MAX_PIPELINED_COMMANDS)]
     client.write(b"".join(read(n, info="c=read,t=x,d=1") for n in request_ids) + read("last"))
@@ -150,13 +150,13 @@
 
 
 async def test_no_request_is_accepted_from_a_closing_connection(router: Router) -> None:
-    """Its client has disconnected: the request would be processed until its deadline for nobody."""
+    """The client has disconnected: its request would be processed until the deadline for nobody."""
     _client, connection = await client_with_full_pipeline(router)
     connection.abort()
     router.dispatcher.requests.respond("r0", b"-ERR failed\r\n")
     await wait_until(lambda: not connection.pending_replies)
     await asyncio.sleep(0)
-    # the decision module was not notified of the reply above, and has not removed it
+    # The decision module was not notified of the reply above, so that `r0` has not been removed.
     assert set(router.dispatcher.requests) == {"r0"}
 
 
@@ -188,7 +188,7 @@
 
 
 def test_pipelined_reply_has_a_request_until_it_is_rejected() -> None:
-    """A disconnect is reported for the requests that the dispatcher has accepted."""
+    """A disconnect is reported only for requests that the dispatcher has accepted."""
     reply = PipelinedReply()
     reply.start_request("r1")
     assert reply.request_id == "r1"
--- a/tests/cache_router/net/test_client_connection_closing.py
+++ b/tests/cache_router/net/test_client_connection_closing.py
@@ -1,4 +1,4 @@
-"""Connections of clients that close: by the router, by the client, and what they leave behind."""
+"""Closing of clients' connections by the router or the client, and the removal of their state."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def accepted_connection(router: Router, table: ClientConnectionTable) -> tuple[Link, ClientConnection]:
-    """Return a client, and the router's side of its connection, which reports to a table of the test."""
+    """Connect a client whose connection reports to `table`; return the client's and the router's side."""
     client_socket, accepted_socket = socket.socketpair()
     accepted_socket.setblocking(False)
     _transport, connection = await asyncio.get_running_loop().connect_accepted_socket(
@@ -27,7 +27,7 @@
 
 @pytest.mark.parametrize("cause", ["abort", "reset"])
 async def test_closed_connection_is_removed_from_the_table(router: Router, cause: str) -> None:
-    """A closed connection has no socket: examining it stopped the listener, and nobody could connect."""
+    """A closed connection has no socket: a check of it stopped the listener, and nobody could connect."""
     table = ClientConnectionTable()
     client, connection = await accepted_connection(router, table)
     other, remaining = await accepted_connection(router, table)
@@ -49,7 +49,7 @@
 async def test_aborted_connection_leaves_the_table_before_the_event_loop_reports_it_lost(
     router: Router,
 ) -> None:
-    """The evictor compares the table's size with its budget again at once, and would evict one more."""
+    """The evictor checks the table's size right after an abort, and would evict another connection."""
     client = await client_after_ping(router)
     (connection,) = router.client_connections()
     connection.abort()
@@ -76,7 +76,7 @@
 
 @router_with(max_clients=1)
 async def test_clients_are_accepted_after_a_throttled_connection_has_closed(router: Router) -> None:
-    """The end of throttling must not bring the connection back, also not at the connection limit."""
+    """The end of throttling must not add the closed connection to the table again."""
     client = await router.client()
     client.write(read("r1", info="c=unheard-of,d=900"))
     error_text(await client.resp())
--- a/tests/cache_router/net/test_client_connection_table.py
+++ b/tests/cache_router/net/test_client_connection_table.py
@@ -1,4 +1,4 @@
-"""The table of clients' connections: their states, the order of each state, and waits for a change."""
+"""The table of clients' connections: states, the order within a state, and waits for a change."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class StubConnection:
-    """A connection that only its identity describes; the table asks nothing of it."""
+    """A connection of which the table uses only the identity."""
 
     def has_sent_single_command(self) -> bool:
         raise NotImplementedError
@@ -64,7 +64,7 @@
     table, connection = ClientConnectionTable(), StubConnection()
     table.on_accepted(connection)
     table.on_closed(connection)
-    table.on_closed(connection)  # the event loop reports an aborted connection once more
+    table.on_closed(connection)  # the event loop reports an aborted connection a second time
     table.on_idle(connection)
     table.on_awaiting_command(connection)
     assert not list(table)
@@ -80,7 +80,7 @@
         table.on_idle(connection)
     since = table.idle_since[first]
     await asyncio.sleep(0.001)
-    table.on_idle(first)  # the same state again
+    table.on_idle(first)  # a repeated report of the same state
     assert list(table.idle_since) == [first, second]
     assert table.idle_since[first] == since
     table.on_data_received(first)
@@ -105,7 +105,7 @@
     monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", 60.0)
     table, connection = ClientConnectionTable(), StubConnection()
     table.on_accepted(connection)
-    wait = asyncio.create_task(table.wait_for_change())  # not ended by the change before it
+    wait = asyncio.create_task(table.wait_for_change())  # must not end because of the earlier change
     for _ in range(3):
         await asyncio.sleep(0)
     assert not wait.done()
--- a/tests/cache_router/net/test_descriptors.py
+++ b/tests/cache_router/net/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A process whose descriptors are used up by clients and attempts still polls discovery."""
+"""Polls of discovery by a process whose descriptors are used up by clients and attempts."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     router_process,
 )
 
-DESCRIPTOR_LIMIT = 64  # the fewest that a configuration may allow
-# those that clients and attempts share; the router keeps the others for everything else
+DESCRIPTOR_LIMIT = 64  # smallest limit that a configuration may set
+# descriptors that clients and attempts share; the router reserves the others for everything else
 SHARED_DESCRIPTORS = DESCRIPTOR_LIMIT - 32
 LONG_DEADLINE = "c=read,t=t,d=600000"
-# Seconds, of each class. A server that is silent for the shortest objective gets one attempt at a time:
-# after a longer pause of this process, fewer attempts than descriptors would be in flight.
+# Latency objective of each class in seconds. A server that is silent for the shortest objective gets one
+# attempt at a time: if the test process paused for longer, too few attempts would use descriptors.
 LATENCY_OBJECTIVE = 30.0
 
 
 async def poll_until(condition: Callable[[], object]) -> None:
-    """Poll until a condition holds that another process brings about."""
+    """Poll a condition that depends on another process until it holds."""
     while not condition():
         await asyncio.sleep(0.01)
 
@@ -63,7 +63,7 @@
 
 
 class UnavailableAgent(Peer):
-    """Discovery on a port that refuses connections until `start_listening`."""
+    """A discovery agent on a port that refuses connections until `start_listening`."""
 
     def __init__(self) -> None:
         """Reserve a port without listening on it."""
@@ -80,7 +80,7 @@
 async def exhaust_descriptors(
     clients: Clients, address: tuple[str, int], caches: list[Peer], origin: Peer
 ) -> None:
-    """Let attempts that hang and idle clients use up all that they may."""
+    """Use up the shared descriptors with idle clients and with attempts that get no response."""
     busy_clients = [await clients.connect_and_ping(address) for _ in range(3)]
     for n in range(31):
         for i in (0, 1):
@@ -97,8 +97,8 @@
 async def read_until_served(client: Link, caches: list[Peer], expected: set[Peer]) -> None:
     """Send reads of different keys until each of the expected servers has answered one, 200 at most.
 
-    A read is always in flight. Between two commands the router may close the connection: near its limit of
-    connections it evicts a client 0.1 s after its only command, and this process may be paused for that long.
+    A read is always in flight, because the router may evict an idle client: near its connection limit it
+    does so 0.1 s after a client's only command, and the test process may be paused for that long.
     """
     served: list[Peer] = []
     serving = [asyncio.create_task(serve_and_record(peer, served)) for peer in caches]
@@ -119,7 +119,7 @@
 async def test_endpoint_list_is_received_while_descriptors_are_exhausted(
     clients: Clients, agent_state: str, allowed: int, tmp_path: Path
 ) -> None:
-    """Idle clients, silent ones and attempts that hang, as many of each as the router admits."""
+    """Idle clients, silent clients and attempts without a response, as many as the router admits."""
     async with listening_peers(5) as (*caches, fresh, origin):
         agent = UnavailableAgent()
         config = config_with_cache(caches[0], agent, "automatic")
@@ -135,7 +135,7 @@
             address = await listen_address(process.stderr)
             log_reader = asyncio.create_task(discard_log(process.stderr))
             await exhaust_descriptors(clients, address, caches, origin)
-            # not at once: the router may have closed idle clients and not accepted the silent ones yet
+            # Polled, because the router may have evicted idle clients and not accepted the silent ones yet.
             await poll_until(lambda: open_descriptors(process) > SHARED_DESCRIPTORS)
             assert open_descriptors(process) <= DESCRIPTOR_LIMIT
             if agent_state == "refused":
--- a/tests/cache_router/net/test_disconnect_races.py
+++ b/tests/cache_router/net/test_disconnect_races.py
@@ -63,7 +63,7 @@
 
 
 async def open_idle_connections(router: Router) -> dict[str, Link]:
-    """Open an idle connection to every server, by its name: an attempt there is written at once."""
+    """Open an idle connection to every server, so that attempts are written at once; return them by name."""
     endpoints = router.dispatcher.endpoints
     links: dict[str, Link] = {}
     responses: asyncio.Queue[UpstreamResponse] = asyncio.Queue()
@@ -80,7 +80,7 @@
 
 
 async def next_reader(links: dict[str, Link]) -> Link:
-    """Return the cache server's side of the connection on which the next request comes."""
+    """Return the connection to a cache server, `a` or `b`, on which the next request arrives."""
     reads = {asyncio.ensure_future(links[name].resp()): links[name] for name in ("a", "b")}
     done, (other,) = await asyncio.wait(reads, return_when=asyncio.FIRST_COMPLETED)
     other.cancel()
@@ -98,7 +98,7 @@
     written = record_written_requests(monkeypatch)
     regular.write(read("u1"))
     assert (await cache.resp())[2] == b"u1"
-    surplus = await router.client()  # one above the limit: later ones stay in the backlog
+    surplus = await router.client()  # one client above the limit: later ones stay in the backlog
     surplus.write(read("u2"))
     other = await router.caches["a"].link()
     assert (await other.resp())[2] == b"u2"
@@ -108,7 +108,7 @@
     cache.write(HIT)
     assert await regular.resp() == b"value"
     last = await router.client()
-    await last.ping()  # so that the client before it has been accepted
+    await last.ping()  # by now the client before it has been accepted
     other.write(HIT)
     assert await surplus.resp() == b"value"
     client.close()
@@ -121,7 +121,7 @@
 async def test_request_read_after_its_client_disconnected_is_not_forwarded(
     router: Router, cause: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The end of the stream comes after the request, and may be read only long after it."""
+    """The end of the stream follows the request, and may be read only long after it."""
     router.list_caches("a")
     cache = (await open_idle_connections(router))["a"]
     written = record_written_requests(monkeypatch)
@@ -187,7 +187,7 @@
         cache.write(MISS)
     elif cause == "reset":
         cache.reset()
-        await asyncio.sleep(0)  # in which the reset is sent
+        await asyncio.sleep(0)  # lets the event loop send the reset
     disconnect_blocking_client(client, how)
     if cause == "timer":
         fire_hedge_timer(router, monkeypatch)
@@ -197,9 +197,9 @@
 
 
 def fire_hedge_timer(router: Router, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Fire the hedge timer of `r1`, to which the decision module answers with attempts at all servers."""
-    # Once: the outcomes of these attempts are events too. Answered with attempts again they would go on for
-    # ever without yielding to the test's time limit, and use up all memory.
+    """Fire the hedge timer of `r1`; a patched decision module returns attempts at all servers for it."""
+    # Only the first event returns attempts. Their outcomes are events too: attempts returned for those would
+    # start an endless loop that uses up all memory and never yields to the test's time limit.
     batches = iter([[Send("r1", name) for name in router.dispatcher.endpoints]])
     with monkeypatch.context() as patch:
         patch.setattr(router.dispatcher.router, "handle", lambda now, event: next(batches, []))
--- a/tests/cache_router/net/test_dispatcher.py
+++ b/tests/cache_router/net/test_dispatcher.py
@@ -27,7 +27,7 @@
     ],
 )
 def test_cost_hint_is_a_number_of_microseconds(hint: str, cost: float | None) -> None:
-    """A hint that can't be read is no reason to reject its request."""
+    """A malformed hint is ignored; its request is not rejected."""
     command = Command(b"C.GET", b"k", b"r1", {COST_HINT_FIELD: hint}, 900)
     assert dispatcher.read_cost_hint(command) == cost
 
@@ -48,7 +48,7 @@
 
 
 async def test_miss_is_fetched_from_the_origin(router: Router) -> None:
-    """The value then comes from the origin, under the same request id."""
+    """The request to the origin has the same request id."""
     client, cache = await router.start_read()
     cache.write(MISS)
     origin = await router.origin.link()
@@ -108,7 +108,7 @@
 ) -> None:
     """A re-entrant call would see a state that the outer call has not finished changing."""
     events: list[Event] = []
-    is_answered: list[bool] = []  # at each event
+    is_answered: list[bool] = []  # whether the request is answered, at each event
 
     def handle(now: float, event: Event) -> list[Action]:
         events.append(event)
@@ -126,6 +126,6 @@
     assert isinstance(request, Request)
     assert isinstance(completed, AttemptCompleted)
     assert completed.status is AttemptStatus.CONNECT_FAILED
-    assert not completed.request_closed  # when the attempt ended, at its start
-    # though its event was handled only after the last of the actions
+    assert not completed.request_closed  # the attempt failed at its start, before `Fail`
+    # The event of the failed attempt was handled only after the last action.
     assert is_answered == [False, True]
--- a/tests/cache_router/net/test_eviction.py
+++ b/tests/cache_router/net/test_eviction.py
@@ -1,4 +1,4 @@
-"""Eviction of clients' connections: when, and which first."""
+"""Eviction of clients' connections: its conditions and its order."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @router_with(max_clients=2)
 async def test_idle_client_is_evicted_at_the_connection_limit(router: Router) -> None:
-    """Out of descriptors, neither attempts nor polls of discovery can connect: idle clients are evicted."""
+    """Without eviction no descriptors would be left for attempts and polls of discovery."""
     idle = await router.client()
     busy, cache = await router.start_read()
     third = await router.client()
@@ -46,7 +46,7 @@
 
 @router_with(max_clients=1)
 async def test_new_client_is_not_evicted_while_all_others_are_busy(router: Router) -> None:
-    """Evicted itself, it would lose its first request."""
+    """Evicting the new client would lose its first request."""
     busy, cache = await router.start_read()
     newest = await router.client()
     await newest.ping()
@@ -64,10 +64,10 @@
 
 @pytest.fixture
 def no_idle_eviction(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Keep the router from closing idle clients above half of its limit, in a pause of the test.
+    """Prevent the eviction of idle clients above half of the connection limit.
 
-    A client that has sent one command is closed after 0.1 s. A test that is paused for longer, on a busy
-    machine, would lose the client that it compares others with.
+    A client that has sent one command is evicted after 0.1 s. A test that is paused for longer, on a busy
+    machine, would lose the client with which it compares others.
     """
     monkeypatch.setattr(eviction, "SINGLE_COMMAND_IDLE_TIMEOUT", DEFAULT_TIME_LIMIT)
     monkeypatch.setattr(eviction, "IDLE_TIMEOUT", DEFAULT_TIME_LIMIT)
@@ -78,7 +78,7 @@
 async def test_clients_awaiting_a_command_are_evicted_first(
     router: Router, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Hundreds of silent clients would otherwise evict regular ones, which reuse their connections."""
+    """Otherwise hundreds of silent clients would displace regular ones, which reuse their connections."""
     monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", 0.0)
     regular = await client_after_pings(router, 1)
     silent, incomplete = await router.client(), await router.client()
@@ -92,13 +92,13 @@
 @router_with(max_clients=2)
 @pytest.mark.usefixtures("no_idle_eviction")
 async def test_throttled_clients_are_evicted_first(router: Router) -> None:
-    """They are never idle, as the next error follows the last, and would otherwise never be evicted."""
+    """A client that keeps sending errors is never idle, and would otherwise never be evicted."""
     regular, erroneous = await client_after_pings(router, 1), await client_after_pings(router, 2)
     erroneous.write(read("r1", info="c=unheard-of,d=900") * 100)
     error_text(await erroneous.resp())
     await client_after_pings(router, 1)
     with suppress(ConnectionResetError):
-        await erroneous.reader.read()  # to its end
+        await erroneous.reader.read()  # until the router closes the connection
     await regular.ping()
 
 
@@ -114,7 +114,7 @@
 
 @router_with(max_clients=4)
 async def test_many_single_command_clients_are_accepted_at_once(router: Router) -> None:
-    """Accepted only after others were idle for long, regular clients waited in the backlog past deadlines."""
+    """If idle clients were evicted late, regular ones would wait in the backlog past their deadlines."""
     clients = []
     for _ in range(20):
         clients.append(await router.client())  # sends nothing
@@ -156,7 +156,7 @@
     await cache.resp()
     (connection,) = router.client_connections()
     cache.write(b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % (len(value), value))
-    # its last pending reply is written, so that the connection is idle
+    # No reply is pending: the last one was passed to the transport, so that the connection counts as idle.
     await wait_until(lambda: connection.has_unsent_output() and not connection.pending_replies)
     return client
 
@@ -165,7 +165,7 @@
 async def test_connection_is_not_evicted_before_its_reply_has_gone_out(
     router: Router, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A reply cut short by the router is lost."""
+    """Evicting the connection would truncate the reply."""
     value = b"x" * 60_000
     client = await client_with_unread_reply(router, value, monkeypatch)
     other = await router.client()
@@ -174,7 +174,7 @@
 
 
 async def test_client_that_never_reads_its_reply_is_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its client can't be waiting for the reply any more, and the connection would never close."""
+    """After the client timeout nobody waits for the reply, and the connection would never close."""
     monkeypatch.setattr(eviction, "OVERDUE_CHECK_INTERVAL", 0.01)
     read_class = replace(READ, latency_objective=600.0, client_timeout=0.01)
     async with Router(replace(SETTINGS, classes={"read": read_class})) as router:
--- a/tests/cache_router/net/test_faults_of_decisions.py
+++ b/tests/cache_router/net/test_faults_of_decisions.py
@@ -1,8 +1,8 @@
 """The decision module raises once, at each kind of event: clients are answered, the watch is renewed.
 
-What happened: one OverflowError in the report of a failed poll ended the task of the watch. Nothing renewed
-the watch, and nothing said so but a line of asyncio's when the task was collected. Later events stayed in
-the queue until another one was posted, and the requests that they concerned had no answer.
+An OverflowError in the report of a failed poll once ended the task of the watch, which nothing renewed and
+only asyncio logged. Later events stayed in the queue until another one was posted, and their requests got no
+answer.
 """
 
 from __future__ import annotations
@@ -32,17 +32,17 @@
 from tests.support.loopback_router import SETTINGS, Router
 
 SUBSCRIBING = replace(SETTINGS, must_subscribe=True)
-WHEN = ["before", "after"]  # its state and its actions, or when both are complete
+WHEN = ["before", "after"]  # whether the exception is raised before or after the event is handled
 
 
 class FaultError(Exception):
-    """What the decision module raises."""
+    """The exception that the decision module raises in these tests."""
 
 
 def raise_once(
     router: Router, monkeypatch: pytest.MonkeyPatch, when: str, is_at: Callable[[Event], bool]
 ) -> list[Event]:
-    """Make the decision module raise at the next event that `is_at` accepts; returns a list of that event."""
+    """Make the decision module raise at the next event that `is_at` accepts, which the list will contain."""
     handle = router.dispatcher.router.handle
     raised: list[Event] = []
 
@@ -63,7 +63,7 @@
 
 
 def assert_logged_once(caplog: pytest.LogCaptureFixture) -> None:
-    """The fault is in the log once, as ERROR with its traceback."""
+    """Assert that the exception was logged once, as ERROR with its traceback."""
     tracebacks = [record for record in caplog.records if record.exc_info]
     assert [record.levelno for record in tracebacks] == [logging.ERROR]
     assert tracebacks[0].exc_info is not None
@@ -119,7 +119,7 @@
         return isinstance(event, TimerFired) and event.timer.kind is TimerKind.QUEUE_DEADLINE
 
     origin = router.dispatcher.router.endpoints.origins[0].concurrency
-    origin.limit = origin.in_flight  # no capacity there, and none is freed
+    origin.limit = origin.in_flight  # no capacity, and none is freed
     raise_once(router, monkeypatch, when, is_queue_deadline)
     client, cache = await router.start_read(info="c=read,t=x,d=300")
     cache.write(MISS)
@@ -181,7 +181,7 @@
 async def test_update_that_failed_is_received_as_a_whole(
     when: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The next poll would ask for what follows the update, and its entries would never come into force."""
+    """Otherwise the next poll would ask for later updates only, and this one would never be applied."""
     async with Peer() as agent, Router(SUBSCRIBING) as router:
         raise_once(router, monkeypatch, when, lambda event: isinstance(event, EndpointUpdate))
         router.watch(agent)
--- a/tests/cache_router/net/test_late_connections.py
+++ b/tests/cache_router/net/test_late_connections.py
@@ -23,7 +23,7 @@
 async def test_connection_established_after_a_drain_notice_is_not_written_to(
     router: Router, change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Established later than the drain grace period allows, it wrote to a server known to be draining."""
+    """After the drain grace period no request may be written to a server that is known to be draining."""
     connections = DelayedConnections(monkeypatch, *router.caches.values())
     client = await router.client()
     client.write(read("r1"))
@@ -36,7 +36,7 @@
     }
     router.dispatcher.on_endpoint_update(EndpointUpdateKind.DELTA, [replace(endpoint, entry=updated[change])])
     connections.released.set()
-    assert await link.closed_by_peer()  # without a byte
+    assert await link.closed_by_peer()  # nothing was written before
     if change == "restarted":
         other = await router.cache()  # it may be the restarted server
     else:
@@ -49,7 +49,7 @@
 async def test_attempt_carries_the_time_left_when_it_is_written(
     router: Router, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Computed before connecting, it let a server work long after the client's deadline."""
+    """A time computed before connecting let a server work long after the client's deadline."""
     loop = asyncio.get_running_loop()
     connections = DelayedConnections(monkeypatch, *router.caches.values())
     client = await router.client()
@@ -70,7 +70,7 @@
 async def test_connection_established_after_its_client_disconnected_is_not_written_to(
     cancellation_allowed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Also a connection whose attempt is not cancelled must not carry a request that nobody waits for."""
+    """No request may be written that nobody waits for, even if its attempt is not cancelled."""
     async with Router(replace(SETTINGS, cancellation_allowed=cancellation_allowed)) as router:
         written = record_written_requests(monkeypatch)
         connections = DelayedConnections(monkeypatch, *router.caches.values())
@@ -95,7 +95,7 @@
         client = await router.client()
         client.write(keyed_write("r1"))
         origin = await router.origin.link()
-        await origin.http()  # completely received: it may have run
+        await origin.http()  # received completely, so that it may have been executed
         origin.reset()
         if is_retried:
             origin = await router.origin.link()
--- a/tests/cache_router/net/test_listener.py
+++ b/tests/cache_router/net/test_listener.py
@@ -16,7 +16,7 @@
 async def test_failed_accept_is_retried_after_a_delay(
     router: Router, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Out of descriptors, the accept loop must neither end nor retry without a pause."""
+    """When descriptors run out, the accept loop must neither end nor retry without a pause."""
     accept, calls, exhausted = socket.socket.accept, 0, True
     address = router.listener.address
 
@@ -32,7 +32,7 @@
     first = await router.client()
     first.write(command("PING"))
     await asyncio.sleep(3 * listener.ACCEPT_RETRY_DELAY)
-    assert 1 <= calls <= 10  # one for each pause; a busy loop makes thousands
+    assert 1 <= calls <= 10  # one call per pause; a busy loop would make thousands
     assert f"accept on {address}: [Errno {errno.EMFILE}]" in caplog.text
     exhausted = False
     assert await first.resp() == b"PONG"
@@ -51,7 +51,7 @@
 
 
 async def test_accepted_requests_are_answered_during_shutdown(router: Router) -> None:
-    """Requests that are accepted and not answered when the router ends are lost."""
+    """Requests that have been accepted but not answered when the router exits are lost."""
     idle = await router.client()
     busy, cache = await router.start_read()
     shutdown = asyncio.create_task(router.listener.stop(0.05, 5.0))
--- a/tests/cache_router/net/test_request_table.py
+++ b/tests/cache_router/net/test_request_table.py
@@ -24,7 +24,7 @@
     assert "in use" in error_text(await other.resp())
     cache.write(HIT)
     assert await client.resp() == b"value"
-    other.write(read("r1"))  # nor right after the reply
+    other.write(read("r1"))  # still in use right after the reply
     assert "in use" in error_text(await other.resp())
 
 
@@ -77,7 +77,7 @@
 
 
 async def test_request_is_answered_once() -> None:
-    """A second answer would be taken for the one to the next command."""
+    """A client would take a second answer for the reply to its next command."""
     requests = TableOfRequests()
     requests.add("r1")
     requests.table.respond("r1", b"first")
@@ -88,7 +88,7 @@
 
 
 async def test_closed_request_is_not_answered() -> None:
-    """Its client has disconnected."""
+    """A request is closed when its client has disconnected."""
     requests = TableOfRequests()
     requests.add("r1")
     assert requests.table.close("r1")
@@ -117,7 +117,7 @@
 
 
 async def test_released_request_has_no_deadline() -> None:
-    """Its timer would run out for an id that may be in use for another request by then."""
+    """The timer would fire for an id that another request may use by then."""
     requests = TableOfRequests()
     requests.add("r1", 0.0)
     requests.table.close("r1")
@@ -140,7 +140,7 @@
     requests.clock.time = request_table.ID_REUSE_DELAY
     finish("r2")
     assert requests.table.is_id_used("r1")
-    # ids are dropped in two generations, which change at a release
+    # Ids are kept in two generations, which rotate when a request is released.
     for number in (3, 4):
         requests.clock.time += request_table.ID_REUSE_DELAY + 0.1
         finish(f"r{number}")
@@ -166,7 +166,7 @@
 
 
 async def test_earlier_deadline_is_kept_in_a_shutdown() -> None:
-    """A client waits no longer because its router shuts down."""
+    """A shutdown must not extend the deadline of a request."""
     requests = TableOfRequests()
     request = requests.add("r1", 0.5)
     requests.table.limit_deadlines(2.0)
--- a/tests/cache_router/net/test_resp.py
+++ b/tests/cache_router/net/test_resp.py
@@ -1,4 +1,4 @@
-"""The RESP reader: complete messages from pieces of any size, and bounded buffering."""
+"""The RESP reader: complete messages from pieces of any size, and limits on the buffer."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def make_reader() -> RespReader:
-    """A reader with small limits."""
+    """Return a reader with small limits."""
     return RespReader(max_items=4, max_bulk=100, max_message=250)
 
 
@@ -41,7 +41,7 @@
 
 
 def test_cleared_reader_continues_with_the_next_bytes() -> None:
-    """A part of a message that was discarded must not be joined to what arrives after it."""
+    """A discarded part of a message must not be joined to the bytes that arrive after it."""
     resp_reader = make_reader()
     resp_reader.feed(b"*2\r\n$1\r\na\r\n$5")
     assert resp_reader.next() is INCOMPLETE
@@ -79,7 +79,7 @@
     ],
 )
 def test_malformed_or_too_large_message_is_rejected_at_once(data: bytes) -> None:
-    """Read on, it would use up memory, or keep its request in flight until the deadline."""
+    """Waiting for its end would use up memory, or keep the request in flight until the deadline."""
     resp_reader = make_reader()
     resp_reader.feed(data)
     with pytest.raises(RespError):
--- a/tests/cache_router/net/test_unread_disconnects.py
+++ b/tests/cache_router/net/test_unread_disconnects.py
@@ -13,7 +13,7 @@
 
 
 async def disconnect(router: Router, client: Link) -> None:
-    """Close the client's side and wait until the kernel knows, while the router does not read."""
+    """Half-close a client that the router does not read from, and wait until the kernel knows of it."""
     (connection,) = router.client_connections()
     assert not connection.is_reading()
     client.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
@@ -21,18 +21,18 @@
 
 
 @pytest.mark.parametrize("state", ["error", "framing", "slow"])
-@pytest.mark.parametrize("response", [MISS, None])  # an attempt at the origin would follow, or a retry
+@pytest.mark.parametrize("response", [MISS, None])  # causes of an attempt at the origin and of a retry
 async def test_no_attempt_follows_for_a_client_that_disconnected_while_not_read(
     router: Router, state: str, response: bytes | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The end of the stream comes behind unread input, so that the event loop does not report it."""
+    """The end of the stream follows unread input, so that the event loop does not report it."""
     monkeypatch.setattr(client_connection, "ERROR_THROTTLE_TIME", 60.0)
     written = record_written_requests(monkeypatch)
     client = await router.client()
     client.write(read("r1") + {"error": command("GET", "k"), "framing": b"noise\r\n"}.get(state, b""))
     cache = await router.cache()
     await cache.resp()
-    if state == "slow":  # as its transport does when the client reads no replies
+    if state == "slow":  # as the transport does when the client reads no replies
         router.client_connections()[0].pause_writing()
     await disconnect(router, client)
     if response is None:
@@ -50,7 +50,7 @@
 async def test_no_attempt_follows_for_a_client_that_disconnected_while_queued(
     router: Router, is_read: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A slot of the origin that becomes free must not go to a request that nobody waits for."""
+    """Freed capacity of the origin must not be used for a request that nobody waits for."""
     monkeypatch.setattr(client_connection, "ERROR_THROTTLE_TIME", 60.0)
     written = record_written_requests(monkeypatch)
     decisions = router.dispatcher.router
@@ -80,7 +80,7 @@
 async def test_no_attempt_follows_for_a_pipelining_client_that_disconnected(
     router: Router, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Input beyond the limit of pipelined commands stays unread, and the end of the stream behind it."""
+    """Input beyond the limit of pipelined commands stays unread, and so does the end of the stream."""
     written = record_written_requests(monkeypatch)
     client, cache = await router.start_read("r0")
     request_ids = [f"r{n}" for n in range(1, 2 * client_connection.MAX_PIPELINED_COMMANDS)]
