--- a/cache_router/net/client_connection_table.py
+++ b/cache_router/net/client_connection_table.py
@@ -100,12 +100,12 @@
     def on_awaiting_command(self, connection: OpenConnection) -> None:
         """Mark a connection as awaiting its first command, or the rest of an incomplete one."""
         self._idle_since.pop(connection, None)
-        self._enter(self._awaiting_command_since, connection)
+        self._enter_state(self._awaiting_command_since, connection)
 
     def on_idle(self, connection: OpenConnection) -> None:
         """Mark a connection as idle: its commands are answered and no part of another has arrived."""
         self._awaiting_command_since.pop(connection, None)
-        self._enter(self._idle_since, connection)
+        self._enter_state(self._idle_since, connection)
 
     def on_closed(self, connection: OpenConnection) -> None:
         """Remove a connection; one that was removed before is ignored."""
@@ -114,7 +114,7 @@
         self._idle_since.pop(connection, None)
         self.notify_change()
 
-    def _enter(self, state: dict[OpenConnection, float], connection: OpenConnection) -> None:
+    def _enter_state(self, state: dict[OpenConnection, float], connection: OpenConnection) -> None:
         # A timer or a late reply may report the state of a connection that has closed. If it entered the
         # table again, it would stay there, and the evictor would examine a socket that is closed.
         if connection in self._open and connection not in state:
--- a/cache_router/net/command.py
+++ b/cache_router/net/command.py
@@ -89,25 +89,25 @@
     """
     if not isinstance(parts, list) or not parts:
         raise CommandError(NOT_A_COMMAND)
-    texts = [part for part in parts if isinstance(part, bytes)]
-    if len(texts) < len(parts):
+    bulk_strings = [part for part in parts if isinstance(part, bytes)]
+    if len(bulk_strings) < len(parts):
         raise CommandError(NOT_A_COMMAND)
-    verb = texts[0].upper()
+    verb = bulk_strings[0].upper()
     if verb not in PART_COUNTS:
-        raise CommandError(f"unknown command {texts[0][:20]!r}")
-    if len(texts) != PART_COUNTS[verb]:
+        raise CommandError(f"unknown command {bulk_strings[0][:20]!r}")
+    if len(bulk_strings) != PART_COUNTS[verb]:
         raise CommandError(f"wrong number of arguments for {verb.decode()}")
-    key, request_id = texts[1], texts[2]
+    key, request_id = bulk_strings[1], bulk_strings[2]
     if not 0 < len(key) <= MAX_KEY or key in RESERVED_KEYS:
         raise CommandError("key is empty, too long or reserved")
     if len(request_id) > MAX_REQUEST_ID or not VISIBLE_ASCII.fullmatch(request_id):
         raise CommandError("request id must be visible ASCII, 64 bytes at most")
-    info = parse_info(texts[3])
+    info = parse_info(bulk_strings[3])
     deadline_ms = _parse_deadline(info.get(DEADLINE_FIELD, ""))
-    value = texts[4] if verb == SET else None
+    value = bulk_strings[4] if verb == SET else None
     if value is not None and len(value) > MAX_VALUE:
         raise CommandError("value is longer than 65536 bytes")
-    return Command(texts[0], key, request_id, info, deadline_ms, value)
+    return Command(bulk_strings[0], key, request_id, info, deadline_ms, value)
 
 
 def _parse_deadline(text: str) -> int:
--- a/cache_router/net/dispatcher.py
+++ b/cache_router/net/dispatcher.py
@@ -143,7 +143,7 @@
         except Exception:
             log.exception("event %s can't be handled", type(event).__name__)
             self._execute_all(self.router.decided_actions())
-            self._recovery.make_up_for(event)
+            self._recovery.recover_from(event)
         else:
             self._execute_all(actions)
 
--- a/cache_router/net/event_recovery.py
+++ b/cache_router/net/event_recovery.py
@@ -58,7 +58,7 @@
         """Return whether an endpoint update is the last one that could not be handled."""
         return self._failed_update is update
 
-    def make_up_for(self, event: Event) -> None:
+    def recover_from(self, event: Event) -> None:
         """Recover from an event that could not be handled.
 
         A request that has an attempt in flight stays open, because the attempt's end is another event.
--- a/cache_router/net/request_table.py
+++ b/cache_router/net/request_table.py
@@ -162,9 +162,9 @@
     def _start_deadline_timer(self, request_id: str, seconds: float) -> asyncio.TimerHandle:
         # The timer holds the id, not the request, which holds the timer: a reference cycle would be left to
         # the garbage collector.
-        return asyncio.get_running_loop().call_later(seconds, self._pass_deadline, request_id)
+        return asyncio.get_running_loop().call_later(seconds, self._handle_deadline, request_id)
 
-    def _pass_deadline(self, request_id: str) -> None:
+    def _handle_deadline(self, request_id: str) -> None:
         request = self._requests[request_id]
         request.mark_deadline_passed()
         self._on_deadline(request)
