--- a/tests/cache_router/net/test_descriptors.py
+++ b/tests/cache_router/net/test_descriptors.py
@@ -120,7 +120,7 @@
     clients: Clients, agent_state: str, allowed: int, tmp_path: Path
 ) -> None:
     """Idle clients, silent clients and attempts without a response, as many as the router admits."""
-    async with listening_peers(5) as (*caches, fresh, origin):
+    async with listening_peers(5) as (*caches, new_cache, origin):
         agent = UnavailableAgent()
         config = config_with_cache(caches[0], agent, "automatic")
         entries = [peer_entry(f"s-{n}", c, weight=1.0) for n, c in enumerate(caches)]
@@ -143,13 +143,13 @@
             else:
                 while not agent.links.empty():
                     (await agent.link()).reset()
-            entries.append(peer_entry("s-new", fresh, weight=1.0))
+            entries.append(peer_entry("s-new", new_cache, weight=1.0))
             response = http("200 OK", encode_endpoint_list(50, True, *entries))
             poll = await agent.link()
             await poll.http()
             poll.write(response)
             assert "after=50&" in (await (await agent.link()).http())[0]
             client = await clients.connect(address)
-            await read_until_served(client, [*caches, fresh], {caches[0], fresh})
+            await read_until_served(client, [*caches, new_cache], {caches[0], new_cache})
             log_reader.cancel()
         await agent.__aexit__(None, None, None)
--- a/tests/cache_router/net/test_disconnect_races.py
+++ b/tests/cache_router/net/test_disconnect_races.py
@@ -79,7 +79,7 @@
     return links
 
 
-async def next_reader(links: dict[str, Link]) -> Link:
+async def link_of_next_request(links: dict[str, Link]) -> Link:
     """Return the connection to a cache server, `a` or `b`, on which the next request arrives."""
     reads = {asyncio.ensure_future(links[name].resp()): links[name] for name in ("a", "b")}
     done, (other,) = await asyncio.wait(reads, return_when=asyncio.FIRST_COMPLETED)
@@ -182,7 +182,7 @@
     client = blocking_client(router)
     await connection_of(router, client)
     client.sendall(read("r1"))
-    cache = await next_reader(links)
+    cache = await link_of_next_request(links)
     if cause == "miss":
         cache.write(MISS)
     elif cause == "reset":
--- a/tests/cache_router/net/test_faults_of_decisions.py
+++ b/tests/cache_router/net/test_faults_of_decisions.py
@@ -32,7 +32,7 @@
 from tests.support.loopback_router import SETTINGS, Router
 
 SUBSCRIBING = replace(SETTINGS, must_subscribe=True)
-WHEN = ["before", "after"]  # whether the exception is raised before or after the event is handled
+FAULT_TIMES = ["before", "after"]  # whether the exception is raised before or after the event is handled
 
 
 class FaultError(Exception):
@@ -40,14 +40,14 @@
 
 
 def raise_once(
-    router: Router, monkeypatch: pytest.MonkeyPatch, when: str, is_at: Callable[[Event], bool]
+    router: Router, monkeypatch: pytest.MonkeyPatch, when: str, matches: Callable[[Event], bool]
 ) -> list[Event]:
-    """Make the decision module raise at the next event that `is_at` accepts, which the list will contain."""
+    """Make the decision module raise at the next event that `matches`; return a list that receives it."""
     handle = router.dispatcher.router.handle
     raised: list[Event] = []
 
     def faulty(now: float, event: Event) -> list[Action]:
-        is_faulty = not raised and is_at(event)
+        is_faulty = not raised and matches(event)
         if is_faulty:
             raised.append(event)
         if is_faulty and when == "before":
@@ -70,7 +70,7 @@
     assert tracebacks[0].exc_info[0] is FaultError
 
 
-@pytest.mark.parametrize("when", WHEN)
+@pytest.mark.parametrize("when", FAULT_TIMES)
 async def test_request_is_answered(
     when: str, router: Router, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
@@ -93,7 +93,7 @@
     await wait_until(lambda: not router.dispatcher.requests)
 
 
-@pytest.mark.parametrize("when", WHEN)
+@pytest.mark.parametrize("when", FAULT_TIMES)
 async def test_request_is_answered_after_its_attempt_has_completed(
     when: str, router: Router, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
@@ -111,7 +111,7 @@
     await wait_until(lambda: not router.dispatcher.requests)
 
 
-@pytest.mark.parametrize("when", WHEN)
+@pytest.mark.parametrize("when", FAULT_TIMES)
 async def test_request_that_waits_for_the_origin_is_answered(
     when: str, router: Router, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
@@ -128,8 +128,8 @@
     await wait_until(lambda: not router.dispatcher.requests and not router.dispatcher.router.pending)
 
 
-@pytest.mark.parametrize("when", WHEN)
-async def test_clients_that_disconnect_and_shutdowns_leave_no_request(
+@pytest.mark.parametrize("when", FAULT_TIMES)
+async def test_disconnected_client_leaves_no_request(
     when: str, router: Router, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     raise_once(router, monkeypatch, when, lambda event: isinstance(event, ClientDisconnected))
@@ -139,7 +139,7 @@
     assert_logged_once(caplog)
 
 
-@pytest.mark.parametrize("when", WHEN)
+@pytest.mark.parametrize("when", FAULT_TIMES)
 async def test_requests_are_answered_in_a_shutdown(
     when: str, router: Router, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
@@ -150,23 +150,23 @@
     assert_logged_once(caplog)
 
 
-@pytest.mark.parametrize("when", WHEN)
-@pytest.mark.parametrize("fault", ["failed call", "poll timer", "change of address"])
+@pytest.mark.parametrize("when", FAULT_TIMES)
+@pytest.mark.parametrize("fault", ["failed poll", "poll timer", "address change"])
 async def test_watch_is_renewed(
     fault: str, when: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    def is_at(event: Event) -> bool:
-        if fault == "failed call":
+    def matches(event: Event) -> bool:
+        if fault == "failed poll":
             return isinstance(event, EndpointUpdate) and event.kind is EndpointUpdateKind.FAILED
         if fault == "poll timer":
             return isinstance(event, TimerFired) and event.timer.kind is TimerKind.ENDPOINT_POLL
         return isinstance(event, DiscoveryAddressChanged)
 
     async with Peer() as agent, Router(SUBSCRIBING) as router:
-        raised = raise_once(router, monkeypatch, when, is_at)
+        raised = raise_once(router, monkeypatch, when, matches)
         router.watch(agent)
         _, link = await accept_poll(agent)
-        if fault == "change of address":
+        if fault == "address change":
             assert router.discovery is not None
             router.discovery.change_address(agent.address)
             router.dispatcher.on_discovery_address_changed()
@@ -177,7 +177,7 @@
         assert_logged_once(caplog)
 
 
-@pytest.mark.parametrize("when", WHEN)
+@pytest.mark.parametrize("when", FAULT_TIMES)
 async def test_update_that_failed_is_received_as_a_whole(
     when: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
--- a/tests/cache_router/net/test_request_table.py
+++ b/tests/cache_router/net/test_request_table.py
@@ -48,7 +48,7 @@
         return self.time
 
 
-class TableOfRequests:
+class RequestTableHarness:
     """A request table with its clock, the answers that it gave and the requests whose deadline passed."""
 
     def __init__(self) -> None:
@@ -78,7 +78,7 @@
 
 async def test_request_is_answered_once() -> None:
     """A client would take a second answer for the reply to its next command."""
-    requests = TableOfRequests()
+    requests = RequestTableHarness()
     requests.add("r1")
     requests.table.respond("r1", b"first")
     requests.table.respond("r1", b"second")
@@ -89,7 +89,7 @@
 
 async def test_closed_request_is_not_answered() -> None:
     """A request is closed when its client has disconnected."""
-    requests = TableOfRequests()
+    requests = RequestTableHarness()
     requests.add("r1")
     assert requests.table.close("r1")
     assert not requests.table.close("r1")
@@ -99,7 +99,7 @@
 
 async def test_request_is_released_once_it_is_closed_and_has_no_attempt() -> None:
     """The outcome of an attempt that is still in flight refers to its request."""
-    requests = TableOfRequests()
+    requests = RequestTableHarness()
     request = requests.add("r1")
     requests.add("r2")
     numbers = [requests.start_attempt(request) for _ in range(2)]
@@ -118,7 +118,7 @@
 
 async def test_released_request_has_no_deadline() -> None:
     """The timer would fire for an id that another request may use by then."""
-    requests = TableOfRequests()
+    requests = RequestTableHarness()
     requests.add("r1", 0.0)
     requests.table.close("r1")
     requests.table.release_finished()
@@ -129,7 +129,7 @@
 
 async def test_id_is_free_again_after_the_reuse_delay() -> None:
     """Ids that are kept forever would use up the memory."""
-    requests = TableOfRequests()
+    requests = RequestTableHarness()
 
     def finish(request_id: str) -> None:
         requests.add(request_id)
@@ -152,7 +152,7 @@
 @pytest.mark.parametrize("added", ["before", "after"])
 async def test_deadlines_are_limited_in_a_shutdown(added: str) -> None:
     """The process ends soon after: a request with a later deadline would get no answer at all."""
-    requests = TableOfRequests()
+    requests = RequestTableHarness()
     if added == "before":
         requests.add("r1", 600.0)
     requests.table.limit_deadlines(0.01)
@@ -167,7 +167,7 @@
 
 async def test_earlier_deadline_is_kept_in_a_shutdown() -> None:
     """A shutdown must not extend the deadline of a request."""
-    requests = TableOfRequests()
+    requests = RequestTableHarness()
     request = requests.add("r1", 0.5)
     requests.table.limit_deadlines(2.0)
     assert request.deadline == 0.5
