--- a/cache_router/net/client_connection.py
+++ b/cache_router/net/client_connection.py
@@ -132,7 +132,7 @@
             self._process_commands()
         except Exception:
             # An unexpected error ends only this connection and its requests; other clients are still served.
-            log.exception("connection of client %s", self.client_address)
+            log.exception("closing connection of client %s after an unexpected error", self.client_address)
             self._transport.abort()
 
     def _process_commands(self) -> None:
--- a/cache_router/net/eviction.py
+++ b/cache_router/net/eviction.py
@@ -79,7 +79,7 @@
             try:
                 self._close_overdue(asyncio.get_running_loop().time())
             except Exception:
-                log.exception("overdue connections")  # later checks must still run
+                log.exception("closing overdue connections failed")  # later checks must still run
 
     def _close_overdue(self, now: float) -> None:
         self._reject_incomplete_commands(now)
--- a/cache_router/net/listener.py
+++ b/cache_router/net/listener.py
@@ -84,7 +84,7 @@
                 await self._wait_for_pending_connection()
                 continue
             except OSError as e:
-                log.warning("accept on %s: %s", self.address, e)
+                log.warning("accepting on %s failed: %s", self.address, e)
                 await asyncio.sleep(ACCEPT_RETRY_DELAY)
                 continue
             try:
@@ -92,7 +92,7 @@
                 await self._evictor.evict_excess()
             except Exception:
                 # The loop continues: other clients are still to be accepted.
-                log.exception("accept of client %s", Address(*client_address))
+                log.exception("accepting client %s failed", Address(*client_address))
         # Close now: a connection that the kernel queues later would be reset, and its request lost.
         self._socket.close()
         self._connections.notify_change()
@@ -105,7 +105,7 @@
                 lambda: ClientConnection(self._dispatcher, self._connections), client
             )
         except OSError as e:
-            log.warning("accept of client %s: %s", address, e)
+            log.warning("accepting client %s failed: %s", address, e)
             client.close()
 
     async def _wait_for_pending_connection(self) -> None:
--- a/tests/cache_router/net/test_client_connection.py
+++ b/tests/cache_router/net/test_client_connection.py
@@ -183,7 +183,7 @@
     assert await cache.closed_by_peer()
     assert not router.dispatcher.router.pending
     client_address = Address(*first.writer.get_extra_info("sockname"))
-    assert f"connection of client {client_address}" in caplog.text
+    assert f"closing connection of client {client_address} after an unexpected error" in caplog.text
     await other.ping()
 
 
--- a/tests/cache_router/net/test_listener.py
+++ b/tests/cache_router/net/test_listener.py
@@ -33,7 +33,7 @@
     first.write(command("PING"))
     await asyncio.sleep(3 * listener.ACCEPT_RETRY_DELAY)
     assert 1 <= calls <= 10  # one call per pause; a busy loop would make thousands
-    assert f"accept on {address}: [Errno {errno.EMFILE}]" in caplog.text
+    assert f"accepting on {address} failed: [Errno {errno.EMFILE}]" in caplog.text
     exhausted = False
     assert await first.resp() == b"PONG"
     second = await router.client()
