--- a/cache_router/net/command.py
+++ b/cache_router/net/command.py
@@ -1,4 +1,4 @@
-"""A client's command: its parts, the checks on them, and the form in which it is forwarded."""
+"""Parsing and validation of clients' commands, and the encoding of their info fields."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 MAX_INFO = 1024  # bytes
 MAX_REQUEST_ID = 64  # bytes
 MAX_DEADLINE_MS = 600_000
-MAX_DEADLINE_DIGITS = 9  # so that no long text is converted to a number just to be rejected
+MAX_DEADLINE_DIGITS = 9  # longer texts are rejected without converting them to a number
 VISIBLE_ASCII = re.compile(rb"[!-~]+")
-# The key is a part of the path of a request to the origin. These keys would name other requests: the origin's
-# own paths, and the relative segments that a reader of the path resolves.
+# The key becomes a part of the path of a request to the origin. With these keys the path would have another
+# meaning: `.` and `..` are resolved as relative segments, and the others are paths of the origin itself.
 RESERVED_KEYS = (b".", b"..", b"stats", b"health/live")
 GET = b"C.GET"
 SET = b"C.SET"
@@ -26,12 +26,12 @@
 CLASS_FIELD = "c"  # class of the request
 IDEMPOTENCY_KEY_FIELD = "k"
 COST_HINT_FIELD = "h"  # the client's estimate of the request's cost, in microseconds
-DEADLINE_FIELD = "d"  # time for which the sender waits, in milliseconds
+DEADLINE_FIELD = "d"  # time for which the sender waits for a response, in milliseconds
 NOT_A_COMMAND = "a command is an array of bulk strings"
 
 
 class CommandError(RouterError, ValueError):
-    """A command that is rejected; the message goes to the client."""
+    """A command is invalid or can't be accepted; the message is sent to the client."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -69,7 +69,7 @@
     Raises:
         CommandError: The text is too long, not visible ASCII or malformed, or has a name twice.
     """
-    # the origin receives the fields as a header: a line break would start another header or request
+    # The origin receives the fields as a header: a line break would start another header or request.
     if len(text) > MAX_INFO or not VISIBLE_ASCII.fullmatch(text):
         raise CommandError("names and values must be visible ASCII, 1024 bytes at most")
     info: dict[str, str] = {}
@@ -89,29 +89,29 @@
     """
     if not isinstance(parts, list) or not parts:
         raise CommandError(NOT_A_COMMAND)
-    texts = [part for part in parts if isinstance(part, bytes)]
-    if len(texts) < len(parts):
+    bulk_strings = [part for part in parts if isinstance(part, bytes)]
+    if len(bulk_strings) < len(parts):
         raise CommandError(NOT_A_COMMAND)
-    verb = texts[0].upper()
+    verb = bulk_strings[0].upper()
     if verb not in PART_COUNTS:
-        raise CommandError(f"unknown command {texts[0][:20]!r}")
-    if len(texts) != PART_COUNTS[verb]:
+        raise CommandError(f"unknown command {bulk_strings[0][:20]!r}")
+    if len(bulk_strings) != PART_COUNTS[verb]:
         raise CommandError(f"wrong number of arguments for {verb.decode()}")
-    key, request_id = texts[1], texts[2]
+    key, request_id = bulk_strings[1], bulk_strings[2]
     if not 0 < len(key) <= MAX_KEY or key in RESERVED_KEYS:
         raise CommandError("key is empty, too long or reserved")
     if len(request_id) > MAX_REQUEST_ID or not VISIBLE_ASCII.fullmatch(request_id):
         raise CommandError("request id must be visible ASCII, 64 bytes at most")
-    info = parse_info(texts[3])
+    info = parse_info(bulk_strings[3])
     deadline_ms = _parse_deadline(info.get(DEADLINE_FIELD, ""))
-    value = texts[4] if verb == SET else None
+    value = bulk_strings[4] if verb == SET else None
     if value is not None and len(value) > MAX_VALUE:
         raise CommandError("value is longer than 65536 bytes")
-    return Command(texts[0], key, request_id, info, deadline_ms, value)
+    return Command(bulk_strings[0], key, request_id, info, deadline_ms, value)
 
 
 def _parse_deadline(text: str) -> int:
-    # the router remembers a request until its deadline: without a limit, old requests would fill the memory
+    # The router keeps a request until its deadline: without a limit, old requests would fill the memory.
     if not text.isdigit() or len(text) > MAX_DEADLINE_DIGITS or int(text) > MAX_DEADLINE_MS:
         raise CommandError("d must be a whole number of milliseconds, 600000 at most")
     return int(text)
--- a/tests/cache_router/net/test_faults_of_decisions.py
+++ b/tests/cache_router/net/test_faults_of_decisions.py
@@ -1,8 +1,8 @@
 """The decision module raises once, at each kind of event: clients are answered, the watch is renewed.
 
-What happened: one OverflowError in the report of a failed poll ended the task of the watch. Nothing renewed
-the watch, and nothing said so but a line of asyncio's when the task was collected. Later events stayed in
-the queue until another one was posted, and the requests that they concerned had no answer.
+An OverflowError in the report of a failed poll once ended the task of the watch, which nothing renewed and
+only asyncio logged. Later events stayed in the queue until another one was posted, and their requests got no
+answer.
 """
 
 from __future__ import annotations
@@ -32,22 +32,22 @@
 from tests.support.loopback_router import SETTINGS, Router
 
 SUBSCRIBING = replace(SETTINGS, must_subscribe=True)
-WHEN = ["before", "after"]  # its state and its actions, or when both are complete
+FAULT_TIMES = ["before", "after"]  # whether the exception is raised before or after the event is handled
 
 
 class FaultError(Exception):
-    """What the decision module raises."""
+    """The exception that the decision module raises in these tests."""
 
 
 def raise_once(
-    router: Router, monkeypatch: pytest.MonkeyPatch, when: str, is_at: Callable[[Event], bool]
+    router: Router, monkeypatch: pytest.MonkeyPatch, when: str, matches: Callable[[Event], bool]
 ) -> list[Event]:
-    """Make the decision module raise at the next event that `is_at` accepts; returns a list of that event."""
+    """Make the decision module raise at the next event that `matches`; return a list that receives it."""
     handle = router.dispatcher.router.handle
     raised: list[Event] = []
 
     def faulty(now: float, event: Event) -> list[Action]:
-        is_faulty = not raised and is_at(event)
+        is_faulty = not raised and matches(event)
         if is_faulty:
             raised.append(event)
         if is_faulty and when == "before":
@@ -63,14 +63,14 @@
 
 
 def assert_logged_once(caplog: pytest.LogCaptureFixture) -> None:
-    """The fault is in the log once, as ERROR with its traceback."""
+    """Assert that the exception was logged once, as ERROR with its traceback."""
     tracebacks = [record for record in caplog.records if record.exc_info]
     assert [record.levelno for record in tracebacks] == [logging.ERROR]
     assert tracebacks[0].exc_info is not None
     assert tracebacks[0].exc_info[0] is FaultError
 
 
-@pytest.mark.parametrize("when", WHEN)
+@pytest.mark.parametrize("when", FAULT_TIMES)
 async def test_request_is_answered(
     when: str, router: Router, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
@@ -93,7 +93,7 @@
     await wait_until(lambda: not router.dispatcher.requests)
 
 
-@pytest.mark.parametrize("when", WHEN)
+@pytest.mark.parametrize("when", FAULT_TIMES)
 async def test_request_is_answered_after_its_attempt_has_completed(
     when: str, router: Router, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
@@ -111,7 +111,7 @@
     await wait_until(lambda: not router.dispatcher.requests)
 
 
-@pytest.mark.parametrize("when", WHEN)
+@pytest.mark.parametrize("when", FAULT_TIMES)
 async def test_request_that_waits_for_the_origin_is_answered(
     when: str, router: Router, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
@@ -119,7 +119,7 @@
         return isinstance(event, TimerFired) and event.timer.kind is TimerKind.QUEUE_DEADLINE
 
     origin = router.dispatcher.router.endpoints.origins[0].concurrency
-    origin.limit = origin.in_flight  # no capacity there, and none is freed
+    origin.limit = origin.in_flight  # no capacity, and none is freed
     raise_once(router, monkeypatch, when, is_queue_deadline)
     client, cache = await router.start_read(info="c=read,t=x,d=300")
     cache.write(MISS)
@@ -128,8 +128,8 @@
     await wait_until(lambda: not router.dispatcher.requests and not router.dispatcher.router.pending)
 
 
-@pytest.mark.parametrize("when", WHEN)
-async def test_clients_that_disconnect_and_shutdowns_leave_no_request(
+@pytest.mark.parametrize("when", FAULT_TIMES)
+async def test_disconnected_client_leaves_no_request(
     when: str, router: Router, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     raise_once(router, monkeypatch, when, lambda event: isinstance(event, ClientDisconnected))
@@ -139,7 +139,7 @@
     assert_logged_once(caplog)
 
 
-@pytest.mark.parametrize("when", WHEN)
+@pytest.mark.parametrize("when", FAULT_TIMES)
 async def test_requests_are_answered_in_a_shutdown(
     when: str, router: Router, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
@@ -150,23 +150,23 @@
     assert_logged_once(caplog)
 
 
-@pytest.mark.parametrize("when", WHEN)
-@pytest.mark.parametrize("fault", ["failed call", "poll timer", "change of address"])
+@pytest.mark.parametrize("when", FAULT_TIMES)
+@pytest.mark.parametrize("fault", ["failed poll", "poll timer", "address change"])
 async def test_watch_is_renewed(
     fault: str, when: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    def is_at(event: Event) -> bool:
-        if fault == "failed call":
+    def matches(event: Event) -> bool:
+        if fault == "failed poll":
             return isinstance(event, EndpointUpdate) and event.kind is EndpointUpdateKind.FAILED
         if fault == "poll timer":
             return isinstance(event, TimerFired) and event.timer.kind is TimerKind.ENDPOINT_POLL
         return isinstance(event, DiscoveryAddressChanged)
 
     async with Peer() as agent, Router(SUBSCRIBING) as router:
-        raised = raise_once(router, monkeypatch, when, is_at)
+        raised = raise_once(router, monkeypatch, when, matches)
         router.watch(agent)
         _, link = await accept_poll(agent)
-        if fault == "change of address":
+        if fault == "address change":
             assert router.discovery is not None
             router.discovery.change_address(agent.address)
             router.dispatcher.on_discovery_address_changed()
@@ -177,11 +177,11 @@
         assert_logged_once(caplog)
 
 
-@pytest.mark.parametrize("when", WHEN)
+@pytest.mark.parametrize("when", FAULT_TIMES)
 async def test_update_that_failed_is_received_as_a_whole(
     when: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The next poll would ask for what follows the update, and its entries would never come into force."""
+    """Otherwise the next poll would ask for later updates only, and this one would never be applied."""
     async with Peer() as agent, Router(SUBSCRIBING) as router:
         raise_once(router, monkeypatch, when, lambda event: isinstance(event, EndpointUpdate))
         router.watch(agent)
