--- a/cache_router/net/attempt_runner.py
+++ b/cache_router/net/attempt_runner.py
@@ -82,8 +82,8 @@
             attempt.finish(UpstreamResponse(status or AttemptStatus.CONNECT_FAILED))
             return
         if timeout is not None:
-            time_out = partial(self._abandon, request, attempt.number, AttemptStatus.TIMEOUT)
-            attempt.start_timeout(timeout, time_out)
+            on_timeout = partial(self._abandon, request, attempt.number, AttemptStatus.TIMEOUT)
+            attempt.start_timeout(timeout, on_timeout)
         self._endpoints.pool_of(endpoint).start(attempt, endpoint.address, endpoint.incarnation)
 
     def _add_attempt(
--- a/cache_router/net/cache_connection.py
+++ b/cache_router/net/cache_connection.py
@@ -14,9 +14,9 @@
 from cache_router.net.upstream_connection import ConnectionOwner, MalformedResponseError, UpstreamConnection
 
 # items of a response and of its parts: a response has three, but its third item may be an array
-MAX_ITEMS = 16
+MAX_RESPONSE_ITEMS = 16
 # bytes of a response: the value and everything else
-MAX_RESPONSE = MAX_VALUE + 8192
+MAX_RESPONSE_SIZE = MAX_VALUE + 8192
 # first word of the error line with which a server rejects a request
 BUSY = "BUSY"
 
@@ -27,7 +27,7 @@
     def __init__(self, owner: ConnectionOwner, address: str, incarnation: object) -> None:
         """Prepare a connection to `address` (`host:port`), whose states are reported to `owner`."""
         super().__init__(owner, address, incarnation)
-        self._reader = RespReader(MAX_ITEMS, MAX_VALUE, MAX_RESPONSE)
+        self._reader = RespReader(MAX_RESPONSE_ITEMS, MAX_VALUE, MAX_RESPONSE_SIZE)
 
     def encode(self, command: Command, time_left: float) -> bytes:
         """Encode a request as an array of bulk strings; `time_left` is in seconds."""
@@ -44,10 +44,10 @@
         """
         self._reader.feed(data)
         try:
-            reply = self._reader.next()
+            message = self._reader.next()
         except RespError as error:
             raise MalformedResponseError(str(error)) from error
-        match reply:
+        match message:
             case ErrorReply(text):
                 # the load report is the last word, where there is one
                 load_report = text.rpartition(" ")[2].encode("latin-1")
@@ -59,9 +59,9 @@
                 if value is None:
                     return UpstreamResponse(AttemptStatus.MISS, load_report=load_report)
                 return UpstreamResponse(AttemptStatus.OK, value, load_report)
-        if reply is INCOMPLETE:
+        if message is INCOMPLETE:
             return None
-        raise MalformedResponseError(f"not a response: {repr(reply)[:80]}")
+        raise MalformedResponseError(f"not a response: {repr(message)[:80]}")
 
     def is_reusable(self) -> bool:
         """Return whether nothing came after the response."""
--- a/cache_router/net/connection_pool.py
+++ b/cache_router/net/connection_pool.py
@@ -49,9 +49,9 @@
         self._max_connections = max_connections
         self._connect_timeout = connect_timeout
         self._reuse_delay = reuse_delay
-        self._idle_time = max(0.0, idle_timeout - IDLE_MARGIN)
+        self._max_idle_time = max(0.0, idle_timeout - IDLE_MARGIN)
         self._established: set[UpstreamConnection] = set()
-        self._connecting: set[asyncio.Task[None]] = set()
+        self._connect_tasks: set[asyncio.Task[None]] = set()
         self._idle = IdleConnectionSet()
 
     @property
@@ -62,7 +62,7 @@
     @property
     def connecting_count(self) -> int:
         """How many connections are being opened."""
-        return len(self._connecting)
+        return len(self._connect_tasks)
 
     @property
     def idle_count(self) -> int:
@@ -82,10 +82,10 @@
         if connection is not None:
             connection.send(attempt)
         elif self._ensure_capacity():
-            connecting = asyncio.create_task(self._connect(attempt, address, incarnation))
-            attempt.mark_connecting(connecting)
-            self._connecting.add(connecting)
-            connecting.add_done_callback(self._connecting.discard)
+            connect_task = asyncio.create_task(self._connect(attempt, address, incarnation))
+            attempt.mark_connecting(connect_task)
+            self._connect_tasks.add(connect_task)
+            connect_task.add_done_callback(self._connect_tasks.discard)
         else:
             # with more descriptors the pool would keep clients from connecting; the server is not at fault
             attempt.finish(UpstreamResponse(AttemptStatus.NOT_SENT))
@@ -145,7 +145,7 @@
 
     def _ensure_capacity(self) -> bool:
         """Return whether another connection may be opened; an idle one is closed for it if need be."""
-        if len(self._established) + len(self._connecting) < self._max_connections:
+        if len(self._established) + len(self._connect_tasks) < self._max_connections:
             return True
         longest_idle = self._idle.longest_idle()
         if longest_idle is None:
@@ -155,15 +155,15 @@
 
     def close_idle(self, address: str) -> None:
         """Close the idle connections to one address."""
-        for connection in self._idle.all_to(address):
+        for connection in self._idle.connections_to(address):
             connection.abort()
 
     def close(self) -> None:
         """Close all connections and stop opening those that are not yet established."""
         for connection in list(self._established):
             connection.abort()
-        for connecting in self._connecting:
-            connecting.cancel()
+        for connect_task in self._connect_tasks:
+            connect_task.cancel()
 
     # Called by the connections, whose owner this is
 
@@ -174,7 +174,7 @@
     def on_idle(self, connection: UpstreamConnection) -> None:
         """Keep a connection for the next attempt, until shortly before its server would close it."""
         now = asyncio.get_running_loop().time()
-        connection.abort_after(self._idle_time)
+        connection.abort_after(self._max_idle_time)
         self._idle.add(connection, now)
 
     def on_closed(self, connection: UpstreamConnection) -> None:
--- a/cache_router/net/discovery.py
+++ b/cache_router/net/discovery.py
@@ -20,7 +20,7 @@
 
 LIST_PATH = "/registry/instances"
 MAX_LIST_SIZE = 4 * 1024 * 1024  # bytes
-READ_SIZE = 64 * 1024  # bytes
+READ_CHUNK_SIZE = 64 * 1024  # bytes
 HTTP_OK = 200
 # Seconds to wait after an update without entries, so that an agent that answers at once is not polled in a
 # busy loop. The pause must stay below 200 ms: after a longer one discovery takes a poll for a new watch, and
@@ -29,7 +29,7 @@
 # what an unreachable or faulty discovery causes; any other exception is a fault of this program
 EXPECTED_ERRORS = (OSError, HttpError, EndpointListError, orjson.JSONDecodeError)
 # what is logged without its traceback: an update that cannot be applied is logged where it fails
-LOGGED_IN_ONE_LINE = (*EXPECTED_ERRORS, EndpointUpdateError)
+LOGGED_WITHOUT_TRACEBACK = (*EXPECTED_ERRORS, EndpointUpdateError)
 log = logging.getLogger(__name__)
 
 UpdateCallback = Callable[[EndpointUpdateKind, list[NetworkEndpoint]], None]
@@ -78,7 +78,7 @@
         self._failures = 0  # consecutive, at this address
         # Whether the next poll of an agent asks not to wait. A discovery that all routers poll might let a
         # second poll wait for its turn.
-        self._poll_at_once = pushed
+        self._poll_without_wait = pushed
 
     @property
     def is_watching(self) -> bool:
@@ -115,7 +115,7 @@
         """
         if self.index is None:
             return Poll(LIST_PATH, self._budget.response_timeout)
-        if self._pushed and self._poll_at_once:
+        if self._pushed and self._poll_without_wait:
             return Poll(f"{LIST_PATH}?after={self.index}&wait_ms=0", self._budget.response_timeout)
         wait_ms = int(self._budget.long_poll_wait * 1000)
         return Poll(f"{LIST_PATH}?after={self.index}&wait_ms={wait_ms}", self._budget.call_timeout)
@@ -141,7 +141,7 @@
     def _apply(self, message: EndpointListMessage) -> None:
         """Pass an update on and record its index; after one that cannot be applied, poll for all of it."""
         self.index = None
-        self._poll_at_once = False
+        self._poll_without_wait = False
         self._on_update(message.update_kind, message.endpoints)
         self.index = message.index
         if self._failures:
@@ -149,17 +149,17 @@
             self._failures = 0
         self._first_update_received.set()
 
-    def _log_failure(self, error: Exception, waited: float) -> None:
-        """Log why a watch ended, `waited` seconds after the start of its last poll."""
+    def _log_failure(self, error: Exception, elapsed: float) -> None:
+        """Log why a watch ended, `elapsed` seconds after the start of its last poll."""
         self._failures += 1
-        is_expected = isinstance(error, LOGGED_IN_ONE_LINE)
+        is_expected = isinstance(error, LOGGED_WITHOUT_TRACEBACK)
         if is_expected and not is_logged(self._failures):
             return
         log.log(
             logging.WARNING if is_expected else logging.ERROR,
             "discovery %s: watch ended after %.3f s: %.200r",
             self.address,
-            waited,
+            elapsed,
             error,
             exc_info=None if is_expected else error,
         )
@@ -186,7 +186,7 @@
             writer.write(client.request("GET", target, [(b"Connection", b"close")]))
             response = None
             while response is None:
-                response = client.receive(await reader.read(READ_SIZE))
+                response = client.receive(await reader.read(READ_CHUNK_SIZE))
             return response
         finally:
             writer.close()
--- a/cache_router/net/endpoint_list_reader.py
+++ b/cache_router/net/endpoint_list_reader.py
@@ -19,7 +19,7 @@
     "terminating": EndpointState.DRAINING,
     "terminated": EndpointState.REMOVED,
 }
-MAX_QUOTED = 40  # characters of a malformed value that an error quotes
+MAX_QUOTED_LENGTH = 40  # characters of a malformed value that an error quotes
 log = logging.getLogger(__name__)
 
 FieldType = TypeVar("FieldType")
@@ -43,15 +43,15 @@
         return EndpointUpdateKind.SNAPSHOT if self.is_snapshot else EndpointUpdateKind.DELTA
 
 
-def read_endpoint_list(message: object, where: str = "") -> EndpointListMessage:
-    """Read and check a decoded message; `where` is the path of the field that held it, empty if none did.
+def read_endpoint_list(message: object, path: str = "") -> EndpointListMessage:
+    """Read and check a decoded message; `path` is the path of the field that held it, empty if none did.
 
     Raises:
         EndpointListError: the message or an entry of it is malformed; the error names the path of the field.
     """
     if not isinstance(message, dict):
-        raise EndpointListError(f"{where or 'list'} is not an object")
-    prefix = f"{where}." if where else ""
+        raise EndpointListError(f"{path or 'list'} is not an object")
+    prefix = f"{path}." if path else ""
     entries = _read_field(message, "endpoints", list, prefix)
     endpoints = [_read_endpoint(fields, f"{prefix}endpoints[{i}]") for i, fields in enumerate(entries)]
     index = _read_field(message, "index", int, prefix)
@@ -59,11 +59,11 @@
     return EndpointListMessage(index, is_snapshot, endpoints)
 
 
-def _read_endpoint(fields: object, where: str) -> NetworkEndpoint:
-    """One entry of a list; `where` is its path in the message."""
+def _read_endpoint(fields: object, path: str) -> NetworkEndpoint:
+    """One entry of a list; `path` is its path in the message."""
     if not isinstance(fields, dict):
-        raise EndpointListError(f"{where} is not an object")
-    prefix = f"{where}."
+        raise EndpointListError(f"{path} is not an object")
+    prefix = f"{path}."
     state = _read_state(fields, prefix)
     address = _read_address(fields, prefix)
     endpoint = Endpoint(
@@ -82,23 +82,25 @@
 def _read_state(fields: Mapping[str, object], prefix: str) -> EndpointState:
     status = _read_field(fields, "status", str, prefix)
     if status not in STATES:
-        raise EndpointListError(f"{prefix}status is unknown: {status[:MAX_QUOTED]}")
+        raise EndpointListError(f"{prefix}status is unknown: {status[:MAX_QUOTED_LENGTH]}")
     return STATES[status]
 
 
 def _read_weight(fields: Mapping[str, object], prefix: str) -> float:
     """The weight of an entry; one out of range is bounded, so that the rest of the list comes into force."""
-    given = _read_number(fields, "weight", prefix)
-    weight = bounded_weight(given)
-    if given not in (weight, 0):
-        log.warning("endpoint %.40s: weight %g is out of range, taken as %g", fields["name"], given, weight)
+    listed_weight = _read_number(fields, "weight", prefix)
+    weight = bounded_weight(listed_weight)
+    if listed_weight not in (weight, 0):
+        log.warning(
+            "endpoint %.40s: weight %g is out of range, taken as %g", fields["name"], listed_weight, weight
+        )
     return weight
 
 
 def _read_address(fields: Mapping[str, object], prefix: str) -> str:
     address = _read_field(fields, "address", str, prefix)
     if not _is_connectable(address):
-        raise EndpointListError(f"{prefix}address is not host:port: {address[:MAX_QUOTED]}")
+        raise EndpointListError(f"{prefix}address is not host:port: {address[:MAX_QUOTED_LENGTH]}")
     return address
 
 
@@ -111,21 +113,21 @@
     return port != 0
 
 
-def _read_field(table: Mapping[str, object], name: str, kind: type[FieldType], prefix: str) -> FieldType:
+def _read_field(fields: Mapping[str, object], name: str, kind: type[FieldType], prefix: str) -> FieldType:
     """A field of one type; `prefix` is the path to it."""
-    value = table.get(name)
+    value = fields.get(name)
     # a bool is an int in Python, but not in JSON
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise _malformed(name, value, prefix)
+        raise _malformed_field(name, value, prefix)
     return value
 
 
-def _read_number(table: Mapping[str, object], name: str, prefix: str) -> float:
-    value = table.get(name)
+def _read_number(fields: Mapping[str, object], name: str, prefix: str) -> float:
+    value = fields.get(name)
     if not isinstance(value, (int, float)) or isinstance(value, bool):
-        raise _malformed(name, value, prefix)
+        raise _malformed_field(name, value, prefix)
     return value
 
 
-def _malformed(name: str, value: object, prefix: str) -> EndpointListError:
-    return EndpointListError(f"{prefix}{name} is missing or malformed: {str(value)[:MAX_QUOTED]}")
+def _malformed_field(name: str, value: object, prefix: str) -> EndpointListError:
+    return EndpointListError(f"{prefix}{name} is missing or malformed: {str(value)[:MAX_QUOTED_LENGTH]}")
--- a/cache_router/net/endpoint_table.py
+++ b/cache_router/net/endpoint_table.py
@@ -83,15 +83,15 @@
     def apply(self, kind: EndpointUpdateKind, endpoints: Iterable[NetworkEndpoint]) -> None:
         """Apply a complete list or changed entries, and close idle connections that became useless."""
         updated = {e.entry.name: None if e.entry.state is EndpointState.REMOVED else e for e in endpoints}
-        unlisted = () if kind is EndpointUpdateKind.DELTA else tuple(self._endpoints)
-        for name in dict.fromkeys((*unlisted, *updated)):
+        previous_names = () if kind is EndpointUpdateKind.DELTA else tuple(self._endpoints)
+        for name in dict.fromkeys((*previous_names, *updated)):
             # removed first: an entry that changes moves to the end of the table
             old = self._endpoints.pop(name, None)
             new = updated.get(name)
             if new is not None:
                 self._endpoints[name] = new
             if old is not None:
-                self._close_useless_connections(old, new)
+                self._close_stale_connections(old, new)
 
     def close_idle_connections(self, name: str) -> None:
         """Close the idle connections to an endpoint, if it is listed."""
@@ -99,7 +99,7 @@
         if endpoint is not None:
             self.pool_of(endpoint).close_idle(endpoint.address)
 
-    def _close_useless_connections(self, old: NetworkEndpoint, new: NetworkEndpoint | None) -> None:
+    def _close_stale_connections(self, old: NetworkEndpoint, new: NetworkEndpoint | None) -> None:
         # A draining server is sent nothing new, another process may be started at the address, and a machine
         # that has failed never closes its side: such connections would only occupy descriptors.
         if new is None or not new.entry.is_ready or new.incarnation != old.incarnation:
--- a/cache_router/net/http.py
+++ b/cache_router/net/http.py
@@ -11,12 +11,12 @@
 
 # bytes of a head before its end is found
 MAX_HEAD_LENGTH = 16 * 1024
-HEAD_START = b"HTTP/"
+STATUS_LINE_PREFIX = b"HTTP/"
 HEAD_END = b"\r\n\r\n"
 # where a head has the first digit of its status
 STATUS_CLASS = slice(len("HTTP/1.1 "), len("HTTP/1.1 ") + 1)
-INFORMATIONAL = b"1"
-LOAD_REPORT = re.compile(rb"\r\nserver-load:.*?(?=\r\n)", re.IGNORECASE | re.DOTALL)
+INFORMATIONAL_CLASS = b"1"
+LOAD_REPORT_HEADER = re.compile(rb"\r\nserver-load:.*?(?=\r\n)", re.IGNORECASE | re.DOTALL)
 
 
 class HttpError(RouterError):
@@ -84,13 +84,13 @@
         try:
             if not data:
                 self._connection.receive_data(b"")
-            elif filtered := self._without_load_report(data):
+            elif filtered := self._strip_load_report(data):
                 self._connection.receive_data(filtered)
             return self._next_response()
         except h11.RemoteProtocolError as error:
             raise HttpError(str(error)) from error
 
-    def _without_load_report(self, data: bytes) -> bytes:
+    def _strip_load_report(self, data: bytes) -> bytes:
         """Return complete heads without their load report, and what follows them.
 
         The report is not used here, and a response would be rejected for one that can't be parsed.
@@ -104,14 +104,14 @@
         filtered = b""
         while self._head_pending and (end := self._partial_head.find(HEAD_END)) >= 0:
             end += len(HEAD_END)
-            filtered += LOAD_REPORT.sub(b"", self._partial_head[:end])
+            filtered += LOAD_REPORT_HEADER.sub(b"", self._partial_head[:end])
             # another head follows an informational one, such as 100 Continue
-            self._head_pending = self._partial_head[STATUS_CLASS] == INFORMATIONAL
+            self._head_pending = self._partial_head[STATUS_CLASS] == INFORMATIONAL_CLASS
             del self._partial_head[:end]
         if not self._head_pending:
             filtered += self._partial_head
-        elif len(self._partial_head) > MAX_HEAD_LENGTH or not HEAD_START.startswith(
-            self._partial_head[: len(HEAD_START)]
+        elif len(self._partial_head) > MAX_HEAD_LENGTH or not STATUS_LINE_PREFIX.startswith(
+            self._partial_head[: len(STATUS_LINE_PREFIX)]
         ):
             raise HttpError(f"no head: {bytes(self._partial_head[:40])!r}")
         return filtered
@@ -121,10 +121,10 @@
         while (event := self._connection.next_event()) is not h11.NEED_DATA:
             if isinstance(event, h11.EndOfMessage) and self._head is not None:
                 return Response(self._head.status_code, dict(self._head.headers), bytes(self._body))
-            self._take_part(event)
+            self._process_event(event)
         return None
 
-    def _take_part(self, event: object) -> None:
+    def _process_event(self, event: object) -> None:
         """Store a part of the response.
 
         Raises:
--- a/cache_router/net/idle_connection_set.py
+++ b/cache_router/net/idle_connection_set.py
@@ -48,6 +48,6 @@
         """Return the connection to an address that has been idle for longest; None if none is idle."""
         return next(iter(self._by_address.get(address, ())), None)
 
-    def all_to(self, address: str) -> list[UpstreamConnection]:
+    def connections_to(self, address: str) -> list[UpstreamConnection]:
         """Return the idle connections to an address."""
         return list(self._by_address.get(address, ()))
--- a/cache_router/net/upstream_attempt.py
+++ b/cache_router/net/upstream_attempt.py
@@ -21,7 +21,7 @@
 
 
 # called with the response at the end of an attempt, once at most
-OnCompleted = Callable[[UpstreamResponse], None]
+CompletionCallback = Callable[[UpstreamResponse], None]
 # called just before a request is written: the status with which the attempt ends instead, or None
 Precondition = Callable[[], AttemptStatus | None]
 
@@ -52,7 +52,7 @@
     """
 
     __slots__ = (
-        "_connecting",
+        "_connect_task",
         "_connection",
         "_deadline",
         "_on_completed",
@@ -68,7 +68,7 @@
         self,
         command: Command,
         time_left: float,
-        on_completed: OnCompleted,
+        on_completed: CompletionCallback,
         *,
         precondition: Precondition = no_precondition,
         number: int = 0,
@@ -93,7 +93,7 @@
         # on the event loop's clock
         self._deadline = asyncio.get_running_loop().time() + time_left
         self._on_completed = on_completed
-        self._connecting: asyncio.Task[None] | None = None
+        self._connect_task: asyncio.Task[None] | None = None
         self._connection: AbortableConnection | None = None
         self._timeout_timer: asyncio.TimerHandle | None = None
 
@@ -107,11 +107,11 @@
 
     def mark_connecting(self, task: asyncio.Task[None]) -> None:
         """Note that `task` opens a connection for the attempt."""
-        self._connecting = task
+        self._connect_task = task
 
     def mark_connected(self) -> None:
         """Note that the connection is established: no task opens one any more."""
-        self._connecting = None
+        self._connect_task = None
 
     def mark_sent(self, connection: AbortableConnection) -> None:
         """Note that `connection` carries the attempt."""
@@ -132,8 +132,8 @@
         if not self.is_open:
             return
         self._close()
-        if self._connecting is not None:
-            self._connecting.cancel()
+        if self._connect_task is not None:
+            self._connect_task.cancel()
         if self._connection is not None:
             self._connection.abort()
 
--- a/cache_router/net/upstream_connection.py
+++ b/cache_router/net/upstream_connection.py
@@ -148,7 +148,7 @@
         if response is not None:
             self._complete(attempt, response)
         elif self._timeout is None and self.response_started():
-            self._limit_completion(attempt)
+            self._start_completion_timeout(attempt)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Notify the owner, and end the attempt if there is one."""
@@ -169,11 +169,11 @@
             self.abort()
         attempt.finish(response)
 
-    def _limit_completion(self, attempt: UpstreamAttempt) -> None:
+    def _start_completion_timeout(self, attempt: UpstreamAttempt) -> None:
         """Limit the time for the rest of a response: one that announces more than is sent never ends."""
         loop = asyncio.get_running_loop()
-        incomplete = MalformedResponseError("started, but not completed in time")
-        self._timeout = loop.call_later(RESPONSE_COMPLETION_TIMEOUT, self._fail, attempt, incomplete)
+        error = MalformedResponseError("started, but not completed in time")
+        self._timeout = loop.call_later(RESPONSE_COMPLETION_TIMEOUT, self._fail, attempt, error)
 
     def _fail(self, attempt: UpstreamAttempt, error: Exception) -> None:
         """End an attempt whose request may have run; what follows on the connection can't be trusted."""
--- a/tests/cache_router/net/test_discovery.py
+++ b/tests/cache_router/net/test_discovery.py
@@ -55,7 +55,7 @@
         b"",
     ],
 )
-async def test_failed_poll_is_notified_and_the_next_continues_from_the_last_index(
+async def test_failed_poll_is_reported_and_the_next_continues_from_the_last_index(
     peer: Peer, response: bytes
 ) -> None:
     """An incomplete list applied would remove ready servers; an exception would end the watch."""
@@ -69,7 +69,7 @@
     recorder.discovery.close()
 
 
-async def test_refused_connection_is_notified_as_a_failed_poll() -> None:
+async def test_refused_connection_is_reported_as_a_failed_poll() -> None:
     """The decisions have to schedule the next poll."""
     async with Peer() as peer:
         pass
@@ -87,7 +87,7 @@
     assert await link.closed_by_peer()
 
 
-async def test_exception_in_an_update_is_notified_as_a_failed_poll(peer: Peer) -> None:
+async def test_exception_in_an_update_is_reported_as_a_failed_poll(peer: Peer) -> None:
     """A watch that ended without a notification would leave the router with its old list until a restart."""
 
     def faulty(kind: EndpointUpdateKind, endpoints: list[NetworkEndpoint]) -> None:
@@ -100,7 +100,7 @@
     assert not recorder.discovery.is_watching
 
 
-async def test_watch_of_a_new_address_requests_the_complete_list_and_the_old_one_notifies_nothing() -> None:
+async def test_watch_of_a_new_address_requests_the_complete_list_and_the_old_one_reports_nothing() -> None:
     """Indexes are those of one discovery: polled with another's index, it may send nothing."""
     async with Peer() as old, Peer() as new:
         recorder = WatchRecorder(old)
--- a/tests/cache_router/net/test_idle_connection_set.py
+++ b/tests/cache_router/net/test_idle_connection_set.py
@@ -26,7 +26,7 @@
     assert len(idle) == 3
     assert idle.longest_idle() is first
     assert idle.longest_idle_to(A) is second
-    assert idle.all_to(A) == [second, third]
+    assert idle.connections_to(A) == [second, third]
     assert idle.idle_since(third) == 2.0
 
 
@@ -37,13 +37,13 @@
     for now, connection in enumerate((first, second)):
         idle.add(connection, float(now))
     idle.discard(first)
-    assert idle.all_to(A) == [second]
+    assert idle.connections_to(A) == [second]
     idle.add(first, 2.0)
     assert idle.longest_idle() is idle.longest_idle_to(A) is second
     assert idle.idle_since(first) == 2.0
 
 
-def test_discarded_connection_is_in_no_order() -> None:
+def test_discarded_connection_is_not_returned() -> None:
     """A connection that is closed twice is discarded twice; one that carries an attempt is not idle."""
     idle = IdleConnectionSet()
     connection = make_connection(A)
@@ -52,6 +52,6 @@
         idle.discard(connection)
         assert len(idle) == 0
         assert idle.longest_idle() is idle.longest_idle_to(A) is None
-        assert idle.all_to(A) == []
+        assert idle.connections_to(A) == []
     with pytest.raises(KeyError):
         idle.idle_since(connection)
