--- a/cache_router/net/attempt_runner.py
+++ b/cache_router/net/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Runs the attempts of requests in flight: starts, cancels and times them out, and posts their outcomes."""
+"""Runs the attempts of requests in flight: starts, cancels, times them out, and posts their outcomes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AttemptRunner:
-    """Carries out `Send` and `Cancel`; posts exactly one `AttemptCompleted` for each attempt."""
+    """Executes `Send` and `Cancel` actions, and posts exactly one `AttemptCompleted` for each attempt."""
 
     def __init__(
         self,
@@ -35,11 +35,11 @@
 
         Args:
             settings: The operators' settings.
-            clock: For the latencies of attempts.
+            clock: The clock that measures the latencies of attempts.
             requests: The requests in flight.
             endpoints: The endpoints that attempts are sent to.
             post: Called with each `AttemptCompleted`.
-            on_client_disconnected: Called with the id of a request whose client is found disconnected.
+            on_client_disconnected: Called with the id of a request whose client has disconnected.
         """
         self._max_attempts = settings.max_attempts
         self._load_report_fields = settings.load_report_fields
@@ -50,10 +50,10 @@
         self._on_client_disconnected = on_client_disconnected
 
     def start(self, action: Send) -> None:
-        """Start an attempt, which completes at once if it must not be sent."""
+        """Start an attempt; one that must not be sent completes immediately."""
         request = self._requests.get(action.request_id)
         if request is None:
-            log.error("request %s: not in flight, so nothing is sent to %s", action.request_id, action.server)
+            log.error("request %s: not in flight, no attempt is sent to %s", action.request_id, action.server)
             return
         now = self._clock.now()
         time_left = request.deadline - now
@@ -63,8 +63,8 @@
         try:
             self._start(attempt, request, endpoint, timeout)
         except Exception:
-            # the decision module waits for the outcome of each attempt
-            log.exception("attempt of request %s at %s can't be started", action.request_id, action.server)
+            # The decision module waits for the outcome of each attempt.
+            log.exception("request %s: attempt at %s can't be started", action.request_id, action.server)
             self._abandon(request, attempt.number, AttemptStatus.ERROR)
 
     def _start(
@@ -74,7 +74,7 @@
         endpoint: NetworkEndpoint | None,
         timeout: float | None,
     ) -> None:
-        """Start an attempt of a request, with a timeout of its own if the decision module gave one."""
+        """Start an attempt of a request; `timeout` in seconds is None if only the deadline applies."""
         status = self._precondition(request, endpoint)
         if attempt.number >= self._max_attempts:
             status = AttemptStatus.NOT_SENT
@@ -94,7 +94,8 @@
         attempt = UpstreamAttempt(
             request.command,
             time_left,
-            # with the number, not the attempt: a reference cycle would be left to the garbage collector
+            # The callback holds the number, not the attempt. A reference cycle would be left to the garbage
+            # collector.
             partial(self._complete, request, number),
             precondition=partial(self._precondition, request, endpoint),
             number=number,
@@ -104,24 +105,25 @@
         return attempt
 
     def cancel(self, action: Cancel) -> None:
-        """Abandon an attempt, unless it has completed."""
+        """Cancel an attempt, unless it has completed."""
         request = self._requests.get(action.request_id)
         if request is not None:
             self._abandon(request, action.attempt_number, AttemptStatus.CANCELLED)
 
     def time_out_all(self, request: RequestInFlight) -> None:
         """Time out all attempts of a request that are in flight."""
-        # a copy: the decision module may answer at the first time-out, which completes the other attempts
+        # Iterates over a copy: the decision module may end the request on the first timeout, which completes
+        # the other attempts.
         for number in list(request.attempts):
             self._abandon(request, number, AttemptStatus.TIMEOUT)
 
     def _precondition(
         self, request: RequestInFlight, endpoint: NetworkEndpoint | None
     ) -> AttemptStatus | None:
-        """Return the status of an attempt that must not be sent; None if it may be.
+        """Return the status with which an attempt completes if it must not be sent; None if it may be.
 
-        Checked at its start and again once a new connection is established: the client may have disconnected
-        since, or the server may be draining.
+        This is checked when the attempt starts, and again once a new connection is established: in between,
+        the client may have disconnected, or the server may have started to drain.
         """
         if not request.is_closed and not request.is_connected():
             self._on_client_disconnected(request.request_id)
@@ -139,7 +141,7 @@
             self._complete(request, number, UpstreamResponse(status))
 
     def _complete(self, request: RequestInFlight, number: int, response: UpstreamResponse) -> None:
-        """Post the outcome of an attempt, once; the value of the first that succeeds answers the client."""
+        """Post the outcome of an attempt once; reply to the client with the value of the first success."""
         attempt = self._requests.remove_attempt(request, number)
         if attempt is None:
             return
--- a/cache_router/net/cache_connection.py
+++ b/cache_router/net/cache_connection.py
@@ -1,8 +1,8 @@
 """Connections to cache servers, which speak RESP2.
 
-A request is an array of the verb, the key, the request's id, its info fields and, for a write, the value. The
-response is an array of the value (null for a miss), a text, and the server's load report; or an error line,
-whose first word is `BUSY` if the server rejected the request.
+A request is an array: the verb, the key, the request's id, its info fields and, for a write, the value. A
+response is either an array (the value, which is null for a miss; a text; the server's load report) or an
+error line, whose first word is `BUSY` if the server rejected the request.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from cache_router.net.upstream_attempt import UpstreamResponse
 from cache_router.net.upstream_connection import ConnectionOwner, MalformedResponseError, UpstreamConnection
 
-# items of a response and of its parts: a response has three, but its third item may be an array
+# Maximum number of items of one array. A response has three items, the third of which may be an array.
 MAX_RESPONSE_ITEMS = 16
-# bytes of a response: the value and everything else
+# Maximum size of a response in bytes: the largest value, and room for the other items.
 MAX_RESPONSE_SIZE = MAX_VALUE + 8192
-# first word of the error line with which a server rejects a request
+# First word of the error line with which a server rejects a request.
 BUSY = "BUSY"
 
 
@@ -25,22 +25,22 @@
     """A connection to a cache server."""
 
     def __init__(self, owner: ConnectionOwner, address: str, incarnation: object) -> None:
-        """Prepare a connection to `address` (`host:port`), whose states are reported to `owner`."""
+        """Prepare a connection to `address` (`host:port`) that notifies `owner` of its state changes."""
         super().__init__(owner, address, incarnation)
         self._reader = RespReader(MAX_RESPONSE_ITEMS, MAX_VALUE, MAX_RESPONSE_SIZE)
 
     def encode(self, command: Command, time_left: float) -> bytes:
-        """Encode a request as an array of bulk strings; `time_left` is in seconds."""
+        """Encode a request as an array of bulk strings; its deadline is `time_left` seconds from now."""
         parts = [command.verb, command.key, command.request_id, command.encode_info(time_left)]
         if command.value is not None:
             parts.append(command.value)
         return encode_command(parts)
 
     def decode(self, data: bytes) -> UpstreamResponse | None:
-        """Take bytes of a response, and return the response once it is complete.
+        """Decode received bytes; return the response once it is complete, None before.
 
         Raises:
-            MalformedResponseError: The bytes are not RESP2, are too many, or are no response to a request.
+            MalformedResponseError: The bytes are not RESP2, or the message is too large or not a response.
         """
         self._reader.feed(data)
         try:
@@ -49,12 +49,12 @@
             raise MalformedResponseError(str(error)) from error
         match message:
             case ErrorReply(text):
-                # the load report is the last word, where there is one
+                # The last word of the error line is the load report, if it has one.
                 load_report = text.rpartition(" ")[2].encode("latin-1")
                 status = AttemptStatus.REJECTED if text.split(" ")[0] == BUSY else AttemptStatus.ERROR
                 return UpstreamResponse(status, load_report=load_report)
             case [bytes() | None as value, bytes() | None, report]:
-                # the value is used even if the third item is no report, or can't be read
+                # The value is used even if the third item is not a valid load report.
                 load_report = report if isinstance(report, bytes) else b""
                 if value is None:
                     return UpstreamResponse(AttemptStatus.MISS, load_report=load_report)
@@ -64,5 +64,5 @@
         raise MalformedResponseError(f"not a response: {repr(message)[:80]}")
 
     def is_reusable(self) -> bool:
-        """Return whether nothing came after the response."""
+        """Return whether no bytes follow the response."""
         return self._reader.is_empty()
--- a/cache_router/net/connection_pool.py
+++ b/cache_router/net/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to the servers of one protocol, which stay open between attempts."""
+"""Pool of persistent connections to the servers that speak one protocol."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from cache_router.net.upstream_attempt import UpstreamAttempt, UpstreamResponse
 from cache_router.net.upstream_connection import ConnectionOwner, UpstreamConnection
 
-# seconds by which the pool closes an idle connection earlier than its server would
+# Seconds before the idle timeout of a server at which the pool closes an idle connection to it.
 IDLE_MARGIN = 0.5
-# Seconds for which a connection is not used after a response. A second response may follow and would be taken
-# for the response to the next request (19 were seen, 1.1 to 3.2 ms after the first).
+# Seconds after a response during which its connection is not reused. A late second response would be mistaken
+# for the response to the next request; in 19 observed cases it followed the first by 1.1 to 3.2 ms.
 REUSE_DELAY = 0.01
 DESCRIPTORS_EXHAUSTED = (errno.EMFILE, errno.ENFILE)
 log = logging.getLogger(__name__)
 
 
 class ConnectionPool:
-    """The connections to servers that speak one protocol.
+    """Opens, reuses and closes the connections to the servers that speak one protocol.
 
-    A connection is being opened or established; one that is established carries an attempt or is idle.
+    A connection is either being opened or established. An established one carries an attempt or is idle.
     """
 
     def __init__(
@@ -39,11 +39,12 @@
         """Create an empty pool.
 
         Args:
-            make_connection: Makes a connection from its owner, its address and the incarnation of its server.
-            max_connections: Most connections to all servers together, established or being opened.
-            connect_timeout: Seconds after which the opening of a connection fails.
-            idle_timeout: Seconds after which servers close a connection that is idle.
-            reuse_delay: Seconds after a response for which its connection is not used.
+            make_connection: Creates a connection, given its owner, its address and the incarnation of its
+                server.
+            max_connections: Maximum number of connections to all servers, established or being opened.
+            connect_timeout: Seconds after which opening a connection fails.
+            idle_timeout: Seconds after which servers close an idle connection.
+            reuse_delay: Seconds after a response during which its connection is not reused.
         """
         self._make_connection = make_connection
         self._max_connections = max_connections
@@ -56,27 +57,27 @@
 
     @property
     def established_count(self) -> int:
-        """How many connections are established."""
+        """Number of established connections."""
         return len(self._established)
 
     @property
     def connecting_count(self) -> int:
-        """How many connections are being opened."""
+        """Number of connections that are being opened."""
         return len(self._connect_tasks)
 
     @property
     def idle_count(self) -> int:
-        """How many connections are established and carry no attempt."""
+        """Number of established connections that carry no attempt."""
         return len(self._idle)
 
     def start(self, attempt: UpstreamAttempt, address: str, incarnation: object = None) -> None:
-        """Start an attempt on a server. It may finish before this returns.
+        """Start an attempt on a server. It may finish before this method returns.
 
         Args:
-            attempt: What is requested, and for how long the router waits.
-            address: The server's `host:port`.
-            incarnation: Differs between a server and an earlier one at the same address; compared by
-                equality.
+            attempt: The attempt, with its command and its deadline.
+            address: `host:port` of the server.
+            incarnation: Incarnation of the server. A connection to an incarnation that is not equal is not
+                reused.
         """
         connection = self._take_idle(address, incarnation)
         if connection is not None:
@@ -87,18 +88,18 @@
             self._connect_tasks.add(connect_task)
             connect_task.add_done_callback(self._connect_tasks.discard)
         else:
-            # with more descriptors the pool would keep clients from connecting; the server is not at fault
+            # More connections would use up the descriptors that clients need. The server is not at fault.
             attempt.finish(UpstreamResponse(AttemptStatus.NOT_SENT))
 
     async def _connect(self, attempt: UpstreamAttempt, address: str, incarnation: object) -> None:
         """Open a connection for an attempt, and send the attempt if its precondition still holds.
 
-        Whatever happens, the attempt ends: the router waits for that.
+        The attempt completes even on an unexpected exception, because the router waits for its outcome.
         """
         try:
             await self._connect_and_send(attempt, address, incarnation)
         except Exception:
-            log.exception("connection to %s", address)
+            log.exception("connection to %s: attempt failed", address)
             attempt.finish(UpstreamResponse(AttemptStatus.ERROR))
 
     async def _connect_and_send(self, attempt: UpstreamAttempt, address: str, incarnation: object) -> None:
@@ -107,7 +108,7 @@
                 _, connection = await asyncio.get_running_loop().create_connection(
                     lambda: self._make_connection(self, address, incarnation), *parse_address(address)
                 )
-        # a time-out is an OSError, an address that can't be used a ValueError
+        # TimeoutError is an OSError; an invalid address raises ValueError.
         except (OSError, ValueError) as error:
             exhausted = isinstance(error, OSError) and error.errno in DESCRIPTORS_EXHAUSTED
             failure = AttemptStatus.NOT_SENT if exhausted else AttemptStatus.CONNECT_FAILED
@@ -119,23 +120,23 @@
             connection.send(attempt)
             return
         if status is AttemptStatus.NOT_SENT:
-            # the request is over, not the server: the connection serves another attempt
+            # The request has ended, but the server is available: the connection is kept for another attempt.
             self.on_idle(connection)
         else:
             connection.abort()
         attempt.finish(UpstreamResponse(status))
 
     def _take_idle(self, address: str, incarnation: object) -> UpstreamConnection | None:
-        """Return the connection to a server that has been idle for longest, if it may be used.
+        """Return the connection to a server that has been idle for longest, if it may be reused.
 
-        The one used last would be more likely to carry something that follows its last response late, which
-        would be taken for the response to the next request.
+        A late second response could be mistaken for the response to the next request. It is least likely on
+        the connection that has been idle for longest.
         """
         idle_before = asyncio.get_running_loop().time() - self._reuse_delay
         while (connection := self._idle.longest_idle_to(address)) is not None:
             same_incarnation = connection.incarnation == incarnation
             if same_incarnation and self._idle.idle_since(connection) > idle_before:
-                # all others became idle later
+                # All other connections became idle later.
                 return None
             self._idle.discard(connection)
             if same_incarnation and connection.is_usable():
@@ -144,7 +145,7 @@
         return None
 
     def _ensure_capacity(self) -> bool:
-        """Return whether another connection may be opened; an idle one is closed for it if need be."""
+        """Return whether another connection may be opened; close an idle one if the limit is reached."""
         if len(self._established) + len(self._connect_tasks) < self._max_connections:
             return True
         longest_idle = self._idle.longest_idle()
@@ -154,30 +155,30 @@
         return True
 
     def close_idle(self, address: str) -> None:
-        """Close the idle connections to one address."""
+        """Close the idle connections to an address."""
         for connection in self._idle.connections_to(address):
             connection.abort()
 
     def close(self) -> None:
-        """Close all connections and stop opening those that are not yet established."""
+        """Close all established connections, and stop opening others."""
         for connection in list(self._established):
             connection.abort()
         for connect_task in self._connect_tasks:
             connect_task.cancel()
 
-    # Called by the connections, whose owner this is
+    # Callbacks of the connections, as their `ConnectionOwner`.
 
     def on_connected(self, connection: UpstreamConnection) -> None:
-        """Count a connection that is established."""
+        """Add a connection that has been established."""
         self._established.add(connection)
 
     def on_idle(self, connection: UpstreamConnection) -> None:
-        """Keep a connection for the next attempt, until shortly before its server would close it."""
+        """Keep a connection for another attempt until `IDLE_MARGIN` before its server would close it."""
         now = asyncio.get_running_loop().time()
         connection.abort_after(self._max_idle_time)
         self._idle.add(connection, now)
 
     def on_closed(self, connection: UpstreamConnection) -> None:
-        """Remove a connection that is closed or about to be."""
+        """Remove a connection that is closed or being aborted."""
         self._established.discard(connection)
         self._idle.discard(connection)
--- a/cache_router/net/discovery.py
+++ b/cache_router/net/discovery.py
@@ -1,4 +1,4 @@
-"""The watch on discovery's endpoint list, by long polls."""
+"""Watches the endpoint list of discovery by long polling."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 MAX_LIST_SIZE = 4 * 1024 * 1024  # bytes
 READ_CHUNK_SIZE = 64 * 1024  # bytes
 HTTP_OK = 200
-# Seconds to wait after an update without entries, so that an agent that answers at once is not polled in a
-# busy loop. The pause must stay below 200 ms: after a longer one discovery takes a poll for a new watch, and
-# serves it in turn with all others.
+# Seconds to wait after an update without entries, so that an agent that responds immediately is not polled
+# in a busy loop. The pause must stay below 200 ms: after a longer one, discovery treats a poll as a new watch
+# and queues it with those of all other routers.
 EMPTY_UPDATE_PAUSE = 0.05
-# what an unreachable or faulty discovery causes; any other exception is a fault of this program
+# Exceptions that an unreachable or faulty discovery causes. Any other exception is a fault of this program.
 EXPECTED_ERRORS = (OSError, HttpError, EndpointListError, orjson.JSONDecodeError)
-# what is logged without its traceback: an update that cannot be applied is logged where it fails
+# Exceptions that are logged without a traceback. An update that can't be applied is logged where it fails.
 LOGGED_WITHOUT_TRACEBACK = (*EXPECTED_ERRORS, EndpointUpdateError)
 log = logging.getLogger(__name__)
 
@@ -37,18 +37,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Poll:
-    """One request to discovery."""
+    """One request for the endpoint list."""
 
-    target: str  # path and query
+    target: str  # path and query of the request
     timeout: float  # seconds until the response must be complete
 
 
 class Discovery:
     """Watches the endpoint list once subscribed; a poll that fails ends the watch.
 
-    Attributes that others may read:
-        address: discovery's `host:port`
-        index: the version of the list that the router has; None if it has no list of this discovery
+    Attributes:
+        address: `host:port` of discovery.
+        index: Version of the list that the router has; None if it has no list from this address.
     """
 
     def __init__(
@@ -63,9 +63,13 @@
     ) -> None:
         """Prepare a watch.
 
-        `address` and `index` are the attributes of the class. `on_update` is called with the kind and the
-        entries of each update; `on_failure` is called with the address of a watch that has failed. `pushed`
-        is whether the router polls an agent on this machine, which answers at once, instead of discovery.
+        Args:
+            address: `host:port` of discovery.
+            index: Version of the list that the router has, if any.
+            on_update: Called with the kind and the entries of each update.
+            on_failure: Called with the address when a watch has failed.
+            pushed: Whether the router polls an agent on its own machine instead of discovery.
+            budget: Time limits of polls; the defaults of `WatchBudget` if None.
         """
         self.address = address
         self.index = index
@@ -75,9 +79,9 @@
         self._budget = budget or WatchBudget()
         self._first_update_received = asyncio.Event()
         self._watch_task: asyncio.Task[None] | None = None
-        self._failures = 0  # consecutive, at this address
-        # Whether the next poll of an agent asks not to wait. A discovery that all routers poll might let a
-        # second poll wait for its turn.
+        self._failures = 0  # number of consecutive failures at this address
+        # Whether the next poll asks for an immediate response. Only an agent is asked: discovery, which all
+        # routers poll, might queue a second poll.
         self._poll_without_wait = pushed
 
     @property
@@ -91,7 +95,7 @@
             self._watch_task = asyncio.create_task(self._watch())
 
     def change_address(self, address: str) -> None:
-        """End the watch; the next one requests the complete list, because indexes are per discovery."""
+        """End the watch; the next one requests the complete list, as each discovery has its own indexes."""
         self.close()
         self.address = address
         self.index = None
@@ -99,7 +103,7 @@
         self._failures = 0
 
     def close(self) -> None:
-        """Cancel the watch; it makes no further calls to `on_update` and `on_failure`."""
+        """Cancel the watch; it makes no further calls to `on_update` or `on_failure`."""
         if self._watch_task is not None:
             self._watch_task.cancel()
 
@@ -108,10 +112,10 @@
         await self._first_update_received.wait()
 
     def next_poll(self) -> Poll:
-        """The next request and its timeout.
+        """Return the next request and its timeout.
 
-        Every poll has a timeout: the router counts as notified of a change `budget.notification_deadline`
-        seconds after discovery has it, also if discovery has stopped answering in between.
+        Every poll has a timeout: `budget.notification_deadline` seconds after discovery learns of a change,
+        the router is considered notified of it, even if discovery has stopped responding in between.
         """
         if self.index is None:
             return Poll(LIST_PATH, self._budget.response_timeout)
@@ -123,8 +127,8 @@
     async def _watch(self) -> None:
         """Poll until a poll fails.
 
-        Every exception is reported to `on_failure`: without that call the decisions would never subscribe
-        again. A cancelled watch ends without any call, because another one may be running by then.
+        `on_failure` is called after any exception: without that call, the decisions would never subscribe
+        again. A cancelled watch ends without the call, because another one may already be running.
         """
         try:
             while True:
@@ -139,7 +143,7 @@
         self._on_failure(self.address)
 
     def _apply(self, message: EndpointListMessage) -> None:
-        """Pass an update on and record its index; after one that cannot be applied, poll for all of it."""
+        """Apply an update and record its index; if that fails, the next poll requests the complete list."""
         self.index = None
         self._poll_without_wait = False
         self._on_update(message.update_kind, message.endpoints)
@@ -150,14 +154,14 @@
         self._first_update_received.set()
 
     def _log_failure(self, error: Exception, elapsed: float) -> None:
-        """Log why a watch ended, `elapsed` seconds after the start of its last poll."""
+        """Log why a watch failed, `elapsed` seconds after the start of its last poll."""
         self._failures += 1
         is_expected = isinstance(error, LOGGED_WITHOUT_TRACEBACK)
         if is_expected and not is_logged(self._failures):
             return
         log.log(
             logging.WARNING if is_expected else logging.ERROR,
-            "discovery %s: watch ended after %.3f s: %.200r",
+            "discovery %s: watch failed %.3f s after the start of its last poll: %.200r",
             self.address,
             elapsed,
             error,
@@ -165,21 +169,21 @@
         )
 
     async def _poll(self) -> EndpointListMessage:
-        """Make the next request and read the response.
+        """Send the next request and read the response.
 
         Raises:
-            OSError: discovery cannot be reached, or does not respond in time (TimeoutError).
-            HttpError, EndpointListError, orjson.JSONDecodeError: the response cannot be used.
+            OSError: Discovery can't be reached, or does not respond in time (TimeoutError).
+            HttpError, EndpointListError, orjson.JSONDecodeError: The response is malformed or not successful.
         """
         poll = self.next_poll()
         async with asyncio.timeout(poll.timeout):
             response = await self._request(poll.target)
         if response.status != HTTP_OK:
-            raise EndpointListError(f"answered {response.status}")
+            raise EndpointListError(f"unexpected HTTP status {response.status}")
         return read_endpoint_list(orjson.loads(response.body))
 
     async def _request(self, target: str) -> Response:
-        """Send one GET request on a connection of its own and return the complete response."""
+        """Send a GET request on a new connection, and return the complete response."""
         reader, writer = await asyncio.open_connection(*parse_address(self.address))
         try:
             client = HttpClient(self.address, MAX_LIST_SIZE)
--- a/cache_router/net/endpoint_list_reader.py
+++ b/cache_router/net/endpoint_list_reader.py
@@ -1,4 +1,4 @@
-"""Reads the messages of discovery: a complete endpoint list, or the entries of one that have changed."""
+"""Reads the messages of discovery: a complete endpoint list, or only its changed entries."""
 
 from __future__ import annotations
 
@@ -13,41 +13,43 @@
 from cache_router.net.address import AddressError, parse_address
 from cache_router.net.endpoint_table import NetworkEndpoint
 
-# states of an endpoint, as discovery names them
+# State of an endpoint for each `status` that discovery sends.
 STATES = {
     "in_service": EndpointState.READY,
     "terminating": EndpointState.DRAINING,
     "terminated": EndpointState.REMOVED,
 }
-MAX_QUOTED_LENGTH = 40  # characters of a malformed value that an error quotes
+MAX_QUOTED_LENGTH = 40  # maximum number of characters of a malformed value in an error message
 log = logging.getLogger(__name__)
 
 FieldType = TypeVar("FieldType")
 
 
 class EndpointListError(RouterError, ValueError):
-    """An endpoint list that cannot be used; the message names the field."""
+    """An endpoint list that can't be used; the error message names the malformed field."""
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointListMessage:
-    """One message of discovery."""
+    """An endpoint list or a change of it, as read from a message of discovery."""
 
-    index: int  # the version of the list; each discovery counts its own
-    is_snapshot: bool  # whether the list is complete; otherwise it has the changed entries only
+    index: int  # version of the list; each discovery counts its own versions
+    is_snapshot: bool  # whether the list is complete; otherwise it has only the changed entries
     endpoints: list[NetworkEndpoint]
 
     @property
     def update_kind(self) -> EndpointUpdateKind:
-        """How the message changes the list that the router has."""
+        """Kind of update: a complete list replaces the one that the router has, changed entries do not."""
         return EndpointUpdateKind.SNAPSHOT if self.is_snapshot else EndpointUpdateKind.DELTA
 
 
 def read_endpoint_list(message: object, path: str = "") -> EndpointListMessage:
-    """Read and check a decoded message; `path` is the path of the field that held it, empty if none did.
+    """Read and validate a decoded message.
+
+    `path` is the path of the field that contains the message, empty for a message on its own.
 
     Raises:
-        EndpointListError: the message or an entry of it is malformed; the error names the path of the field.
+        EndpointListError: The message or an entry is malformed; the error names the path of the field.
     """
     if not isinstance(message, dict):
         raise EndpointListError(f"{path or 'list'} is not an object")
@@ -60,7 +62,7 @@
 
 
 def _read_endpoint(fields: object, path: str) -> NetworkEndpoint:
-    """One entry of a list; `path` is its path in the message."""
+    """Read an entry of a list; `path` is its path in the message."""
     if not isinstance(fields, dict):
         raise EndpointListError(f"{path} is not an object")
     prefix = f"{path}."
@@ -73,7 +75,7 @@
         zone=_read_field(fields, "zone", str, prefix),
         cell=_read_field(fields, "group", int, prefix),
         weight=_read_weight(fields, prefix),
-        # Unix time, like the router's clock
+        # Converted from milliseconds to seconds of Unix time, which the router's clock also uses.
         started_at=_read_number(fields, "since_ms", prefix) / 1000,
     )
     return NetworkEndpoint(endpoint, address)
@@ -87,12 +89,12 @@
 
 
 def _read_weight(fields: Mapping[str, object], prefix: str) -> float:
-    """The weight of an entry; one out of range is bounded, so that the rest of the list comes into force."""
+    """Read the weight of an entry; one out of range is bounded, so that the rest of the list applies."""
     listed_weight = _read_number(fields, "weight", prefix)
     weight = bounded_weight(listed_weight)
     if listed_weight not in (weight, 0):
         log.warning(
-            "endpoint %.40s: weight %g is out of range, taken as %g", fields["name"], listed_weight, weight
+            "endpoint %.40s: weight %g is out of range, using %g", fields["name"], listed_weight, weight
         )
     return weight
 
@@ -100,12 +102,14 @@
 def _read_address(fields: Mapping[str, object], prefix: str) -> str:
     address = _read_field(fields, "address", str, prefix)
     if not _is_connectable(address):
-        raise EndpointListError(f"{prefix}address is not host:port: {address[:MAX_QUOTED_LENGTH]}")
+        raise EndpointListError(
+            f"{prefix}address is not of the form host:port: {address[:MAX_QUOTED_LENGTH]}"
+        )
     return address
 
 
 def _is_connectable(address: str) -> bool:
-    """Whether an address is `host:port` with a port that a server can listen on."""
+    """Return whether an address is `host:port` with a port other than 0, which no server listens on."""
     try:
         _, port = parse_address(address)
     except AddressError:
@@ -114,9 +118,9 @@
 
 
 def _read_field(fields: Mapping[str, object], name: str, kind: type[FieldType], prefix: str) -> FieldType:
-    """A field of one type; `prefix` is the path to it."""
+    """Read a field that must be of type `kind`; `prefix` is the path to the field, for errors."""
     value = fields.get(name)
-    # a bool is an int in Python, but not in JSON
+    # In Python a bool is an int, in JSON it is not.
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
         raise _malformed_field(name, value, prefix)
     return value
--- a/cache_router/net/endpoint_table.py
+++ b/cache_router/net/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoints that this router knows: their addresses, incarnations and connection pools."""
+"""Table of the endpoints that the router knows: their addresses, incarnations and connection pools."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 
 
 class EndpointUpdateError(RouterError):
-    """A fault of this program has kept an endpoint update from coming into force."""
+    """An endpoint update could not be applied because of a fault of this program."""
 
 
 @dataclass(slots=True, frozen=True)
 class NetworkEndpoint:
-    """An entry of the endpoint list with the address, as `host:port`, at which it is reached."""
+    """An entry of the endpoint list, and the `host:port` at which the endpoint is reached."""
 
     entry: Endpoint
     address: str
 
     @property
     def incarnation(self) -> tuple[str, float]:
-        """What differs between a process, another one at the same address, and itself after a restart."""
+        """Identity of one process; another process at the address, or a restarted one, has another."""
         return self.entry.name, self.entry.started_at
 
 
 class EndpointTable:
-    """Cache servers and origins by name, and the pool of connections to each."""
+    """Cache servers and origins by name, and the connection pools of both kinds."""
 
     def __init__(self, caches: ConnectionPool, origins: ConnectionPool, origin_kind: str | None) -> None:
         """Create an empty table.
 
         Args:
-            caches: The connections to cache servers.
-            origins: The connections to origins.
-            origin_kind: The `Endpoint.kind` of origins; None when the router itself sends to none.
+            caches: Pool of connections to cache servers.
+            origins: Pool of connections to origins.
+            origin_kind: `Endpoint.kind` of origins; None if the router sends no requests to origins.
         """
         self._caches = caches
         self._origins = origins
@@ -45,7 +45,7 @@
         self._endpoints: dict[str, NetworkEndpoint] = {}
 
     def __len__(self) -> int:
-        """Return how many endpoints are listed."""
+        """Return the number of listed endpoints."""
         return len(self._endpoints)
 
     def __iter__(self) -> Iterator[str]:
@@ -73,7 +73,7 @@
         current = self._endpoints.get(endpoint.entry.name)
         if current is None or not current.entry.is_ready:
             return False
-        # nearly always the same entry, for which the incarnations need not be computed
+        # The entry is usually the same object, for which the incarnations need not be compared.
         return current is endpoint or current.incarnation == endpoint.incarnation
 
     def pool_of(self, endpoint: NetworkEndpoint) -> ConnectionPool:
@@ -81,11 +81,11 @@
         return self._origins if endpoint.entry.kind == self._origin_kind else self._caches
 
     def apply(self, kind: EndpointUpdateKind, endpoints: Iterable[NetworkEndpoint]) -> None:
-        """Apply a complete list or changed entries, and close idle connections that became useless."""
+        """Apply a complete list or changed entries, and close idle connections that became stale."""
         updated = {e.entry.name: None if e.entry.state is EndpointState.REMOVED else e for e in endpoints}
         previous_names = () if kind is EndpointUpdateKind.DELTA else tuple(self._endpoints)
         for name in dict.fromkeys((*previous_names, *updated)):
-            # removed first: an entry that changes moves to the end of the table
+            # An entry is removed and added again, which moves it to the end of the table.
             old = self._endpoints.pop(name, None)
             new = updated.get(name)
             if new is not None:
@@ -100,7 +100,7 @@
             self.pool_of(endpoint).close_idle(endpoint.address)
 
     def _close_stale_connections(self, old: NetworkEndpoint, new: NetworkEndpoint | None) -> None:
-        # A draining server is sent nothing new, another process may be started at the address, and a machine
-        # that has failed never closes its side: such connections would only occupy descriptors.
+        # Such connections would only occupy descriptors: a draining server is sent no new requests, another
+        # process may be started at the address, and a failed machine never closes its side.
         if new is None or not new.entry.is_ready or new.incarnation != old.incarnation:
             self.pool_of(old).close_idle(old.address)
--- a/cache_router/net/http.py
+++ b/cache_router/net/http.py
@@ -1,4 +1,4 @@
-"""The client's side of HTTP/1.1, as bytes in and out: one request and its response at a time."""
+"""HTTP/1.1 client without I/O: encodes a request and decodes its response, one exchange at a time."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 from cache_router.errors import RouterError
 
-# bytes of a head before its end is found
+# Maximum size of an incomplete response head in bytes. A head is the status line and the headers.
 MAX_HEAD_LENGTH = 16 * 1024
 STATUS_LINE_PREFIX = b"HTTP/"
 HEAD_END = b"\r\n\r\n"
-# where a head has the first digit of its status
+# Position of the first digit of the status code in a response head.
 STATUS_CLASS = slice(len("HTTP/1.1 "), len("HTTP/1.1 ") + 1)
 INFORMATIONAL_CLASS = b"1"
 LOAD_REPORT_HEADER = re.compile(rb"\r\nserver-load:.*?(?=\r\n)", re.IGNORECASE | re.DOTALL)
 
 
 class HttpError(RouterError):
-    """A response that breaks the protocol, is larger than accepted, or was cut off."""
+    """A response that violates the protocol, exceeds a size limit, or is truncated."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -33,21 +33,21 @@
 
 
 class HttpClient:
-    """The client's side of one connection."""
+    """State of one connection, from the point of view of the client."""
 
     def __init__(self, address: str, max_body_length: int) -> None:
         """Create the client of a connection.
 
         Args:
             address: `host:port` of the server.
-            max_body_length: Bytes of a body above which a response is not accepted.
+            max_body_length: Maximum size of a response body in bytes.
         """
         self._address = address
         self._max_body_length = max_body_length
         self._connection = h11.Connection(h11.CLIENT)
-        # the start of a head that is not complete
+        # Received part of a head that is incomplete.
         self._partial_head = bytearray()
-        # whether a head is expected, the final one or one that precedes it
+        # Whether a head is expected, that of the final response or of an informational one.
         self._head_pending = True
         self._head: h11.Response | None = None
         self._body = bytearray()
@@ -55,10 +55,10 @@
     def request(
         self, method: str, target: str, headers: list[tuple[bytes, bytes]], body: bytes | None = None
     ) -> bytes:
-        """Start a request, and return its bytes.
+        """Start an exchange, and return the encoded request.
 
         Raises:
-            h11.LocalProtocolError: A part can't be sent, or the response before is not complete.
+            h11.LocalProtocolError: A part of the request is invalid, or the previous exchange is incomplete.
         """
         if self._connection.our_state is not h11.IDLE:
             self._connection.start_next_cycle()
@@ -76,10 +76,12 @@
         return b"".join(self._connection.send(event) or b"" for event in events)
 
     def receive(self, data: bytes) -> Response | None:
-        """Take bytes, no byte at the connection's end, and return the response once it is complete.
+        """Decode received bytes; return the response once it is complete, None before.
+
+        Empty `data` is the end of the connection.
 
         Raises:
-            HttpError: The response breaks the protocol, is larger than accepted, or was cut off.
+            HttpError: The response violates the protocol, exceeds a size limit, or is truncated.
         """
         try:
             if not data:
@@ -91,12 +93,12 @@
             raise HttpError(str(error)) from error
 
     def _strip_load_report(self, data: bytes) -> bytes:
-        """Return complete heads without their load report, and what follows them.
+        """Return received bytes without the load report; an incomplete head is held back until its end.
 
-        The report is not used here, and a response would be rejected for one that can't be parsed.
+        The report is not used here, and h11 would reject the whole response if the report is malformed.
 
         Raises:
-            HttpError: The bytes are no head, or it is larger than accepted.
+            HttpError: The bytes are not a response head, or the head exceeds `MAX_HEAD_LENGTH`.
         """
         if not self._head_pending:
             return data
@@ -105,7 +107,7 @@
         while self._head_pending and (end := self._partial_head.find(HEAD_END)) >= 0:
             end += len(HEAD_END)
             filtered += LOAD_REPORT_HEADER.sub(b"", self._partial_head[:end])
-            # another head follows an informational one, such as 100 Continue
+            # An informational response such as 100 Continue is followed by another head.
             self._head_pending = self._partial_head[STATUS_CLASS] == INFORMATIONAL_CLASS
             del self._partial_head[:end]
         if not self._head_pending:
@@ -113,7 +115,7 @@
         elif len(self._partial_head) > MAX_HEAD_LENGTH or not STATUS_LINE_PREFIX.startswith(
             self._partial_head[: len(STATUS_LINE_PREFIX)]
         ):
-            raise HttpError(f"no head: {bytes(self._partial_head[:40])!r}")
+            raise HttpError(f"malformed or oversized response head: {bytes(self._partial_head[:40])!r}")
         return filtered
 
     def _next_response(self) -> Response | None:
@@ -128,27 +130,27 @@
         """Store a part of the response.
 
         Raises:
-            HttpError: It makes the body larger than accepted, or is no part of a response.
+            HttpError: The body exceeds its size limit, or the event is not part of a response.
         """
         if isinstance(event, h11.Response):
             self._head = event
-            # by the announced length, so that no memory is used for a body that is rejected in the end
+            # An announced length is checked first, so that no oversized body is held in memory.
             self._check_body_length(int(dict(event.headers).get(b"content-length", b"0")))
         elif isinstance(event, h11.Data):
             self._body += event.data
             self._check_body_length(len(self._body))
         elif not isinstance(event, h11.InformationalResponse):
-            raise HttpError(f"no response but {event!r}")
+            raise HttpError(f"event is not part of a response: {event!r}")
 
     def _check_body_length(self, length: int) -> None:
         if length > self._max_body_length:
-            raise HttpError(f"body of over {self._max_body_length} bytes")
+            raise HttpError(f"response body exceeds {self._max_body_length} bytes")
 
     def response_started(self) -> bool:
-        """Return whether a part of the final response has come: informational ones may long precede it."""
+        """Return whether part of the final response, not only of an informational one, was received."""
         return bool(self._partial_head) or not self._head_pending
 
     def is_reusable(self) -> bool:
-        """Return whether another request may follow: the exchange is complete and nothing came after it."""
+        """Return whether the exchange is complete without trailing bytes, so that a request may follow."""
         complete = self._connection.our_state is self._connection.their_state is h11.DONE
         return complete and not self._connection.trailing_data[0]
--- a/cache_router/net/idle_connection_set.py
+++ b/cache_router/net/idle_connection_set.py
@@ -6,20 +6,21 @@
 
 
 class IdleConnectionSet:
-    """Idle connections, the one that has been idle for longest first, altogether and for each address."""
+    """Idle connections, ordered by the time at which they became idle, in total and per address."""
 
     def __init__(self) -> None:
         """Create an empty set."""
-        # dicts, as sets have no order; a value is the time at which its connection became idle, in seconds
+        # Both use dicts because sets have no order. `_idle_since` holds the time in seconds at which each
+        # connection became idle.
         self._idle_since: dict[UpstreamConnection, float] = {}
         self._by_address: dict[str, dict[UpstreamConnection, None]] = {}
 
     def __len__(self) -> int:
-        """Return how many connections are idle."""
+        """Return the number of idle connections."""
         return len(self._idle_since)
 
     def add(self, connection: UpstreamConnection, now: float) -> None:
-        """Add a connection that is idle from now on; `now` is in seconds."""
+        """Add a connection that has become idle at time `now`, in seconds."""
         self._idle_since[connection] = now
         self._by_address.setdefault(connection.address, {})[connection] = None
 
@@ -49,5 +50,5 @@
         return next(iter(self._by_address.get(address, ())), None)
 
     def connections_to(self, address: str) -> list[UpstreamConnection]:
-        """Return the idle connections to an address."""
+        """Return the idle connections to an address, longest idle first."""
         return list(self._by_address.get(address, ()))
--- a/cache_router/net/origin_connection.py
+++ b/cache_router/net/origin_connection.py
@@ -13,7 +13,7 @@
 OK = 200
 SERVICE_UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
-# statuses with which this header may state that the origin has not started on a request
+# Statuses with which `not-started: 1` states that the origin has not started to process the request.
 REJECTING_STATUSES = (SERVICE_UNAVAILABLE, GATEWAY_TIMEOUT)
 NOT_STARTED_HEADER = b"not-started"
 
@@ -21,24 +21,24 @@
 class OriginConnection(UpstreamConnection):
     """A connection to the origin.
 
-    The origin announces the length of a body. A body that ends with its connection may have been cut off, and
-    is not accepted.
+    A response must delimit its body by a length or by chunks. A body that ends with the connection may be
+    truncated, and is not accepted.
     """
 
     def __init__(self, owner: ConnectionOwner, address: str, incarnation: object) -> None:
-        """Prepare a connection to `address` (`host:port`), whose states are reported to `owner`."""
+        """Prepare a connection to `address` (`host:port`) that notifies `owner` of its state changes."""
         super().__init__(owner, address, incarnation)
         self._client = HttpClient(address, MAX_VALUE)
 
     def encode(self, command: Command, time_left: float) -> bytes:
-        """Encode a request: GET or PUT of the key's path; `time_left` is in seconds."""
-        # all but unreserved characters are escaped: a key could otherwise name another path, or add a query
+        """Encode a GET or PUT of the key's path; its deadline is `time_left` seconds from now."""
+        # All characters except unreserved ones are escaped: a key must not name another path or add a query.
         target = "/" + quote_from_bytes(command.key, safe="")
         headers = [(b"Request-Id", command.request_id), (b"Request-Info", command.encode_info(time_left))]
         return self._client.request("PUT" if command.is_write else "GET", target, headers, command.value)
 
     def decode(self, data: bytes) -> UpstreamResponse | None:
-        """Take bytes of a response, and return the response once it is complete.
+        """Decode received bytes; return the response once it is complete, None before.
 
         Raises:
             MalformedResponseError: The bytes are not HTTP/1.1, or the response is too large.
@@ -57,9 +57,9 @@
         return UpstreamResponse(AttemptStatus.ERROR)
 
     def response_started(self) -> bool:
-        """Return whether a part of the response has come: informational ones may long precede it."""
+        """Return whether part of the final response, not only of an informational one, was received."""
         return self._client.response_started()
 
     def is_reusable(self) -> bool:
-        """Return whether another request may follow on this connection."""
+        """Return whether another request may be sent on this connection."""
         return self._client.is_reusable()
--- a/cache_router/net/upstream_attempt.py
+++ b/cache_router/net/upstream_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request on a server: its state, and the response with which it ends."""
+"""An attempt to send a request to one upstream: its state, its timeout and its response."""
 
 from __future__ import annotations
 
@@ -13,42 +13,43 @@
 
 @dataclass(slots=True, frozen=True)
 class UpstreamResponse:
-    """How an attempt ended, with the value and the load report where the server sent them."""
+    """Outcome of an attempt; the value and the load report are empty if the server sent none."""
 
     status: AttemptStatus
     value: bytes = b""
     load_report: bytes = b""
 
 
-# called with the response at the end of an attempt, once at most
+# Called with the response when an attempt completes; called at most once per attempt.
 CompletionCallback = Callable[[UpstreamResponse], None]
-# called just before a request is written: the status with which the attempt ends instead, or None
+# Called just before a request is written. Returns None if it may be written, and otherwise the status with
+# which the attempt completes instead.
 Precondition = Callable[[], AttemptStatus | None]
 
 
 class AbortableConnection(Protocol):
-    """What an attempt needs of the connection that carries it."""
+    """The interface through which an attempt closes the connection that carries it."""
 
     def abort(self) -> None:
-        """Close at once, without sending what is still buffered."""
+        """Close immediately and discard buffered data that has not been sent."""
 
 
 def no_precondition() -> AttemptStatus | None:
-    """Return None: a request may be written as soon as its connection is established."""
+    """Allow the request to be written as soon as its connection is established."""
     return None
 
 
 class UpstreamAttempt:
-    """An attempt of a request on a server, from its creation until it is finished or abandoned.
+    """An attempt to send a request to one upstream; open until it is finished or abandoned.
 
-    It waits for a connection to be established, or a connection carries it.
+    An open attempt either waits for a connection to be established or is carried by one.
 
     Attributes:
-        command: What is requested.
+        command: The command to send.
         precondition: Called before the request is written on a new connection.
-        number: Number of the attempt among those of its request, from 0.
-        started_at: Time of its creation on the clock of its creator, in seconds.
-        is_open: Whether it is neither finished nor abandoned.
+        number: Index of the attempt among the attempts of its request, from 0.
+        started_at: Creation time in seconds, on the clock of the caller.
+        is_open: Whether the attempt is neither finished nor abandoned.
     """
 
     __slots__ = (
@@ -74,23 +75,23 @@
         number: int = 0,
         started_at: float = 0.0,
     ) -> None:
-        """Create an attempt for which the router waits `time_left` seconds.
+        """Create an attempt; its deadline is `time_left` seconds from now.
 
         Args:
-            command: What is requested.
-            time_left: Seconds for which the router waits for the response.
-            on_completed: Called with the end of the attempt, unless it is abandoned.
-            precondition: Called once a new connection is established, before the first byte is written:
-                opening a connection may take long, and much may have changed in that time.
-            number: Number of the attempt among those of its request.
-            started_at: Time of its creation on the caller's clock, in seconds.
+            command: The command to send.
+            time_left: Seconds until the deadline of the attempt.
+            on_completed: Called with the response when the attempt finishes; not called if it is abandoned.
+            precondition: Called once a new connection is established, before the first byte is written.
+                While the connection was being opened, the client or the server may have changed state.
+            number: Index of the attempt among the attempts of its request, from 0.
+            started_at: Creation time in seconds, on the clock of the caller.
         """
         self.command = command
         self.precondition = precondition
         self.number = number
         self.started_at = started_at
         self.is_open = True
-        # on the event loop's clock
+        # Deadline in seconds, on the clock of the event loop.
         self._deadline = asyncio.get_running_loop().time() + time_left
         self._on_completed = on_completed
         self._connect_task: asyncio.Task[None] | None = None
@@ -98,36 +99,36 @@
         self._timeout_timer: asyncio.TimerHandle | None = None
 
     def time_left(self) -> float:
-        """Return for how many seconds the router still waits: connecting may have taken much of the time."""
+        """Return the seconds until the deadline, at least 0; connecting may have used up part of them."""
         return max(0.0, self._deadline - asyncio.get_running_loop().time())
 
     def start_timeout(self, seconds: float, on_timeout: Callable[[], None]) -> None:
-        """Call `on_timeout` after this time, unless the attempt ends before."""
+        """Call `on_timeout` after `seconds`, unless the attempt is finished or abandoned before."""
         self._timeout_timer = asyncio.get_running_loop().call_later(seconds, on_timeout)
 
     def mark_connecting(self, task: asyncio.Task[None]) -> None:
-        """Note that `task` opens a connection for the attempt."""
+        """Record that `task` is opening a connection for the attempt."""
         self._connect_task = task
 
     def mark_connected(self) -> None:
-        """Note that the connection is established: no task opens one any more."""
+        """Record that the connection is established, so that abandoning the attempt cancels no task."""
         self._connect_task = None
 
     def mark_sent(self, connection: AbortableConnection) -> None:
-        """Note that `connection` carries the attempt."""
+        """Record that `connection` carries the attempt."""
         self._connection = connection
 
     def finish(self, response: UpstreamResponse) -> None:
-        """Report how the attempt ended, unless it has ended or was abandoned."""
+        """Complete the attempt with a response, unless it is already finished or abandoned."""
         if self.is_open:
             self._close()
             self._on_completed(response)
 
     def abandon(self) -> None:
-        """Stop waiting, and report nothing.
+        """Stop waiting for the response, without calling `on_completed`.
 
-        The connection is closed, so that the server stops working, and a late response can't be taken for
-        that of a later request.
+        The connection is closed. The server can then stop working on the request, and a late response can't
+        be mistaken for the response to a later request.
         """
         if not self.is_open:
             return
--- a/tests/cache_router/net/test_endpoint_list_reader.py
+++ b/tests/cache_router/net/test_endpoint_list_reader.py
@@ -89,4 +89,4 @@
     update = read_endpoint_list(orjson.loads(encode_endpoint_list(7, True, *entries)))
     assert [endpoint.entry.weight for endpoint in update.endpoints] == [1.5, taken]
     (line,) = caplog.messages
-    assert line == f"endpoint s-2: weight {given:g} is out of range, taken as {taken:g}"
+    assert line == f"endpoint s-2: weight {given:g} is out of range, using {taken:g}"
