--- a/cache_router/net/cache_connection.py
+++ b/cache_router/net/cache_connection.py
@@ -13,7 +13,7 @@
 from cache_router.net.upstream_attempt import UpstreamResponse
 from cache_router.net.upstream_connection import ConnectionOwner, MalformedResponseError, UpstreamConnection
 
-# Maximum number of items of one array. A response has three items, the third of which may be an array.
+# Maximum number of items of one array. A response has three items; the third may be an array.
 MAX_RESPONSE_ITEMS = 16
 # Maximum size of a response in bytes: the largest value, and room for the other items.
 MAX_RESPONSE_SIZE = MAX_VALUE + 8192
--- a/cache_router/net/discovery.py
+++ b/cache_router/net/discovery.py
@@ -114,7 +114,7 @@
     def next_poll(self) -> Poll:
         """Return the next request and its timeout.
 
-        Every poll has a timeout: `budget.notification_deadline` seconds after discovery learns of a change,
+        Every poll has a timeout: `budget.notification_deadline` seconds after discovery has a change,
         the router is considered notified of it, even if discovery has stopped responding in between.
         """
         if self.index is None:
--- a/cache_router/net/upstream_connection.py
+++ b/cache_router/net/upstream_connection.py
@@ -143,7 +143,7 @@
         try:
             response = self.decode(data)
         except Exception as error:
-            # Whatever a server sends, a decoding error must not affect more than this connection.
+            # No bytes that a server sends may affect more than this connection.
             self._fail(attempt, error)
             return
         if response is not None:
--- a/tests/cache_router/net/test_address.py
+++ b/tests/cache_router/net/test_address.py
@@ -1,4 +1,4 @@
-"""Addresses of the form `host:port`: what is accepted, and what is rejected."""
+"""Parsing of `host:port` addresses: valid and malformed ones."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     ],
 )
 def test_host_and_port_are_split_at_the_last_colon(text: str, address: tuple[str, int]) -> None:
-    """A host may hold colons of its own; a port may not."""
+    """A host may contain colons, such as an IPv6 address; a port may not."""
     assert parse_address(text) == address
 
 
 def test_address_is_written_as_host_and_port() -> None:
-    """Log lines name addresses in the form of the configuration."""
+    """Log lines show addresses in the form that the configuration uses."""
     assert str(Address("127.0.0.1", 6379)) == "127.0.0.1:6379"
     assert f"{parse_address('h:00080')}" == "h:80"
 
@@ -49,10 +49,10 @@
         "h:8_0",
         "h:0x50",
         "h:http",
-        "h:\u0663",  # a digit to `int`, but not an ASCII one
+        "h:\u0663",  # a non-ASCII digit, which `int` accepts
     ],
 )
 def test_malformed_address_is_rejected(text: str) -> None:
-    """Accepted, it would fail only when a connection is opened."""
+    """If it were accepted, the error would only appear when a connection is opened."""
     with pytest.raises(AddressError):
         parse_address(text)
--- a/tests/cache_router/net/test_attempt_runner.py
+++ b/tests/cache_router/net/test_attempt_runner.py
@@ -1,4 +1,4 @@
-"""Attempts that are not sent, or time out."""
+"""Attempts that are not sent, are cancelled, or time out."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 async def test_useless_attempts_are_not_sent_and_a_request_is_answered_once(
     router: Router, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Attempts beyond the limit or after the reply complete as not sent, and further replies are dropped."""
+    """Attempts over the limit or after the final answer are not sent; further replies are discarded."""
     completed: list[AttemptCompleted] = []
 
     def handle(now: float, event: Event) -> list[Action]:
--- a/tests/cache_router/net/test_cache_connection.py
+++ b/tests/cache_router/net/test_cache_connection.py
@@ -1,4 +1,4 @@
-"""Responses of cache servers, well formed and not."""
+"""Valid and malformed responses of cache servers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     [
         (HIT, AttemptStatus.OK, b"value"),
         (b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n", AttemptStatus.OK, b""),
-        # a load report that can't be read does not spoil the value
+        # The value is used even if the load report is malformed.
         (b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$4\r\n\xff=\r\n\r\n", AttemptStatus.OK, b"v"),
         (b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n*2\r\n:1\r\n-x\r\n", AttemptStatus.OK, b"v"),
         (MISS, AttemptStatus.MISS, b""),
@@ -28,7 +28,7 @@
 async def test_responses_of_a_cache_server(
     peer: Peer, attempt_recorders: AttemptRecorders, response: bytes, status: AttemptStatus, value: bytes
 ) -> None:
-    """Only an error that starts with BUSY is a rejection; after any other error the request may have run."""
+    """Only an error that starts with BUSY is a rejection; any other is an error: the request may have run."""
     attempts = attempt_recorders.on_caches()
     attempts.start(peer.address)
     link = await peer.link()
@@ -37,7 +37,7 @@
     assert info_without_deadline(info.decode()) == "c=read"
     link.write(response)
     assert await attempts.outcome() == (status, value)
-    attempts.start(peer.address)  # and the connection is used again
+    attempts.start(peer.address)  # reuses the connection
     await link.resp()
 
 
@@ -59,7 +59,7 @@
 async def test_malformed_response_is_an_error_and_closes_its_connection(
     peer: Peer, attempt_recorders: AttemptRecorders, response: bytes
 ) -> None:
-    """What follows on such a connection can't be distinguished from the response to a later request."""
+    """Later bytes on such a connection could be mistaken for the response to a later request."""
     attempts = attempt_recorders.on_caches()
     link = await attempts.start_on(peer)
     link.write(response)
--- a/tests/cache_router/net/test_connection_pool.py
+++ b/tests/cache_router/net/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections between attempts: which are used again, which are closed, and how many there are."""
+"""Reuse, closing and the maximum number of pooled connections."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 async def test_longest_idle_connection_is_used_first(peer: Peer, attempt_recorders: AttemptRecorders) -> None:
-    """A late second response would come after the next request, and be taken for its response."""
+    """A late second response on a connection that is reused would be taken for that of the next request."""
     attempts = attempt_recorders.on_caches()
     links = [await attempts.start_on(peer) for _ in range(2)]
     for link in links:
         link.write(HIT)
         assert await attempts.outcome() == (AttemptStatus.OK, b"value")
-    links[1].write(HIT)  # a second response
+    links[1].write(HIT)  # a second response to the same request
     attempts.start(peer.address)
     await links[0].resp()
     assert await links[1].closed_by_peer()
@@ -29,7 +29,7 @@
 async def test_connection_to_an_earlier_incarnation_is_not_used(
     peer: Peer, attempt_recorders: AttemptRecorders
 ) -> None:
-    """A machine that has failed never closes it; a request written to it would wait for its deadline."""
+    """A failed machine never closes its connections; a request sent on one would wait until its deadline."""
     attempts = attempt_recorders.on_caches()
     link = await attempts.start_on(peer)
     link.write(HIT)
@@ -40,7 +40,7 @@
 
 
 async def test_refused_connection_is_a_failed_connect(attempt_recorders: AttemptRecorders) -> None:
-    """Counted otherwise, a request that is not idempotent could not be sent elsewhere."""
+    """No request was sent, so even one that is not idempotent may be sent to another server."""
     async with Peer() as peer:
         address = peer.address
     attempts = attempt_recorders.on_caches()
@@ -50,10 +50,10 @@
 
 
 async def test_connecting_times_out(attempt_recorders: AttemptRecorders) -> None:
-    """An unreachable machine sends nothing: without a timeout the request would wait until its deadline."""
+    """An unreachable machine never responds: without a timeout, a request would wait until its deadline."""
     with socket.socket() as full, socket.socket() as first:
         full.bind(("127.0.0.1", 0))
-        full.listen(0)  # a backlog of one, which `first` occupies; the next gets no response
+        full.listen(0)  # `first` fills the backlog; the next connection gets no response
         first.connect(full.getsockname())
         attempts = attempt_recorders.on_caches(connect_timeout=0.05)
         attempts.start(format_address(full.getsockname()))
@@ -61,7 +61,7 @@
 
 
 async def test_closed_idle_connection_is_not_used(attempt_recorders: AttemptRecorders) -> None:
-    """A request written to it would end as a reset, and one that is not idempotent would fail needlessly."""
+    """A request sent on it would end as a reset, and could not be retried if it is not idempotent."""
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as server:
         server.setblocking(False)
@@ -72,7 +72,7 @@
         await loop.sock_recv(first, 4096)
         await loop.sock_sendall(first, HIT)
         await attempts.outcome()
-        first.close()  # and the event loop has not run since
+        first.close()  # closed without a turn of the event loop before the next attempt
         attempts.start(address)
         second, _ = await loop.sock_accept(server)
         await loop.sock_recv(second, 4096)
@@ -84,7 +84,7 @@
 async def test_idle_connection_is_closed_before_its_server_would(
     peer: Peer, attempt_recorders: AttemptRecorders
 ) -> None:
-    """A request written just as the server closes the connection is lost."""
+    """A request that is sent while the server closes the connection is lost."""
     attempts = attempt_recorders.on_caches(idle_timeout=connection_pool.IDLE_MARGIN + 0.01)
     link = await attempts.start_on(peer)
     link.write(HIT)
@@ -94,18 +94,18 @@
 
 
 async def test_connections_stay_within_their_limit(attempt_recorders: AttemptRecorders) -> None:
-    """Otherwise a burst would use up the descriptors that clients need."""
+    """Without a limit, a burst would use up the descriptors that clients need."""
     async with Peer() as one, Peer() as other:
         attempts = attempt_recorders.on_caches(max_connections=1)
         attempts.start(one.address)
         link = await one.link()
         await link.resp()
         attempts.start(other.address)
-        # counted as a fault of the server, it would lose its keys
+        # If this were counted as a fault of the server, its keys would be moved to other servers.
         assert await attempts.outcome() == (AttemptStatus.NOT_SENT, b"")
         link.write(HIT)
         assert await attempts.outcome() == (AttemptStatus.OK, b"value")
-        attempts.start(other.address)  # an idle one is closed for it
+        attempts.start(other.address)  # closes the idle connection to stay within the limit
         assert await link.closed_by_peer()
         await (await other.link()).resp()
 
@@ -113,7 +113,7 @@
 async def test_longest_idle_connection_to_any_server_is_closed_for_another(
     attempt_recorders: AttemptRecorders,
 ) -> None:
-    """Closed at one server each time, that server would need a handshake for every request."""
+    """If the pool always closed connections to one server, each request to it would need a handshake."""
     async with Peer() as one, Peer() as two, Peer() as three:
         attempts = attempt_recorders.on_caches(max_connections=2)
         first, second = await attempts.start_on(one), await attempts.start_on(two)
--- a/tests/cache_router/net/test_discovery.py
+++ b/tests/cache_router/net/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch of discovery's endpoint list, over loopback."""
+"""Watching the endpoint list of discovery, over loopback."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 async def test_watch_continues_from_the_received_index(peer: Peer) -> None:
-    """Each poll asks for what is newer than the last update."""
+    """Each poll requests the changes after the last update."""
     recorder = WatchRecorder(peer)
     first, link = await accept_poll(peer)
     assert first == "GET /registry/instances?after=41&wait_ms=1000 HTTP/1.1"
@@ -32,13 +32,13 @@
 
 
 async def test_subscribing_during_a_watch_makes_no_second_poll(peer: Peer) -> None:
-    """One poll is in flight at a time, also when the decisions subscribe again."""
+    """Only one poll is in flight at a time, even if the decisions subscribe again."""
     recorder = WatchRecorder(peer)
     recorder.discovery.subscribe()
     _, link = await accept_poll(peer)
     link.write(http("200 OK", encode_endpoint_list(42, False)))
     await recorder.updates.get()
-    assert "after=42&" in (await accept_poll(peer))[0]  # and none after 41 before it
+    assert "after=42&" in (await accept_poll(peer))[0]  # not a second poll after 41
     recorder.discovery.close()
 
 
@@ -58,7 +58,7 @@
 async def test_failed_poll_is_reported_and_the_next_continues_from_the_last_index(
     peer: Peer, response: bytes
 ) -> None:
-    """An incomplete list applied would remove ready servers; an exception would end the watch."""
+    """A malformed response must neither be applied, which might remove ready servers, nor end the retries."""
     recorder = WatchRecorder(peer)
     _, link = await accept_poll(peer)
     link.write(response)
@@ -70,14 +70,14 @@
 
 
 async def test_refused_connection_is_reported_as_a_failed_poll() -> None:
-    """The decisions have to schedule the next poll."""
+    """The decisions schedule the next poll when they are notified of the failure."""
     async with Peer() as peer:
         pass
     assert await WatchRecorder(peer).updates.get() is None
 
 
 async def test_poll_of_a_silent_discovery_times_out(peer: Peer) -> None:
-    """Its changes count as notified: a router that waited longer would send to draining servers."""
+    """Discovery considers the router notified: if it waited longer, it would send to draining servers."""
     recorder = WatchRecorder(
         peer,
         WatchBudget(response_timeout=0.05, max_backoff=0.0, scheduling_slack=0.0, notification_deadline=0.15),
@@ -88,7 +88,7 @@
 
 
 async def test_exception_in_an_update_is_reported_as_a_failed_poll(peer: Peer) -> None:
-    """A watch that ended without a notification would leave the router with its old list until a restart."""
+    """If a failed watch were not reported, the router would keep its old list until a restart."""
 
     def faulty(kind: EndpointUpdateKind, endpoints: list[NetworkEndpoint]) -> None:
         raise RuntimeError("faulty")
@@ -101,7 +101,7 @@
 
 
 async def test_watch_of_a_new_address_requests_the_complete_list_and_the_old_one_reports_nothing() -> None:
-    """Indexes are those of one discovery: polled with another's index, it may send nothing."""
+    """Each discovery has its own indexes: polled with the index of another, it may report no changes."""
     async with Peer() as old, Peer() as new:
         recorder = WatchRecorder(old)
         _, link = await accept_poll(old)
@@ -118,7 +118,7 @@
 
 
 async def test_first_update_ends_the_wait_for_it(peer: Peer) -> None:
-    """A start waits for the agent's list, and a failed poll is none."""
+    """At startup the router waits for the list of the agent; a failed poll does not end the wait."""
     recorder = WatchRecorder(peer)
     waiting = asyncio.create_task(recorder.discovery.wait_for_first_update())
     _, link = await accept_poll(peer)
--- a/tests/cache_router/net/test_endpoint_list_reader.py
+++ b/tests/cache_router/net/test_endpoint_list_reader.py
@@ -1,4 +1,4 @@
-"""How the messages of discovery are read."""
+"""Reading of the messages of discovery."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 
 
 def test_endpoint_entry_is_read() -> None:
-    """The fields of an entry are mapped to those of `Endpoint`; a start long ago is 0."""
+    """The fields of an entry are mapped to those of `Endpoint`; `since_ms` 0 is a start time of 0."""
     update = read_endpoint_list(orjson.loads(encode_endpoint_list(7, True, ENDPOINT_ENTRY)))
     (endpoint,) = update.endpoints
     assert (update.index, update.is_snapshot, endpoint.address) == (7, True, "127.0.0.9:6379")
     entry = Endpoint("s-1", EndpointState.READY, "m2", "a", 3, 1.5, 1_790_000_000.25)
-    assert endpoint.entry == entry  # the name as every router has it, the start on this router's clock
+    # The name is kept, so that all routers agree on it; the start time is in seconds of the router's clock.
+    assert endpoint.entry == entry
     (started_long_ago,) = read_endpoint_list(
         orjson.loads(encode_endpoint_list(7, True, {**ENDPOINT_ENTRY, "since_ms": 0}))
     ).endpoints
@@ -38,7 +39,7 @@
     ],
 )
 def test_malformed_entry_is_named_in_the_error(change: dict[str, Any], field: str) -> None:
-    """The error names the position of the entry and its field."""
+    """The error names the index of the entry and the malformed field."""
     with pytest.raises(EndpointListError, match=rf"^known\.endpoints\[1\]\.{field}"):
         read_endpoint_list(
             {"index": 1, "snapshot": True, "endpoints": [ENDPOINT_ENTRY, {**ENDPOINT_ENTRY, **change}]},
@@ -57,14 +58,14 @@
     ],
 )
 def test_malformed_message_is_named_in_the_error(message: object, error: str) -> None:
-    """A bool is no number in JSON, and a number no bool."""
+    """In JSON, a bool is not a number, and a number is not a bool."""
     with pytest.raises(EndpointListError) as caught:
         read_endpoint_list(message)
     assert str(caught.value) == error
 
 
 def test_error_quotes_the_beginning_of_a_malformed_value() -> None:
-    """An error is one line in a log, however long the value is."""
+    """An error stays a single short log line, regardless of the length of the value."""
     entry = {**ENDPOINT_ENTRY, "status": "x" * 900}
     with pytest.raises(EndpointListError) as caught:
         read_endpoint_list({"index": 1, "snapshot": True, "endpoints": [entry]})
@@ -72,7 +73,7 @@
 
 
 def test_negative_weight_counts_as_unknown() -> None:
-    """0 is the weight of an endpoint whose capacity discovery does not know."""
+    """A weight of 0 marks an endpoint whose capacity is unknown to discovery."""
     message = {"index": 1, "snapshot": False, "endpoints": [{**ENDPOINT_ENTRY, "weight": -1.5}]}
     (endpoint,) = read_endpoint_list(message).endpoints
     assert endpoint.entry.weight == 0
@@ -84,7 +85,7 @@
 def test_weight_out_of_range_is_bounded_and_named_in_one_line(
     given: float, taken: float, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """A power of it exceeded the range of a float: no list with this entry ever came into force."""
+    """Unbounded weights overflowed a float in a power, and no list with such an entry could be applied."""
     entries = [ENDPOINT_ENTRY, {**ENDPOINT_ENTRY, "name": "s-2", "weight": given}]
     update = read_endpoint_list(orjson.loads(encode_endpoint_list(7, True, *entries)))
     assert [endpoint.entry.weight for endpoint in update.endpoints] == [1.5, taken]
--- a/tests/cache_router/net/test_endpoint_table.py
+++ b/tests/cache_router/net/test_endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoint table: connections that an update makes useless, and what an update costs."""
+"""The endpoint table: lookup, stale connections after an update, and the cost of an update."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("change", ["removed", "draining", "restarted", "replaced"])
 async def test_idle_connections_to_an_ended_process_are_closed(router: Router, change: str) -> None:
-    """A machine that has failed never closes them, and another process may be started at its address."""
+    """A failed machine never closes its connections, and another process may be started at its address."""
     client, cache = await router.start_read()
     cache.write(HIT)
     assert await client.resp() == b"value"
@@ -51,12 +51,12 @@
 
 
 def make_pools() -> tuple[ConnectionPool, ConnectionPool]:
-    """Return the empty pools of connections to cache servers and to origins."""
+    """Return an empty pool of connections to cache servers, and one to origins."""
     return ConnectionPool(CacheConnection, 8, 1.0, 60.0), ConnectionPool(OriginConnection, 8, 1.0, 60.0)
 
 
 def test_complete_list_replaces_the_entries_and_changed_entries_are_added() -> None:
-    """A server that stays listed after its removal would be sent requests."""
+    """A server that stayed in the table after its removal would be sent requests."""
     endpoints = EndpointTable(*make_pools(), "origin")
     endpoints.apply(EndpointUpdateKind.SNAPSHOT, [A, B])
     assert (list(endpoints), len(endpoints)) == (["a", "b"], 2)
@@ -83,7 +83,7 @@
     ids=["same", "weight", "draining", "removed", "restarted"],
 )
 def test_endpoint_is_sendable_while_the_same_incarnation_is_ready(entry: Endpoint, is_sendable: bool) -> None:
-    """An attempt was decided for one process: another at its address has other keys."""
+    """An attempt is meant for one process; another process at its address caches other keys."""
     endpoints = EndpointTable(*make_pools(), "origin")
     endpoints.apply(EndpointUpdateKind.SNAPSHOT, [A])
     endpoints.apply(EndpointUpdateKind.DELTA, [NetworkEndpoint(entry, ADDRESS)])
@@ -91,7 +91,7 @@
 
 
 def test_origins_have_a_pool_of_their_own() -> None:
-    """They speak another protocol; without an origin kind the router sends to cache servers only."""
+    """Origins speak another protocol; without an origin kind, all endpoints are cache servers."""
     caches, origins = make_pools()
     endpoints = EndpointTable(caches, origins, "origin")
     assert endpoints.pool_of(A) is caches
@@ -100,7 +100,7 @@
 
 
 def test_ready_cache_is_neither_draining_nor_an_origin() -> None:
-    """A router without one can serve no read, and its health check must fail."""
+    """A router without a ready cache can serve no reads, so its health check must fail."""
     endpoints = EndpointTable(*make_pools(), "origin")
     endpoints.apply(EndpointUpdateKind.SNAPSHOT, [ORIGIN])
     assert not endpoints.has_ready_cache()
@@ -112,7 +112,7 @@
 
 
 def count_bytecodes(work: Callable[[], object]) -> int:
-    """Count the bytecodes of Python code; unlike a time, the count is the same on a busy machine."""
+    """Return the number of bytecodes that `work` executes, which does not depend on the machine's load."""
     count = 0
 
     def trace(frame: FrameType, event: str, _: Any) -> Any:
@@ -130,12 +130,12 @@
 
 
 def make_dispatcher() -> Dispatcher:
-    """Return a dispatcher without a listener, which knows no endpoints yet."""
+    """Return a dispatcher without a listener and without endpoints."""
     return Dispatcher(settings(), 1, *make_pools(), lambda: None)
 
 
 def update_cost(change: Endpoint, size: int) -> int:
-    """Count the bytecodes that the dispatcher runs when one entry changes in a list of so many.
+    """Return the number of bytecodes that applying a change executes, in a list of `size` servers.
 
     An event loop must be running.
     """
@@ -164,14 +164,14 @@
     ids=["drain", "removal", "restart", "weight", "join"],
 )
 async def test_update_costs_no_more_than_in_proportion_to_the_list(change: Endpoint) -> None:
-    """When each change rebuilt all points of the ring, 840 servers cost a pause of 33 to 48 ms."""
+    """Rebuilding the whole ring for each change caused pauses of 33 to 48 ms with 840 servers."""
     small, large = update_cost(change, 60), update_cost(change, 240)
-    assert large - small <= 180 * 128 / 2  # half a bytecode for each point of the others
+    assert large - small <= 180 * 128 / 2  # half a bytecode per virtual node of the 180 added servers
     assert large < 4 * small
 
 
 async def test_empty_update_costs_the_same_for_any_list() -> None:
-    """A watch whose wait ends without a change used to rebuild the ring several times a minute."""
+    """Long polls that ended without a change used to rebuild the ring several times a minute."""
     dispatcher = make_dispatcher()
     counts = []
     for size in (10, 200):
--- a/tests/cache_router/net/test_idle_connection_set.py
+++ b/tests/cache_router/net/test_idle_connection_set.py
@@ -1,4 +1,4 @@
-"""The order of idle connections, altogether and for each address."""
+"""Order of idle connections, in total and per address."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def test_longest_idle_connection_comes_first() -> None:
-    """The one used last is more likely to carry a late second response."""
+    """The most recently used connection is the most likely to receive a late second response."""
     idle = IdleConnectionSet()
     assert idle.longest_idle() is idle.longest_idle_to(A) is None
     first, second, third = (make_connection(address) for address in (B, A, A))
@@ -31,7 +31,7 @@
 
 
 def test_connection_that_is_used_again_is_idle_for_the_shortest_time() -> None:
-    """A connection that kept its place would be closed in place of one that is not needed."""
+    """If it kept its old position, the pool would close it before connections that are not in use."""
     idle = IdleConnectionSet()
     first, second = make_connection(A), make_connection(A)
     for now, connection in enumerate((first, second)):
@@ -44,7 +44,7 @@
 
 
 def test_discarded_connection_is_not_returned() -> None:
-    """A connection that is closed twice is discarded twice; one that carries an attempt is not idle."""
+    """A connection may be discarded twice: when it is aborted, and when it is closed."""
     idle = IdleConnectionSet()
     connection = make_connection(A)
     idle.add(connection, 0.0)
--- a/tests/cache_router/net/test_origin_connection.py
+++ b/tests/cache_router/net/test_origin_connection.py
@@ -1,4 +1,4 @@
-"""Requests to the origin and its responses, well formed and not."""
+"""Requests to the origin, and its valid and malformed responses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.support.loopback import Link, Peer, http
 from tests.support.upstream_attempts import GET, AttemptRecorder, AttemptRecorders, info_without_deadline
 
-# the characters that RFC 3986 allows unescaped in a path
+# Unreserved characters of RFC 3986, which need no escaping in a path.
 UNRESERVED = (string.ascii_letters + string.digits + "-._~").encode()
 
 
@@ -51,14 +51,14 @@
 async def test_responses_of_the_origin(
     peer: Peer, attempt_recorders: AttemptRecorders, response: bytes, status: AttemptStatus, value: bytes
 ) -> None:
-    """Only a rejection that says so was not started; any other request with an error may have run."""
+    """Only `Not-Started: 1` with status 503 or 504 is a rejection; after any other error it may have run."""
     attempts = attempt_recorders.on_origin()
     link, first, headers, _ = await start_on_origin(peer, attempts)
     assert first == "GET /k HTTP/1.1"
     assert (headers["request-id"], info_without_deadline(headers["request-info"])) == ("r1", "c=read")
     link.write(response)
     assert await attempts.outcome() == (status, value)
-    attempts.start(peer.address)  # and the connection is used again
+    attempts.start(peer.address)  # reuses the connection
     await link.http()
 
 
@@ -68,12 +68,9 @@
         (b"hello\r\n\r\n", AttemptStatus.ERROR),
         (http("200 OK", b"x" * 70000), AttemptStatus.ERROR),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nval", AttemptStatus.RESET),
-        (
-            b"HTTP/1.1 200 OK\r\n\r\nvalue",
-            AttemptStatus.RESET,
-        ),  # without a length nothing shows that it is complete
+        (b"HTTP/1.1 200 OK\r\n\r\nvalue", AttemptStatus.RESET),  # no length: possibly truncated
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nv", AttemptStatus.ERROR),
-        (b"ICY 200 OK", AttemptStatus.ERROR),  # without waiting for more
+        (b"ICY 200 OK", AttemptStatus.ERROR),  # fails without waiting for further bytes
         (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 20000, AttemptStatus.ERROR),
         (b"", AttemptStatus.RESET),
     ],
@@ -81,7 +78,7 @@
 async def test_malformed_and_broken_responses_of_the_origin(
     peer: Peer, attempt_recorders: AttemptRecorders, response: bytes, status: AttemptStatus
 ) -> None:
-    """A response that was cut off is a reset; one that can't be used ends its attempt at once."""
+    """A truncated response is a reset; a malformed or oversized one is an error immediately."""
     attempts = attempt_recorders.on_origin()
     link, *_ = await start_on_origin(peer, attempts)
     link.write(response)
@@ -95,7 +92,7 @@
 async def test_key_is_encoded_as_one_path_segment(
     peer: Peer, attempt_recorders: AttemptRecorders, key: bytes
 ) -> None:
-    """A key that names another path would read or overwrite another resource."""
+    """An unescaped key could name another path, and read or overwrite another resource."""
     attempts = attempt_recorders.on_origin()
     put = Command(b"C.SET", key, b"r1", {"d": "900"}, 900, b"slot")
     _, first, _, body = await start_on_origin(peer, attempts, put)
@@ -109,7 +106,7 @@
 async def test_request_that_cannot_be_encoded_ends_its_attempt_at_once(
     peer: Peer, attempt_recorders: AttemptRecorders
 ) -> None:
-    """Without an outcome its request would stay in flight until the deadline."""
+    """An attempt without an outcome would keep its request in flight until the deadline."""
     attempts = attempt_recorders.on_origin()
     attempts.start(peer.address, Command(b"C.GET", b"k", b"r1", {"x": "a\r\nb", "d": "9"}, 9))
     assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
--- a/tests/cache_router/net/test_upstream_attempt.py
+++ b/tests/cache_router/net/test_upstream_attempt.py
@@ -1,4 +1,4 @@
-"""The states of an attempt: it ends once, and an abandoned one releases what works for it."""
+"""State changes of an attempt: it completes once, and releases its connection if it is abandoned."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     """A connection that counts how often it is aborted."""
 
     def __init__(self) -> None:
-        """Create a connection that was never aborted."""
+        """Create a connection that has not been aborted."""
         self.aborts = 0
 
     def abort(self) -> None:
@@ -27,7 +27,7 @@
 
 
 async def test_attempt_reports_its_first_response_only() -> None:
-    """A request that got two outcomes of one attempt would be counted and answered twice."""
+    """If an attempt had two outcomes, its request would be counted and answered twice."""
     responses: list[UpstreamResponse] = []
     attempt = UpstreamAttempt(GET, 0.5, responses.append)
     assert attempt.is_open
@@ -38,7 +38,7 @@
 
 
 async def test_abandoned_attempt_aborts_its_connection_and_reports_nothing() -> None:
-    """Its owner knows of the end already; the server is to stop working."""
+    """The caller already knows the outcome; closing the connection lets the server stop its work."""
     responses: list[UpstreamResponse] = []
     connection = Connection()
     attempt = UpstreamAttempt(GET, 0.5, responses.append)
@@ -51,7 +51,7 @@
 
 
 async def test_finished_attempt_leaves_its_connection_open_when_it_is_abandoned() -> None:
-    """The connection may carry the attempt of another request by then."""
+    """The connection may already carry the attempt of another request."""
     connection = Connection()
     attempt = UpstreamAttempt(GET, 0.5, lambda response: None)
     attempt.mark_sent(connection)
@@ -64,7 +64,7 @@
 async def test_abandoned_attempt_stops_the_task_that_connects_only_until_it_is_connected(
     is_connected: bool,
 ) -> None:
-    """The task outlives the connecting: it is the one that sends the request."""
+    """After connecting, the same task sends the request, and must not be cancelled any more."""
     connecting = asyncio.create_task(asyncio.sleep(60.0))
     attempt = UpstreamAttempt(GET, 0.5, lambda response: None)
     attempt.mark_connecting(connecting)
@@ -76,7 +76,7 @@
 
 
 async def test_timeout_runs_unless_the_attempt_has_ended() -> None:
-    """A timer that outlives its attempt would keep the request in memory."""
+    """A timer that is not cancelled would call back for a completed attempt and hold it in memory."""
     timed_out: list[str] = []
     names = ("open", "finished", "abandoned")
     attempts = {name: UpstreamAttempt(GET, 0.5, lambda response: None) for name in names}
@@ -90,7 +90,7 @@
 
 
 async def test_time_left_is_never_negative() -> None:
-    """A server would be given a deadline in the past."""
+    """A negative time would give the server a deadline in the past."""
     attempt = UpstreamAttempt(GET, 0.0, lambda response: None)
     await asyncio.sleep(0.001)
     assert attempt.time_left() == 0.0
--- a/tests/cache_router/net/test_upstream_connection.py
+++ b/tests/cache_router/net/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""One attempt on a connection: its outcome depends on whether the request may have run."""
+"""Attempts on a connection, whose outcome depends on whether the server may have run the request."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class RecordingOwner:
-    """The owner of a connection, which records the notifications in their order."""
+    """The owner of a connection; records notifications in order."""
 
     def __init__(self) -> None:
-        """Create an owner that was not notified yet."""
+        """Create an owner without notifications."""
         self.notifications: list[str] = []
 
     def on_connected(self, connection: UpstreamConnection) -> None:
@@ -38,7 +38,7 @@
 
 
 async def connect(owner: RecordingOwner, peer: Peer) -> CacheConnection:
-    """Establish a connection of an owner to a peer."""
+    """Return an established connection to a peer that notifies an owner."""
     _, connection = await asyncio.get_running_loop().create_connection(
         lambda: CacheConnection(owner, peer.address, "incarnation"), *parse_address(peer.address)
     )
@@ -46,7 +46,7 @@
 
 
 async def test_owner_is_notified_of_the_states_of_its_connection(peer: Peer) -> None:
-    """A connection that its owner counts after its end would take the place of another."""
+    """A closed connection that its owner still counts would use up part of the connection limit."""
     owner = RecordingOwner()
     responses: asyncio.Queue[UpstreamResponse] = asyncio.Queue()
     connection = await connect(owner, peer)
@@ -64,7 +64,7 @@
 
 
 async def test_aborted_connection_notifies_its_owner_at_once(peer: Peer) -> None:
-    """Counted until the event loop has closed it, it would keep another from being opened."""
+    """If it were counted until the event loop has closed it, no other could be opened in its place."""
     owner = RecordingOwner()
     connection = await connect(owner, peer)
     connection.abort()
@@ -74,11 +74,11 @@
 
 @pytest.mark.parametrize("arrival", ["bytes", "close"])
 async def test_idle_connection_is_not_usable_once_bytes_or_a_close_arrive(peer: Peer, arrival: str) -> None:
-    """A request written after them would be lost, or be answered by what precedes it."""
+    """A request written now would be lost, or the received bytes would be taken for its response."""
     connection = await connect(RecordingOwner(), peer)
     link = await peer.link()
     assert connection.is_usable()
-    # before the event loop of the router can see it
+    # The arrival is not yet processed by the router's event loop.
     if arrival == "bytes":
         link.write(HIT)
     else:
@@ -88,7 +88,7 @@
 
 
 async def test_sending_an_attempt_stops_the_idle_timeout(peer: Peer) -> None:
-    """It would close the connection under the request."""
+    """The idle timeout would otherwise close the connection while the request is in flight."""
     responses: asyncio.Queue[UpstreamResponse] = asyncio.Queue()
     connection = await connect(RecordingOwner(), peer)
     connection.abort_after(0.0)
@@ -108,7 +108,7 @@
     kind: type[UpstreamConnection],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Otherwise a response shorter than announced would keep its request in flight until the deadline."""
+    """Without a timeout, a truncated response would keep its request in flight until the deadline."""
     monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_TIMEOUT", 0.02)
     attempts = attempt_recorders.on_pool(ConnectionPool(kind, 8, 1.0, 60.0, 0.0))
     attempts.start(peer.address)
@@ -123,7 +123,7 @@
 async def test_data_after_a_response_closes_the_connection(
     peer: Peer, attempt_recorders: AttemptRecorders
 ) -> None:
-    """These bytes would be taken for the response to the next request."""
+    """The extra bytes would be taken for the response to the next request."""
     attempts = attempt_recorders.on_caches()
     link = await attempts.start_on(peer)
     link.write(HIT + HIT)
@@ -136,7 +136,7 @@
 async def test_disconnect_after_the_last_byte_is_a_reset(
     peer: Peer, attempt_recorders: AttemptRecorders, how: str
 ) -> None:
-    """Sent elsewhere, a request that is not idempotent might run twice."""
+    """The server may have run the request; if it is not idempotent, a retry might run it twice."""
     attempts = attempt_recorders.on_caches()
     link = await attempts.start_on(peer)
     getattr(link, how)()
@@ -146,7 +146,7 @@
 async def test_disconnect_before_the_last_byte_is_a_failed_connect(
     peer: Peer, attempt_recorders: AttemptRecorders
 ) -> None:
-    """Counted as a reset, a request that is not idempotent could not be retried, though it can't have run."""
+    """The server can't have run the request, so even one that is not idempotent may be retried."""
     attempts = attempt_recorders.on_caches()
     attempts.start(peer.address, HUGE_SET)
     link = await peer.link()
@@ -158,7 +158,7 @@
 async def test_disconnect_after_a_request_written_in_pieces_is_a_reset(
     peer: Peer, attempt_recorders: AttemptRecorders
 ) -> None:
-    """Bytes that the event loop buffers are written only when the kernel has them."""
+    """Buffered bytes count as written once the event loop has passed them to the kernel."""
     attempts = attempt_recorders.on_caches()
     attempts.start(peer.address, HUGE_SET)
     link = await peer.link()
@@ -170,7 +170,7 @@
 async def test_abandoning_an_attempt_closes_its_connection(
     peer: Peer, attempt_recorders: AttemptRecorders
 ) -> None:
-    """Otherwise the server would continue to work, and its late response would be taken for the next one."""
+    """On an open connection, the server would keep working, and its late response could be mistaken."""
     attempts = attempt_recorders.on_caches()
     attempt = attempts.start(peer.address)
     link = await peer.link()
@@ -183,7 +183,7 @@
 async def test_abandoning_an_attempt_while_connecting_sends_nothing(
     peer: Peer, attempt_recorders: AttemptRecorders
 ) -> None:
-    """Written all the same, the request would run for nobody, and delay the next one."""
+    """If the request were still sent, the server would run it in vain and delay the next request."""
     attempts = attempt_recorders.on_caches()
     attempt = attempts.start(peer.address)
     assert attempts.pool.connecting_count == 1
--- a/tests/cache_router/net/test_upstream_responses.py
+++ b/tests/cache_router/net/test_upstream_responses.py
@@ -1,4 +1,4 @@
-"""Responses of servers that come in an unusual order, over loopback."""
+"""Late second responses and informational responses of servers, over loopback."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @router_with(reuse_delay=60.0)
 async def test_late_second_response_is_not_taken_for_another_request(router: Router) -> None:
-    """On a connection reused at once it came after the next request, and was served as its value."""
+    """If the connection is reused immediately, a late response is served as the value of another request."""
     client, first = await router.start_read()
     first.write(HIT)
     assert await client.resp() == b"value"
@@ -29,7 +29,7 @@
 
 @router_with(reuse_delay=0.0)
 async def test_connection_is_reused_after_the_reuse_delay(router: Router) -> None:
-    """After the delay no late response is expected any more, and reuse saves a handshake."""
+    """After the delay, a late response is no longer expected, and reuse saves a handshake."""
     client, cache = await router.start_read()
     cache.write(HIT)
     assert await client.resp() == b"value"
@@ -40,7 +40,7 @@
 async def test_informational_response_does_not_start_the_completion_timeout(
     router: Router, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The origin sends `100 Continue` at once and its response when its work is done."""
+    """The origin sends `100 Continue` immediately, and the final response once its work is done."""
     monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_TIMEOUT", 0.0)
     received = asyncio.Event()
     data_received = OriginConnection.data_received
@@ -56,7 +56,7 @@
     await origin.http()
     origin.write(b"HTTP/1.1 100 Continue\r\n\r\n")
     await received.wait()
-    for _ in range(5):  # enough for a timer of 0 s
+    for _ in range(5):  # enough turns of the event loop for a timer of 0 s to fire
         await asyncio.sleep(0)
     origin.write(http("200 OK", b"receipt"))
     assert await client.resp() == b"receipt"
--- a/tests/cache_router/net/test_watch_failures.py
+++ b/tests/cache_router/net/test_watch_failures.py
@@ -1,4 +1,4 @@
-"""Watches of discovery that fail, over loopback."""
+"""Failed watches of the endpoint list, over loopback."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 @pytest.mark.parametrize("failure", ["silent", "reset", "malformed"])
 async def test_failed_watch_is_reopened_before_the_drain_deadline(failure: str) -> None:
-    """The exponential backoff would last 30 s and more, while discovery was notified of a drain long ago."""
+    """Exponential backoff would take 30 s and more, and the router would not learn of a drain in time."""
     short_budget = WatchBudget(
         response_timeout=0.02, max_backoff=0.0, scheduling_slack=0.0, notification_deadline=0.06
     )
 
     async with Peer() as agent, Router(PUSHED) as router:
         router.watch(agent, budget=short_budget)
-        for _ in range(3):  # consecutive failures
+        for _ in range(3):  # consecutive failed polls
             link = await next_poll(agent)
             if failure == "reset":
                 link.reset()
@@ -40,27 +40,27 @@
         link = await next_poll(agent)
         draining = peer_entry("a", router.caches["a"], status="terminating")
         link.write(http("200 OK", encode_endpoint_list(2, False, draining)))
-        await next_poll(agent)  # after the update
+        await next_poll(agent)  # sent once the update is applied
         assert router.discovery is not None
         router.discovery.close()
         router.watch(agent, budget=PUSHED.watch_budget)
-        await next_poll(agent)  # a long poll, in flight from now on
+        await next_poll(agent)  # a long poll that stays in flight
         client = await router.client()
         await read_values(client, router.caches["b"], 8)
         assert router.caches["a"].links.empty()
 
 
 async def test_first_poll_of_a_new_address_times_out_without_its_wait() -> None:
-    """A new address has 4 s after SIGHUP to notify the router: a lost first poll must not take five."""
+    """A new address must notify the router within 4 s of SIGHUP, so a lost first poll must not take 5 s."""
     async with Peer() as old, Peer() as new, Router(PUSHED) as router:
         router.watch(old, pushed=True, budget=WatchBudget(response_timeout=0.02, notification_deadline=600.0))
-        await next_poll(old)  # the first, at the start
+        await next_poll(old)  # the first poll, at startup
         await next_poll(old)
         assert router.discovery is not None
         router.discovery.change_address(new.address)
         router.dispatcher.on_discovery_address_changed()
         router.discovery.subscribe()
-        await next_poll(new)  # lost: it gets no response
+        await next_poll(new)  # lost: gets no response
         link = await next_poll(new)
         link.write(http("200 OK", encode_endpoint_list(2, True, peer_entry("b", router.caches["b"]))))
         await next_poll(new)
