--- a/cache_router/net/upstream_connection.py
+++ b/cache_router/net/upstream_connection.py
@@ -60,7 +60,7 @@
         self._attempt: UpstreamAttempt | None = None
         # Whether the whole request has been passed to the kernel.
         self._request_written = False
-        # Limits the time for which the connection is idle, or for which a response is incomplete.
+        # Timer that limits how long the connection is idle, or how long a response is incomplete.
         self._timeout: asyncio.TimerHandle | None = None
 
     @abstractmethod
--- a/tests/cache_router/net/test_connection_pool.py
+++ b/tests/cache_router/net/test_connection_pool.py
@@ -51,12 +51,12 @@
 
 async def test_connecting_times_out(attempt_recorders: AttemptRecorders) -> None:
     """An unreachable machine never responds: without a timeout, a request would wait until its deadline."""
-    with socket.socket() as full, socket.socket() as first:
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)  # `first` fills the backlog; the next connection gets no response
-        first.connect(full.getsockname())
+    with socket.socket() as listener, socket.socket() as first:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(0)  # `first` fills the backlog; the next connection gets no response
+        first.connect(listener.getsockname())
         attempts = attempt_recorders.on_caches(connect_timeout=0.05)
-        attempts.start(format_address(full.getsockname()))
+        attempts.start(format_address(listener.getsockname()))
         assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
 
 
@@ -72,7 +72,7 @@
         await loop.sock_recv(first, 4096)
         await loop.sock_sendall(first, HIT)
         await attempts.outcome()
-        first.close()  # closed without a turn of the event loop before the next attempt
+        first.close()  # the event loop does not run before the next attempt
         attempts.start(address)
         second, _ = await loop.sock_accept(server)
         await loop.sock_recv(second, 4096)
--- a/tests/cache_router/net/test_discovery.py
+++ b/tests/cache_router/net/test_discovery.py
@@ -17,14 +17,14 @@
 async def test_watch_continues_from_the_received_index(peer: Peer) -> None:
     """Each poll requests the changes after the last update."""
     recorder = WatchRecorder(peer)
-    first, link = await accept_poll(peer)
-    assert first == "GET /registry/instances?after=41&wait_ms=1000 HTTP/1.1"
+    request_line, link = await accept_poll(peer)
+    assert request_line == "GET /registry/instances?after=41&wait_ms=1000 HTTP/1.1"
     link.write(http("200 OK", encode_endpoint_list(43, False, {**ENDPOINT_ENTRY, "status": "terminating"})))
     kind, (endpoint,) = await recorder.next_update()
     assert kind is EndpointUpdateKind.DELTA
     assert endpoint.entry.state is EndpointState.DRAINING
-    first, link = await accept_poll(peer)
-    assert "after=43&" in first
+    request_line, link = await accept_poll(peer)
+    assert "after=43&" in request_line
     link.write(http("200 OK", encode_endpoint_list(50, True, ENDPOINT_ENTRY)))
     assert (await recorder.next_update())[0] is EndpointUpdateKind.SNAPSHOT
     assert "after=50&" in (await accept_poll(peer))[0]
@@ -108,8 +108,8 @@
         recorder.discovery.change_address(new.address)
         assert await link.closed_by_peer()
         recorder.discovery.subscribe()
-        first, link = await accept_poll(new)
-        assert first == "GET /registry/instances HTTP/1.1"
+        request_line, link = await accept_poll(new)
+        assert request_line == "GET /registry/instances HTTP/1.1"
         link.write(http("200 OK", encode_endpoint_list(3, True, ENDPOINT_ENTRY)))
         assert (await recorder.next_update())[0] is EndpointUpdateKind.SNAPSHOT
         assert "after=3&" in (await accept_poll(new))[0]
--- a/tests/cache_router/net/test_origin_connection.py
+++ b/tests/cache_router/net/test_origin_connection.py
@@ -53,8 +53,8 @@
 ) -> None:
     """Only `Not-Started: 1` with status 503 or 504 is a rejection; after any other error it may have run."""
     attempts = attempt_recorders.on_origin()
-    link, first, headers, _ = await start_on_origin(peer, attempts)
-    assert first == "GET /k HTTP/1.1"
+    link, request_line, headers, _ = await start_on_origin(peer, attempts)
+    assert request_line == "GET /k HTTP/1.1"
     assert (headers["request-id"], info_without_deadline(headers["request-info"])) == ("r1", "c=read")
     link.write(response)
     assert await attempts.outcome() == (status, value)
@@ -95,8 +95,8 @@
     """An unescaped key could name another path, and read or overwrite another resource."""
     attempts = attempt_recorders.on_origin()
     put = Command(b"C.SET", key, b"r1", {"d": "900"}, 900, b"slot")
-    _, first, _, body = await start_on_origin(peer, attempts, put)
-    method, path, _ = first.split(" ")
+    _, request_line, _, body = await start_on_origin(peer, attempts, put)
+    method, path, _ = request_line.split(" ")
     assert method == "PUT"
     assert body == b"slot"
     assert not set(path[1:]) & set("/?# ")
--- a/tests/cache_router/net/test_upstream_connection.py
+++ b/tests/cache_router/net/test_upstream_connection.py
@@ -170,7 +170,10 @@
 async def test_abandoning_an_attempt_closes_its_connection(
     peer: Peer, attempt_recorders: AttemptRecorders
 ) -> None:
-    """On an open connection, the server would keep working, and its late response could be mistaken."""
+    """If the connection stayed open, the server would keep working on the request.
+
+    Its late response would be taken for the response to the next request.
+    """
     attempts = attempt_recorders.on_caches()
     attempt = attempts.start(peer.address)
     link = await peer.link()
--- a/tests/cache_router/net/test_watch_failures.py
+++ b/tests/cache_router/net/test_watch_failures.py
@@ -11,7 +11,7 @@
 from tests.support.loopback import Link, Peer, http
 from tests.support.loopback_router import SETTINGS, Router, read_values
 
-PUSHED = replace(
+AGENT_SETTINGS = replace(
     SETTINGS, must_subscribe=False, drain_grace_period=0.5, overload_window=60.0, slow_start_duration=60.0
 )
 
@@ -24,12 +24,12 @@
 
 @pytest.mark.parametrize("failure", ["silent", "reset", "malformed"])
 async def test_failed_watch_is_reopened_before_the_drain_deadline(failure: str) -> None:
-    """Exponential backoff would take 30 s and more, and the router would not learn of a drain in time."""
+    """Exponential backoff would take 30 s and more, too late for the deadline of a drain."""
     short_budget = WatchBudget(
         response_timeout=0.02, max_backoff=0.0, scheduling_slack=0.0, notification_deadline=0.06
     )
 
-    async with Peer() as agent, Router(PUSHED) as router:
+    async with Peer() as agent, Router(AGENT_SETTINGS) as router:
         router.watch(agent, budget=short_budget)
         for _ in range(3):  # consecutive failed polls
             link = await next_poll(agent)
@@ -43,7 +43,7 @@
         await next_poll(agent)  # sent once the update is applied
         assert router.discovery is not None
         router.discovery.close()
-        router.watch(agent, budget=PUSHED.watch_budget)
+        router.watch(agent, budget=AGENT_SETTINGS.watch_budget)
         await next_poll(agent)  # a long poll that stays in flight
         client = await router.client()
         await read_values(client, router.caches["b"], 8)
@@ -52,7 +52,7 @@
 
 async def test_first_poll_of_a_new_address_times_out_without_its_wait() -> None:
     """A new address must notify the router within 4 s of SIGHUP, so a lost first poll must not take 5 s."""
-    async with Peer() as old, Peer() as new, Router(PUSHED) as router:
+    async with Peer() as old, Peer() as new, Router(AGENT_SETTINGS) as router:
         router.watch(old, pushed=True, budget=WatchBudget(response_timeout=0.02, notification_deadline=600.0))
         await next_poll(old)  # the first poll, at startup
         await next_poll(old)
