--- a/tests/project/test_page_names.py
+++ b/tests/project/test_page_names.py
@@ -94,7 +94,7 @@
         "decisions/retry_budget.py",
         "cache_router.net.discoverer",
         "rules.rampDuration",
-        "discovery ADDRESS: watch ended",
+        "discovery ADDRESS: watch failed",
         "listening at",
         "-ERR unheard of",
     ],
