--- a/tests/cache_router/net/test_idle_connection_set.py
+++ b/tests/cache_router/net/test_idle_connection_set.py
@@ -1,4 +1,4 @@
-"""The order of idle connections, altogether and for each address."""
+"""Order of idle connections, in total and per address."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def test_longest_idle_connection_comes_first() -> None:
-    """The one used last is more likely to carry a late second response."""
+    """The most recently used connection is the most likely to receive a late second response."""
     idle = IdleConnectionSet()
     assert idle.longest_idle() is idle.longest_idle_to(A) is None
     first, second, third = (make_connection(address) for address in (B, A, A))
@@ -26,25 +26,25 @@
     assert len(idle) == 3
     assert idle.longest_idle() is first
     assert idle.longest_idle_to(A) is second
-    assert idle.all_to(A) == [second, third]
+    assert idle.connections_to(A) == [second, third]
     assert idle.idle_since(third) == 2.0
 
 
 def test_connection_that_is_used_again_is_idle_for_the_shortest_time() -> None:
-    """A connection that kept its place would be closed in place of one that is not needed."""
+    """If it kept its old position, the pool would close it before connections that are not in use."""
     idle = IdleConnectionSet()
     first, second = make_connection(A), make_connection(A)
     for now, connection in enumerate((first, second)):
         idle.add(connection, float(now))
     idle.discard(first)
-    assert idle.all_to(A) == [second]
+    assert idle.connections_to(A) == [second]
     idle.add(first, 2.0)
     assert idle.longest_idle() is idle.longest_idle_to(A) is second
     assert idle.idle_since(first) == 2.0
 
 
-def test_discarded_connection_is_in_no_order() -> None:
-    """A connection that is closed twice is discarded twice; one that carries an attempt is not idle."""
+def test_discarded_connection_is_not_returned() -> None:
+    """A connection may be discarded twice: when it is aborted, and when it is closed."""
     idle = IdleConnectionSet()
     connection = make_connection(A)
     idle.add(connection, 0.0)
@@ -52,6 +52,6 @@
         idle.discard(connection)
         assert len(idle) == 0
         assert idle.longest_idle() is idle.longest_idle_to(A) is None
-        assert idle.all_to(A) == []
+        assert idle.connections_to(A) == []
     with pytest.raises(KeyError):
         idle.idle_since(connection)
