--- a/cache_router/decisions/concurrency_limit.py
+++ b/cache_router/decisions/concurrency_limit.py
@@ -1,7 +1,7 @@
-"""An adaptive limit of the attempts that this router has in flight at one server.
+"""An adaptive limit on the attempts that this router has in flight at one server.
 
-The limit rises by additive increase while answers are fast. It falls by multiplicative decrease when answers
-are slower than their target or the server rejects a request.
+The limit rises by additive increase while responses are fast. It falls by multiplicative decrease when
+responses are slower than the target latency or the server rejects an attempt.
 """
 
 import math
@@ -10,29 +10,31 @@
 from cache_router.decisions.events import ANSWERED, FAILED, AttemptStatus
 from cache_router.decisions.fleet_health import SMOOTHING
 
-INITIAL_LIMIT = 4.0  # adapts within seconds
-DECREASE_FACTOR = 0.75  # empties an overloaded server within a few round trips; 0.9 took many seconds
-MAX_SAMPLE_FACTOR = 4.0  # of the usual value, for one sample; bounds the effect of one lost answer
+INITIAL_LIMIT = 4.0  # attempts; the limit adapts to the server within seconds
+# With 0.75 the queue of an overloaded server empties within a few round trips; with 0.9 it took many seconds.
+DECREASE_FACTOR = 0.75
+# Largest value of one sample as a multiple of the smoothed value; bounds the effect of one lost response.
+MAX_SAMPLE_FACTOR = 4.0
 
 
 @dataclass(slots=True, eq=False)
 class ConcurrencyLimit:
-    """Attempts in flight at one server, and the capacity that its answers show. Times are in seconds."""
+    """Attempts in flight at one server, and their limit, adapted to its responses. Times are in seconds."""
 
     limit: float = INITIAL_LIMIT
     in_flight: int = 0
-    latency: float = 0.0  # smoothed; 0 before the first answer
-    slowness: float = 0.0  # latency as a multiple of its target, smoothed
-    decreased_at: float = -math.inf
-    unanswered_since: float = math.inf  # first attempt sent since the last answer
+    latency: float = 0.0  # smoothed latency; 0 before the first response
+    slowness: float = 0.0  # smoothed ratio of the latency to the target latency
+    decreased_at: float = -math.inf  # time of the last decrease of the limit
+    unanswered_since: float = math.inf  # time of the first attempt sent after the last response
     last_completed_at: float = 0.0
 
     def has_capacity(self) -> bool:
-        """Whether one more attempt stays within the limit."""
+        """Return whether one more attempt stays within the limit."""
         return self.in_flight < self.limit
 
     def is_silent(self, now: float, silence_timeout: float) -> bool:
-        """Whether the server has answered no attempt for longer than the timeout, though some were sent."""
+        """Return whether attempts have been without any response for longer than the timeout."""
         return now - self.unanswered_since > silence_timeout
 
     def on_attempt_sent(self, now: float) -> None:
@@ -46,15 +48,18 @@
         self.last_completed_at = now
 
     def on_answer(self) -> None:
-        """End the server's silence."""
+        """Record that the server has responded, so that it no longer counts as silent."""
         self.unanswered_since = math.inf
 
     def cap_at_initial(self) -> None:
-        """Limit an ejected server: it may return as a new process, which the endpoint list shows late."""
+        """Reduce the limit of an ejected server to the initial one, if it is higher.
+
+        The server may return as a new process before the endpoint list shows the new incarnation.
+        """
         self.limit = min(self.limit, INITIAL_LIMIT)
 
     def adapt(self, status: AttemptStatus, latency: float, target_latency: float, now: float) -> None:
-        """Adapt to one completed attempt; fast failures show nothing of the load."""
+        """Adapt the limit to a completed attempt; fast failures do not reflect the load and are ignored."""
         if status in FAILED or status is AttemptStatus.NOT_SENT:
             return
         is_rejected = status is AttemptStatus.REJECTED
@@ -66,16 +71,16 @@
         if is_rejected or self.slowness > 1.0:
             self._decrease(is_rejected, target_latency, now)
         elif status in ANSWERED and self._is_in_use():
-            self.limit += 1 / self.limit  # by one for as many answers as the limit
+            self.limit += 1 / self.limit  # adds 1 per `limit` responses
 
     def _is_in_use(self) -> bool:
-        """Whether at least half of the limit was in flight, the completed attempt included."""
+        """Return whether at least half of the limit was in flight, including the completed attempt."""
         return self.in_flight + 1 >= self.limit / 2
 
     def _decrease(self, is_rejected: bool, target_latency: float, now: float) -> None:
-        """Reduce the limit, at most once in a target latency, and on a rejection to what is in flight.
+        """Reduce the limit, at most once per target latency, and on a rejection to the attempts in flight.
 
-        What is in flight when a server rejects an attempt is what it has capacity for.
+        The attempts in flight when the server rejects one are as many as it has capacity for.
         """
         if now - self.decreased_at > target_latency:
             self.limit = max(1.0, self.limit * DECREASE_FACTOR)
--- a/cache_router/decisions/endpoints.py
+++ b/cache_router/decisions/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: which servers are listed, which of them are ready, and their points on the hash ring."""
+"""The endpoint list: the listed servers, their readiness and sizes, and the hash ring of the caches."""
 
 import math
 from collections.abc import Iterable
@@ -9,11 +9,13 @@
 from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.settings import Settings
 
-POINTS_PER_UNIT = 128  # virtual nodes for the unit of size: shares of keys are even within about a tenth
+# Virtual nodes per unit of size. With 128, servers of equal size have shares of the keys that differ by about
+# 10 %.
+POINTS_PER_UNIT = 128
 
 
 class EndpointList:
-    """The servers of the endpoint list; `ring` has the caches that are ready, and never the origin."""
+    """The listed servers by name. `ring` holds the caches that are ready; origin members are never on it."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -21,21 +23,21 @@
         self._largest_of_kind: dict[str, float] = {}
         self.servers: dict[str, Server] = {}
         self.ring: HashRing[Server] = HashRing()
-        self.caches: list[Server] = []  # those that are ready
-        self.origins: list[Server] = []  # those that are ready
-        self.total_size = 0.0  # of the caches
-        self.mean_reported_load = 0.0  # of the caches
+        self.caches: list[Server] = []  # ready caches only
+        self.origins: list[Server] = []  # ready origin members only
+        self.total_size = 0.0  # sum of the sizes of `caches`
+        self.mean_reported_load = 0.0  # mean over `caches`; stays 0 without live weights
 
     def is_listed(self, server: Server) -> bool:
-        """Whether this incarnation of a server is on the list."""
+        """Return whether this incarnation of the server is on the list."""
         return self.servers.get(server.endpoint.name) is server
 
     def least_loaded_origin(self) -> Server | None:
-        """The origin member with the fewest attempts in flight, None when none is ready."""
+        """Return the ready origin member with the fewest attempts in flight, or None when none is ready."""
         return min(self.origins, key=lambda server: server.concurrency.in_flight, default=None)
 
     def apply(self, update: EndpointUpdate) -> bool:
-        """Take an update; False when it changes nothing."""
+        """Apply an update; return False for an empty delta, which changes nothing."""
         if update.kind is not EndpointUpdateKind.DELTA:
             for name in self.servers.keys() - {endpoint.name for endpoint in update.endpoints}:
                 self._remove(name)
@@ -55,7 +57,7 @@
         if known is not None and endpoint.started_at <= known.endpoint.started_at:
             known.update_endpoint(endpoint)
             return known
-        self._remove(endpoint.name)  # a new incarnation: the state of the earlier one does not apply to it
+        self._remove(endpoint.name)  # the state of an earlier incarnation does not apply to the new one
         is_origin = self._settings.cache_aside and endpoint.kind == self._settings.origin_kind
         server = self.servers[endpoint.name] = Server(endpoint, not is_origin)
         return server
@@ -65,17 +67,19 @@
             self.ring.place(name, self.servers.pop(name), 0)
 
     def _place(self, changed: Iterable[Server]) -> None:
-        """Give each server that changed its size and its points.
+        """Update the sizes and ring points of the changed servers, and the totals.
 
-        The number of points follows from the size of a server and the unit of size alone. So servers that
-        join or leave move no points of the others, and the cost of an update depends on what it changes.
+        The number of points of a server depends only on its size and on the unit of size. Servers that join
+        or leave therefore move no points of other servers, and an update costs time in proportion to the
+        number of servers that it changes. All servers are updated when the largest size changes, and on each
+        update where weights are live.
         """
         self._update_ready_servers()
         if self._settings.live_weights:
             self._record_live_weights()
         if self._update_largest_size() or self._settings.live_weights:
             changed = self.servers.values()
-        unit = 2.0 ** math.ceil(math.log2(self._largest_size))  # a power of two seldom changes with the fleet
+        unit = 2.0 ** math.ceil(math.log2(self._largest_size))  # a power of two changes rarely
         self._place_servers(changed, unit)
         self._update_totals()
 
@@ -85,10 +89,10 @@
         self.origins = [server for server in ready if not server.is_cache]
 
     def _record_live_weights(self) -> None:
-        """Take the largest weight seen of each type of machine as the size of its servers.
+        """Use the largest live weight seen for each type of machine as the size of its servers.
 
-        Live weights fall with load and arrive late. If they set the number of points, each update would move
-        keys.
+        Live weights fall with load and arrive late. If the number of points followed them, each update would
+        move keys.
         """
         for server in self.caches:
             endpoint = server.endpoint
@@ -97,9 +101,9 @@
             server.record_live_weight(largest)
 
     def _update_largest_size(self) -> bool:
-        """Update the largest size of a ready cache; True when it has changed.
+        """Update the largest size of any ready cache; return whether it has changed.
 
-        A server whose weight is not known counts as one of the largest, or of 1 when no weight is known.
+        It is the size assigned to servers whose weight is not known. It is 1 when no weight is known.
         """
         if self._settings.live_weights:
             sizes = [server.size for server in self.caches]
--- a/cache_router/decisions/fleet_health.py
+++ b/cache_router/decisions/fleet_health.py
@@ -1,9 +1,9 @@
-"""The health of all caches together, as this router measures it: success rate and queueing latency."""
+"""The health of the caches as a whole, as measured by this router: success rate and queueing latency."""
 
 import math
 from dataclasses import dataclass
 
-# weight of the latest sample in every exponentially weighted mean: about the last five samples count
+# Weight of the latest sample in all exponentially weighted means; about the last five samples have an effect.
 SMOOTHING = 0.2
 
 
@@ -11,18 +11,19 @@
 class FleetHealth:
     """Exponentially weighted means over all attempts at caches.
 
-    One client may wait for minutes at a server that hangs. Its latency counts as no more than
-    `longest_latency`, or every request would be rejected for long after.
+    An attempt at a server that hangs may last for minutes. Its latency is capped at `longest_latency`, as all
+    requests would otherwise be rejected for a long time afterwards.
     """
 
-    longest_latency: float = math.inf  # seconds, of one sample
-    success_rate: float = 1.0  # share of attempts answered with a value or a miss
-    queueing_latency: float = 0.0  # seconds for each request in flight at a unit of size, this one included
+    longest_latency: float = math.inf  # cap on the latency of one sample, in seconds
+    success_rate: float = 1.0  # share of attempts whose response is a value or a miss
+    # seconds per request in flight at a unit of size, where the request itself counts as in flight
+    queueing_latency: float = 0.0
 
     def record(self, is_good: bool, latency: float, reported_load: float) -> None:
-        """Count one attempt at a cache.
+        """Record the outcome of one attempt at a cache.
 
-        `latency` is in seconds, `reported_load` in requests in flight for each unit of size.
+        `latency` is in seconds, `reported_load` in requests in flight per unit of size.
         """
         latency_per_request = min(latency, self.longest_latency) / (1 + reported_load)
         self.success_rate += SMOOTHING * (is_good - self.success_rate)
--- a/cache_router/decisions/hash_ring.py
+++ b/cache_router/decisions/hash_ring.py
@@ -1,10 +1,11 @@
-"""A consistent-hash ring of weighted virtual nodes; the cost of a change depends on that change alone.
-
-Each member has a number of points on the ring, and a key belongs to the first point clockwise of its hash.
-Points are kept in buckets by the leading bits of their position. Hashes are spread evenly, so that each
-bucket has a few dozen points, and a member that joins or leaves touches its own points alone. A point is one
-integer (position, slot of its member, rank among the member's points), so that a bucket is a plain sorted
-list. docs/list-changes.md has figures.
+"""A consistent-hash ring of weighted virtual nodes, with changes whose cost does not grow with the ring.
+
+Each member has a number of points (virtual nodes) on the ring, and a key belongs to the first point clockwise
+of its hash. The points are kept in buckets by the leading bits of their position. Hashes are uniformly
+distributed, so that each bucket has a few dozen points, and adding or removing a member changes only the
+buckets of its own points. A point is a single integer that packs its position, the slot of its member and its
+rank among the member's points, so that a bucket is a sorted list of integers. Measurements are in
+docs/list-changes.md.
 """
 
 import hashlib
@@ -20,29 +21,32 @@
 POSITION_BITS = 64
 SLOT_BITS = 24
 RANK_BITS = 16
-SUFFIX_BITS = SLOT_BITS + RANK_BITS  # of a point, behind its position
+SUFFIX_BITS = SLOT_BITS + RANK_BITS  # low-order bits of a point, below its position
 SLOT_MASK = (1 << SLOT_BITS) - 1
 RANK_MASK = (1 << RANK_BITS) - 1
 POSITIONS_PER_HASH = 8
-BUCKET_FILL = 32  # points on average; at more than twice as many, or less than a quarter, buckets are resized
+# Intended mean number of points in a bucket. Above twice this number, or below a quarter of it, the number of
+# buckets is adapted.
+BUCKET_FILL = 32
 
 
 def ring_hash(text: str) -> tuple[int, ...]:
-    """Eight positions on the ring, each from 0 to 2^64 - 1; a key uses the first, a member all of them.
+    """Hash a text to eight positions on the ring, each from 0 to 2^64 - 1.
 
-    They are the big-endian 64-bit words of the BLAKE2b-512 digest of the text in UTF-8.
+    They are the big-endian 64-bit words of the BLAKE2b-512 digest of the text in UTF-8. A key uses the first
+    one, the virtual nodes of a member use all of them.
     """
     return struct.unpack(">8Q", hashlib.blake2b(text.encode()).digest())
 
 
 def virtual_nodes(name: str, count: int) -> tuple[int, ...]:
-    """The first positions of a member; a larger count adds to them and moves none."""
+    """Return the first `count` positions of a member; a larger count only appends positions."""
     hash_count = math.ceil(count / POSITIONS_PER_HASH)
     return tuple(position for i in range(hash_count) for position in ring_hash(f"{name}-vnode-{i}"))[:count]
 
 
 def member_points(name: str, slot: int, count: int) -> list[int]:
-    """The first points of a member, in the order of their ranks; points compare by position."""
+    """Return the first `count` points of a member, ordered by rank; as integers, points sort by position."""
     suffix = slot << RANK_BITS
     positions = virtual_nodes(name, count)
     return [position << SUFFIX_BITS | suffix | rank for rank, position in enumerate(positions)]
@@ -50,28 +54,29 @@
 
 @dataclass(slots=True, frozen=True)
 class PlacedMember(Generic[Member]):
-    """A member on the ring, with the number of its points."""
+    """A member of the ring and the number of its points."""
 
     member: Member
     point_count: int
 
 
 class HashRing(Generic[Member]):
-    """Points of named members. Positions follow from names and counts alone, so that all routers agree."""
+    """Points of named members. Positions depend only on names and counts, so that all routers agree."""
 
     def __init__(self) -> None:
-        self.size = 0  # points
-        self._buckets: list[list[int]] = [[]]  # their number is a power of two
-        self._shift = POSITION_BITS  # shifted right by it, a position gives the index of its bucket
-        self._counts: dict[str, int] = {}  # points of each name
-        self._slots: dict[str, int] = {}
-        self._members: list[PlacedMember[Member] | None] = []  # by slot
+        self.size = 0  # total number of points
+        self._buckets: list[list[int]] = [[]]  # the number of buckets is a power of two
+        self._shift = POSITION_BITS  # position >> shift is the index of the bucket
+        self._counts: dict[str, int] = {}  # number of points by member name
+        self._slots: dict[str, int] = {}  # index into `_members` by member name
+        self._members: list[PlacedMember[Member] | None] = []  # indexed by slot; None where the slot is free
         self._free_slots: list[int] = []
 
     def place(self, name: str, member: Member, count: int) -> None:
-        """Give a name `count` points, 0 to remove it; O(count).
+        """Set the number of points of a named member; 0 removes it.
 
-        A name that has `count` points already keeps its member.
+        A name that already has `count` points keeps its present member. The cost is proportional to the
+        larger of the former and the new count.
         """
         before = self._counts.get(name, 0)
         if before == count:
@@ -93,14 +98,14 @@
             self._resize_buckets()
 
     def walk(self, position: int) -> Iterator[tuple[Member, float]]:
-        """Go clockwise once around the ring from a position.
+        """Yield (member, rank) for each point, once clockwise around the ring from a position.
 
-        Yields the member of each point, and the point's rank among the member's points, scaled to between 0
-        and 1: a share s of a member's points are those with a rank of at most s. The pairs are plain tuples
-        because the walk runs on every request.
+        The rank is that of the point among the member's points, scaled to between 0 and 1: the points with a
+        rank of at most s are a share s of the member's points. The pairs are plain tuples because the walk
+        runs on every request.
 
         Raises:
-            LookupError: a point belongs to no member, a fault of this class.
+            LookupError: A point belongs to no member, which is a fault of this class.
         """
         buckets = self._buckets
         first = position >> self._shift
@@ -114,7 +119,7 @@
                 yield placed.member, ((point & RANK_MASK) + 0.5) / placed.point_count
 
     def points(self) -> Iterator[tuple[int, Member]]:
-        """Each position with its member, in order."""
+        """Yield (position, member) for each point in ascending order of position."""
         for bucket in self._buckets:
             for point in bucket:
                 yield point >> SUFFIX_BITS, self._placed_member(point).member
@@ -125,7 +130,7 @@
     def _placed_member(self, point: int) -> PlacedMember[Member]:
         placed = self._members[point >> RANK_BITS & SLOT_MASK]
         if placed is None:
-            raise LookupError("a point on the ring belongs to no member")
+            raise LookupError(f"hash ring: the point at position {point >> SUFFIX_BITS} belongs to no member")
         return placed
 
     def _take_slot(self, name: str) -> int:
@@ -142,12 +147,12 @@
         self._free_slots.append(slot)
 
     def _resize_buckets(self) -> None:
-        """Adapt the number of buckets to the number of points; rare, and O(points)."""
+        """Adapt the number of buckets to the number of points; this is rare and takes O(points) time."""
         points = [point for bucket in self._buckets for point in bucket]
         bits = max(0, (len(points) // BUCKET_FILL).bit_length() - 1)
         if len(self._buckets) == 1 << bits:
             return
         self._shift = POSITION_BITS - bits
         self._buckets = [[] for _ in range(1 << bits)]
-        for point in points:  # in ascending order, so that each bucket is sorted
+        for point in points:  # ascending, so that appending keeps each bucket sorted
             self._bucket_of(point).append(point)
--- a/cache_router/decisions/idle_connection_closer.py
+++ b/cache_router/decisions/idle_connection_closer.py
@@ -1,4 +1,4 @@
-"""Closes the idle connections to a server when keeping them has cost as much as it saves."""
+"""Closing of idle connections to a server, when keeping them longer would cost more than it saves."""
 
 from dataclasses import dataclass, field
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class IdleConnectionCloser:
-    """Acts on the time that `IdleConnections` grants."""
+    """Closes the idle connections to a server after the time determined by `IdleConnections`."""
 
     settings: Settings
     endpoints: EndpointList
@@ -26,9 +26,9 @@
         self.timers = TimerSet(TimerKind.IDLE_CONNECTIONS, self.actions)
 
     def close_or_set_timer(self, server: Server, now: float) -> None:
-        """Close a server's idle connections when they are due, else look again when they will be.
+        """Close a server's idle connections if their time is up; otherwise set a timer to check again then.
 
-        No timer is set beyond the time after which the host closes idle connections itself.
+        No timer is set where the host's own idle timeout would close the connections first.
         """
         cache_count = len(self.endpoints.caches)
         time_left = self.idle_connections.time_left(server.concurrency, cache_count, now)
@@ -41,7 +41,7 @@
             self.timers.set_unless_due_earlier(name, time_left, now)
 
     def on_timer(self, server_name: str, now: float) -> None:
-        """The timer of a server is due; a server that has left the list needs nothing."""
+        """Handle the timer of a server; a server that is no longer listed needs no action."""
         server = self.endpoints.servers.get(server_name)
         if server is not None:
             self.close_or_set_timer(server, now)
--- a/cache_router/decisions/outlier_detection.py
+++ b/cache_router/decisions/outlier_detection.py
@@ -1,6 +1,7 @@
-"""Outlier detection: ejects a server after consecutive failures; each failed trial doubles the ejection time.
+"""Outlier detection: ejects a server for a time after consecutive failures.
 
-Without it, the keys of a server whose attempts all fail would use up the retry budget.
+Each failed probe attempt doubles the ejection time. Without ejection, retries of requests for the keys of a
+failing server would use up the retry budget.
 """
 
 import math
@@ -10,32 +11,35 @@
 
 from cache_router.decisions.events import FAILED, AttemptStatus
 
-CONSECUTIVE_FAILURES = 3  # malformed answers occur singly, the failures of a dead process together
-MIN_EJECTION_TIME = 0.5  # seconds; doubled with each trial that fails
-EJECTION_JITTER = (0.5, 1.0)  # share of the ejection time, so that routers do not retry simultaneously
-MAX_EJECTED_SHARE = 0.5  # of the caches; when more fail the cause is elsewhere, and too few would remain
+# Failures that eject a server. A single one may be a malformed response; a dead process fails every attempt.
+CONSECUTIVE_FAILURES = 3
+MIN_EJECTION_TIME = 0.5  # seconds; doubled by each probe attempt that fails
+EJECTION_JITTER = (0.5, 1.0)  # range of the factor that keeps routers from probing a server simultaneously
+# Share of the ready caches. When more of them fail, the cause is not in the caches, and the remaining ones
+# would be too few for the load.
+MAX_EJECTED_SHARE = 0.5
 
 
 @dataclass(slots=True, eq=False)
 class FailureHistory:
-    """Consecutive failures of one server, and its ejection. Times are in seconds."""
+    """Consecutive failures of one server, and its latest ejection. Times are in seconds."""
 
     consecutive: int = 0
-    ejection_time: float = 0.0  # of the latest ejection, before jitter
-    ejected_until: float = -math.inf
+    ejection_time: float = 0.0  # duration of the latest ejection before jitter
+    ejected_until: float = -math.inf  # end of the latest ejection on the router's clock
 
     @property
     def is_outlier(self) -> bool:
-        """Whether the server is ejected, or on trial after an ejection."""
+        """Return whether the server is ejected, or awaits the success of a probe attempt."""
         return self.consecutive >= CONSECUTIVE_FAILURES
 
     def admits(self, in_flight: int, now: float) -> bool:
-        """Whether an attempt may be sent: none while ejected, and one at a time on trial."""
-        # compared here, as a call of is_outlier would cost on every step of the walk on the ring
+        """Return whether an attempt may be sent: none while ejected, then one probe attempt at a time."""
+        # `is_outlier` is written out here, because each step of the walk on the hash ring calls this method
         return now >= self.ejected_until and not (in_flight and self.consecutive >= CONSECUTIVE_FAILURES)
 
     def reset(self) -> None:
-        """Forget the failures; an ejection in effect lasts until its end."""
+        """Reset the failures and the ejection time; an ejection in effect lasts until its end."""
         self.consecutive = 0
         self.ejection_time = 0.0
 
@@ -44,9 +48,10 @@
         self.consecutive += 1
 
     def record_failed_connect(self) -> None:
-        """Count a failed connect as enough failures for an ejection: nothing listens at the address.
+        """Count a failed connect as enough failures for an ejection, as nothing listens at the address.
 
-        In a large fleet each router connects to a server seldom, and would need long to see several failures.
+        In a large fleet each router connects to a server rarely. Several failures would take a long time to
+        occur.
         """
         self.consecutive += CONSECUTIVE_FAILURES
 
@@ -58,7 +63,7 @@
 
 @dataclass(slots=True)
 class OutlierDetector:
-    """Ejects caches that fail, within a maximum share of all of them."""
+    """Ejects failing caches, up to a maximum share of the ready ones."""
 
     max_ejection_time: float  # seconds
     generator: random.Random
@@ -66,15 +71,15 @@
     _cache_count: int = 0
 
     def on_endpoint_update(self, histories: Iterable[FailureHistory]) -> None:
-        """Take the histories of the caches that are ready now."""
+        """Replace the tracked histories by those of the caches that are ready now."""
         ready = list(histories)
         self._cache_count = len(ready)
         self._outliers = {history for history in ready if history.is_outlier}
 
     def record(self, history: FailureHistory, status: AttemptStatus, is_listed: bool, now: float) -> bool:
-        """Count the outcome of an attempt at a cache; True when it ejects the server.
+        """Record the outcome of an attempt at a cache; return whether it ejects the server.
 
-        The maximum share does not protect servers that refuse connections, as they cannot serve in any case.
+        The maximum share does not protect a server to which a connect fails, as it cannot serve in any case.
         """
         is_failure = status in FAILED
         is_absent = status is AttemptStatus.CONNECT_FAILED
@@ -99,6 +104,6 @@
         return True
 
     def _is_share_used_up(self, history: FailureHistory) -> bool:
-        """Whether one more outlier would exceed the maximum share; the server itself does not count."""
+        """Return whether ejecting this server would exceed the maximum share."""
         others = len(self._outliers) - (history in self._outliers)
         return others + 1 > MAX_EJECTED_SHARE * self._cache_count
--- a/cache_router/decisions/overload_backoff.py
+++ b/cache_router/decisions/overload_backoff.py
@@ -1,8 +1,9 @@
-"""Backoff from overloaded servers, by the load reports in their answers.
+"""Backoff from overloaded servers, based on the load reports in their responses.
 
-A request that queues for longer than its latency objective is work without use. In a large fleet each router
-sends too few attempts to a server to see its queue in their latencies. A router therefore relies on the load
-report, and sends nothing until the queue has drained. Jitter keeps the routers from returning simultaneously.
+Work on a request that was queued for longer than its latency objective is wasted. In a large fleet each
+router sends too few attempts to a server to detect its queue from their latencies. A router therefore relies
+on the load reports, and sends nothing to an overloaded server until its queue has drained. Jitter keeps the
+routers from resuming simultaneously.
 """
 
 import math
@@ -14,19 +15,20 @@
 from cache_router.decisions.fleet_health import SMOOTHING
 from cache_router.settings import Settings
 
-OVERLOAD_SHARE = 0.5  # of the shortest latency objective: a queueing delay from which a server is overloaded
-SERVER_CONCURRENCY = 4.0  # requests that a server processes concurrently, an estimate
-BACKOFF_JITTER = (0.75, 1.25)
+# A server is overloaded when its responses take longer than this share of the shortest latency objective.
+OVERLOAD_SHARE = 0.5
+SERVER_CONCURRENCY = 4.0  # estimated number of requests that a server processes concurrently
+BACKOFF_JITTER = (0.75, 1.25)  # range of the random factor of a backoff
 
 
 @dataclass(slots=True, eq=False)
 class OverloadState:
-    """Until when nothing is sent to one server, in seconds on the router's clock."""
+    """The end of the backoff from one server, in seconds on the router's clock."""
 
     backoff_until: float = -math.inf
 
     def back_off_until(self, end: float) -> None:
-        """Send nothing before `end`, which replaces an earlier end."""
+        """Send nothing before `end`; this replaces the end of an earlier backoff."""
         self.backoff_until = end
 
 
@@ -37,10 +39,10 @@
     settings: Settings
     shortest_latency_objective: float  # seconds
     generator: random.Random
-    baseline_service_time: float = 0.0  # seconds; smoothed, of servers without a queue
+    baseline_service_time: float = 0.0  # seconds; smoothed over servers without a queue
 
     def record(self, state: OverloadState, is_cache: bool, event: AttemptCompleted, now: float) -> None:
-        """Take the load report of an answer, or a timeout; back off from a cache that is overloaded."""
+        """Evaluate the load report of a response, or a timeout; back off from an overloaded cache."""
         report = event.load_report
         if report is not None:
             if report.queue_length < 1:
@@ -52,20 +54,22 @@
             state.back_off_until(now + self._backoff(delay))
 
     def _update_baseline(self, service_time: float) -> None:
-        """Take a sample, at most a multiple of the baseline: one wrong report must not move it far.
+        """Add a sample to the smoothed baseline service time.
 
-        The first sample is bounded by the shortest latency objective, within which no slower server answers.
+        A sample is capped at a multiple of the baseline, so that a single wrong report has little effect. The
+        first sample is capped at the shortest latency objective, as a slower server could never meet it.
         """
         baseline = self.baseline_service_time
         longest = MAX_SAMPLE_FACTOR * baseline if baseline else self.shortest_latency_objective
         self.baseline_service_time += SMOOTHING * (min(service_time, longest) - baseline)
 
     def _backoff(self, delay: float) -> float:
-        """Seconds to back off from a server whose answers take `delay` seconds.
+        """Return the backoff in seconds from a server whose responses take `delay` seconds.
 
-        When each router sends one request per backoff, the server has a service time for each of them. The
-        queue must also have drained, for which half a slow start is enough. No backoff exceeds a slow start
-        before jitter, as a large fleet would otherwise send nothing to a server for minutes.
+        The backoff has one service time for each router, so that the server can keep up when every router
+        sends it one request per backoff. The backoff also lasts until the queue has drained, for which half
+        the duration of a slow start is enough. Before jitter it is at most the duration of a slow start, as a
+        large fleet would otherwise send nothing to a server for minutes.
         """
         fleet_service_time = self.settings.router_count * self.baseline_service_time
         drain_time = min(self.settings.slow_start_duration / 2, delay)
--- a/cache_router/decisions/server.py
+++ b/cache_router/decisions/server.py
@@ -1,4 +1,4 @@
-"""A listed server, with the state that the decisions keep of it."""
+"""A listed server, with the state that the decisions keep for it."""
 
 from dataclasses import dataclass, field
 
@@ -11,19 +11,20 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """One incarnation of a listed server. A restart under the same name is another incarnation."""
+    """One incarnation of a listed server. A restart under the same name creates another incarnation."""
 
     endpoint: Endpoint
-    is_cache: bool = True  # or a member of the origin
-    size: float = 1.0  # relative capacity when idle; live weights fall with load, the size does not
-    reported_load: float = 0.0  # requests in flight for each unit of size, of all routers, seconds ago
+    is_cache: bool = True  # False for an origin member
+    size: float = 1.0  # relative capacity of the idle server; unlike a live weight it does not fall with load
+    # requests in flight per unit of size, from all routers, as of seconds ago; derived from the live weight
+    reported_load: float = 0.0
     concurrency: ConcurrencyLimit = field(default_factory=ConcurrencyLimit)
     failures: FailureHistory = field(default_factory=FailureHistory)
     overload: OverloadState = field(default_factory=OverloadState)
     slow_start_quota: SlowStartQuota | None = None  # None until the quota is first checked
 
     def update_endpoint(self, endpoint: Endpoint) -> None:
-        """Take a later list entry of this incarnation."""
+        """Replace the list entry by a later one of the same incarnation."""
         self.endpoint = endpoint
 
     def resize(self, size: float) -> None:
@@ -31,16 +32,17 @@
         self.size = size
 
     def record_live_weight(self, idle_weight: float) -> None:
-        """Derive the size and the reported load from the list's live weight.
+        """Set the size and the reported load from the live weight of the list entry.
 
         `idle_weight` is the weight of an idle machine of this type. A live weight is the idle weight divided
-        by 1 + load (requests in flight for each unit of size); 0 means that it is not known.
+        by 1 + load, where load is the number of requests in flight per unit of size. A live weight of 0 means
+        that it is not known.
         """
         weight = self.endpoint.weight
         self.size = idle_weight
         self.reported_load = idle_weight / weight - 1 if weight else 0.0
 
     def grant_slow_start_quota(self, offset: float) -> SlowStartQuota:
-        """Start to count attempts at this warming server; `offset` is the quota's, from 0 to 1."""
+        """Create and return the quota of this warming server; `offset` is from 0 to 1."""
         self.slow_start_quota = SlowStartQuota(offset)
         return self.slow_start_quota
--- a/cache_router/decisions/server_selection.py
+++ b/cache_router/decisions/server_selection.py
@@ -1,8 +1,8 @@
 """Server selection: a walk on the hash ring with bounded loads chooses the cache for a key.
 
-Each key belongs to the first server clockwise of its hash. The walk continues past servers that may not be
-sent the request now, and past servers whose load is above a cap. The cap is (1 + epsilon) times the average
-load, as in Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with Bounded Loads" (2016).
+Each key belongs to the first server clockwise of its hash. The walk skips servers that may not be sent the
+request now, and servers whose load is above a cap. The cap is (1 + epsilon) times the average load, as in
+Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with Bounded Loads" (2016).
 """
 
 import random
@@ -18,14 +18,16 @@
 from cache_router.decisions.server import Server
 from cache_router.decisions.slow_start import SlowStart
 
-EPSILON = 0.25  # the load of a server may exceed the average by this share before the walk passes the server
+EPSILON = 0.25  # share by which the load of a server may exceed the average before the walk skips the server
 MAX_POINTS_VISITED = 64  # bounds the cost of a request when no server is eligible
-MAX_LOADED_SERVERS = 2  # servers beyond these lack the key: overflow would turn hits into misses
+# Servers at capacity after which the walk ends. Servers beyond these do not have the key: overflow to them
+# would turn hits into misses.
+MAX_LOADED_SERVERS = 2
 
 
 @dataclass(slots=True)
 class ServerSelector:
-    """Chooses a cache by the state that the other decisions keep of it."""
+    """Chooses the cache for an attempt by the state that the other decisions keep for each cache."""
 
     endpoints: EndpointList
     slow_start: SlowStart
@@ -36,10 +38,10 @@
     generator: random.Random
 
     def choose(self, pending: PendingRequest, now: float) -> Server | None:
-        """The server for the request's next attempt, None when no server may take it.
+        """Return the server for the request's next attempt, or None when no server is eligible.
 
-        The load of a popular key is spread over as many servers clockwise as it needs. The request takes a
-        random place within that load, and with it one of these servers.
+        The load of a popular key is spread over as many servers clockwise as it needs. A random position
+        within that load is drawn for the request, which determines the server among these.
         """
         request = pending.request
         key = request.key if request.key is not None else request.request_id
@@ -48,11 +50,11 @@
         return self._walk(pending, ring_hash(key)[0], load_before, now)
 
     def _walk(self, pending: PendingRequest, position: int, load_before: float, now: float) -> Server | None:
-        """The first eligible server clockwise of `position` beyond `load_before`, a share of all requests.
+        """Return the first eligible server clockwise of `position`, after those that serve `load_before`.
 
-        Each eligible server takes a part of the key's load: (1 + epsilon) times the server's share of the
-        fleet's size. When every server is above the cap the first eligible one is returned, which is the most
-        likely to have the key.
+        `load_before` is a share of all requests. Each eligible server serves a part of the key's load:
+        (1 + epsilon) times the server's share of the fleet's size. When the load of every server is above the
+        cap, the first eligible server is returned, as it is the most likely to have the key.
         """
         endpoints = self.endpoints
         success_rate = self.health.success_rate
@@ -64,14 +66,16 @@
             if server in visited:
                 continue
             usable_share = self.slow_start.usable_share(server.endpoint, success_rate, now)
-            # all routers leave out the same points of a warming server, and no other load overflows to it
+            # All routers skip the same points of a warming server. A warming server takes no overflow of the
+            # servers visited before it.
             if rank > usable_share or (usable_share < 1 and visited):
                 continue
             visited.add(server)
             if self.is_eligible(pending, server, now):
                 first_eligible = first_eligible or server
                 load_before -= (1 + EPSILON) * usable_share * server.size / endpoints.total_size
-                # at random, as all routers read the same reported load, and late
+                # Randomised, because all routers read the same reported load, which is seconds old: otherwise
+                # they would all avoid the server at the same time.
                 if load_before <= 0 and server.reported_load * self.generator.random() <= load_cap:
                     return server
             elif self._is_loaded(server, now):
@@ -81,7 +85,7 @@
         return first_eligible
 
     def is_eligible(self, pending: PendingRequest, server: Server, now: float) -> bool:
-        """Whether a server may be sent the request now."""
+        """Return whether a server may be sent the request now."""
         concurrency = server.concurrency
         if not server.failures.admits(concurrency.in_flight, now):
             return False
@@ -95,7 +99,7 @@
         return self.retry_policy.permits_attempt(pending, server, now)
 
     def _is_loaded(self, server: Server, now: float) -> bool:
-        """Whether load, and not a fault, makes a server ineligible."""
+        """Return whether an ineligible server is ineligible because of load rather than a fault."""
         if now < server.overload.backoff_until:
             return True
         concurrency = server.concurrency
--- a/cache_router/decisions/slow_start_quota.py
+++ b/cache_router/decisions/slow_start_quota.py
@@ -1,4 +1,4 @@
-"""The quota of one warming server at this router, and the share of its capacity that a server has reached."""
+"""The quota of attempts of this router at one warming server, and the capacity of a warming server."""
 
 import math
 from dataclasses import dataclass, field
@@ -6,13 +6,14 @@
 from cache_router.endpoint import Endpoint
 from cache_router.settings import Settings
 
-# statistical tolerance of a count of attempts: two standard deviations, and two attempts for small counts
+# Statistical tolerance of the number of attempts that the fleet sends to a server in one window: two standard
+# deviations, plus two attempts for small numbers.
 TOLERANCE_DEVIATIONS = 2
 TOLERANCE_ATTEMPTS = 2
 
 
 def capacity_share(settings: Settings, endpoint: Endpoint, now: float) -> float:
-    """Share of its capacity that a server has reached, from 0 to 1.
+    """Return the capacity of a server at `now`, as a share of its capacity when warm, from 0 to 1.
 
     The share rises linearly from `slow_start_initial_share` to 1 during the slow start. `now` is in seconds.
     """
@@ -24,10 +25,10 @@
 
 
 def statistical_tolerance(expected: float, router_count: int) -> float:
-    """This router's part of the attempts by which the fleet may exceed its expected number.
+    """Return this router's part of the attempts by which the fleet may exceed the expected number.
 
-    `expected` is this router's part of that number. Arrivals at the server are counted as a Poisson process:
-    the standard deviation of the fleet's count is the square root of its mean.
+    `expected` is this router's part of the expected number. Arrivals at the server are modelled as a Poisson
+    process: the standard deviation of the fleet's number of attempts is the square root of its mean.
     """
     fleet_deviation = math.sqrt(expected * router_count)
     fleet_tolerance = TOLERANCE_DEVIATIONS * fleet_deviation + TOLERANCE_ATTEMPTS
@@ -36,22 +37,25 @@
 
 @dataclass(slots=True)
 class SlowStartQuota:
-    """This router's part of the attempts that a warming server can take in any window.
+    """This router's part of the attempts that a warming server has capacity for in any window.
 
-    A window is `Settings.overload_window` seconds long. The quota counts every attempt of this router there.
+    A window is `Settings.overload_window` seconds long. Every attempt of this router at the server counts.
     """
 
-    offset: float  # random, from 0 to 1; without it all routers would round a small quota in the same way
-    sent_at: list[float] = field(default_factory=list)  # seconds on the router's clock
+    # Random number from 0 to 1, added to the number of attempts. Without it, all routers would round a small
+    # quota in the same direction.
+    offset: float
+    sent_at: list[float] = field(default_factory=list)  # send times, in seconds on the router's clock
 
     def add(self, now: float, window: float) -> None:
-        """Count an attempt sent, and drop those that left the window; `window` in seconds."""
+        """Count an attempt sent now, and drop those older than the window; `window` is in seconds."""
         self.sent_at = [*(at for at in self.sent_at if now - at < window), now]
 
     def is_used_up(self, settings: Settings, endpoint: Endpoint, warm_rate: float, now: float) -> bool:
-        """Whether one more attempt would exceed the quota.
+        """Return whether one more attempt would exceed the quota.
 
-        `warm_rate` is in answers a second: what this router gets from a warm server of the same size.
+        `warm_rate` is the number of responses per second that this router gets from a warm server of the same
+        size.
         """
         expected = self._expected(settings, endpoint, warm_rate, now)
         tolerance = statistical_tolerance(expected, settings.router_count)
@@ -60,9 +64,9 @@
 
     @staticmethod
     def _expected(settings: Settings, endpoint: Endpoint, warm_rate: float, now: float) -> float:
-        """Attempts in the window that ends now, at the rate at which the server would be overloaded.
+        """Return the attempts in the window that ends now, at the rate that would overload the server.
 
-        The share of capacity is the one at the start of the window, the smallest within it.
+        The share of capacity is that at the start of the window, which is the smallest within the window.
         """
         window = settings.overload_window
         share = capacity_share(settings, endpoint, now - window)
--- a/cache_router/decisions/subscription.py
+++ b/cache_router/decisions/subscription.py
@@ -1,4 +1,4 @@
-"""The subscription to the endpoint list: when the router asks discovery for the list."""
+"""The subscription to the endpoint list: when the router requests the list from discovery."""
 
 from dataclasses import dataclass, field
 
@@ -10,12 +10,12 @@
 from cache_router.decisions.timers import TimerSet
 from cache_router.settings import Settings
 
-POLL = ""  # subject of the timer of the next poll: there is one subscription
+POLL = ""  # subject of the poll timer; there is only one, as there is one subscription
 
 
 @dataclass(slots=True)
 class EndpointSubscription:
-    """Subscribes where updates are not pushed, and polls again after a failure."""
+    """Subscribes to the endpoint list where updates are not pushed, and polls again after a failure."""
 
     settings: Settings
     poller: EndpointPoller
@@ -26,13 +26,13 @@
         self.timers = TimerSet(TimerKind.ENDPOINT_POLL, self.actions)
 
     def on_update(self, is_cached: bool, now: float) -> None:
-        """An update arrived; a cached list comes before the first subscription."""
+        """Handle an endpoint update; a cached list arrives before the first subscription and starts it."""
         self.poller.on_update(is_cached, now)
         if is_cached:
             self._subscribe_unless_pushed()
 
     def on_failure(self, discovery_address: str, now: float) -> None:
-        """A call to discovery failed: poll again after a backoff."""
+        """Handle a failed poll: log it, and set the timer of the next poll."""
         backoff = self.poller.on_failure(now)
         self.timers.set(POLL, backoff, now)
         if is_logged(self.poller.failures):
@@ -40,16 +40,17 @@
             self.actions.add(LogMessage(f"{subject}: {self.poller.failures} consecutive failures"))
 
     def on_address_changed(self, now: float) -> None:
-        """Discovery has another address: subscribe there at once.
+        """Handle a new address of discovery: subscribe there at once.
 
-        The host does so itself where updates are pushed. Either way no timer may start a second poll.
+        Where updates are pushed, the host itself subscribes. In both cases the poll timer is cancelled, as it
+        would start a second poll.
         """
         self.timers.cancel(POLL)
         self.poller.on_address_changed(now)
         self._subscribe_unless_pushed()
 
     def on_poll_timer(self) -> None:
-        """The backoff is over: call discovery again, also where updates are pushed."""
+        """Handle the end of a backoff: poll discovery again, also where updates are pushed."""
         self.actions.add(SubscribeToEndpoints())
 
     def _subscribe_unless_pushed(self) -> None:
--- a/cache_router/decisions/warm_throughput.py
+++ b/cache_router/decisions/warm_throughput.py
@@ -1,4 +1,4 @@
-"""The throughput of warm servers, as this router measures it."""
+"""The throughput of warm servers, measured by this router from the responses that it gets."""
 
 import math
 from dataclasses import dataclass
@@ -6,23 +6,23 @@
 
 @dataclass(slots=True)
 class WarmThroughput:
-    """Answers of warm servers to this router for each unit of size, with exponential decay."""
+    """Responses of warm servers to this router per unit of size, with exponential decay."""
 
     since: float  # start of the measurement, in seconds on the router's clock
-    memory: float  # time constant of the decay in seconds: an answer of that age counts 1/e
-    answers: float = 0.0  # for each unit of size, decayed to `updated_at`
-    updated_at: float = 0.0  # seconds on the router's clock
+    memory: float  # time constant of the decay in seconds: a response of that age counts 1/e
+    answers: float = 0.0  # responses per unit of size, decayed to `updated_at`
+    updated_at: float = 0.0  # time of the last response, in seconds on the router's clock
 
     def add(self, now: float, warm_size: float) -> None:
-        """Count one answer of any warm server; `warm_size` is the sum of the sizes of all of them."""
+        """Count one response of any warm server; `warm_size` is the sum of the sizes of all warm servers."""
         self.answers = self._decayed(now) + 1 / warm_size
         self.updated_at = now
 
     def rate(self, now: float, min_age: float) -> float:
-        """Answers a second for a unit of size; 0 before the first answer.
+        """Return the responses per second and unit of size; 0 before the first response.
 
-        The decayed count is divided by the integral of the decay over the age of the measurement, which is
-        taken as at least `min_age` seconds.
+        The decayed count is divided by the integral of the decay over the age of the measurement, where the
+        age is at least `min_age` seconds.
         """
         age = max(now - self.since, min_age)
         decay_integral = self.memory * -math.expm1(-age / self.memory)
