--- a/tests/cache_router/decisions/test_concurrency_limit.py
+++ b/tests/cache_router/decisions/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The adaptive limit of attempts in flight at one server, and its smoothed latency."""
+"""The adaptive limit on attempts in flight at one server, and the smoothed latency of the server."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def test_slow_answers_reduce_the_limit(make_driver: DriverFactory) -> None:
-    """Otherwise an overloaded server continues to get as much as before."""
+    """Without a reduction an overloaded server would continue to get as many attempts as before."""
     driver = make_driver(entry("a"))
     for n in range(40):
         driver.request(f"s{n}")
@@ -29,7 +29,7 @@
 
 
 def test_one_slow_answer_does_not_reduce_the_limit(make_driver: DriverFactory) -> None:
-    """A single expensive request says nothing of a server's capacity."""
+    """A single expensive request does not indicate the server's capacity."""
     driver = make_driver(*fleet("a"))
     for n in range(20):
         driver.request(f"r{n}", key="k")
@@ -38,7 +38,7 @@
 
 
 def test_rejection_sets_the_limit_to_the_attempts_in_flight(make_driver: DriverFactory) -> None:
-    """The attempts in flight when a server rejects one are what it has capacity for."""
+    """The attempts in flight when a server rejects one are as many as it has capacity for."""
     driver = make_driver(*fleet("a"))
     driver.server("a").concurrency.limit = 9.0
     for n in range(6):
@@ -59,7 +59,7 @@
 
 
 def test_one_timeout_hardly_raises_the_smoothed_latency_of_the_origin(cache_aside_driver: Driver) -> None:
-    """Otherwise most misses would be rejected until other fetches had completed."""
+    """A higher latency would cause most misses to be rejected until other fetches had completed."""
     cache_aside_driver.server("o").concurrency.latency = 0.05
     request_and_miss(cache_aside_driver, "r1", key="k1")
     cache_aside_driver.complete_attempt("r1", AttemptStatus.TIMEOUT, latency=2.0)
@@ -78,21 +78,21 @@
 
 @pytest.mark.parametrize("status", ANSWERED)
 def test_fast_answer_raises_a_limit_in_use(status: AttemptStatus) -> None:
-    """Half of the limit was in flight, the completed attempt included."""
+    """The limit is in use: with the completed attempt, half of it was in flight."""
     concurrency = ConcurrencyLimit(in_flight=1)
     concurrency.adapt(status, latency=0.1, target_latency=0.5, now=1.0)
     assert concurrency.limit == INITIAL_LIMIT + 1 / INITIAL_LIMIT
 
 
 def test_fast_answer_does_not_raise_an_unused_limit() -> None:
-    """The answers of a server that is hardly used say nothing of its capacity."""
+    """The responses of a server with little load do not indicate its capacity."""
     concurrency = ConcurrencyLimit(in_flight=0)
     concurrency.adapt(AttemptStatus.OK, latency=0.1, target_latency=0.5, now=1.0)
     assert concurrency.limit == INITIAL_LIMIT
 
 
 def test_limit_decreases_once_in_a_target_latency() -> None:
-    """Attempts sent before a decrease are slow in any case; each would decrease the limit again."""
+    """The attempts in flight at a decrease are slow anyway; each of them would decrease the limit again."""
     concurrency = ConcurrencyLimit(slowness=3.0, in_flight=4)
     limits = []
     for now in (1.0, 1.5, 1.6):
@@ -117,7 +117,7 @@
 
 
 def test_rejection_does_not_count_towards_the_latency() -> None:
-    """A rejection is fast, which says nothing of how long answers take."""
+    """A rejection is fast even where other responses are slow."""
     concurrency = ConcurrencyLimit(latency=0.2, in_flight=3)
     concurrency.adapt(AttemptStatus.REJECTED, latency=0.001, target_latency=0.5, now=1.0)
     assert concurrency.latency == 0.2
--- a/tests/cache_router/decisions/test_endpoint_polling.py
+++ b/tests/cache_router/decisions/test_endpoint_polling.py
@@ -1,4 +1,4 @@
-"""Calls for the endpoint list, and the backoff after those that fail."""
+"""Polls for the endpoint list, and the backoff after a failed poll."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
         driver.timers.clear()
         assert driver.handle(TimerFired(timer.timer)) == [SubscribeToEndpoints()]
     assert backoffs[-1] > backoffs[0]
-    # at growing intervals: thousands of routers fail at once, and each many times
+    # Failures are logged at growing intervals, as thousands of routers fail at once and many times each.
     assert logged == [f"discovery: {count} consecutive failures" for count in (1, 2, 4)]
 
 
 def test_backoff_after_a_watch_timeout_is_at_most_one_second(make_driver: DriverFactory) -> None:
-    """The notification deadline is 6 s, and most of that has passed when a silent watch times out."""
+    """Most of the notification deadline of 6 s has passed when a poll without a response times out."""
     driver = make_driver(must_subscribe=True, overload_window=60.0, slow_start_duration=60.0)
     driver.now += driver.settings.watch_budget.call_timeout
     (timer,) = (action for action in driver.handle(FAILED_CALL) if isinstance(action, SetTimer))
@@ -39,20 +39,20 @@
 def test_pushed_watch_is_reopened_within_half_the_drain_grace_period(
     make_driver: DriverFactory, drain_grace_period: float
 ) -> None:
-    """During a long backoff the router would send requests to servers that drain.
+    """During a longer backoff the router would send requests to draining servers.
 
-    Discovery counts a router as notified as soon as the agent has the update.
+    The router counts as notified as soon as the agent on its machine has the update.
     """
     driver = make_driver(drain_grace_period=drain_grace_period, overload_window=2.0, slow_start_duration=9.0)
     for _ in range(12):
         (timer,) = (a for a in driver.handle(FAILED_CALL) if isinstance(a, SetTimer))
-        assert 0 < timer.delay <= max(drain_grace_period / 2, 0.05)  # every limit is 50 ms longer
+        assert 0 < timer.delay <= max(drain_grace_period / 2, 0.05)  # 50 ms is MIN_BACKOFF
         driver.timers.clear()
         assert driver.handle(TimerFired(timer.timer)) == [SubscribeToEndpoints()]
 
 
 def test_new_discovery_address_is_polled_at_once(make_driver: DriverFactory) -> None:
-    """The backoff after failures of the old address would make updates of the new one late."""
+    """The backoff after failures of the old address would delay updates from the new one."""
     driver = make_driver(must_subscribe=True)
     for _ in range(4):
         driver.handle(FAILED_CALL)
--- a/tests/cache_router/decisions/test_endpoints.py
+++ b/tests/cache_router/decisions/test_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: servers and their incarnations, sizes, points on the ring, and which are ready."""
+"""The endpoint list: servers and their incarnations, sizes, points on the ring and readiness."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def test_restarted_server_starts_with_a_fresh_state(make_driver: DriverFactory) -> None:
-    """The limit and the silence of the earlier process say nothing of the new one."""
+    """The concurrency limit and the silence of the earlier process do not apply to the new one."""
     driver = make_driver(*fleet("a"))
     driver.server("a").concurrency.limit = 1.0
     driver.request("r1")
@@ -30,7 +30,7 @@
 
 
 def applied(*endpoints: Endpoint, **changes: Any) -> EndpointList:
-    """An endpoint list with one update applied."""
+    """Return an endpoint list to which one snapshot has been applied."""
     endpoint_list = EndpointList(settings(**changes))
     endpoint_list.apply(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints))
     return endpoint_list
@@ -44,7 +44,7 @@
     endpoint_list = applied(entry("a", weight=3.0), entry("b", weight=1.0), entry("c", weight=0.0))
     assert sizes(endpoint_list) == {"a": 3.0, "b": 1.0, "c": 3.0}
     assert endpoint_list.total_size == 7.0
-    assert endpoint_list.ring.size == 96 + 32 + 96  # 128 points for the unit, the next power of two: 4
+    assert endpoint_list.ring.size == 96 + 32 + 96  # the unit is 4, the next power of two: 128 points
 
 
 def test_sizes_are_one_where_no_weight_is_known() -> None:
@@ -67,7 +67,7 @@
     assert endpoint_list.mean_reported_load == 0.0
     endpoint_list.apply(EndpointUpdate(EndpointUpdateKind.DELTA, (entry("b", kind="x", weight=0.5),)))
     assert sizes(endpoint_list) == {"a": 2.0, "b": 2.0}
-    assert endpoint_list.mean_reported_load == 1.5  # 0 at one, 2 / 0.5 - 1 at the other
+    assert endpoint_list.mean_reported_load == 1.5  # the mean of 0 and 2 / 0.5 - 1
 
 
 def test_members_of_the_origin_are_not_on_the_ring() -> None:
--- a/tests/cache_router/decisions/test_fleet_health.py
+++ b/tests/cache_router/decisions/test_fleet_health.py
@@ -1,4 +1,4 @@
-"""The exponentially weighted means over all caches."""
+"""The exponentially weighted means over all attempts at caches."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def test_queueing_latency_is_that_of_each_request_in_flight() -> None:
-    """Four requests in flight for a unit of size, this one included, that take two seconds."""
+    """Each request takes two seconds, with four in flight per unit of size, itself included."""
     health = FleetHealth()
     for _ in range(100):
         health.record(is_good=True, latency=2.0, reported_load=3.0)
--- a/tests/cache_router/decisions/test_hash_ring.py
+++ b/tests/cache_router/decisions/test_hash_ring.py
@@ -1,4 +1,4 @@
-"""Placement of servers and keys on the ring, against the formulas of its design."""
+"""Placement of servers and keys on the ring, compared with a reference implementation."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def test_walk_ranks_a_share_of_the_points_of_each_member_alike() -> None:
-    """A warming server has the points whose rank is at most its share; all routers have to agree on them."""
+    """A warming server uses the points up to a rank, its share; all routers have to agree on these points."""
     ring: HashRing[str] = HashRing()
     ring.place("a", "a", 4)
     ring.place("b", "b", 8)
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("size", [10, 90, 300])
 def test_shares_of_the_ring_follow_the_weights(make_driver: DriverFactory, size: int) -> None:
-    """The number of points grows with the fleet: a fixed total would leave most servers with one or none."""
+    """The number of points grows with the fleet; with a fixed total most servers would have one or none."""
     driver = make_driver(*(entry(f"s{i}", weight=1 + i % 2) for i in range(size)))
     ring = list(driver.router.endpoints.ring.points())
     arcs = dict.fromkeys(driver.router.endpoints.servers, 0)
@@ -95,7 +95,7 @@
 
 
 def test_live_weights_move_no_keys(make_driver: DriverFactory) -> None:
-    """Weights that fall with load would move keys with every update to servers that lack them."""
+    """If points followed the live weights, every update would move keys to servers that do not have them."""
     driver = make_driver(
         entry("a", kind="x"), entry("b", kind="x"), entry("c", kind="y", weight=2.0), live_weights=True
     )
--- a/tests/cache_router/decisions/test_hash_ring_updates.py
+++ b/tests/cache_router/decisions/test_hash_ring_updates.py
@@ -1,4 +1,4 @@
-"""Updates of the hash ring: the result does not depend on their order, and removed members leave no state."""
+"""Updates of the hash ring: the order has no effect on the result, and removed members leave no state."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def test_rings_of_equal_members_are_equal_after_any_updates(
     updates: list[tuple[int, int]], position: int
 ) -> None:
-    """Routers that received different updates must map each key to the same server."""
+    """Routers that received different sequences of updates must map each key to the same server."""
     ring: HashRing[str] = HashRing()
     for member, count in updates:
         ring.place(f"m{member}", f"m{member}", count)
--- a/tests/cache_router/decisions/test_idle_connection_closer.py
+++ b/tests/cache_router/decisions/test_idle_connection_closer.py
@@ -20,20 +20,20 @@
 
 
 class FixedTimeLeft(IdleConnections):
-    """Grants the idle connections of every server the same time."""
+    """Returns the same remaining time for the idle connections to every server."""
 
     def __init__(self, time_left: float | None) -> None:
-        """Take the time to grant; None is granted to connections that stay."""
+        """Set the remaining time in seconds; None means that the connections are kept."""
         super().__init__(settings(), 1.0, NOW)
         self.granted = time_left
 
     def time_left(self, concurrency: ConcurrencyLimit, cache_count: int, now: float) -> float | None:
-        """The time granted."""
+        """Return the fixed time."""
         return self.granted
 
 
 def actions_on_timer(time_left: float | None, server: str = "a") -> list[Action]:
-    """The closer's actions on the timer of a server, in a fleet of "a" and "b"."""
+    """Return the closer's actions when the timer of a server fires, in a fleet of "a" and "b"."""
     conf = settings(connection_idle_timeout=IDLE_TIMEOUT, clock_resolution=CLOCK_RESOLUTION)
     endpoints = EndpointList(conf)
     endpoints.apply(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(fleet("a", "b"))))
--- a/tests/cache_router/decisions/test_idle_connections.py
+++ b/tests/cache_router/decisions/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""When idle connections are closed."""
+"""How long idle connections are kept, by their price, the request rate and failed connects."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def test_idle_connections_are_closed_when_they_cost_more_than_a_handshake() -> None:
-    """The connections of hundreds of routers would fill the connection tables of the servers."""
+    """Idle connections of hundreds of routers would otherwise fill the servers' connection tables."""
     driver = IdleConnectionDriver(settings(router_count=500, connection_price=0.03, handshake_price=0.03))
     driver.update_endpoints(*fleet("a", "b"))
     driver.now += 10.0
@@ -35,15 +35,15 @@
 
 
 class IdleConnectionDriver(Driver):
-    """A driver that knows the servers to which an idle connection is kept."""
+    """A driver that tracks the servers to which an idle connection is kept."""
 
     def __init__(self, conf: Settings) -> None:
-        """Start without any connection."""
+        """Create a driver without connections."""
         super().__init__(conf)
         self.idle_connections: set[str] = set()
 
     def check_action(self, action: Action) -> None:
-        """Check the rules for one action, and forget a connection that it closes."""
+        """Check the rules for one action, and remove a connection that it closes."""
         if isinstance(action, CloseIdleConnections):
             self.idle_connections.discard(action.server)
         super().check_action(action)
@@ -56,8 +56,8 @@
     """One connection of each of 730 routers would fill a table of 600."""
     driver = IdleConnectionDriver(settings(router_count=router_count))
     driver.update_endpoints(*fleet(*"abcdefgh", "o"))
-    connections = []  # at each server, of a fleet whose routers keep as many as this one
-    for n in range(2000):  # two hundred a second
+    connections = []  # connections at each server, if all routers keep as many as this one
+    for n in range(2000):  # 200 requests per second
         name = f"r{n}"
         server = driver.request(name, key=f"k{n}")
         assert server is not None
@@ -67,7 +67,7 @@
         connections.append(len(driver.idle_connections) / 9 * router_count)
     mean = sum(connections[200:]) / len(connections[200:])
     assert mean <= max_connections
-    if router_count <= 100:  # one of each fits: none is closed
+    if router_count <= 100:  # one connection of each router fits: none is closed
         assert mean == 100.0
 
 
@@ -81,7 +81,7 @@
 
 
 def idle_connections(router_count: int, connection_price: float, handshake_price: float) -> IdleConnections:
-    """The decision of a router that has had 200 requests in its 10 seconds."""
+    """Return the decision of a router that accepted 200 requests in the 10 seconds since its start."""
     conf = settings(
         router_count=router_count, connection_price=connection_price, handshake_price=handshake_price
     )
@@ -91,11 +91,11 @@
 @pytest.mark.parametrize(
     ("router_count", "connection_price", "handshake_price", "keep_time"),
     [
-        # the fleet has 20 requests a second for each router; 0.5 * 0.06 / 0.03 * 100 connections at 30 caches
+        # 20 requests per second at each router; 0.5 * 0.06 / 0.03 * 100 connections at each of 30 caches
         (150, 0.03, 0.06, 3000 / 3000),
         (300, 0.03, 0.06, 3000 / 6000),
         (300, 0.06, 0.06, 1500 / 6000),
-        # without a price 100 connections at each of 30 caches
+        # without a price: 100 connections at each of 30 caches
         (300, 0.0, 0.06, 3000 / 6000),
     ],
 )
--- a/tests/cache_router/decisions/test_key_popularity.py
+++ b/tests/cache_router/decisions/test_key_popularity.py
@@ -18,7 +18,7 @@
 
 
 def test_few_requests_are_divided_by_the_number_of_caches() -> None:
-    """Two requests out of two would otherwise make any key popular at a new router."""
+    """Otherwise the second request at a new router would make its key popular."""
     popularity = KeyPopularity(10.0, now=0.0)
     popularity.count("k", cache_count=50, now=0.0)
     assert popularity.count("k", cache_count=50, now=0.0) == 1 / 50
@@ -29,9 +29,9 @@
     popularity.count("rare", cache_count=1, now=0.0)
     for _ in range(9):
         popularity.count("hot", cache_count=1, now=0.0)
-    # later than 0, so that the counts are halved first: 4 of the hot key, and 5 of the 10 requests
+    # The first request after time 0 halves the counts: 4 requests for the hot key remain, and 5 of all 10.
     popularity.count("other", cache_count=1, now=10.0)
     assert popularity.count("hot", cache_count=1, now=20.0) == 4 / 7
     assert popularity.count("rare", cache_count=1, now=20.0) == 0.0
-    # 8 requests, halved again to 4, and one of the 5 for the hot key lost in rounding
+    # All 8 requests are halved to 4, and the 5 for the hot key are halved and rounded down to 2.
     assert popularity.count("hot", cache_count=1, now=20.1) == 2 / 5
--- a/tests/cache_router/decisions/test_long_outage.py
+++ b/tests/cache_router/decisions/test_long_outage.py
@@ -8,14 +8,14 @@
 from tests.support.driver import DriverFactory
 from tests.support.router_scenarios import FAILED_CALL
 
-FAILED_CALLS = 1100  # where updates are pushed and calls fail at once, an outage of about three minutes
+FAILED_CALLS = 1100  # about three minutes of outage where updates are pushed and calls fail immediately
 
 
 @pytest.mark.parametrize("must_subscribe", [False, True])
 def test_each_failed_call_of_a_long_outage_sets_a_timer_for_the_next(
     make_driver: DriverFactory, must_subscribe: bool
 ) -> None:
-    """A router without the timer of its next call would keep its list when discovery is back."""
+    """Without a timer for the next call, the router would keep an outdated list after discovery recovers."""
     driver = make_driver(must_subscribe=must_subscribe)
     for call in range(FAILED_CALLS):
         timers = [action for action in driver.handle(FAILED_CALL) if isinstance(action, SetTimer)]
--- a/tests/cache_router/decisions/test_outlier_detection.py
+++ b/tests/cache_router/decisions/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Servers with consecutive failures or refused connections are ejected."""
+"""Ejection of servers after consecutive failures or a failed connect."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def fail_attempts(driver: Driver, server: str, times: int, status: AttemptStatus) -> None:
-    """Send requests for a key of the server; attempts at it fail, and retries at other servers are served."""
+    """Send requests for a key of the server; attempts at it fail, retries at other servers succeed."""
     for _ in range(times):
         name = f"f{driver.router.idle_connections.request_count}"
         if driver.request(name, key="k") == server:
@@ -28,17 +28,17 @@
 def test_server_is_ejected_after_consecutive_failures(
     make_driver: DriverFactory, status: AttemptStatus
 ) -> None:
-    """Otherwise each request for its keys goes there first and takes a retry, until the budget is used up."""
+    """Otherwise each request for its keys would need a retry, until the retry budget is used up."""
     driver = make_driver(*fleet("a", "b", "c"))
     ignore_key_popularity(driver)
     primary, second, _ = servers_clockwise(driver, "k")
     driver.server(primary).concurrency.limit = 40.0
     fail_attempts(driver, primary, outlier_detection.CONSECUTIVE_FAILURES, status)
-    # it may come back as a new process
+    # the server may return as a new process, whose capacity is not known
     assert driver.server(primary).concurrency.limit <= concurrency_limit.INITIAL_LIMIT
     assert driver.request("r1", key="k", finish=True) == second
     driver.now += outlier_detection.MIN_EJECTION_TIME
-    assert [driver.request(f"t{n}", key="k") for n in "12"] == [primary, second]  # one attempt on trial
+    assert [driver.request(f"t{n}", key="k") for n in "12"] == [primary, second]  # one probe attempt
     driver.complete_attempt("t1", status)
     driver.now += outlier_detection.MIN_EJECTION_TIME
     assert driver.request("r2", key="k", finish=True) == second  # ejected for twice as long
@@ -48,7 +48,7 @@
 
 
 def test_occasional_failures_eject_no_server(make_driver: DriverFactory) -> None:
-    """Malformed answers come from any server; an ejection sends its keys to servers that lack them."""
+    """Any server may return malformed responses, and an ejection moves its keys to servers without them."""
     driver = make_driver(*fleet("a", "b", "c"))
     ignore_key_popularity(driver)
     primary, *_ = servers_clockwise(driver, "k")
@@ -58,7 +58,7 @@
 
 
 def test_no_more_than_half_the_fleet_is_ejected(make_driver: DriverFactory) -> None:
-    """When all fail the cause is elsewhere, and the remaining ones would have no capacity for the load."""
+    """When all servers fail the cause is elsewhere, and a few remaining ones would be overloaded."""
     driver = make_driver(*fleet("a", "b", "c", "d"))
     for server in driver.router.endpoints.servers.values():
         for _ in range(2 * outlier_detection.CONSECUTIVE_FAILURES):
@@ -69,7 +69,7 @@
 
 
 def test_one_failed_connect_ejects_a_server(make_driver: DriverFactory) -> None:
-    """In a large fleet each router connects to a server seldom: three failures would take many seconds."""
+    """In a large fleet each router rarely connects to a server: three failures would take many seconds."""
     driver = make_driver(*single_zone_fleet("abcdef"))
     absent = driver.request("r", key="k")
     assert absent is not None
@@ -78,7 +78,7 @@
 
 
 def test_absent_servers_are_ejected_beyond_the_maximum_share(make_driver: DriverFactory) -> None:
-    """Otherwise none would be ejected when most servers of an outdated endpoint list are gone."""
+    """Otherwise none would be ejected when most servers of an outdated endpoint list no longer exist."""
     driver = make_driver(*single_zone_fleet("abcd"))
     for server in driver.router.endpoints.servers.values():
         for _ in range(3):
@@ -87,7 +87,7 @@
     now = driver.router.now
     assert driver.server("a").failures.ejection_time > outlier_detection.MIN_EJECTION_TIME
     last = driver.server("d")
-    # beyond the maximum share the ejection time does not grow
+    # The ejection time does not grow beyond the maximum share.
     assert now < last.failures.ejected_until <= now + outlier_detection.MIN_EJECTION_TIME
 
 
@@ -117,7 +117,7 @@
 
 
 def test_reset_history_keeps_an_ejection_in_effect() -> None:
-    """An answer to an attempt sent before the ejection says nothing of the server now."""
+    """A response to an attempt sent before the ejection does not show that the server has recovered."""
     history = FailureHistory()
     history.record_failed_connect()
     history.eject(ejection_time=2.0, jitter=1.0, now=10.0)
@@ -128,7 +128,7 @@
 
 
 def eject_repeatedly(detector: OutlierDetector, history: FailureHistory, times: int) -> list[float]:
-    """Refuse the connection of each attempt on trial; returns the ejection times, in seconds."""
+    """Fail the connect of each probe attempt; return the ejection times in seconds."""
     ejection_times = []
     for _ in range(times):
         now = max(0.0, history.ejected_until)
@@ -145,7 +145,7 @@
 
 
 def test_maximum_ejection_time_applies_beyond_the_maximum_share() -> None:
-    """A maximum below the minimum ejection time comes from a very short slow start."""
+    """With a very short slow start, the maximum ejection time is below the minimum one."""
     history = FailureHistory()
     detector = OutlierDetector(0.2, random.Random(1))
     detector.on_endpoint_update([history])
@@ -153,7 +153,7 @@
 
 
 def test_failure_of_an_ejected_server_does_not_extend_its_ejection() -> None:
-    """Several attempts may be in flight when a server fails; their failures are one event."""
+    """Several attempts may be in flight when a server fails; their failures have the same cause."""
     histories = [FailureHistory() for _ in range(4)]
     detector = OutlierDetector(3.0, random.Random(1))
     detector.on_endpoint_update(histories)
--- a/tests/cache_router/decisions/test_overload_backoff.py
+++ b/tests/cache_router/decisions/test_overload_backoff.py
@@ -15,7 +15,7 @@
 
 
 def report_overload(driver: Driver, name: str, service_time: float = 0.5, queue_length: float = 20.0) -> str:
-    """A server rejects a request and reports its load; returns the server. The service time is in seconds."""
+    """Let the server of a request reject it and report its load; return the server's name."""
     server = driver.request(name, key="k")
     assert server is not None
     report = LoadReport(service_time, queue_length)
@@ -24,7 +24,7 @@
 
 
 def test_overloaded_server_gets_no_requests_until_its_queue_has_drained(make_driver: DriverFactory) -> None:
-    """Requests sent before that would be answered after their deadline."""
+    """The responses to requests sent earlier would arrive after their deadline."""
     driver = make_driver(*single_zone_fleet("abcdef"))
     first = report_overload(driver, "r0")
     during_backoff = [driver.request(f"r{n}", key="k", finish=True) for n in range(1, 6)]
@@ -59,12 +59,12 @@
 
 
 def mean_backoff(router_count: int) -> float:
-    """The mean backoff of one router, in seconds, from a server whose queue begins to grow."""
+    """Return the mean backoff of one router, in seconds, from a server with a growing queue."""
     backoffs = []
     for seed in range(40):
         driver = Driver(settings(router_count=router_count), seed=seed)
         driver.update_endpoints(*(entry(s) for s in "abcdef"))
-        for n in range(30):  # the baseline service time, of servers without a queue
+        for n in range(30):  # reports without a queue set the baseline service time
             driver.request(f"u{n}", key=f"u{n}")
             driver.handle(AttemptCompleted(f"u{n}", 0, AttemptStatus.OK, True, 0.05, LoadReport(0.05, 0.0)))
         server = report_overload(driver, "r", service_time=0.15, queue_length=16.0)
@@ -73,14 +73,14 @@
 
 
 def test_all_routers_together_send_an_overloaded_server_less_than_its_capacity() -> None:
-    """A backoff of one queueing delay at each of forty routers would still allow twice its capacity."""
+    """With a backoff of one queueing delay, 40 routers would still send twice the server's capacity."""
     assert 40 / mean_backoff(40) < 1.1 / 0.05
     assert mean_backoff(3) < 0.5 * mean_backoff(40)  # a few routers need no such backoff
 
 
 @pytest.mark.parametrize("router_count", [40, 1000, 7100])
 def test_backoff_is_no_longer_than_a_slow_start(make_driver: DriverFactory, router_count: int) -> None:
-    """One service time for each of 7,100 routers would keep a server without requests for minutes."""
+    """A backoff of one service time for each of 7,100 routers would last for minutes."""
     driver = make_driver(*single_zone_fleet("abcdef"), router_count=router_count, slow_start_duration=9.0)
     driver.router.overload.baseline_service_time = 0.05
     backoff = driver.server(report_overload(driver, "r")).overload.backoff_until - driver.now
@@ -91,22 +91,23 @@
     make_driver: DriverFactory,
 ) -> None:
     driver = make_driver(*single_zone_fleet("abcdef"), router_count=40)
-    first = report_overload(driver, "r", service_time=0.15, queue_length=12.0)  # 0.6 of the latency objective
+    # a delay of 0.6 of the latency objective
+    first = report_overload(driver, "r", service_time=0.15, queue_length=12.0)
     assert driver.request("s", key="k", finish=True) != first
 
 
 def reported(service_time: float, queue_length: float) -> AttemptCompleted:
-    """An answer with a load report."""
+    """Return a completed attempt with a load report."""
     return AttemptCompleted("r", 0, AttemptStatus.OK, True, 0.01, LoadReport(service_time, queue_length))
 
 
 @pytest.mark.parametrize(
     ("router_count", "baseline", "delay", "expected"),
     [
-        (10, 0.05, 1.5, 1.5),  # until the queue has drained
-        (10, 0.05, 30.0, 5.0),  # half a slow start, however long the queue
+        (10, 0.05, 1.5, 1.5),  # the time in which the queue drains
+        (10, 0.05, 30.0, 5.0),  # the maximum for a long queue: half a slow start
         (40, 0.05, 1.5, 2.0),  # one service time for each router
-        (1000, 0.05, 1.5, 10.0),  # a slow start, however large the fleet
+        (1000, 0.05, 1.5, 10.0),  # the maximum for a large fleet: one slow start
     ],
 )
 def test_backoff_is_the_longer_of_drain_time_and_service_times_of_the_fleet(
@@ -121,7 +122,7 @@
 
 
 def test_baseline_service_time_is_that_of_servers_without_a_queue() -> None:
-    """The service times of an overloaded server would lengthen the backoff from every server."""
+    """The longer service times of an overloaded server would lengthen the backoff from every server."""
     backoff = OverloadBackoff(settings(), 1.0, random.Random(1))
     state = OverloadState()
     backoff.record(state, True, reported(0.1, 0.9), now=0.0)
@@ -132,7 +133,7 @@
 
 
 def test_origin_gets_no_backoff() -> None:
-    """Requests for the origin wait in a queue of their own."""
+    """The router queues requests for the origin itself."""
     backoff = OverloadBackoff(settings(), 1.0, random.Random(1))
     state = OverloadState()
     backoff.record(state, False, reported(0.5, 20.0), now=0.0)
--- a/tests/cache_router/decisions/test_server.py
+++ b/tests/cache_router/decisions/test_server.py
@@ -1,4 +1,4 @@
-"""The state of one server: the size and load that follow from its live weight, and its slow-start quota."""
+"""The state of one server: the size and load derived from its live weight, and its slow-start quota."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def test_unknown_live_weight_reports_no_load() -> None:
-    """The load reported before would otherwise stay in effect."""
+    """The previously reported load must not stay in effect."""
     server = Server(entry("a", weight=0.5))
     server.record_live_weight(2.0)
     server.update_endpoint(entry("a", weight=0.0))
@@ -34,5 +34,5 @@
 
 
 def test_servers_with_equal_endpoints_are_not_equal() -> None:
-    """Two incarnations under one name differ by identity."""
+    """Two incarnations of a server are distinguished by object identity."""
     assert Server(entry("a")) != Server(entry("a"))
--- a/tests/cache_router/decisions/test_server_selection.py
+++ b/tests/cache_router/decisions/test_server_selection.py
@@ -1,4 +1,4 @@
-"""The bounded walk along the ring: overloaded, silent, hot and excluded servers."""
+"""The bounded walk on the hash ring past servers at capacity or silent, and the spreading of hot keys."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 
 
 def exhaust_capacity(driver: Driver, *names: str) -> None:
-    """Leave servers without capacity for another attempt."""
+    """Set the concurrency limit of servers to 0, so that none has capacity for an attempt."""
     for name in names:
         driver.server(name).concurrency.limit = 0.0
 
 
 def send_request(driver: Driver, name: str, key: str) -> str:
-    """Send a request that must not be rejected; returns the server of its first attempt."""
+    """Send a request that must not be rejected; return the server of its first attempt."""
     server = driver.request(name, key=key)
     assert server is not None
     return server
 
 
 def test_walk_ends_at_the_second_server_without_capacity(make_driver: DriverFactory) -> None:
-    """Servers beyond it lack the key: hits would become misses, and would overload these servers as well."""
+    """Later servers do not have the key: hits would become misses and overload these servers as well."""
     driver = make_driver(*fleet("a", "b", "c", "d"))
     first, second, third, _ = servers_clockwise(driver, "k")
     exhaust_capacity(driver, first)
@@ -48,7 +48,7 @@
 
 
 def test_silent_servers_do_not_count_as_servers_without_capacity(make_driver: DriverFactory) -> None:
-    """Behind a network partition they would be the two that a key may pass, and their keys be rejected."""
+    """Otherwise the walk would end at two servers behind a network partition, and reject their keys."""
     driver = make_driver(*fleet("a", "b", "c", "d"), hedging_allowed=False)
     first, second, third, _ = servers_clockwise(driver, "k")
     exhaust_capacity(driver, first, second)
@@ -75,7 +75,7 @@
 
 
 def test_reported_load_sends_a_share_of_a_key_to_the_next_server(make_driver: DriverFactory) -> None:
-    """One key may overload a server though each router sees it seldom; live weights show it to all."""
+    """A key may overload its server although each router rarely requests it; live weights show the load."""
     driver = make_driver(live_weights=True)
     names = "abcdefgh"
     driver.update_endpoints(*(entry(n, weight=2.0) for n in names))
@@ -83,11 +83,11 @@
     driver.update_endpoints(*(entry(n, weight=0.5 if n == first else 1.0) for n in names))
     ignore_key_popularity(driver)
     sent = [driver.request(f"r{n}", key="k", finish=True) for n in range(200)]
-    assert 70 < sent.count(first) < 140  # a load of 3 against a cap of 1.56: half stay
+    assert 70 < sent.count(first) < 140  # a load of 3 with a cap of 1.56: about half stay
 
 
 def test_hot_key_spreads_to_the_next_servers_clockwise(make_driver: DriverFactory) -> None:
-    """A key whose requests are never answered goes to several servers instead of one."""
+    """Requests for one key that get no response go to several servers instead of one."""
     driver = make_driver(*single_zone_fleet("abcd"))
     sent = [send_request(driver, f"r{n}", "hot") for n in range(8)]
     assert len(set(sent)) > 1
@@ -95,7 +95,7 @@
 
 
 def test_two_requests_in_flight_do_not_split_a_key(make_driver: DriverFactory) -> None:
-    """Small counts exceed a plain cap at random, and two servers would then cache the key."""
+    """Small counts would exceed a fixed cap at random, and two servers would then cache the key."""
     driver = make_driver(*(entry(f"s{n}") for n in range(90)))
     assert len({send_request(driver, f"r{n}", "k") for n in range(2)}) == 1
 
@@ -104,7 +104,7 @@
 def test_hot_key_spreads_over_as_few_servers_as_have_the_capacity(
     make_driver: DriverFactory, is_warming_up: bool
 ) -> None:
-    """One key with a fifth of all requests, at a router that never has two in flight at a server."""
+    """One key has a fifth of all requests, and the router never has two requests in flight at a server."""
     driver = make_driver(*(entry(f"s{i}", weight=2.0 if i % 2 else 1.0) for i in range(30)))
     first = driver.request("first", key="hot", finish=True)
     started_at = driver.now if is_warming_up else 0.0
@@ -122,7 +122,7 @@
 def test_walk_visits_a_bounded_number_of_points(
     make_driver: DriverFactory, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With every server ineligible the walk would visit the complete ring for each request."""
+    """Without a bound, the walk would visit the complete ring when no server is eligible."""
     driver = make_driver(*(entry(f"s{i}") for i in range(90)))
     for server in driver.router.endpoints.servers.values():
         server.concurrency.in_flight = 1
--- a/tests/cache_router/decisions/test_slow_start.py
+++ b/tests/cache_router/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what one router, and thirty routers on one simulated clock, send to servers that warm up."""
+"""Slow start: the attempts at warming servers by one router, and by thirty routers on a simulated clock."""
 
 from __future__ import annotations
 
@@ -67,15 +67,15 @@
     capacity: float,
     seed: int,
 ) -> None:
-    """Fewer points hold back many keys alike, but not one hot key that all routers send to the new server."""
+    """Fewer points on the ring limit the load of many keys; only the quota limits that of one hot key."""
     simulation = make(seed, capacity, **options)
     assert simulation.run(restarts) <= 0
-    # it could serve some five times as much in that time
+    # The server could serve about five times as many requests in that time.
     assert len(simulation.sent_to_warming) > capacity
 
 
 def test_warming_servers_get_all_requests_where_no_other_is_listed(make_driver: DriverFactory) -> None:
-    """With no warm server to compare with, a quota of nothing would reject every request."""
+    """Without a warm server the quota would be zero, and every request would be rejected."""
     driver = make_driver(router_count=ROUTER_COUNT)
     driver.update_endpoints(entry("a", started_at=driver.now), entry("b", started_at=driver.now))
     assert None not in [driver.request(f"r{n}", key=f"k{n}", finish=True) for n in range(20)]
@@ -85,20 +85,20 @@
 def test_hedged_request_at_a_warming_server_counts_against_its_quota(
     make_driver: DriverFactory, router_count: int, hedge_server: str
 ) -> None:
-    """A large fleet hedges elsewhere once the quota is used up, though the server answers other requests."""
+    """In a large fleet the quota is used up, so that the hedged request goes to another server."""
     driver = make_driver(router_count=router_count)
     driver.update_endpoints(entry("a"), entry("b", started_at=driver.now))
     warming = driver.server("b")
     warming.concurrency.latency = 0.01
     warming.grant_slow_start_quota(0.01)
     name = next(n for n in map(str, count()) if driver.request(n) == "b")
-    warming.concurrency.unanswered_since = driver.now + 0.001  # it has answered others since
+    warming.concurrency.unanswered_since = driver.now + 0.001  # it has responded to others since
     driver.advance(hedging.LATENCY_FACTOR * 0.01)
     assert driver.servers_tried(name) == ["b", hedge_server]
 
 
 def test_warming_server_gets_no_more_than_its_share_of_a_surge(make_driver: DriverFactory) -> None:
-    """A thousand requests in the second after its start."""
+    """The surge is 1000 requests in the second after the server's start."""
     driver = make_driver(
         entry("a"),
         entry("b"),
@@ -126,7 +126,7 @@
 
 
 def test_share_of_keys_grows_during_the_slow_start(make_driver: DriverFactory) -> None:
-    """A quota of at least one request at each router would add up to an overload at hundreds of them."""
+    """With hundreds of routers, a quota of at least one request at each would overload the server."""
     shares = []
     for age in (0.0, 5.0, 10.0):
         driver = make_driver(slow_start_duration=10.0, slow_start_initial_share=0.3)
@@ -138,7 +138,7 @@
 
 
 def test_warming_server_takes_no_overflow_of_other_servers(driver: Driver) -> None:
-    """In a burst, requests beyond the capacity of its neighbours would overload a server just started."""
+    """In a burst, requests beyond the capacity of its neighbours would overload the warming server."""
     driver.update_endpoints(*(entry(n) for n in "abc"), entry("d", started_at=driver.now))
     for n in range(300):
         for name in "abc":
@@ -148,13 +148,13 @@
 
 
 def usable_share(driver: Driver, server: Server) -> float:
-    """Share of a server's points that count now."""
+    """Return the share of a server's points on the ring that are in use now."""
     router = driver.router
     return router.slow_start.usable_share(server.endpoint, router.health.success_rate, driver.now)
 
 
 def test_warming_server_gets_less_while_attempts_fail(make_driver: DriverFactory) -> None:
-    """In an overload clients retry what failed, and the additional requests would overload it."""
+    """When attempts fail, clients retry, and the additional requests would overload the warming server."""
     driver = make_driver(slow_start_initial_share=0.3, max_attempts=1)
     driver.update_endpoints(*(entry(n) for n in "abc"), entry("d", started_at=driver.now))
     assert primary_servers(driver, "a").count("d") > 80
--- a/tests/cache_router/decisions/test_slow_start_quota.py
+++ b/tests/cache_router/decisions/test_slow_start_quota.py
@@ -1,4 +1,4 @@
-"""The quota of a warming server at one router, against figures computed by hand."""
+"""The quota of a warming server at one router, compared with values computed by hand."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from cache_router.decisions.slow_start_quota import SlowStartQuota, capacity_share, statistical_tolerance
 from tests.support.router_inputs import entry, settings
 
-WINDOW = 2.0
+WINDOW = 2.0  # seconds
 SETTINGS = settings(
     router_count=4,
     slow_start_initial_share=0.2,
@@ -17,7 +17,7 @@
     overload_multiple=3.0,
     overload_window=WINDOW,
 )
-STARTED_AT = 100.0
+STARTED_AT = 100.0  # seconds on the router's clock
 
 
 @pytest.mark.parametrize(("age", "share"), [(-1.0, 0.2), (0.0, 0.2), (5.0, 0.6), (10.0, 1.0), (50.0, 1.0)])
@@ -31,12 +31,12 @@
 
 
 def test_tolerances_of_all_routers_add_up_to_that_of_the_fleet() -> None:
-    """Two standard deviations of the fleet's expected count of 36, and two attempts."""
+    """The fleet expects 36 attempts: its tolerance is two standard deviations plus two attempts."""
     assert 4 * statistical_tolerance(36 / 4, router_count=4) == pytest.approx(2 * math.sqrt(36) + 2)
 
 
 def test_quota_ends_at_the_expected_attempts_and_the_tolerance() -> None:
-    """Five seconds after the start the window began at a share of 0.44: 3 x 0.44 x 5 x 2 = 13.2 expected."""
+    """The window begins 3 s after the start, at a share of 0.44: 3 x 0.44 x 5 x 2 = 13.2 are expected."""
     now = STARTED_AT + 5.0
     limit = 13.2 + (2 * math.sqrt(13.2 * 4) + 2) / 4  # 17.33
     quota = SlowStartQuota(offset=0.5)
@@ -51,7 +51,7 @@
 def test_offset_decides_which_routers_send_to_a_server_with_a_small_quota(
     offset: float, is_used_up: bool
 ) -> None:
-    """Without throughput of warm servers half an attempt is left: the tolerance of two among four routers."""
+    """Without throughput of warm servers, only the tolerance remains: two attempts for four routers."""
     quota = SlowStartQuota(offset)
     assert quota.is_used_up(SETTINGS, entry("a", started_at=STARTED_AT), 0.0, STARTED_AT) is is_used_up
 
--- a/tests/cache_router/decisions/test_subscription.py
+++ b/tests/cache_router/decisions/test_subscription.py
@@ -18,7 +18,7 @@
 
 
 def new_subscription(must_subscribe: bool) -> EndpointSubscription:
-    """A subscription with a buffer of its own."""
+    """Return a subscription with its own action buffer."""
     conf = settings(must_subscribe=must_subscribe)
     return EndpointSubscription(conf, EndpointPoller(conf, random.Random(1), NOW), ActionBuffer())
 
--- a/tests/cache_router/decisions/test_warm_throughput.py
+++ b/tests/cache_router/decisions/test_warm_throughput.py
@@ -1,4 +1,4 @@
-"""The throughput of warm servers, with exponential decay."""
+"""The throughput of warm servers: the rate of responses with exponential decay."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize("seconds", [2, 20])
 def test_rate_of_steady_answers_does_not_depend_on_the_age(seconds: int) -> None:
-    """A router that has just started would otherwise measure too little, and grant too small quotas."""
+    """A router that has just started would otherwise measure too low a rate, and set too small quotas."""
     throughput = WarmThroughput(since=0.0, memory=1.0)
     for n in range(seconds * 100):
         throughput.add((n + 0.5) / 100, warm_size=4.0)
@@ -30,7 +30,7 @@
 
 
 def test_first_answer_is_counted_over_the_minimum_age() -> None:
-    """One answer at once after the start would otherwise be an unbounded rate."""
+    """Otherwise a response immediately after the start would give an unbounded rate."""
     throughput = WarmThroughput(since=0.0, memory=1.0)
     throughput.add(0.0, warm_size=1.0)
     assert throughput.rate(0.0, min_age=1.0) == pytest.approx(1 / (1 - 1 / math.e))
