--- a/tests/cache_router/decisions/test_hash_ring.py
+++ b/tests/cache_router/decisions/test_hash_ring.py
@@ -38,7 +38,7 @@
     assert [point & RANK_MASK for point in points] == list(range(20))
 
 
-def test_walk_ranks_a_share_of_the_points_of_each_member_alike() -> None:
+def test_walk_scales_the_ranks_of_each_member_alike() -> None:
     """A warming server uses the points up to a rank, its share; all routers have to agree on these points."""
     ring: HashRing[str] = HashRing()
     ring.place("a", "a", 4)
--- a/tests/cache_router/decisions/test_idle_connection_closer.py
+++ b/tests/cache_router/decisions/test_idle_connection_closer.py
@@ -25,11 +25,11 @@
     def __init__(self, time_left: float | None) -> None:
         """Set the remaining time in seconds; None means that the connections are kept."""
         super().__init__(settings(), 1.0, NOW)
-        self.granted = time_left
+        self.fixed_time_left = time_left
 
     def time_left(self, concurrency: ConcurrencyLimit, cache_count: int, now: float) -> float | None:
         """Return the fixed time."""
-        return self.granted
+        return self.fixed_time_left
 
 
 def actions_on_timer(time_left: float | None, server: str = "a") -> list[Action]:
--- a/tests/cache_router/decisions/test_outlier_detection.py
+++ b/tests/cache_router/decisions/test_outlier_detection.py
@@ -71,13 +71,13 @@
 def test_one_failed_connect_ejects_a_server(make_driver: DriverFactory) -> None:
     """In a large fleet each router rarely connects to a server: three failures would take many seconds."""
     driver = make_driver(*single_zone_fleet("abcdef"))
-    absent = driver.request("r", key="k")
-    assert absent is not None
-    assert driver.complete_attempt("r", AttemptStatus.CONNECT_FAILED) not in (None, absent)
-    assert driver.server(absent).failures.ejected_until > driver.now
+    unreachable = driver.request("r", key="k")
+    assert unreachable is not None
+    assert driver.complete_attempt("r", AttemptStatus.CONNECT_FAILED) not in (None, unreachable)
+    assert driver.server(unreachable).failures.ejected_until > driver.now
 
 
-def test_absent_servers_are_ejected_beyond_the_maximum_share(make_driver: DriverFactory) -> None:
+def test_failed_connects_eject_servers_beyond_the_maximum_share(make_driver: DriverFactory) -> None:
     """Otherwise none would be ejected when most servers of an outdated endpoint list no longer exist."""
     driver = make_driver(*single_zone_fleet("abcd"))
     for server in driver.router.endpoints.servers.values():
@@ -106,7 +106,7 @@
     assert history.is_outlier
 
 
-def test_ejected_history_admits_one_attempt_at_a_time_after_its_end() -> None:
+def test_history_admits_one_attempt_at_a_time_after_an_ejection() -> None:
     history = FailureHistory()
     history.record_failed_connect()
     history.eject(ejection_time=2.0, jitter=0.75, now=10.0)
@@ -163,7 +163,7 @@
     assert histories[0].ejected_until == end
 
 
-def test_history_of_an_unlisted_server_takes_nothing_of_the_maximum_share() -> None:
+def test_unlisted_server_does_not_count_towards_the_maximum_share() -> None:
     histories = [FailureHistory() for _ in range(2)]
     detector = OutlierDetector(3.0, random.Random(1))
     detector.on_endpoint_update(histories)
