--- a/cache_router/decisions/concurrency_limit.py
+++ b/cache_router/decisions/concurrency_limit.py
@@ -24,7 +24,7 @@
     limit: float = INITIAL_LIMIT
     in_flight: int = 0
     latency: float = 0.0  # smoothed latency; 0 before the first response
-    slowness: float = 0.0  # smoothed ratio of the latency to the target latency
+    latency_ratio: float = 0.0  # smoothed ratio of the latency to the target latency
     decreased_at: float = -math.inf  # time of the last decrease of the limit
     unanswered_since: float = math.inf  # time of the first attempt sent after the last response
     last_completed_at: float = 0.0
@@ -66,9 +66,9 @@
         if not is_rejected:
             sample = min(latency, MAX_SAMPLE_FACTOR * self.latency) if self.latency else latency
             self.latency += SMOOTHING * (sample - self.latency)
-        slowness = min(MAX_SAMPLE_FACTOR, latency / target_latency)
-        self.slowness += SMOOTHING * (slowness - self.slowness)
-        if is_rejected or self.slowness > 1.0:
+        latency_ratio = min(MAX_SAMPLE_FACTOR, latency / target_latency)
+        self.latency_ratio += SMOOTHING * (latency_ratio - self.latency_ratio)
+        if is_rejected or self.latency_ratio > 1.0:
             self._decrease(is_rejected, target_latency, now)
         elif status in ANSWERED and self._is_in_use():
             self.limit += 1 / self.limit  # adds 1 per `limit` responses
--- a/cache_router/decisions/endpoint_polling.py
+++ b/cache_router/decisions/endpoint_polling.py
@@ -20,33 +20,33 @@
         self._random = generator
         self._budget = settings.watch_budget
         self._poll_due = now + self._budget.poll_cycle  # latest start of the next poll
-        self._longest_wait = self._budget.max_backoff  # cap on a backoff when the next poll is due already
-        self._forget_failures()
+        self._min_backoff_cap = self._budget.max_backoff  # cap on a backoff when the next poll is due already
+        self._reset_failures()
 
     def on_update(self, is_cached: bool, now: float) -> None:
         """Handle an endpoint update; unless the list was cached, it proves that discovery is reachable."""
         self._poll_due = now + self._budget.poll_cycle
-        self._longest_wait = self._budget.max_backoff
+        self._min_backoff_cap = self._budget.max_backoff
         if not is_cached:
-            self._forget_failures()
+            self._reset_failures()
 
     def on_address_changed(self, now: float) -> None:
         """Reset the failures of the old address, so that they do not delay polls of the new one."""
-        self._forget_failures()
+        self._reset_failures()
         self._poll_due = now + self._budget.address_change_cycle
-        self._longest_wait = MIN_BACKOFF
+        self._min_backoff_cap = MIN_BACKOFF
 
     def on_failure(self, now: float) -> float:
         """Count a failed poll; return the backoff before the next one, in seconds."""
         self.failures += 1
-        longest = max(self._longest_wait, self._time_until_due(now))
-        jittered = min(self._exponential_backoff, longest) * self._random.uniform(*BACKOFF_JITTER)
+        backoff_cap = max(self._min_backoff_cap, self._time_until_due(now))
+        jittered = min(self._exponential_backoff, backoff_cap) * self._random.uniform(*BACKOFF_JITTER)
         backoff = max(MIN_BACKOFF, jittered)
         self._double_backoff()
         self._poll_due = now + backoff + self._budget.poll_cycle
         return backoff
 
-    def _forget_failures(self) -> None:
+    def _reset_failures(self) -> None:
         """Reset the number of failures, and the backoff to half the overload window."""
         self.failures = 0  # number of consecutive failed polls
         self._set_exponential_backoff(self._settings.overload_window / 2)
--- a/cache_router/decisions/endpoints.py
+++ b/cache_router/decisions/endpoints.py
@@ -20,7 +20,7 @@
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         self._largest_size = 1.0
-        self._largest_of_kind: dict[str, float] = {}
+        self._max_weight_by_kind: dict[str, float] = {}
         self.servers: dict[str, Server] = {}
         self.ring: HashRing[Server] = HashRing()
         self.caches: list[Server] = []  # ready caches only
@@ -96,8 +96,8 @@
         """
         for server in self.caches:
             endpoint = server.endpoint
-            largest = max(self._largest_of_kind.get(endpoint.kind, 0.0), endpoint.weight)
-            self._largest_of_kind[endpoint.kind] = largest
+            largest = max(self._max_weight_by_kind.get(endpoint.kind, 0.0), endpoint.weight)
+            self._max_weight_by_kind[endpoint.kind] = largest
             server.record_live_weight(largest)
 
     def _update_largest_size(self) -> bool:
--- a/cache_router/decisions/hash_ring.py
+++ b/cache_router/decisions/hash_ring.py
@@ -81,7 +81,7 @@
         before = self._counts.get(name, 0)
         if before == count:
             return
-        slot = self._slots[name] if before else self._take_slot(name)
+        slot = self._slots[name] if before else self._allocate_slot(name)
         points = member_points(name, slot, max(before, count))
         for point in points[count:before]:
             bucket = self._bucket_of(point)
@@ -133,7 +133,7 @@
             raise LookupError(f"hash ring: the point at position {point >> SUFFIX_BITS} belongs to no member")
         return placed
 
-    def _take_slot(self, name: str) -> int:
+    def _allocate_slot(self, name: str) -> int:
         if not self._free_slots:
             self._free_slots.append(len(self._members))
             self._members.append(None)
--- a/cache_router/decisions/outlier_detection.py
+++ b/cache_router/decisions/outlier_detection.py
@@ -82,13 +82,13 @@
         The maximum share does not protect a server to which a connect fails, as it cannot serve in any case.
         """
         is_failure = status in FAILED
-        is_absent = status is AttemptStatus.CONNECT_FAILED
-        is_share_used_up = is_failure and self._is_share_used_up(history)
-        if not is_failure or (is_share_used_up and not is_absent):
+        is_connect_failure = status is AttemptStatus.CONNECT_FAILED
+        exceeds_max_share = is_failure and self._exceeds_max_share(history)
+        if not is_failure or (exceeds_max_share and not is_connect_failure):
             history.reset()
             self._outliers.discard(history)
             return False
-        if is_absent:
+        if is_connect_failure:
             history.record_failed_connect()
         else:
             history.record_failure()
@@ -98,12 +98,13 @@
             self._outliers.add(history)
         if now < history.ejected_until:
             return False
-        doubled = 0.0 if is_share_used_up else 2 * history.ejection_time  # no growth beyond the maximum share
+        # beyond the maximum share the ejection time does not grow
+        doubled = 0.0 if exceeds_max_share else 2 * history.ejection_time
         ejection_time = min(self.max_ejection_time, max(MIN_EJECTION_TIME, doubled))
         history.eject(ejection_time, self.generator.uniform(*EJECTION_JITTER), now)
         return True
 
-    def _is_share_used_up(self, history: FailureHistory) -> bool:
+    def _exceeds_max_share(self, history: FailureHistory) -> bool:
         """Return whether ejecting this server would exceed the maximum share."""
         others = len(self._outliers) - (history in self._outliers)
         return others + 1 > MAX_EJECTED_SHARE * self._cache_count
--- a/cache_router/decisions/overload_backoff.py
+++ b/cache_router/decisions/overload_backoff.py
@@ -60,8 +60,8 @@
         first sample is capped at the shortest latency objective, as a slower server could never meet it.
         """
         baseline = self.baseline_service_time
-        longest = MAX_SAMPLE_FACTOR * baseline if baseline else self.shortest_latency_objective
-        self.baseline_service_time += SMOOTHING * (min(service_time, longest) - baseline)
+        max_sample = MAX_SAMPLE_FACTOR * baseline if baseline else self.shortest_latency_objective
+        self.baseline_service_time += SMOOTHING * (min(service_time, max_sample) - baseline)
 
     def _backoff(self, delay: float) -> float:
         """Return the backoff in seconds from a server whose responses take `delay` seconds.
--- a/cache_router/decisions/server_selection.py
+++ b/cache_router/decisions/server_selection.py
@@ -22,7 +22,7 @@
 MAX_POINTS_VISITED = 64  # bounds the cost of a request when no server is eligible
 # Servers at capacity after which the walk ends. Servers beyond these do not have the key: overflow to them
 # would turn hits into misses.
-MAX_LOADED_SERVERS = 2
+MAX_SERVERS_AT_CAPACITY = 2
 
 
 @dataclass(slots=True)
@@ -60,7 +60,7 @@
         success_rate = self.health.success_rate
         load_cap = (1 + EPSILON) * max(1.0, endpoints.mean_reported_load)
         visited: set[Server] = set()
-        loaded_count = 0
+        at_capacity_count = 0
         first_eligible: Server | None = None
         for server, rank in islice(endpoints.ring.walk(position), MAX_POINTS_VISITED):
             if server in visited:
@@ -78,9 +78,9 @@
                 # they would all avoid the server at the same time.
                 if load_before <= 0 and server.reported_load * self.generator.random() <= load_cap:
                     return server
-            elif self._is_loaded(server, now):
-                loaded_count += 1
-                if loaded_count >= MAX_LOADED_SERVERS:
+            elif self._is_at_capacity(server, now):
+                at_capacity_count += 1
+                if at_capacity_count >= MAX_SERVERS_AT_CAPACITY:
                     break
         return first_eligible
 
@@ -98,7 +98,7 @@
             return False
         return self.retry_policy.permits_attempt(pending, server, now)
 
-    def _is_loaded(self, server: Server, now: float) -> bool:
+    def _is_at_capacity(self, server: Server, now: float) -> bool:
         """Return whether an ineligible server is ineligible because of load rather than a fault."""
         if now < server.overload.backoff_until:
             return True
--- a/cache_router/decisions/slow_start_quota.py
+++ b/cache_router/decisions/slow_start_quota.py
@@ -57,13 +57,13 @@
         `warm_rate` is the number of responses per second that this router gets from a warm server of the same
         size.
         """
-        expected = self._expected(settings, endpoint, warm_rate, now)
+        expected = self._expected_attempts(settings, endpoint, warm_rate, now)
         tolerance = statistical_tolerance(expected, settings.router_count)
         used = sum(now - at < settings.overload_window for at in self.sent_at) + self.offset
         return used > expected + tolerance
 
     @staticmethod
-    def _expected(settings: Settings, endpoint: Endpoint, warm_rate: float, now: float) -> float:
+    def _expected_attempts(settings: Settings, endpoint: Endpoint, warm_rate: float, now: float) -> float:
         """Return the attempts in the window that ends now, at the rate that would overload the server.
 
         The share of capacity is that at the start of the window, which is the smallest within the window.
--- a/tests/cache_router/decisions/test_concurrency_limit.py
+++ b/tests/cache_router/decisions/test_concurrency_limit.py
@@ -93,7 +93,7 @@
 
 def test_limit_decreases_once_in_a_target_latency() -> None:
     """The attempts in flight at a decrease are slow anyway; each of them would decrease the limit again."""
-    concurrency = ConcurrencyLimit(slowness=3.0, in_flight=4)
+    concurrency = ConcurrencyLimit(latency_ratio=3.0, in_flight=4)
     limits = []
     for now in (1.0, 1.5, 1.6):
         concurrency.adapt(AttemptStatus.OK, latency=2.0, target_latency=0.5, now=now)
@@ -110,9 +110,9 @@
 
 @pytest.mark.parametrize("status", [*FAILED, AttemptStatus.NOT_SENT])
 def test_fast_failure_changes_no_estimate(status: AttemptStatus) -> None:
-    concurrency = ConcurrencyLimit(latency=0.2, slowness=0.5, in_flight=3)
+    concurrency = ConcurrencyLimit(latency=0.2, latency_ratio=0.5, in_flight=3)
     concurrency.adapt(status, latency=9.0, target_latency=0.5, now=1.0)
-    assert (concurrency.latency, concurrency.slowness) == (0.2, 0.5)
+    assert (concurrency.latency, concurrency.latency_ratio) == (0.2, 0.5)
     assert concurrency.limit == INITIAL_LIMIT
 
 
