--- a/cache_router/decisions/concurrency_limit.py
+++ b/cache_router/decisions/concurrency_limit.py
@@ -34,7 +34,7 @@
         return self.in_flight < self.limit
 
     def is_silent(self, now: float, silence_timeout: float) -> bool:
-        """Return whether attempts have been without any response for longer than the timeout."""
+        """Return whether the first attempt since the last response was sent longer than the timeout ago."""
         return now - self.unanswered_since > silence_timeout
 
     def on_attempt_sent(self, now: float) -> None:
--- a/cache_router/decisions/endpoints.py
+++ b/cache_router/decisions/endpoints.py
@@ -9,7 +9,7 @@
 from cache_router.endpoint import Endpoint, EndpointState
 from cache_router.settings import Settings
 
-# Virtual nodes per unit of size. With 128, servers of equal size have shares of the keys that differ by about
+# Virtual nodes per unit of size. With 128, the shares of keys of equal servers deviate from the mean by about
 # 10 %.
 POINTS_PER_UNIT = 128
 
@@ -70,9 +70,8 @@
         """Update the sizes and ring points of the changed servers, and the totals.
 
         The number of points of a server depends only on its size and on the unit of size. Servers that join
-        or leave therefore move no points of other servers, and an update costs time in proportion to the
-        number of servers that it changes. All servers are updated when the largest size changes, and on each
-        update where weights are live.
+        or leave therefore move no points of other servers, and only the changed servers are placed again. All
+        servers are placed again when the largest size has changed, and on each update where weights are live.
         """
         self._update_ready_servers()
         if self._settings.live_weights:
--- a/cache_router/decisions/idle_connections.py
+++ b/cache_router/decisions/idle_connections.py
@@ -9,7 +9,7 @@
 # Share of the break-even time for which an idle connection is kept. The break-even time is that after which
 # keeping the connection has cost as much as the handshake that it saves.
 KEEP_SHARE = 0.5
-KEEP_RECOVERY = 0.01  # share of the difference to KEEP_SHARE that each attempt restores after failures
+KEEP_RECOVERY = 0.01  # share of the difference to KEEP_SHARE that each further attempt restores
 # Connections at each server to which one `Settings.connection_price` applies. Where connections have no
 # price, all routers together keep this number at each server.
 CONNECTIONS_PER_PRICE = 100
--- a/cache_router/decisions/outlier_detection.py
+++ b/cache_router/decisions/outlier_detection.py
@@ -11,7 +11,8 @@
 
 from cache_router.decisions.events import FAILED, AttemptStatus
 
-# Failures that eject a server. A single one may be a malformed response; a dead process fails every attempt.
+# Consecutive failures that eject a server. Malformed responses occur singly; a dead process fails every
+# attempt.
 CONSECUTIVE_FAILURES = 3
 MIN_EJECTION_TIME = 0.5  # seconds; doubled by each probe attempt that fails
 EJECTION_JITTER = (0.5, 1.0)  # range of the factor that keeps routers from probing a server simultaneously
@@ -35,7 +36,7 @@
 
     def admits(self, in_flight: int, now: float) -> bool:
         """Return whether an attempt may be sent: none while ejected, then one probe attempt at a time."""
-        # `is_outlier` is written out here, because each step of the walk on the hash ring calls this method
+        # `is_outlier` is written out to save a call: this runs at every step of the walk on the hash ring
         return now >= self.ejected_until and not (in_flight and self.consecutive >= CONSECUTIVE_FAILURES)
 
     def reset(self) -> None:
--- a/cache_router/decisions/overload_backoff.py
+++ b/cache_router/decisions/overload_backoff.py
@@ -17,7 +17,7 @@
 
 # A server is overloaded when its responses take longer than this share of the shortest latency objective.
 OVERLOAD_SHARE = 0.5
-SERVER_CONCURRENCY = 4.0  # estimated number of requests that a server processes concurrently
+SERVER_CONCURRENCY = 4.0  # requests that a server is assumed to process concurrently
 BACKOFF_JITTER = (0.75, 1.25)  # range of the random factor of a backoff
 
 
--- a/cache_router/decisions/server.py
+++ b/cache_router/decisions/server.py
@@ -16,7 +16,8 @@
     endpoint: Endpoint
     is_cache: bool = True  # False for an origin member
     size: float = 1.0  # relative capacity of the idle server; unlike a live weight it does not fall with load
-    # requests in flight per unit of size, from all routers, as of seconds ago; derived from the live weight
+    # Requests in flight per unit of size, from all routers, as of a few seconds ago. Derived from the live
+    # weight.
     reported_load: float = 0.0
     concurrency: ConcurrencyLimit = field(default_factory=ConcurrencyLimit)
     failures: FailureHistory = field(default_factory=FailureHistory)
--- a/tests/cache_router/decisions/test_overload_backoff.py
+++ b/tests/cache_router/decisions/test_overload_backoff.py
@@ -15,7 +15,7 @@
 
 
 def report_overload(driver: Driver, name: str, service_time: float = 0.5, queue_length: float = 20.0) -> str:
-    """Let the server of a request reject it and report its load; return the server's name."""
+    """Let a server reject a request and report its load, in seconds and requests; return its name."""
     server = driver.request(name, key="k")
     assert server is not None
     report = LoadReport(service_time, queue_length)
@@ -133,7 +133,7 @@
 
 
 def test_origin_gets_no_backoff() -> None:
-    """The router queues requests for the origin itself."""
+    """Requests for the origin wait in the router's own queue instead."""
     backoff = OverloadBackoff(settings(), 1.0, random.Random(1))
     state = OverloadState()
     backoff.record(state, False, reported(0.5, 20.0), now=0.0)
