--- a/cache_router/decisions/concurrency_limit.py
+++ b/cache_router/decisions/concurrency_limit.py
@@ -26,7 +26,7 @@
     latency: float = 0.0  # smoothed latency; 0 before the first response
     latency_ratio: float = 0.0  # smoothed ratio of the latency to the target latency
     decreased_at: float = -math.inf  # time of the last decrease of the limit
-    unanswered_since: float = math.inf  # time of the first attempt sent after the last response
+    unanswered_since: float = math.inf  # time of the first attempt since the last response; inf if none
     last_completed_at: float = 0.0
 
     def has_capacity(self) -> bool:
--- a/tests/cache_router/decisions/test_concurrency_limit.py
+++ b/tests/cache_router/decisions/test_concurrency_limit.py
@@ -15,7 +15,7 @@
 from tests.support.router_scenarios import fleet, request_and_miss
 
 
-def test_slow_answers_reduce_the_limit(make_driver: DriverFactory) -> None:
+def test_slow_responses_reduce_the_limit(make_driver: DriverFactory) -> None:
     """Without a reduction an overloaded server would continue to get as many attempts as before."""
     driver = make_driver(entry("a"))
     for n in range(40):
@@ -28,7 +28,7 @@
     assert [driver.outcome(f"r{n}") for n in range(1, 10)] == [Outcome.REJECTED] * 9
 
 
-def test_one_slow_answer_does_not_reduce_the_limit(make_driver: DriverFactory) -> None:
+def test_one_slow_response_does_not_reduce_the_limit(make_driver: DriverFactory) -> None:
     """A single expensive request does not indicate the server's capacity."""
     driver = make_driver(*fleet("a"))
     for n in range(20):
@@ -77,14 +77,14 @@
 
 
 @pytest.mark.parametrize("status", ANSWERED)
-def test_fast_answer_raises_a_limit_in_use(status: AttemptStatus) -> None:
+def test_fast_response_raises_a_limit_in_use(status: AttemptStatus) -> None:
     """The limit is in use: with the completed attempt, half of it was in flight."""
     concurrency = ConcurrencyLimit(in_flight=1)
     concurrency.adapt(status, latency=0.1, target_latency=0.5, now=1.0)
     assert concurrency.limit == INITIAL_LIMIT + 1 / INITIAL_LIMIT
 
 
-def test_fast_answer_does_not_raise_an_unused_limit() -> None:
+def test_fast_response_does_not_raise_an_unused_limit() -> None:
     """The responses of a server with little load do not indicate its capacity."""
     concurrency = ConcurrencyLimit(in_flight=0)
     concurrency.adapt(AttemptStatus.OK, latency=0.1, target_latency=0.5, now=1.0)
@@ -123,7 +123,7 @@
     assert concurrency.latency == 0.2
 
 
-def test_server_is_silent_until_it_answers() -> None:
+def test_server_is_silent_until_it_responds() -> None:
     concurrency = ConcurrencyLimit()
     concurrency.on_attempt_sent(1.0)
     concurrency.on_attempt_sent(5.0)
--- a/tests/cache_router/decisions/test_server_selection.py
+++ b/tests/cache_router/decisions/test_server_selection.py
@@ -58,7 +58,7 @@
     assert driver.request("r1", key="k") == third
 
 
-def test_silent_server_gets_one_attempt_at_a_time_until_it_answers(make_driver: DriverFactory) -> None:
+def test_silent_server_gets_one_attempt_at_a_time_until_it_responds(make_driver: DriverFactory) -> None:
     driver = make_driver(*fleet("a", "b"))
     ignore_key_popularity(driver)
     first, second = servers_clockwise(driver, "k")
--- a/tests/cache_router/decisions/test_slow_start.py
+++ b/tests/cache_router/decisions/test_slow_start.py
@@ -32,7 +32,7 @@
             FailingFleetSimulation,
             {"hot_share": 0.3},
             {0.0: ALL_ROUTERS},
-            id="hot key, resets and lost answers",
+            id="hot key, resets and lost responses",
         ),
         pytest.param(
             FleetSimulation,
