--- a/scale_experiments/simulation/__init__.py
+++ b/scale_experiments/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet of decision modules in front of modelled cache servers, on a simulated clock."""
+"""Simulation of a fleet of routers with their decision modules, in front of modelled cache servers."""
--- a/scale_experiments/simulation/attempt_runner.py
+++ b/scale_experiments/simulation/attempt_runner.py
@@ -1,4 +1,4 @@
-"""The attempts of one router: whether an attempt may be sent, to which server, and how it ends."""
+"""Attempts of one router: the checks before an attempt is sent, its connection and its end."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 class AttemptRunner:
-    """Runs attempts at cache servers and at the origin; `on_finished` is called once for each.
+    """Runs attempts at cache servers and at the origin, and calls `on_finished` once for each.
 
-    `endpoints` is the router's endpoint list, by name, as the router keeps it up to date.
+    `endpoints` maps names to the endpoints of the router's list. The router updates this mapping in place.
     """
 
     __slots__ = (
@@ -51,19 +51,19 @@
         self._on_finished = on_finished
         self.location = location
         self.pool = SimulatedConnectionPool(context, location, self)
-        self._servers_used: set[str] = set()  # names of cache servers
+        self._servers_used: set[str] = set()  # names of cache servers since the last clear_servers_used()
 
     @property
     def servers_used_count(self) -> int:
-        """Distinct cache servers that attempts were started at, since the last `clear_servers_used`."""
+        """Number of distinct cache servers to which attempts were started since `clear_servers_used`."""
         return len(self._servers_used)
 
     def clear_servers_used(self) -> None:
-        """Count the cache servers used from now on."""
+        """Restart the count of cache servers used."""
         self._servers_used.clear()
 
     def start(self, request: PendingRequest, server_name: str) -> None:
-        """Start the next attempt of a request; the origin serves it if no cache server has this name."""
+        """Start the next attempt of a request; it goes to the origin if no cache server has this name."""
         cache = self._caches.get(server_name)
         server = self._origin if cache is None else cache
         attempt = request.start_attempt(server.name, self._context.events.now)
@@ -87,14 +87,14 @@
         return None if endpoint is not None and endpoint.is_ready else AttemptStatus.CONNECT_FAILED
 
     def abandon(self, attempt: Attempt, status: AttemptStatus) -> None:
-        """End an attempt in flight before its response, and close its connection."""
+        """Finish an attempt in flight without waiting for its response, and close its connection."""
         self.close_connection(attempt)
         if status is AttemptStatus.TIMEOUT:
             self._context.statistics.count(CountedEvent.TIMEOUT)
         self.finish(attempt, status)
 
     def drop(self, attempt: Attempt) -> None:
-        """End an attempt in flight of a router that stops: only its connection closes."""
+        """Discard an attempt in flight when the router stops: close its connection and report no result."""
         attempt.mark_finished()
         self.close_connection(attempt)
 
@@ -108,7 +108,7 @@
         self.pool.receive_response(attempt, status, load_report)
 
     def finish(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport | None = None) -> None:
-        """End an attempt, unless it has ended already."""
+        """Finish an attempt and report its result, unless it is finished already."""
         if attempt.is_finished:
             return
         attempt.mark_finished()
--- a/scale_experiments/simulation/cache_server.py
+++ b/scale_experiments/simulation/cache_server.py
@@ -1,4 +1,4 @@
-"""A modelled cache server: its process, its connections and the attempts that it serves."""
+"""Model of a cache server: its process, its connections and the attempts that it serves."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from scale_experiments.simulation.slow_start import capacity_share
 from scale_experiments.simulation.statistics import CountedEvent
 
-CELL_SIZE = 8  # cache servers
+CELL_SIZE = 8  # cache servers in a cell
 
 
 class CacheServer(SimulatedServer):
-    """A cache server. It warms up for `Settings.slow_start_duration` seconds after a restart."""
+    """A cache server whose capacity is reduced for `Settings.slow_start_duration` seconds after a restart."""
 
     __slots__ = (
         "_load_reporter",
@@ -43,29 +43,30 @@
         queue_capacity = model.queue_per_core * max(1, model.cores)
         super().__init__(context, endpoint, location, cores=model.cores, queue_capacity=queue_capacity)
         self.connections = ConnectionCount(context.events.now)
-        # while down: a machine whose process died refuses connections, a machine that is lost stays silent
+        # Applies while the server is down. If only the process has failed, its machine refuses connections;
+        # if the machine has failed, connecting to it times out.
         self.refuses_connections = False
-        # start time of the process; 0 is long ago. Connections to an earlier process are reset.
+        # Start time of the process; 0 means long ago. Connections to an earlier process are reset.
         self.started_at = 0.0
         self.cached_keys = KeyCache(model.cached_objects)
-        self.arrivals: list[float] | None = None  # times of attempts received, once they are recorded
-        self.received = 0  # attempts
-        self.received_retries = 0  # second and later attempts of their request
+        self.arrivals: list[float] | None = None  # arrival times of attempts; None until record_arrivals()
+        self.received = 0  # attempts received
+        self.received_retries = 0  # attempts received that were not the first of their request
         self._load_reporter = LoadReporter(model.load_report_interval)
 
     def reset_statistics(self) -> None:
-        """Count connections and attempts received from now on."""
+        """Restart the statistics of connections and received attempts."""
         self.connections.reset(self._context.events.now)
         self.received = self.received_retries = 0
 
     def record_arrivals(self) -> None:
-        """Record the time of each attempt received from now on in `arrivals`."""
+        """Start to record the arrival time of each attempt in `arrivals`."""
         self.arrivals = []
 
     # Process
 
     def fail(self, *, is_silent: bool) -> None:
-        """Lose the process with its attempts and cached keys; if silent, the whole machine."""
+        """Fail the process and discard its attempts and cached keys; if silent, fail the whole machine."""
         self.is_up = False
         self.refuses_connections = not is_silent
         self._lose_attempts()
@@ -73,7 +74,7 @@
         self.started_at = self._context.events.now
 
     def restart(self) -> None:
-        """Start a new process, with an empty cache and the capacity of a slow start."""
+        """Start a new process, with an empty cache and the reduced capacity of slow start."""
         now = self._context.events.now
         self.is_up = True
         self.refuses_connections = False
@@ -82,24 +83,24 @@
         self._load_reporter.restart()
 
     def has_connection_capacity(self) -> bool:
-        """Whether the server accepts one more connection."""
+        """Return whether the server accepts one more connection."""
         limit = self._context.model.max_connections
         return not limit or self.connections.current < limit
 
     def connection_opened(self) -> None:
-        """Count one connection more."""
+        """Count a connection that was opened."""
         self.connections.add(1, self._context.events.now)
 
     def connection_closed(self) -> None:
-        """Count one connection less."""
+        """Count a connection that was closed."""
         self.connections.add(-1, self._context.events.now)
 
     # Attempts
 
     def receive(self, attempt: Attempt, connection: SimulatedConnection) -> None:
-        """Serve, queue or reject an attempt whose request has arrived on a connection.
+        """Serve, queue or reject an attempt that arrives on a connection.
 
-        A server that is out of reach stays silent: the attempt ends when its router abandons it.
+        A server that is unreachable does not respond: its router abandons the attempt later.
         """
         if not self._is_reachable_from(attempt):
             return
@@ -142,7 +143,7 @@
 
     def _complete(self, attempt: Attempt, status: AttemptStatus, process_started_at: float) -> None:
         if not self.is_up or self.started_at != process_started_at:
-            return  # the process that served the attempt has ended
+            return  # the process that served the attempt has failed
         self._release_core()
         if status is AttemptStatus.MISS:
             self._context.statistics.count(CountedEvent.MISS)
@@ -151,7 +152,7 @@
 
     def _respond(self, attempt: Attempt, status: AttemptStatus) -> None:
         events = self._context.events
-        # renewed also when no router receives it, as a server does not know that
+        # The report is renewed even if the response is lost, since the server cannot detect that.
         load_report = self._load_reporter.report(events.now, len(self._queue))
         if attempt.is_finished or not self._is_reachable_from(attempt):
             return
--- a/scale_experiments/simulation/clients.py
+++ b/scale_experiments/simulation/clients.py
@@ -1,4 +1,4 @@
-"""The clients: which keys they request, when, and how they retry."""
+"""Model of the clients: the keys that they request, the arrival times and the retries."""
 
 from __future__ import annotations
 
@@ -18,12 +18,15 @@
 
 
 def key_of(rank: int) -> str:
-    """The key of the object with this rank of popularity, from 0."""
+    """Return the key of the object with this popularity rank; rank 0 is the most popular one."""
     return f"page:{rank}"
 
 
 class KeyGenerator:
-    """Draws keys by the Zipf-Mandelbrot law: the weight of rank k is (k + rank_offset) ** -zipf_exponent."""
+    """Draws random keys from a Zipf-Mandelbrot distribution.
+
+    The weight of the k-th most popular key, from k = 1, is (k + rank_offset) ** -zipf_exponent.
+    """
 
     def __init__(self, model: FleetModel, seed: int) -> None:
         ranks = np.arange(1, model.objects + 1, dtype=np.float64) + model.rank_offset
@@ -43,28 +46,28 @@
 class Clients:
     """The clients of all routers.
 
-    `routers` are the routers that run now, by index: a retry goes to the replacement of a router that was
-    stopped.
+    `routers` holds the running router of each index. The fleet replaces a stopped router in it, so that a
+    retry goes to the replacement.
     """
 
     def __init__(self, context: SimulationContext, seed: int, routers: Sequence[SimulatedRouter]) -> None:
-        self._demand = 1.0  # factor on the model's rate of requests
+        self._demand = 1.0  # multiple of the model's request rate
         self._context = context
         self._keys = KeyGenerator(context.model, seed)
         self._routers = routers
         self._request_numbers = itertools.count()
 
     def set_demand(self, factor: float) -> None:
-        """Scale the model's rate of requests, from the next request at each router on."""
+        """Scale the model's request rate; at each router this takes effect after the next request."""
         self._demand = factor
 
     def start(self, router: SimulatedRouter) -> None:
-        """Send requests to a router until it is stopped; their arrivals are a Poisson process."""
+        """Send requests to a router until it is stopped; they arrive as a Poisson process."""
         rate = self._context.model.requests_per_s * self._demand
         self._context.events.schedule(self._context.random.expovariate(rate), self._arrive, router)
 
     def retry(self, router_index: int, request: ClientRequest) -> None:
-        """Send a request that was not served again after a backoff, if its client has attempts left."""
+        """Schedule a retry of a request that was not served, unless its client has used up its attempts."""
         context = self._context
         if request.requests_sent >= context.model.client_attempts:
             return
--- a/scale_experiments/simulation/connection.py
+++ b/scale_experiments/simulation/connection.py
@@ -1,4 +1,4 @@
-"""A modelled connection of a router to a cache server."""
+"""Model of a connection between a router and a cache server."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class ConnectedServer(NetworkNode, Protocol):
-    """What a connection needs of the cache server at its other end."""
+    """Interface of the cache server at the other end of a connection."""
 
     @property
     def name(self) -> str:
-        """The name in the endpoint list."""
+        """Name of the server in the endpoint list."""
 
     def connection_closed(self) -> None:
-        """Count one connection less."""
+        """Count a connection that was closed."""
 
 
 @dataclass(slots=True, eq=False)
@@ -25,8 +25,8 @@
     """A connection of one router to one cache server. Times are in seconds."""
 
     server: ConnectedServer
-    listed_start: float  # of the server's process, from the router's endpoint list
-    # actual start of the process that accepted the connection; infinite until then
+    listed_start: float  # start time of the server's process in the router's endpoint list
+    # Actual start time of the process that accepted the connection; infinite until it is accepted.
     process_started_at: float = math.inf
     idle_since: float = 0.0
     is_idle: bool = False
@@ -38,7 +38,7 @@
         self.process_started_at = process_started_at
 
     def mark_idle(self, now: float) -> None:
-        """Record that no attempt uses the connection any more."""
+        """Record that the connection carries no attempt."""
         self.idle_since, self.is_idle = now, True
 
     def mark_in_use(self) -> None:
@@ -46,15 +46,15 @@
         self.is_idle = False
 
     def mark_expiry_scheduled(self) -> None:
-        """Record that a check of the idle time is scheduled."""
+        """Record that a check of the idle timeout is scheduled."""
         self.is_expiry_scheduled = True
 
     def mark_expiry_checked(self) -> None:
-        """Record that the scheduled check of the idle time took place."""
+        """Record that the scheduled check of the idle timeout has run."""
         self.is_expiry_scheduled = False
 
     def mark_closed(self) -> None:
-        """Close this end, and report it to the server if the server had accepted the connection."""
+        """Close the router's end, and notify the server if it had accepted the connection."""
         self.is_open = False
         if self.process_started_at < math.inf:
             self.server.connection_closed()
--- a/scale_experiments/simulation/connection_accounting.py
+++ b/scale_experiments/simulation/connection_accounting.py
@@ -1,15 +1,18 @@
-"""Connections counted over time."""
+"""Statistics of the number of open connections over time."""
 
 from __future__ import annotations
 
 import math
 
 NORMAL_99TH = 2.326  # standard deviations from the mean to the 99th percentile of a normal distribution
-SHORTEST_SPAN = 1e-9  # seconds; the divisor for a span of no time
+SHORTEST_SPAN = 1e-9  # seconds; avoids a division by zero directly after a reset
 
 
 class ConnectionCount:
-    """How many connections one end has open, with its distribution over time. Times are in seconds."""
+    """Number of connections open at one end, with its peak, mean and variance over time.
+
+    Times are in seconds.
+    """
 
     __slots__ = ("_changed_at", "_started_at", "_weighted_squares", "_weighted_sum", "current", "peak")
 
@@ -18,13 +21,13 @@
         self.reset(at)
 
     def reset(self, at: float) -> None:
-        """Restart the statistics; the connections that are open stay counted."""
+        """Restart the statistics; connections that are open remain counted."""
         self._started_at = self._changed_at = at
-        self._weighted_sum = self._weighted_squares = 0.0  # of the counts, weighted by their seconds
+        self._weighted_sum = self._weighted_squares = 0.0  # sums of count * seconds and count**2 * seconds
         self.peak = self.current
 
     def add(self, count: int, at: float) -> None:
-        """Count connections opened, or closed where `count` is negative."""
+        """Add connections that were opened, or subtract closed ones if `count` is negative."""
         seconds = at - self._changed_at
         self._weighted_sum += seconds * self.current
         self._weighted_squares += seconds * self.current * self.current
@@ -33,16 +36,16 @@
         self.peak = max(self.peak, self.current)
 
     def mean(self, at: float) -> float:
-        """The mean over the time since the last reset."""
+        """Return the mean count over the time since the last reset."""
         self.add(0, at)
         return self._weighted_sum / max(at - self._started_at, SHORTEST_SPAN)
 
     def percentile_99(self, at: float, scale: float) -> float:
         """Estimate the 99th percentile over time of the whole fleet's count from this sample's count.
 
-        The fleet has `scale` times as many routers as the sample. The routers are independent of each other,
-        so that the mean and the variance of their sum both grow by the factor `scale`. The sum is assumed to
-        be normally distributed.
+        The fleet has `scale` times as many routers as the sample. The counts of different routers are
+        independent, so that the mean and the variance of their sum are both `scale` times as high. The sum
+        is assumed to be normally distributed.
         """
         mean = self.mean(at)
         mean_square = self._weighted_squares / max(at - self._started_at, SHORTEST_SPAN)
--- a/scale_experiments/simulation/connection_pool.py
+++ b/scale_experiments/simulation/connection_pool.py
@@ -1,4 +1,4 @@
-"""One router's modelled connections to cache servers, by the rules that `network_rules` lists."""
+"""Model of one router's connection pool to cache servers, by the rules listed in `network_rules`."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from scale_experiments.simulation.requests import Attempt
 from scale_experiments.simulation.statistics import CountedEvent
 
-CLOCK_TOLERANCE = 1e-6  # seconds by which rounding may let the check of the idle time come too early
+CLOCK_TOLERANCE = 1e-6  # seconds by which rounding errors may advance the check of the idle timeout
 
 
 class AttemptOwner(Protocol):
-    """What a pool needs of the router whose attempts it carries."""
+    """Interface through which a pool checks and finishes the attempts of its router."""
 
     def precondition(self, attempt: Attempt) -> AttemptStatus | None:
         """Return the status of an attempt that may no longer be sent, or None if it may be sent."""
 
     def finish(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport | None = None) -> None:
-        """End an attempt."""
+        """Finish an attempt and report its result."""
 
 
 class SimulatedConnectionPool:
@@ -42,7 +42,7 @@
         self._idle_time = max(0.0, context.settings.connection_idle_timeout - IDLE_MARGIN)
 
     def start(self, attempt: Attempt, server: CacheServer, listed_start: float) -> None:
-        """Send an attempt on an idle connection or on a new one; without capacity, finish it as not sent."""
+        """Send an attempt on an idle or a new connection; if neither is possible, finish it as not sent."""
         connection = self._take_idle(server, listed_start)
         if connection is not None:
             self._send(attempt, connection, server)
@@ -141,7 +141,7 @@
             self._send(attempt, connection, server)
             return
         if status is AttemptStatus.NOT_SENT:
-            self._keep(connection)  # the request was too late; the connection is usable
+            self._keep(connection)  # only the request has ended; the connection is usable
         else:
             self.close(connection)
         self._owner.finish(attempt, status)
@@ -159,7 +159,7 @@
         connection.mark_expiry_checked()
         if not connection.is_open or not connection.is_idle:
             return
-        # the connection may have been used and become idle again since the check was scheduled
+        # The connection may have been used and become idle again since the check was scheduled.
         time_left = connection.idle_since + self._idle_time - self._context.events.now
         if time_left > CLOCK_TOLERANCE:
             self._schedule_expiry(connection, time_left)
--- a/scale_experiments/simulation/context.py
+++ b/scale_experiments/simulation/context.py
@@ -1,4 +1,4 @@
-"""The objects that all parts of one simulation share."""
+"""The objects that all components of a simulation share."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 class SimulationContext:
     """The clock, network, statistics and configuration of one simulated fleet.
 
-    All parts draw from the same `random`, so that the order of their draws is part of what a seed determines.
+    All components draw from the same `random`, so that the results of a seed also depend on the order of
+    the draws.
     """
 
     settings: Settings
--- a/scale_experiments/simulation/decision_loop.py
+++ b/scale_experiments/simulation/decision_loop.py
@@ -1,4 +1,4 @@
-"""The events of one router's decision module, and the actions that the module answers with."""
+"""Dispatch of events to one router's decision module, and of the actions that it returns."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from cache_router.decisions.router import Router
 from scale_experiments.simulation.context import SimulationContext
 
-SEED_BITS = 48  # of the seed that each decision module is created with
+SEED_BITS = 48  # size of the seed of a decision module
 
 
 class DecisionLoop:
-    """Gives events to a decision module, and its actions to `carry_out`."""
+    """Passes events to a decision module and calls `carry_out` with each action that it returns."""
 
     __slots__ = ("_carry_out", "_context", "_decisions", "_events", "_is_handling")
 
@@ -26,7 +26,7 @@
         self._is_handling = False
 
     def handle(self, event: Event) -> None:
-        """Handle an event now, or after the current one if an action has caused it."""
+        """Handle an event at once, or after the current event if an action of the current one caused it."""
         self._events.append(event)
         if self._is_handling:
             return
--- a/scale_experiments/simulation/decision_timer.py
+++ b/scale_experiments/simulation/decision_timer.py
@@ -1,4 +1,4 @@
-"""The processor time that the decision modules take."""
+"""Measurement of the processor time of the decision modules."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from cache_router.decisions.events import Event
 from cache_router.decisions.router import Router
 
-CALLS_PER_TIMED_CALL = 16
+CALLS_PER_TIMED_CALL = 16  # one of this many calls is timed
 
 
 class DecisionTimer:
-    """Calls the decision modules, and measures the processor time of one in `CALLS_PER_TIMED_CALL` calls."""
+    """Calls the decision modules, and measures the processor time of every `CALLS_PER_TIMED_CALL`-th call."""
 
     __slots__ = ("calls", "requests", "timed_calls", "timed_seconds")
 
@@ -21,17 +21,20 @@
         self.reset()
 
     def reset(self) -> None:
-        """Measure from now on. Calls with a complete endpoint list, at the start, would distort the mean."""
+        """Restart the measurement.
+
+        The first calls process complete endpoint lists, which would distort the mean.
+        """
         self.calls = self.timed_calls = 0
         self.timed_seconds = 0.0
-        self.requests = 0  # accepted by routers
+        self.requests = 0  # requests accepted by routers
 
     def request_accepted(self) -> None:
-        """Count a request that a router accepted."""
+        """Count a request that a router has accepted."""
         self.requests += 1
 
     def handle(self, router: Router, now: float, event: Event) -> Iterable[Action]:
-        """Give an event to a decision module, and return its actions."""
+        """Pass an event to a decision module, and return its actions."""
         self.calls += 1
         if self.calls % CALLS_PER_TIMED_CALL:
             return router.handle(now, event)
@@ -42,9 +45,9 @@
         return actions
 
     def calls_per_request(self) -> float:
-        """Mean number of calls of `Router.handle` for each request accepted."""
+        """Return the mean number of `Router.handle` calls per accepted request."""
         return self.calls / max(1, self.requests)
 
     def seconds_per_call(self) -> float:
-        """Mean processor time in seconds of the calls of `Router.handle` that were timed."""
+        """Return the mean processor time, in seconds, of the timed `Router.handle` calls."""
         return self.timed_seconds / max(1, self.timed_calls)
--- a/scale_experiments/simulation/errors.py
+++ b/scale_experiments/simulation/errors.py
@@ -1,21 +1,21 @@
-"""Errors of the simulation: a decision module that breaks its contract with the clients."""
+"""Errors of the simulation: a decision module did not give each request exactly one final answer."""
 
 from __future__ import annotations
 
 
 class SimulationError(Exception):
-    """Base of the errors that stop a simulation."""
+    """Base class of the errors that stop a simulation."""
 
 
 class DuplicateAnswerError(SimulationError):
-    """A request got a second final answer."""
+    """A request received a second final answer."""
 
     def __init__(self, request_id: str) -> None:
-        super().__init__(f"a second answer to {request_id}")
+        super().__init__(f"request {request_id} received a second final answer")
 
 
 class MissingAnswerError(SimulationError):
-    """A request got no final answer by its deadline."""
+    """A request received no final answer by its deadline."""
 
     def __init__(self, request_id: str) -> None:
-        super().__init__(f"no answer in time to {request_id}")
+        super().__init__(f"request {request_id} received no final answer by its deadline")
--- a/scale_experiments/simulation/event_queue.py
+++ b/scale_experiments/simulation/event_queue.py
@@ -1,4 +1,4 @@
-"""The simulated clock and the callbacks that are due on it."""
+"""The simulated clock and the callbacks that are scheduled on it."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 Arguments = TypeVarTuple("Arguments")
 
-EVENTS_BETWEEN_CHECKS = 10_000
+EVENTS_BETWEEN_CHECKS = 10_000  # events between two calls of should_stop
 
 
 def never() -> bool:
-    """The stop condition of a run that ends only when its time is over."""
+    """Return False: a stop condition with which a run never ends early."""
     return False
 
 
 class EventQueue:
-    """Callbacks in the order of their times; callbacks of one time run in the order of their scheduling.
+    """Queue that runs callbacks in order of time; callbacks at the same time run in the order of scheduling.
 
     `now` is the simulated time in seconds. It advances only within `run`.
     """
@@ -27,18 +27,18 @@
 
     def __init__(self, now: float) -> None:
         self.now = now
-        # time, sequence number, callback and its arguments: a tuple, as heapq compares entries in place
+        # Heap of (time, sequence number, callback, arguments); tuples, since heapq compares the entries.
         self._due: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self._sequence = itertools.count()
 
     def schedule(self, delay: float, callback: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
-        """Call back with these arguments, `delay` seconds from now."""
+        """Schedule a call of `callback` with these arguments, `delay` seconds from now."""
         heapq.heappush(self._due, (self.now + delay, next(self._sequence), callback, arguments))
 
     def run(self, seconds: float, should_stop: Callable[[], bool] = never) -> bool:
-        """Let simulated time pass; return whether all of it passed.
+        """Advance the clock by `seconds` and run the callbacks that are due; return False if stopped early.
 
-        `should_stop` is called once in `EVENTS_BETWEEN_CHECKS` events. The run ends early if it returns true.
+        `should_stop` is called every `EVENTS_BETWEEN_CHECKS` events. The run ends early if it returns True.
         """
         end = self.now + seconds
         for number in itertools.count(1):
--- a/scale_experiments/simulation/fleet.py
+++ b/scale_experiments/simulation/fleet.py
@@ -1,13 +1,13 @@
-"""A fleet of routers in front of modelled cache servers, on a simulated clock.
+"""Simulation of a fleet of routers in front of modelled cache servers, on a simulated clock.
 
 Each router has a decision module of its own, `cache_router.decisions.router.Router`, which receives only the
-events of its router. Its actions are carried out by the rules of `network_rules`.
+events of its router. Its actions are executed by the rules in `network_rules`.
 
-A large fleet is simulated by a sample of its routers. Each decision module is configured with the count
-`FleetModel.routers`; only `FleetModel.routers_sampled` of them are run. The cores and connection limits of
-the cache servers are for the sample, and so are the counts at a cache server: the counts of the whole fleet
-are `FleetModel.scale` times as high. A mean scales linearly; a percentile does not, see
-`ConnectionCount.percentile_99`.
+A large fleet is simulated by a sample of its routers. Each decision module is configured for a fleet of
+`FleetModel.routers`, but only `FleetModel.routers_sampled` of them are run. The cores and connection limits
+of the cache servers are scaled to the sample. The counts at a cache server are those of the sample, too:
+for the whole fleet they are `FleetModel.scale` times as high. A mean scales linearly; a percentile does not,
+see `ConnectionCount.percentile_99`.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class Fleet:
-    """The simulation. `run` lets time pass; `statistics` holds the counts since the last `reset`."""
+    """A simulated fleet. `run` advances its clock; `statistics` holds the counts since the last `reset`."""
 
     def __init__(self, settings: Settings, model: FleetModel, seed: int) -> None:
         self.model = model
@@ -71,7 +71,7 @@
         return router
 
     def _preload_caches(self) -> None:
-        """Fill each cache server with the most popular of the keys that routers send to it."""
+        """Fill each cache server with the most popular of the keys that are placed on it."""
         full = 0
         most_keys = 2 * self.model.cached_objects * self.model.caches
         keys = [key_of(rank) for rank in range(min(self.model.objects, most_keys))]
@@ -85,17 +85,17 @@
                 break
 
     def endpoints(self) -> tuple[Endpoint, ...]:
-        """The current endpoint list: all cache servers, then the origin."""
+        """Return the current endpoint list: all cache servers, then the origin."""
         return tuple(server.endpoint for server in [*self.caches.values(), self.origin])
 
     # Time and statistics
 
     def run(self, seconds: float, should_stop: Callable[[], bool] = never) -> bool:
-        """Let simulated time pass; return whether all of it passed, see `EventQueue.run`."""
+        """Advance the clock by `seconds`; return False if stopped early, see `EventQueue.run`."""
         return self.events.run(seconds, should_stop)
 
     def reset(self) -> None:
-        """Count from now on."""
+        """Restart all statistics."""
         self.statistics.reset()
         for cache in self.caches.values():
             cache.reset_statistics()
@@ -103,7 +103,7 @@
             router.pool.connections.reset(self.events.now)
 
     def watch_servers_used(self, span: float) -> None:
-        """Count the cache servers that each router sends to, for each span of `span` seconds from now on."""
+        """Start to record, every `span` seconds, how many cache servers each router used in that time."""
         for router in self.routers:
             router.attempts.clear_servers_used()
         self.events.schedule(span, self._record_servers_used, span)
@@ -113,9 +113,9 @@
         self.watch_servers_used(span)
 
     def budget_use(self, cache: CacheServer) -> BudgetUse:
-        """How much of its slow start's budget a cache server was sent since the last reset.
+        """Return the share of its slow start budget that a cache server received since the last reset.
 
-        The server must have started at that time and must have recorded its arrivals since.
+        The server must have started at the time of that reset and must record its arrivals since then.
         """
         started_at = self.statistics.counted_from
         return budget_use(self.settings, self.model, cache.arrivals or (), started_at)
@@ -123,19 +123,19 @@
     # Faults
 
     def fail_servers(self, names: Iterable[str], *, is_silent: bool = True) -> None:
-        """Fail the machines of cache servers; if not silent, only the processes, which refuse connects."""
+        """Fail the machines of cache servers; if not silent, only the processes: connections are refused."""
         for name in names:
             self.caches[name].fail(is_silent=is_silent)
 
     def restore_servers(self, names: Iterable[str]) -> None:
-        """Restart cache servers, with empty caches and the capacity of a slow start."""
+        """Restart cache servers, with empty caches and the reduced capacity of slow start."""
         for name in names:
             self.caches[name].restart()
 
     def notify_all(self, names: Iterable[str], state: EndpointState, delay: float, spread: float) -> None:
-        """Notify each router of the state of cache servers.
+        """Send each router an endpoint update with a new state of cache servers.
 
-        Each router is notified after `delay` plus a random time of up to `spread` seconds.
+        Each router receives it after `delay` plus a random time of up to `spread` seconds.
         """
         endpoints = tuple(replace(self.caches[name].endpoint, state=state) for name in names)
         for router in self.routers:
@@ -146,7 +146,7 @@
         """Replace each of these routers, after `delay` plus a random time of up to `spread` seconds.
 
         The new routers start with the current endpoint list. Clients retry the requests that the old routers
-        had not answered.
+        leave unanswered.
         """
         endpoints = self.endpoints()
         for router in routers:
--- a/scale_experiments/simulation/idle_connections.py
+++ b/scale_experiments/simulation/idle_connections.py
@@ -11,7 +11,7 @@
     __slots__ = ("_all", "_by_server")
 
     def __init__(self) -> None:
-        # dictionaries without values: they keep the order, and any connection is removed in constant time
+        # Dictionaries used as ordered sets: any connection can be removed in constant time.
         self._all: dict[SimulatedConnection, None] = {}
         self._by_server: dict[str, dict[SimulatedConnection, None]] = {}
 
@@ -19,7 +19,7 @@
         return len(self._all)
 
     def add(self, connection: SimulatedConnection, now: float) -> None:
-        """Add a connection that became idle."""
+        """Add a connection that has become idle."""
         connection.mark_idle(now)
         self._all[connection] = None
         self._by_server.setdefault(connection.server.name, {})[connection] = None
@@ -37,17 +37,17 @@
             del self._by_server[name]
 
     def longest_idle(self) -> SimulatedConnection | None:
-        """The connection that has been idle for longest, if there is one."""
+        """Return the connection that has been idle for longest, or None."""
         return next(iter(self._all), None)
 
     def longest_idle_to(self, server_name: str) -> SimulatedConnection | None:
-        """The connection to this server that has been idle for longest, if there is one."""
+        """Return the connection to this server that has been idle for longest, or None."""
         return next(iter(self._by_server.get(server_name, ())), None)
 
     def all(self) -> list[SimulatedConnection]:
-        """A copy of the list of all idle connections."""
+        """Return a new list of all idle connections."""
         return list(self._all)
 
     def to_server(self, server_name: str) -> list[SimulatedConnection]:
-        """A copy of the list of idle connections to this server."""
+        """Return a new list of the idle connections to this server."""
         return list(self._by_server.get(server_name, ()))
--- a/scale_experiments/simulation/key_cache.py
+++ b/scale_experiments/simulation/key_cache.py
@@ -1,4 +1,4 @@
-"""The keys that a cache server holds."""
+"""Model of the keys that a cache server stores."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class KeyCache:
-    """A bounded set of keys; beyond its capacity it evicts the least recently used key."""
+    """A bounded set of keys that evicts the least recently used key when its capacity is exceeded."""
 
     __slots__ = ("_capacity", "_keys")
 
@@ -16,31 +16,31 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the next key to be stored evicts another one."""
+        """Whether storing another key evicts one."""
         return len(self._keys) >= self._capacity
 
     def read(self, key: str) -> bool:
-        """Return whether a key is cached; if so, it is now the most recently used one."""
+        """Return whether a key is cached, and mark it as the most recently used one if it is."""
         if key not in self._keys:
             return False
         self._keys.move_to_end(key)
         return True
 
     def preload(self, key: str) -> None:
-        """Cache a key as the least recently used one."""
+        """Store a key as the least recently used one."""
         self._keys[key] = None
         self._keys.move_to_end(key, last=False)
 
     def store(self, key: str) -> None:
-        """Cache a key; evict the least recently used one if the capacity is exceeded."""
+        """Store a key; evict the least recently used one if the capacity is exceeded."""
         self._keys[key] = None
         if len(self._keys) > self._capacity:
             self._keys.popitem(last=False)
 
     def invalidate(self, key: str) -> None:
-        """Drop a key that was written, if it is cached."""
+        """Remove a key that was written, if it is cached."""
         self._keys.pop(key, None)
 
     def clear(self) -> None:
-        """Drop all keys."""
+        """Remove all keys."""
         self._keys.clear()
--- a/scale_experiments/simulation/key_placement.py
+++ b/scale_experiments/simulation/key_placement.py
@@ -1,4 +1,4 @@
-"""The cache server to which a router without load sends each key."""
+"""Placement of keys: the cache server to which a router without load sends the first read of a key."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from cache_router.settings import Settings
 from scale_experiments.simulation.model import READ, START
 
-SERVED_LATENCY = 0.05  # seconds, far below every latency objective
+SERVED_LATENCY = 0.05  # seconds; far below every latency objective
 
 
 def place_keys(settings: Settings, endpoints: Iterable[Endpoint], keys: Iterable[str]) -> Iterator[str]:
     """Yield, for each key, the name of the server to which a router with these endpoints sends a first read.
 
-    Each read is served before the next one, so that load never changes a placement.
+    Each read is served before the next one is sent, so that load does not affect the placement.
     """
     router = Router(settings, 0, START)
     router.handle(START, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(endpoints)))
--- a/scale_experiments/simulation/load_reporting.py
+++ b/scale_experiments/simulation/load_reporting.py
@@ -1,4 +1,4 @@
-"""The load that a cache server reports to the routers."""
+"""Load reports of a modelled cache server."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 from cache_router.decisions.events import LoadReport
 
-SERVICE_TIME_SMOOTHING = 0.1  # weight of the last request in the reported service time
+SERVICE_TIME_SMOOTHING = 0.1  # weight of the latest attempt in the smoothed service time
 
 
 class LoadReporter:
-    """Keeps the load report that a cache server attaches to its responses, and renews it at intervals."""
+    """Produces the load report that a cache server attaches to its responses, and renews it periodically."""
 
     __slots__ = ("_interval", "_report", "_reported_at", "_service_time")
 
     def __init__(self, interval: float) -> None:
-        self._interval = interval  # seconds after which a report is renewed
+        self._interval = interval  # maximum age of a report in seconds
         self._report = LoadReport(0.0, 0.0)
         self.restart()
 
     def restart(self) -> None:
-        """Forget the service times; the next report is a new one."""
-        self._service_time = 0.0  # seconds, smoothed; 0 before the first service
+        """Discard the service times and the current report."""
+        self._service_time = 0.0  # smoothed, in seconds; 0 until an attempt was served
         self._reported_at = -math.inf
 
     def add_service_time(self, seconds: float) -> None:
-        """Include the service time of one attempt in the smoothed one."""
+        """Update the smoothed service time with that of one attempt."""
         if self._service_time:
             self._service_time += SERVICE_TIME_SMOOTHING * (seconds - self._service_time)
         else:
--- a/scale_experiments/simulation/network.py
+++ b/scale_experiments/simulation/network.py
@@ -1,4 +1,4 @@
-"""Where routers and servers are, which of them reach each other, and how long a message takes."""
+"""Model of the network: locations of routers and servers, reachability and latency."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 
 class NetworkNode(Protocol):
-    """A server as the network sees it."""
+    """Interface of a server to the network."""
 
     @property
     def location(self) -> Location:
-        """Where the server is."""
+        """Zone and region of the server."""
 
     @property
     def is_up(self) -> bool:
-        """Whether the server runs."""
+        """Whether the server is running."""
 
     @property
     def is_always_reachable(self) -> bool:
-        """Whether routers of isolated regions reach the server too."""
+        """Whether the server is reachable even if its region or the router's is isolated."""
 
 
 def location_of(index: int, model: FleetModel) -> Location:
-    """The location of a fleet's n-th router or cache server: they are assigned to the zones in turn."""
+    """Return the location of the router or cache server with this index; zones are assigned round-robin."""
     zone = index % model.zones
     return Location(zone, zone % model.regions)
 
@@ -41,7 +41,8 @@
 class Network:
     """The network between the routers and the servers.
 
-    Routers and cache servers of an isolated region reach only what is in their own region.
+    Messages don't pass between an isolated region and other regions, except to servers that are always
+    reachable.
     """
 
     def __init__(self, one_way_latency: tuple[float, float, float]) -> None:
@@ -49,15 +50,15 @@
         self._isolated_regions: set[int] = set()
 
     def isolate_region(self, region: int) -> None:
-        """Cut a region off from all others."""
+        """Isolate a region from all other regions."""
         self._isolated_regions.add(region)
 
     def reconnect_regions(self) -> None:
-        """Connect all isolated regions again."""
+        """End the isolation of all regions."""
         self._isolated_regions.clear()
 
     def is_reachable(self, router: Location, server: NetworkNode) -> bool:
-        """Whether messages pass between a router and a server now."""
+        """Return whether messages pass between a router and a server now."""
         if not server.is_up:
             return False
         region = server.location.region
@@ -66,7 +67,7 @@
         return router.region not in self._isolated_regions and region not in self._isolated_regions
 
     def one_way_latency(self, router: Location, server: Location) -> float:
-        """Seconds that a message takes in one direction."""
+        """Return the latency of a message in one direction, in seconds."""
         if router.zone == server.zone:
             return self._same_zone
         return self._same_region if router.region == server.region else self._elsewhere
--- a/scale_experiments/simulation/origin.py
+++ b/scale_experiments/simulation/origin.py
@@ -1,6 +1,6 @@
-"""The modelled origin.
+"""Model of the origin.
 
-Connections to it are not modelled: routers reuse them, and no statistics count them.
+Connections to the origin are not modelled: routers reuse them, and no statistics count them.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from scale_experiments.simulation.server import SimulatedServer
 from scale_experiments.simulation.statistics import CountedEvent
 
-FILLED_SERVERS = 2  # cache servers in which a router stores a key after a miss, at most
+FILLED_SERVERS = 2  # maximum number of cache servers in which a router stores a key after a miss
 
 
 class Origin(SimulatedServer):
-    """The origin, in the first zone. It answers each attempt that it does not reject."""
+    """The origin, in the first zone. It serves each attempt that it does not reject."""
 
     __slots__ = ("_caches",)
 
--- a/scale_experiments/simulation/requests.py
+++ b/scale_experiments/simulation/requests.py
@@ -1,4 +1,4 @@
-"""Requests on their way: what a client wants, a request at a router, and its attempts at servers."""
+"""State of requests: a client's request, a request at a router, and its attempts at servers."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class AttemptSender(Protocol):
-    """The router's side of an attempt, to which the servers report."""
+    """Interface of the router through which a server returns the result of an attempt."""
 
     @property
     def location(self) -> Location:
-        """Where the router is."""
+        """Zone and region of the router."""
 
     def close_connection(self, attempt: Attempt) -> None:
         """Close the connection that an attempt was sent on, if there is one."""
@@ -25,16 +25,16 @@
         """Receive the response to an attempt from a cache server."""
 
     def finish(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport | None = None) -> None:
-        """End an attempt, unless it has ended already."""
+        """Finish an attempt and report its result, unless it is finished already."""
 
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """What a client wants. The client sends one or more requests to a router for it."""
+    """A read or write of a client, which sends one or more requests to a router for it."""
 
     key: str
     is_write: bool
-    created_at: float  # seconds, when the client first asked
+    created_at: float  # time in seconds at which the client made it
     requests_sent: int = 0
 
     def mark_sent(self) -> None:
@@ -52,8 +52,8 @@
     is_answered: bool = False
     is_overdue: bool = False
     attempts_sent: int = 0
-    attempts_in_flight: dict[int, Attempt] = field(default_factory=dict)  # by number
-    missed_at: list[str] = field(default_factory=list)  # names of the cache servers that missed the key
+    attempts_in_flight: dict[int, Attempt] = field(default_factory=dict)  # attempts by number
+    missed_at: list[str] = field(default_factory=list)  # names of cache servers that lack the key
 
     @property
     def is_done(self) -> bool:
@@ -61,17 +61,17 @@
         return self.is_answered and not self.attempts_in_flight
 
     def start_attempt(self, server_name: str, now: float) -> Attempt:
-        """Add the next attempt, at this server."""
+        """Add the next attempt, which goes to this server."""
         attempt = Attempt(self, self.attempts_sent, server_name, now)
         self.attempts_sent += 1
         self.attempts_in_flight[attempt.number] = attempt
         return attempt
 
     def mark_answered(self) -> None:
-        """Record the one answer.
+        """Record that the request has its final answer.
 
         Raises:
-            DuplicateAnswerError: if the request has an answer already.
+            DuplicateAnswerError: if the request already has a final answer.
         """
         if self.is_answered:
             raise DuplicateAnswerError(self.request_id)
@@ -82,7 +82,7 @@
         self.is_overdue = True
 
     def mark_missed(self, server_name: str) -> None:
-        """Record that a cache server did not have the key."""
+        """Record that a cache server does not have the key."""
         self.missed_at.append(server_name)
 
 
@@ -93,18 +93,18 @@
     request: PendingRequest
     number: int
     server_name: str
-    sent_at: float  # seconds
+    sent_at: float  # time in seconds
     connection: SimulatedConnection | None = None
     is_finished: bool = False
     needs_handshake: bool = False  # the server spends core time on a handshake before it serves the attempt
 
     @property
     def sender(self) -> AttemptSender:
-        """The router's side of the attempt."""
+        """The interface of the router that sent the attempt."""
         return self.request.sender
 
     def use_connection(self, connection: SimulatedConnection) -> None:
-        """Assign the connection that carries the attempt."""
+        """Record the connection that carries the attempt."""
         self.connection = connection
 
     def mark_handshake(self) -> None:
@@ -112,6 +112,6 @@
         self.needs_handshake = True
 
     def mark_finished(self) -> None:
-        """End the attempt: it is no longer in flight."""
+        """Record that the attempt is finished and no longer in flight."""
         self.is_finished = True
         del self.request.attempts_in_flight[self.number]
--- a/scale_experiments/simulation/router.py
+++ b/scale_experiments/simulation/router.py
@@ -1,4 +1,4 @@
-"""A simulated router: its endpoint list, the requests that it accepts, and their answers."""
+"""Model of a router: its endpoint list, the requests that it accepts and their final answers."""
 
 from __future__ import annotations
 
@@ -27,16 +27,17 @@
 from scale_experiments.simulation.requests import Attempt, ClientRequest, PendingRequest
 from scale_experiments.simulation.statistics import CountedEvent
 
-# A request must be answered at most this many units of the clock's resolution after its deadline.
+# A request may get its final answer up to this many units of the clock resolution after its deadline.
 ANSWER_GRACE_TICKS = 4
 
-Retry = Callable[[int, ClientRequest], None]  # the index is of the router that did not serve the request
+# Called with the index of the router that did not serve the request, and with the request.
+Retry = Callable[[int, ClientRequest], None]
 
 
 class SimulatedRouter:
-    """One router, from its start until it is stopped.
+    """One router process, from its start until it is stopped.
 
-    `retry` is called with each client request that was answered without being served.
+    `retry` is called for each client request whose final answer is a rejection or a failure.
     """
 
     __slots__ = (
@@ -71,17 +72,17 @@
             context, self.location, self.endpoints, caches, origin, on_finished=self._on_attempt_finished
         )
         self.pool = self.attempts.pool
-        self.requests: dict[str, PendingRequest] = {}  # by id
+        self.requests: dict[str, PendingRequest] = {}  # requests by id
 
     # Start, stop and endpoint list
 
     def start(self, endpoints: Sequence[Endpoint]) -> None:
-        """Receive the complete endpoint list."""
+        """Pass the complete endpoint list to the decision module."""
         self.endpoints.update((endpoint.name, endpoint) for endpoint in endpoints)
         self._handle(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(endpoints)))
 
     def stop(self) -> None:
-        """End the process: its connections close, and the requests without an answer fail."""
+        """Stop the process: close its connections and fail the requests without a final answer."""
         self.is_running = False
         self.pool.close_all_idle()
         for request in list(self.requests.values()):
@@ -91,7 +92,7 @@
                 self._answer(request, CountedEvent.FAILED)
 
     def update_endpoints(self, endpoints: Sequence[Endpoint]) -> None:
-        """Receive changed endpoints; idle connections to those that restarted or are not ready are closed."""
+        """Apply an endpoint update; close idle connections to servers that restarted or are not ready."""
         if not self.is_running:
             return
         for endpoint in endpoints:
@@ -107,7 +108,7 @@
     # Requests
 
     def accept(self, request_id: str, client_request: ClientRequest, time_left: float) -> None:
-        """Accept a request that must be answered within `time_left` seconds."""
+        """Accept a request whose deadline is `time_left` seconds from now."""
         context = self._context
         request = PendingRequest(request_id, self.attempts, client_request)
         self.requests[request_id] = request
@@ -122,10 +123,10 @@
         )
 
     def _answer(self, request: PendingRequest, outcome: CountedEvent) -> None:
-        """Give a request its one answer.
+        """Give a request its final answer.
 
         Raises:
-            DuplicateAnswerError: if the request has an answer already.
+            DuplicateAnswerError: if the request already has a final answer.
         """
         request.mark_answered()
         statistics, client_request = self._context.statistics, request.client_request
@@ -146,7 +147,7 @@
         for attempt in list(request.attempts_in_flight.values()):
             self.attempts.abandon(attempt, AttemptStatus.TIMEOUT)
         if not request.is_answered:
-            # The decision module received its last event of this request, but may still wait for a timer.
+            # The decision module has received the last event of this request, but may still wait for a timer.
             grace = self._context.settings.clock_resolution * ANSWER_GRACE_TICKS
             self._context.events.schedule(grace, self._check_answered, request)
 
--- a/scale_experiments/simulation/server.py
+++ b/scale_experiments/simulation/server.py
@@ -1,4 +1,4 @@
-"""What a cache server and the origin have in common: cores, and a bounded queue in front of them."""
+"""Common base of the modelled cache servers and the origin: cores with a bounded queue."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class SimulatedServer(ABC):
-    """A server as the routers and the network see it."""
+    """A server with an endpoint, a location, a number of cores and a bounded queue of attempts."""
 
     __slots__ = (
         "_busy_cores",
@@ -42,14 +42,14 @@
         self.name = endpoint.name
         self.location = location
         self.is_up = True
-        self.is_always_reachable = is_always_reachable  # also from isolated regions
-        self._cores = cores  # 0: as many as are needed
+        self.is_always_reachable = is_always_reachable  # whether isolated regions reach it too
+        self._cores = cores  # 0 is unlimited
         self._busy_cores = 0
         self._queue: deque[Attempt] = deque()
         self._queue_capacity = queue_capacity
 
     def _serve_or_queue(self, attempt: Attempt) -> bool:
-        """Serve an attempt at once or queue it; return False where neither is possible."""
+        """Serve an attempt at once or queue it; return False if no core is idle and the queue is full."""
         if not self._cores or self._busy_cores < self._cores:
             self._start_service(attempt)
         elif len(self._queue) < self._queue_capacity:
@@ -67,20 +67,20 @@
         """Serve an attempt on the core that was assigned to it, and schedule the release of the core."""
 
     def _release_core(self) -> None:
-        """Free a core after a service; the first attempt of the queue takes it."""
+        """Release a core after a service, and assign it to the first attempt in the queue."""
         self._busy_cores -= 1
         if self._queue:
             self._start_service(self._queue.popleft())
 
     def _lose_attempts(self) -> None:
-        """Lose the attempts that are served or queued."""
+        """Discard the attempts that are being served or queued."""
         self._queue.clear()
         self._busy_cores = 0
 
     def _is_reachable_from(self, attempt: Attempt) -> bool:
-        """Whether messages pass between the attempt's router and this server now."""
+        """Return whether messages pass between the attempt's router and this server now."""
         return self._context.network.is_reachable(attempt.sender.location, self)
 
     def _one_way_latency(self, attempt: Attempt) -> float:
-        """Seconds that a message takes between the attempt's router and this server."""
+        """Return the one-way latency between the attempt's router and this server, in seconds."""
         return self._context.network.one_way_latency(attempt.sender.location, self.location)
--- a/scale_experiments/simulation/slow_start.py
+++ b/scale_experiments/simulation/slow_start.py
@@ -1,4 +1,4 @@
-"""The capacity of a cache server during slow start, and how much of its budget the routers used."""
+"""Capacity of a cache server during slow start, and the share of its budget that the routers used."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 @dataclass(slots=True, frozen=True)
 class BudgetUse:
-    """The largest share of a warming server's budget that it was sent within any window.
+    """Largest number of attempts that a warming server received in any window, relative to its budget.
 
-    With a budget of N attempts, `strict` is the share of N. `with_tolerance` is the share of
+    With a budget of N attempts, `strict` is relative to N. `with_tolerance` is relative to
     N + 2 x sqrt(N) + 2, which includes a statistical tolerance.
     """
 
@@ -24,7 +24,10 @@
 
 
 def capacity_share(settings: Settings, age: float) -> float:
-    """The share of its capacity that a server has `age` seconds after its start; it rises linearly to 1."""
+    """Return the share of its full capacity that a server has `age` seconds after its start.
+
+    The share rises linearly to 1 during slow start.
+    """
     if age >= settings.slow_start_duration:
         return 1.0
     initial = settings.slow_start_initial_share
@@ -32,9 +35,12 @@
 
 
 def capacity_within(settings: Settings, model: FleetModel, age: float, window: float) -> float:
-    """Requests that a cache server can serve within `window` seconds from `age` seconds after its start."""
+    """Return the requests that a cache server can serve in `window` seconds, from the given age on.
+
+    `age` is the time in seconds since the start of the server.
+    """
     duration, initial = settings.slow_start_duration, settings.slow_start_initial_share
-    warming = max(0.0, min(window, duration - age))  # seconds of the window within the slow start
+    warming = max(0.0, min(window, duration - age))  # seconds of the window that fall into slow start
     mean_share = initial + (1 - initial) * (age + warming / 2) / duration if warming else 1.0
     full_seconds = warming * mean_share + window - warming
     return max(1, model.cores) * full_seconds / model.mean_service_time
@@ -43,9 +49,9 @@
 def budget_use(
     settings: Settings, model: FleetModel, arrivals: Sequence[float], started_at: float
 ) -> BudgetUse:
-    """How much of its budget a server that started at `started_at` was sent.
+    """Return the budget use of a server that started at `started_at`.
 
-    `arrivals` are the times of the attempts received, in ascending order. Each window begins with an arrival
+    `arrivals` are the arrival times of the attempts, in ascending order. Each window begins with an arrival
     and is `Settings.overload_window` seconds long. Its budget is `Settings.overload_multiple` times the
     capacity within it.
     """
--- a/tests/scale_experiments/test_fleet.py
+++ b/tests/scale_experiments/test_fleet.py
@@ -1,4 +1,4 @@
-"""The simulated fleet: each request gets one answer, and a seed gives the same statistics."""
+"""The simulated fleet: one final answer per request, and reproducible statistics for a seed."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def fleet_after_faults(seed: int) -> Fleet:
-    """A small fleet in which a cache server failed and was restored, and a region was isolated in between."""
+    """Return a small fleet after the failure and restart of a cache server and the isolation of a region."""
     fleet = Fleet(site_settings(connection_price=0.06, handshake_price=0.06), SMALL, seed)
     fleet.run(3.0)
     lost = ["s-00000001"]
@@ -49,14 +49,14 @@
     assert requests > 500
     pending = [p for r in fleet.routers for p in r.requests.values() if not p.is_answered]
     assert fleet.statistics.answers_ever == requests - len(pending)
-    assert fleet.statistics.counts[CountedEvent.TIMEOUT] > 0, "the loss was seen"
+    assert fleet.statistics.counts[CountedEvent.TIMEOUT] > 0, "no attempt at the failed server timed out"
 
 
 def test_both_ends_count_the_same_connections() -> None:
     fleet = fleet_after_faults(2)
     at_routers = sum(r.pool.connections.current for r in fleet.routers)
     connecting = at_routers - sum(c.connections.current for c in fleet.caches.values())
-    assert 0 <= connecting <= 4, "only what is not up yet counts at the router alone"
+    assert 0 <= connecting <= 4, "only connections being opened may be missing at the servers"
     assert all(len(r.pool.idle) <= r.pool.connections.current for r in fleet.routers)
 
 
@@ -105,7 +105,7 @@
     budget = 4.0 * capacity_within(fleet.settings, SMALL, 1.0, 2.0)
     assert use.strict == pytest.approx(30 / budget)
     assert use.with_tolerance < use.strict
-    # the slow start ends at 8.9 s, so that this window is at full capacity
+    # Slow start ends 8.9 s after the start, so that this window is at full capacity.
     full = capacity_within(fleet.settings, SMALL, 8.9, 2.0)
     assert full == pytest.approx(2.0 / SMALL.mean_service_time)
     warming = capacity_within(fleet.settings, SMALL, 0.0, 8.9)
--- a/tests/scale_experiments/test_key_cache.py
+++ b/tests/scale_experiments/test_key_cache.py
@@ -1,4 +1,4 @@
-"""The keys of a simulated cache server: which key is evicted, and which reads are hits."""
+"""The keys of a simulated cache server: eviction, hits and misses."""
 
 from __future__ import annotations
 
--- a/tests/scale_experiments/test_load_reporting.py
+++ b/tests/scale_experiments/test_load_reporting.py
@@ -1,4 +1,4 @@
-"""The load report of a simulated cache server: its smoothed service time, and when it is renewed."""
+"""The load report of a simulated cache server: smoothed service time and renewal interval."""
 
 from __future__ import annotations
 
--- a/tests/scale_experiments/test_network_rules.py
+++ b/tests/scale_experiments/test_network_rules.py
@@ -1,4 +1,4 @@
-"""The constants of the simulated network rules are those of the network code."""
+"""The constants of the simulated network rules equal those of the network code."""
 
 from __future__ import annotations
 
--- a/tests/scale_experiments/test_simulated_connection_closing.py
+++ b/tests/scale_experiments/test_simulated_connection_closing.py
@@ -1,4 +1,4 @@
-"""When the simulated pool closes a connection: when the real pool closes it."""
+"""The simulated connection pool closes connections at the same times as the real one."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
         await pool.answer(0)
         await pool.wait(IDLE_TIME / 2)
         assert await pool.send() == 0
-        await pool.wait(IDLE_TIME)  # in use all the while
+        await pool.wait(IDLE_TIME)  # the connection is in use during this time
         assert await pool.closed() == set()
         await pool.answer(0)
         await pool.wait(IDLE_TIME - 5)
@@ -30,7 +30,7 @@
         assert await pool.send() is AttemptStatus.NOT_SENT
         for connection in (1, 0):
             await pool.answer(connection)
-        # both are within the reuse delay, so that neither is reused
+        # Both idle connections are within the reuse delay, so that neither is reused.
         assert await pool.send() == 3
         assert await pool.closed() == {1}
         assert await pool.send() == 4
--- a/tests/scale_experiments/test_simulated_connection_reuse.py
+++ b/tests/scale_experiments/test_simulated_connection_reuse.py
@@ -1,4 +1,4 @@
-"""Which connection an attempt gets from the simulated pool: the same one as from the real pool."""
+"""The simulated connection pool assigns the same connection to an attempt as the real one."""
 
 from __future__ import annotations
 
--- a/tests/scale_experiments/test_simulated_requests.py
+++ b/tests/scale_experiments/test_simulated_requests.py
@@ -1,4 +1,4 @@
-"""Requests of the simulation change only as their events allow."""
+"""State changes of simulated requests and their attempts."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class SilentSender:
-    """A sender that ignores all reports."""
+    """A sender that ignores all calls."""
 
     location = Location(0, 0)
 
     def close_connection(self, attempt: Attempt) -> None:
-        """Keep the connection."""
+        """Ignore the call."""
 
     def receive_response(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport) -> None:
         """Ignore the response."""
 
     def finish(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport | None = None) -> None:
-        """Ignore the end."""
+        """Ignore the result."""
 
 
 @pytest.fixture
