--- a/scale_experiments/simulation/cache_server.py
+++ b/scale_experiments/simulation/cache_server.py
@@ -69,7 +69,7 @@
         """Fail the process and discard its attempts and cached keys; if silent, fail the whole machine."""
         self.is_up = False
         self.refuses_connections = not is_silent
-        self._lose_attempts()
+        self._discard_attempts()
         self.cached_keys.clear()
         self.started_at = self._context.events.now
 
--- a/scale_experiments/simulation/connection_pool.py
+++ b/scale_experiments/simulation/connection_pool.py
@@ -46,7 +46,7 @@
         connection = self._take_idle(server, listed_start)
         if connection is not None:
             self._send(attempt, connection, server)
-        elif self._has_capacity():
+        elif self._ensure_capacity():
             self._connect(attempt, server, listed_start)
         else:
             self._owner.finish(attempt, AttemptStatus.NOT_SENT)
@@ -89,7 +89,8 @@
                 return connection
             self.close(connection)
 
-    def _has_capacity(self) -> bool:
+    def _ensure_capacity(self) -> bool:
+        """Return whether another connection may be opened; close an idle one to make that possible."""
         if self.connections.current < self._context.model.router_descriptors:
             return True
         longest_idle = self.idle.longest_idle()
@@ -153,9 +154,9 @@
 
     def _schedule_expiry(self, connection: SimulatedConnection, delay: float) -> None:
         connection.mark_expiry_scheduled()
-        self._context.events.schedule(delay, self._expire, connection)
+        self._context.events.schedule(delay, self._check_expiry, connection)
 
-    def _expire(self, connection: SimulatedConnection) -> None:
+    def _check_expiry(self, connection: SimulatedConnection) -> None:
         connection.mark_expiry_checked()
         if not connection.is_open or not connection.is_idle:
             return
--- a/scale_experiments/simulation/decision_loop.py
+++ b/scale_experiments/simulation/decision_loop.py
@@ -14,13 +14,13 @@
 
 
 class DecisionLoop:
-    """Passes events to a decision module and calls `carry_out` with each action that it returns."""
+    """Passes events to a decision module and calls `execute` with each action that it returns."""
 
-    __slots__ = ("_carry_out", "_context", "_decisions", "_events", "_is_handling")
+    __slots__ = ("_context", "_decisions", "_events", "_execute", "_is_handling")
 
-    def __init__(self, context: SimulationContext, carry_out: Callable[[Action], None]) -> None:
+    def __init__(self, context: SimulationContext, execute: Callable[[Action], None]) -> None:
         self._context = context
-        self._carry_out = carry_out
+        self._execute = execute
         self._decisions = Router(context.settings, context.random.getrandbits(SEED_BITS), context.events.now)
         self._events: deque[Event] = deque()
         self._is_handling = False
@@ -34,5 +34,5 @@
         now, timer = self._context.events.now, self._context.decision_timer
         while self._events:
             for action in timer.handle(self._decisions, now, self._events.popleft()):
-                self._carry_out(action)
+                self._execute(action)
         self._is_handling = False
--- a/scale_experiments/simulation/router.py
+++ b/scale_experiments/simulation/router.py
@@ -63,7 +63,7 @@
     ) -> None:
         self._context = context
         self._retry = retry
-        self._decisions = DecisionLoop(context, self._carry_out)
+        self._decisions = DecisionLoop(context, self._execute)
         self.index = index
         self.location = location_of(index, context.model)
         self.is_running = True
@@ -136,7 +136,7 @@
         statistics.request_not_served(outcome, self.location.region)
         self._retry(self.index, client_request)
 
-    def _forget_if_done(self, request: PendingRequest) -> None:
+    def _remove_if_done(self, request: PendingRequest) -> None:
         if request.is_done:
             self.requests.pop(request.request_id, None)
 
@@ -161,7 +161,7 @@
         if self.is_running:
             self._decisions.handle(event)
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             self._context.events.schedule(action.delay, self._handle, TimerFired(action.timer))
         elif isinstance(action, Send):
@@ -179,7 +179,7 @@
         request = self.requests.get(request_id)
         if request is not None and not request.is_answered:
             self._answer(request, outcome)
-            self._forget_if_done(request)
+            self._remove_if_done(request)
 
     def _send(self, action: Send) -> None:
         request = self.requests.get(action.request_id)
@@ -206,4 +206,4 @@
                 request.request_id, attempt.number, status, request.is_answered, latency, load_report
             )
         )
-        self._forget_if_done(request)
+        self._remove_if_done(request)
--- a/scale_experiments/simulation/server.py
+++ b/scale_experiments/simulation/server.py
@@ -72,7 +72,7 @@
         if self._queue:
             self._start_service(self._queue.popleft())
 
-    def _lose_attempts(self) -> None:
+    def _discard_attempts(self) -> None:
         """Discard the attempts that are being served or queued."""
         self._queue.clear()
         self._busy_cores = 0
