--- a/scale_experiments/simulation/clients.py
+++ b/scale_experiments/simulation/clients.py
@@ -14,7 +14,7 @@
 from scale_experiments.simulation.router import SimulatedRouter
 from scale_experiments.simulation.statistics import CountedEvent
 
-KEYS_DRAWN_AT_ONCE = 4096
+KEY_BATCH_SIZE = 4096  # number of keys drawn at once
 
 
 def key_of(rank: int) -> str:
@@ -38,7 +38,7 @@
     def draw(self) -> str:
         """Return the next key."""
         if not self._drawn:
-            ranks = np.searchsorted(self._cumulative, self._generator.random(KEYS_DRAWN_AT_ONCE))
+            ranks = np.searchsorted(self._cumulative, self._generator.random(KEY_BATCH_SIZE))
             self._drawn = np.minimum(ranks, len(self._cumulative) - 1).tolist()
         return key_of(self._drawn.pop())
 
--- a/scale_experiments/simulation/event_queue.py
+++ b/scale_experiments/simulation/event_queue.py
@@ -23,17 +23,17 @@
     `now` is the simulated time in seconds. It advances only within `run`.
     """
 
-    __slots__ = ("_due", "_sequence", "now")
+    __slots__ = ("_heap", "_sequence", "now")
 
     def __init__(self, now: float) -> None:
         self.now = now
         # Heap of (time, sequence number, callback, arguments); tuples, since heapq compares the entries.
-        self._due: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
+        self._heap: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self._sequence = itertools.count()
 
     def schedule(self, delay: float, callback: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
         """Schedule a call of `callback` with these arguments, `delay` seconds from now."""
-        heapq.heappush(self._due, (self.now + delay, next(self._sequence), callback, arguments))
+        heapq.heappush(self._heap, (self.now + delay, next(self._sequence), callback, arguments))
 
     def run(self, seconds: float, should_stop: Callable[[], bool] = never) -> bool:
         """Advance the clock by `seconds` and run the callbacks that are due; return False if stopped early.
@@ -42,11 +42,11 @@
         """
         end = self.now + seconds
         for number in itertools.count(1):
-            if not self._due or self._due[0][0] > end:
+            if not self._heap or self._heap[0][0] > end:
                 break
             if number % EVENTS_BETWEEN_CHECKS == 0 and should_stop():
                 return False
-            self.now, _, callback, arguments = heapq.heappop(self._due)
+            self.now, _, callback, arguments = heapq.heappop(self._heap)
             callback(*arguments)
         self.now = end
         return True
--- a/scale_experiments/simulation/fleet.py
+++ b/scale_experiments/simulation/fleet.py
@@ -72,16 +72,16 @@
 
     def _preload_caches(self) -> None:
         """Fill each cache server with the most popular of the keys that are placed on it."""
-        full = 0
-        most_keys = 2 * self.model.cached_objects * self.model.caches
-        keys = [key_of(rank) for rank in range(min(self.model.objects, most_keys))]
+        full_caches = 0
+        max_keys = 2 * self.model.cached_objects * self.model.caches
+        keys = [key_of(rank) for rank in range(min(self.model.objects, max_keys))]
         endpoints = [cache.endpoint for cache in self.caches.values()]
         for key, server in zip(keys, place_keys(self.settings, endpoints, keys), strict=False):
             cached_keys = self.caches[server].cached_keys
             if not cached_keys.is_full:
                 cached_keys.preload(key)
-                full += cached_keys.is_full
-            if full == len(self.caches):
+                full_caches += cached_keys.is_full
+            if full_caches == len(self.caches):
                 break
 
     def endpoints(self) -> tuple[Endpoint, ...]:
@@ -155,6 +155,6 @@
 
     def _replace_router(self, router: SimulatedRouter, endpoints: Sequence[Endpoint]) -> None:
         router.stop()
-        new = self._start_router(router.index, endpoints)
-        self.routers[router.index] = new
-        self.clients.start(new)
+        replacement = self._start_router(router.index, endpoints)
+        self.routers[router.index] = replacement
+        self.clients.start(replacement)
--- a/scale_experiments/simulation/origin.py
+++ b/scale_experiments/simulation/origin.py
@@ -18,7 +18,7 @@
 from scale_experiments.simulation.server import SimulatedServer
 from scale_experiments.simulation.statistics import CountedEvent
 
-FILLED_SERVERS = 2  # maximum number of cache servers in which a router stores a key after a miss
+MAX_FILLED_CACHES = 2  # cache servers in which a router stores a key after a miss
 
 
 class Origin(SimulatedServer):
@@ -74,7 +74,7 @@
         if request.client_request.is_write:
             for cache in self._caches.values():
                 cache.cached_keys.invalidate(key)
-        for name in request.missed_at[:FILLED_SERVERS]:
+        for name in request.caches_without_key[:MAX_FILLED_CACHES]:
             cache = self._caches[name]
             if cache.is_up:
                 cache.cached_keys.store(key)
--- a/scale_experiments/simulation/requests.py
+++ b/scale_experiments/simulation/requests.py
@@ -53,7 +53,7 @@
     is_overdue: bool = False
     attempts_sent: int = 0
     attempts_in_flight: dict[int, Attempt] = field(default_factory=dict)  # attempts by number
-    missed_at: list[str] = field(default_factory=list)  # names of cache servers that lack the key
+    caches_without_key: list[str] = field(default_factory=list)  # names of cache servers that lack the key
 
     @property
     def is_done(self) -> bool:
@@ -83,7 +83,7 @@
 
     def mark_missed(self, server_name: str) -> None:
         """Record that a cache server does not have the key."""
-        self.missed_at.append(server_name)
+        self.caches_without_key.append(server_name)
 
 
 @dataclass(slots=True, eq=False)
--- a/scale_experiments/simulation/statistics.py
+++ b/scale_experiments/simulation/statistics.py
@@ -66,8 +66,8 @@
 
     def __init__(self, events: EventQueue) -> None:
         self._watched_regions: set[int] = set()
-        self.requests_ever = 0  # requests accepted by routers; not cleared by reset()
-        self.answers_ever = 0  # final answers of routers; not cleared by reset()
+        self.requests_since_start = 0  # requests accepted by routers; not cleared by reset()
+        self.answers_since_start = 0  # final answers of routers; not cleared by reset()
         self._events = events
         self.reset()
 
@@ -106,7 +106,7 @@
 
     def request_accepted(self, region: int) -> None:
         """Count a request that a router of this region has accepted."""
-        self.requests_ever += 1
+        self.requests_since_start += 1
         self.count_for_client(CountedEvent.REQUEST, region, self._events.now)
 
     def request_served(self, region: int, created_at: float) -> None:
@@ -115,13 +115,13 @@
         `created_at` is the time of the client request. The count goes to that second, so that the served
         share can be determined for the client requests of each second.
         """
-        self.answers_ever += 1
+        self.answers_since_start += 1
         self.count_for_client(CountedEvent.SERVED, region, created_at)
         self.latencies.append(self._events.now - created_at)
 
     def request_not_served(self, outcome: CountedEvent, region: int) -> None:
         """Count a request that a router of this region has rejected or failed."""
-        self.answers_ever += 1
+        self.answers_since_start += 1
         self.count_for_client(outcome, region, self._events.now)
 
     def record_servers_used(self, counts: Iterable[int]) -> None:
--- a/tests/scale_experiments/test_fleet.py
+++ b/tests/scale_experiments/test_fleet.py
@@ -45,10 +45,10 @@
 
 def test_every_request_gets_one_answer() -> None:
     fleet = fleet_after_faults(1)
-    requests = fleet.statistics.requests_ever
+    requests = fleet.statistics.requests_since_start
     assert requests > 500
     pending = [p for r in fleet.routers for p in r.requests.values() if not p.is_answered]
-    assert fleet.statistics.answers_ever == requests - len(pending)
+    assert fleet.statistics.answers_since_start == requests - len(pending)
     assert fleet.statistics.counts[CountedEvent.TIMEOUT] > 0, "no attempt at the failed server timed out"
 
 
