--- a/tests/scale_experiments/test_fleet.py
+++ b/tests/scale_experiments/test_fleet.py
@@ -30,15 +30,15 @@
     """Return a small fleet after the failure and restart of a cache server and the isolation of a region."""
     fleet = Fleet(site_settings(connection_price=0.06, handshake_price=0.06), SMALL, seed)
     fleet.run(3.0)
-    lost = ["s-00000001"]
-    fleet.fail_servers(lost)
-    fleet.notify_all(lost, EndpointState.REMOVED, 1.0, 0.5)
+    failed = ["s-00000001"]
+    fleet.fail_servers(failed)
+    fleet.notify_all(failed, EndpointState.REMOVED, 1.0, 0.5)
     fleet.network.isolate_region(2)
     fleet.run(3.0)
     fleet.network.reconnect_regions()
-    fleet.restore_servers(lost)
-    fleet.caches[lost[0]].record_arrivals()
-    fleet.notify_all(lost, EndpointState.READY, 0.5, 0.5)
+    fleet.restore_servers(failed)
+    fleet.caches[failed[0]].record_arrivals()
+    fleet.notify_all(failed, EndpointState.READY, 0.5, 0.5)
     fleet.run(3.0)
     return fleet
 
@@ -98,7 +98,7 @@
     assert one.statistics.counts != other.statistics.counts
 
 
-def test_what_a_warming_cache_received_is_compared_with_its_budget() -> None:
+def test_attempts_at_a_warming_cache_are_compared_with_its_budget() -> None:
     fleet = fleet_after_faults(5)
     arrivals = [100.0] * 30
     use = budget_use(fleet.settings, SMALL, arrivals, 99.0)
--- a/tests/scale_experiments/test_load_reporting.py
+++ b/tests/scale_experiments/test_load_reporting.py
@@ -25,7 +25,7 @@
     assert report.service_time == pytest.approx(0.04 + SERVICE_TIME_SMOOTHING * 0.02)
 
 
-def test_a_restart_forgets_service_times_and_renews_the_report() -> None:
+def test_a_restart_resets_service_times_and_renews_the_report() -> None:
     reporter = LoadReporter(0.25)
     reporter.add_service_time(0.04)
     reporter.report(10.0, 3)
--- a/tests/scale_experiments/test_simulated_requests.py
+++ b/tests/scale_experiments/test_simulated_requests.py
@@ -10,7 +10,7 @@
 from scale_experiments.simulation.requests import Attempt, ClientRequest, PendingRequest
 
 
-class SilentSender:
+class NullSender:
     """A sender that ignores all calls."""
 
     location = Location(0, 0)
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def request_at_router() -> PendingRequest:
-    return PendingRequest("r1", SilentSender(), ClientRequest("k", False, 1000.0))
+    return PendingRequest("r1", NullSender(), ClientRequest("k", False, 1000.0))
 
 
 def test_attempts_are_numbered_and_in_flight_until_they_finish(request_at_router: PendingRequest) -> None:
