--- a/scale_experiments/simulation/decision_loop.py
+++ b/scale_experiments/simulation/decision_loop.py
@@ -1,4 +1,4 @@
-"""The events of one router's decision module, and the actions that the module answers with."""
+"""Dispatch of events to one router's decision module, and of the actions that it returns."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from cache_router.decisions.router import Router
 from scale_experiments.simulation.context import SimulationContext
 
-SEED_BITS = 48  # of the seed that each decision module is created with
+SEED_BITS = 48  # size of the seed of a decision module
 
 
 class DecisionLoop:
-    """Gives events to a decision module, and its actions to `carry_out`."""
+    """Passes events to a decision module and calls `execute` with each action that it returns."""
 
-    __slots__ = ("_carry_out", "_context", "_decisions", "_events", "_is_handling")
+    __slots__ = ("_context", "_decisions", "_events", "_execute", "_is_handling")
 
-    def __init__(self, context: SimulationContext, carry_out: Callable[[Action], None]) -> None:
+    def __init__(self, context: SimulationContext, execute: Callable[[Action], None]) -> None:
         self._context = context
-        self._carry_out = carry_out
+        self._execute = execute
         self._decisions = Router(context.settings, context.random.getrandbits(SEED_BITS), context.events.now)
         self._events: deque[Event] = deque()
         self._is_handling = False
 
     def handle(self, event: Event) -> None:
-        """Handle an event now, or after the current one if an action has caused it."""
+        """Handle an event at once, or after the current event if an action of the current one caused it."""
         self._events.append(event)
         if self._is_handling:
             return
@@ -34,5 +34,5 @@
         now, timer = self._context.events.now, self._context.decision_timer
         while self._events:
             for action in timer.handle(self._decisions, now, self._events.popleft()):
-                self._carry_out(action)
+                self._execute(action)
         self._is_handling = False
--- a/tests/scale_experiments/test_simulated_requests.py
+++ b/tests/scale_experiments/test_simulated_requests.py
@@ -1,4 +1,4 @@
-"""Requests of the simulation change only as their events allow."""
+"""State changes of simulated requests and their attempts."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from scale_experiments.simulation.requests import Attempt, ClientRequest, PendingRequest
 
 
-class SilentSender:
-    """A sender that ignores all reports."""
+class NullSender:
+    """A sender that ignores all calls."""
 
     location = Location(0, 0)
 
     def close_connection(self, attempt: Attempt) -> None:
-        """Keep the connection."""
+        """Ignore the call."""
 
     def receive_response(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport) -> None:
         """Ignore the response."""
 
     def finish(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport | None = None) -> None:
-        """Ignore the end."""
+        """Ignore the result."""
 
 
 @pytest.fixture
 def request_at_router() -> PendingRequest:
-    return PendingRequest("r1", SilentSender(), ClientRequest("k", False, 1000.0))
+    return PendingRequest("r1", NullSender(), ClientRequest("k", False, 1000.0))
 
 
 def test_attempts_are_numbered_and_in_flight_until_they_finish(request_at_router: PendingRequest) -> None:
