--- a/scale_experiments/scenarios/cold_start.py
+++ b/scale_experiments/scenarios/cold_start.py
@@ -1,9 +1,9 @@
-"""One page cache starts empty and warms up; all routers together may send it only a limited load.
+"""One page cache restarts empty and warms up; a budget limits the load that all routers together send it.
 
-The cache is shut down, others take over its keys, and it returns empty. Each router is notified at a time
-of its own. What the cache then receives, in each window of the settings' length, is compared with its budget
-for that window. All routers of the fleet are run, and each cache receives the same rate of requests at all
-sizes.
+The cache is shut down, other caches take over its keys, and it restarts empty. Each router is notified of
+both changes at a random time. The attempts that the cache receives in each window of
+`Settings.overload_window` seconds are compared with its budget for that window. All routers of the fleet are
+simulated. The rate of requests for each cache is the same at all sizes.
 """
 
 from __future__ import annotations
@@ -28,88 +28,101 @@
 from scale_experiments.simulation.statistics import CountedEvent
 
 MOST_POPULAR_KEY = "page:0"
-REMOVAL_NOTICE_S = 0.5  # from the removal until the first router is notified
-WARM_WINDOWS = 2  # windows of the settings after the slow start, in which the cache's share is measured
-NO_REQUESTS = 1e-9  # in place of a mean of 0 requests received, as a divisor
+REMOVAL_NOTICE_S = 0.5  # delay from the shutdown until the first router is notified
+WARM_WINDOWS = 2  # overload windows after the slow start, over which the fair share is measured
+NO_REQUESTS = 1e-9  # avoids a division by zero if no cache received an attempt
 
 
 class ColdStartMetrics(Metrics):
-    """The fleet from the start of the warming cache until it is warm, and shortly after."""
+    """Load and served requests during the slow start of the watched cache, and its load shortly after."""
 
-    requests_per_s: PerSecond = Field(description="first attempts of clients in the complete fleet")
+    requests_per_s: PerSecond = Field(description="requests of clients in the whole fleet, without retries")
     budget_share: Share = Field(
-        description="highest ratio of attempts that the warming cache received in a window to its budget N"
+        description="highest ratio, in any window, of attempts at the warming cache to its budget N"
     )
     budget_slack_share: Share = Field(
-        description="the same over N + 2 x sqrt(N) + 2, which includes a statistical tolerance"
+        description="the same over N + 2 x sqrt(N) + 2, a budget with a statistical tolerance"
     )
-    budget_first_count: Count = Field(description="budget N of the window that starts with the cache")
-    received: Count = Field(description="attempts that the warming cache received until it was warm")
+    budget_first_count: Count = Field(
+        description="budget N, in attempts, of the window that begins as the cache starts"
+    )
+    received: Count = Field(description="attempts that the warming cache received during its slow start")
     received_again_share: Share = Field(
-        description="share of these that were second or later attempts of their request"
+        description="share of these attempts that were the second or a later one of their request"
     )
     fair_share: Share = Field(
-        description="attempts that the cache received once it was warm, over the mean of all caches"
+        description="attempts at the cache shortly after its slow start, over the mean of all caches"
     )
     served_share: Share = Field(
-        description="requests of clients served from the start until warm, retries included"
+        description="share of clients' requests during the slow start that were served, retries included"
     )
     attempts_per_request: Ratio = Field(
-        description="attempts at page caches for each request accepted, from the start until warm"
+        description="attempts at page caches for each request that routers accepted, during the slow start"
     )
     tries_per_wish: Ratio = Field(
-        description="requests that clients made for each object that they needed, from the start until warm"
+        description="requests accepted by routers for each object that a client needs, in the slow start"
     )
     origin_per_request: Ratio = Field(
-        description="attempts at the origin for each request accepted, from the start until warm"
+        description="attempts at the origin for each request that routers accepted, during the slow start"
     )
 
 
 class Parameters(BaseModel):
-    """What all sizes of an experiment have in common. Times are in seconds; aliases are the keys."""
+    """The parameters that all sizes of an experiment share. Times are in seconds; aliases are the keys."""
 
     model_config = ConfigDict(extra="forbid")
 
-    use_share: float = Field(0.6, gt=0, le=2, description="share of the caches' cores in use")
+    use_share: float = Field(
+        0.6, gt=0, le=2, description="share of the caches' cores that the load keeps busy"
+    )
     zipf_exponent: float = Field(
         0.95, alias="skew", ge=0, description="exponent of the popularity of keys (Zipf's law)"
     )
     rank_offset: float = Field(
-        10.0, alias="flat", ge=0, description="added to the rank of each key; flattens the popularity"
+        10.0,
+        alias="flat",
+        ge=0,
+        description="number added to the rank of each key; makes their popularity more even",
     )
     watched: Literal["hottest", "any"] = Field(
-        "any", description="the cache that restarts: the one with the most popular key, or the first"
+        "any", description="the cache that restarts: with the most popular key (hottest), or the first (any)"
     )
     client_attempts: int = Field(
-        3, alias="tries", ge=1, le=10, description="requests that a client makes at most for one object"
+        3,
+        alias="tries",
+        ge=1,
+        le=10,
+        description="maximum number of requests that a client makes for one object",
     )
     hedging_allowed: bool = Field(True, alias="second_copies", description="whether routers hedge requests")
     restarted_share: float = Field(
-        0.0, ge=0, le=1, description="share of the routers that restart as the cache starts"
+        0.0, ge=0, le=1, description="share of the routers that are restarted when the cache restarts"
     )
-    cached_objects: int = Field(200, alias="kept", ge=1, description="objects that a cache holds")
+    cached_objects: int = Field(200, alias="kept", ge=1, description="objects that a cache can hold")
     objects_per_cache: int = Field(400, ge=1, description="distinct objects for each cache of the fleet")
     origin_headroom: float = Field(
-        2.0, gt=0, description="capacity of the origin, over its load at a hit share of 0.9"
+        2.0, gt=0, description="capacity of the origin over its load at a hit share of 0.9"
+    )
+    warm_s: float = Field(10.0, gt=0, description="duration of the load before the cache is shut down")
+    absent_s: float = Field(6.0, gt=0, description="time from the shutdown of the cache until its restart")
+    notice_s: float = Field(
+        1.5, ge=0, description="delay from the restart until the first router is notified"
     )
-    warm_s: float = Field(10.0, gt=0, description="of load before the cache is shut down")
-    absent_s: float = Field(6.0, gt=0, description="from the shutdown of the cache until its start")
-    notice_s: float = Field(1.5, ge=0, description="from the start until the first router is notified")
     spread_s: float = Field(
-        0.6, ge=0, description="from the first router's notification until the last one's"
+        0.6, ge=0, description="longest random delay that is added to the notification of each router"
     )
 
 
 class Size(BaseModel):
-    """The columns of a size."""
+    """The columns of one size of an experiment."""
 
-    routers: WholeNumber = Field(description="routers of the fleet, all of which are run")
+    routers: WholeNumber = Field(description="routers of the fleet, all of which are simulated")
     caches: WholeNumber = Field(description="page caches")
     cores: WholeNumber = Field(description="cores of each page cache")
 
 
 def build_fleet(parameters: Parameters, size: Size, seed: int) -> Fleet:
-    """The fleet of a size, before its first request."""
+    """Create the fleet of a size, before its first request."""
     routers, caches, cores = size.routers, size.caches, size.cores
     unloaded = FleetModel(routers, caches, 1.0)
     rate = unloaded.rate_at_utilization(parameters.use_share, cores)
@@ -130,7 +143,7 @@
 
 
 def select_cache(fleet: Fleet, parameters: Parameters) -> CacheServer:
-    """The cache that is watched: the one that holds the most popular key, or the first."""
+    """Return the cache to restart: the one to which the most popular key is assigned, or the first."""
     endpoints = [cache.endpoint for cache in fleet.caches.values()]
     name = endpoints[0].name
     if parameters.watched == "hottest":
@@ -139,32 +152,32 @@
 
 
 def remove_cache(fleet: Fleet, cache: CacheServer, parameters: Parameters) -> None:
-    """Shut the cache down, and notify all routers."""
+    """Shut the cache down and notify all routers."""
     name = cache.endpoint.name
     fleet.fail_servers([name], is_silent=False)
     fleet.notify_all([name], EndpointState.REMOVED, REMOVAL_NOTICE_S, parameters.spread_s)
 
 
 def restore_cache(fleet: Fleet, cache: CacheServer, parameters: Parameters) -> None:
-    """Start the cache empty, start to count, and notify all routers; some of them restart."""
+    """Restart the cache empty, reset the statistics, notify all routers, and restart some of them."""
     name = cache.endpoint.name
     fleet.restore_servers([name])
     cache.record_arrivals()
     fleet.reset()
     fleet.notify_all([name], EndpointState.READY, parameters.notice_s, parameters.spread_s)
     if parameters.restarted_share:
-        # with the current list: a new process gets it before its first request
+        # They start with the current endpoint list, which a new process receives before its first request.
         restarted = fleet.routers[: round(parameters.restarted_share * len(fleet.routers))]
         fleet.restart_routers(restarted, parameters.notice_s, parameters.spread_s)
 
 
 @dataclass(slots=True, frozen=True)
 class SlowStartUsage:
-    """What has happened since the cache started."""
+    """Load of the warming cache, and attempts for each request of the fleet, since the cache started."""
 
-    received: int  # attempts at the cache
-    retry_share: float  # of these
-    served_share: float  # of the requests of clients
+    received: int  # attempts that the cache received
+    retry_share: float  # share of `received` that were the second or a later attempt of their request
+    served_share: float  # share of the requests of clients that were served
     attempts_per_request: float
     requests_per_client_request: float
     origin_attempts_per_request: float
@@ -172,15 +185,15 @@
 
 @dataclass(slots=True, frozen=True)
 class WarmingCacheBudget:
-    """The budget of the cache, and how far it was used in the windows since its start."""
+    """The budget of the warming cache, and the largest share of it that was used in any window."""
 
     used_share: float
-    used_share_with_tolerance: float  # statistical tolerance, see BudgetUse
-    first_window: float  # attempts that the budget of the first window allows
+    used_share_with_tolerance: float  # the tolerance is explained at `BudgetUse`
+    first_window: float  # budget of the window that begins as the cache starts, in attempts
 
 
 def slow_start_usage(fleet: Fleet, cache: CacheServer) -> SlowStartUsage:
-    """What has happened since the last reset of the fleet, when the cache started."""
+    """Return the usage since the cache started, which is when the fleet's statistics were last reset."""
     counts = fleet.statistics.counts
     requests = max(1, counts[CountedEvent.REQUEST])
     received = len(cache.arrivals or ())
@@ -196,7 +209,7 @@
 
 
 def warming_cache_budget(fleet: Fleet, cache: CacheServer) -> WarmingCacheBudget:
-    """How far the cache's budget was used in the windows since its start."""
+    """Return the budget of the warming cache and its use since the cache started."""
     settings = fleet.settings
     use = fleet.budget_use(cache)
     first_capacity = capacity_within(settings, fleet.model, 0.0, settings.overload_window)
@@ -208,7 +221,7 @@
 
 
 def fair_share(fleet: Fleet, cache: CacheServer, context: ExperimentContext) -> float:
-    """Run the fleet after the slow start; the attempts at the cache, over the mean of all caches.
+    """Run the fleet after the slow start; return the attempts at the cache over the mean of all caches.
 
     Raises TimeLimitReachedError.
     """
@@ -220,17 +233,17 @@
 
 
 def measure_sample(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Sample:
-    """Warm up, remove the cache, start it empty, and run until some windows after its slow start.
+    """Warm up the fleet, shut the cache down, restart it empty, and measure its slow start.
 
     Raises TimeLimitReachedError.
     """
     fleet = build_fleet(parameters, size, seed)
     cache = select_cache(fleet, parameters)
     run_fleet(fleet, parameters.warm_s, context)
-    context.progress("the cache is shut down")
+    context.progress("cache shut down")
     remove_cache(fleet, cache, parameters)
     run_fleet(fleet, parameters.absent_s, context)
-    context.progress("the cache starts")
+    context.progress("cache restarted")
     restore_cache(fleet, cache, parameters)
     run_fleet(fleet, fleet.settings.slow_start_duration, context)
     usage = slow_start_usage(fleet, cache)
@@ -253,7 +266,7 @@
 
 
 def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
-    """One sample; none if the time limit passes first."""
+    """Yield one sample, or none if the time limit passes first."""
     yield from complete_sample(lambda: measure_sample(parameters, size, seed, context))
 
 
--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -1,8 +1,9 @@
-"""Clients send more requests than the page caches can serve; how long until all requests are served again.
+"""Recovery after a surge: for some seconds, clients send more requests than the page caches can serve.
 
-The surge lasts some seconds. The settings may state many more routers than are run. The page caches have
-cores for the routers that are run only, so that each router sees the load of a large fleet at a fraction of
-its cost. The share of one router in the load of a cache is then larger than in that fleet.
+The router count in the settings may be much larger than the number of routers that are simulated. The page
+caches have cores only for the simulated routers. Each router thus experiences the load of a large fleet,
+while only a few routers have to be simulated. The share of one router in the load of a cache is then larger
+than in that fleet.
 """
 
 from __future__ import annotations
@@ -24,62 +25,68 @@
 
 
 class SurgeMetrics(Metrics):
-    """Requests before, in and after the surge."""
+    """Requests before, during and after the surge."""
 
-    requests_per_s: PerSecond = Field(description="first attempts of clients at all routers that are run")
+    requests_per_s: PerSecond = Field(description="requests of clients before the surge, without retries")
     before_served_share: Share = Field(
-        description="requests of clients served before the surge, retries included"
+        description="share of clients' requests before the surge that were served, retries included"
+    )
+    surge_served_share: Share = Field(
+        description="share of the requests made during the surge that were served before its end"
+    )
+    after_served_share: Share = Field(
+        description="share of the requests made after the surge that were served"
     )
-    surge_served_share: Share = Field(description="of those made in it, up to its last seconds")
-    after_served_share: Share = Field(description="of those made in the time measured after it")
     recovery_s: Seconds = Field(
-        description="from its end until 95 % of each second's requests are served; at most the time measured"
-        " after it"
+        description="time from the end of the surge until 95 % of each second's requests are served; at most"
+        " the time measured"
+    )
+    refused_per_request: Ratio = Field(
+        description="requests rejected for each request that routers accepted, after the surge"
     )
-    refused_per_request: Ratio = Field(description="rejections for each request accepted, after it")
     attempts_per_request: Ratio = Field(
-        description="attempts at page caches for each request accepted, after it"
+        description="attempts at page caches for each request that routers accepted, after the surge"
     )
     cache_use_share: Share = Field(
-        description="attempts received by the caches after it, over what they could serve"
+        description="attempts that the caches received after the surge, over those that they can serve"
     )
 
 
 class Parameters(BaseModel):
-    """What all sizes of an experiment have in common. Times are in seconds; aliases are the keys."""
+    """The parameters that all sizes of an experiment share. Times are in seconds; aliases are the keys."""
 
     model_config = ConfigDict(extra="forbid")
 
     use_share: float = Field(
-        0.6, gt=0, le=2, description="share of the caches' cores in use before the surge"
+        0.6, gt=0, le=2, description="share of the caches' cores that the load keeps busy before the surge"
     )
-    demand: float = Field(2.5, gt=1, description="rate of requests in the surge, over the rate before it")
-    surge_s: float = Field(3.0, gt=0, description="how long the surge lasts")
-    warm_s: float = Field(6.0, gt=0, description="of load before it is measured")
-    before_s: float = Field(5.0, gt=SETTLING_SECONDS, description="measured before the surge")
-    after_s: float = Field(30.0, gt=SETTLING_SECONDS, description="measured after the surge")
+    demand: float = Field(2.5, gt=1, description="rate of requests during the surge over the rate before it")
+    surge_s: float = Field(3.0, gt=0, description="duration of the surge")
+    warm_s: float = Field(6.0, gt=0, description="duration of the load before it is measured")
+    before_s: float = Field(5.0, gt=SETTLING_SECONDS, description="time measured before the surge")
+    after_s: float = Field(30.0, gt=SETTLING_SECONDS, description="time measured after the surge")
     zipf_exponent: float = Field(
         0.95, alias="skew", ge=0, description="exponent of the popularity of keys (Zipf's law)"
     )
 
 
 class Size(BaseModel):
-    """The columns of a size."""
+    """The columns of one size of an experiment."""
 
-    routers: WholeNumber = Field(description="routers of the fleet, as the settings of each router say")
-    routers_run: WholeNumber = Field(description="routers that are run")
+    routers: WholeNumber = Field(description="router count in the settings of each router")
+    routers_run: WholeNumber = Field(description="routers that are simulated")
     caches: WholeNumber = Field(description="page caches")
     cores: WholeNumber = Field(description="cores of each page cache")
 
 
 def requests_per_s(parameters: Parameters, size: Size) -> float:
-    """Requests at all routers that are run, before the surge."""
+    """Return the rate of requests before the surge, at all simulated routers together."""
     unloaded = FleetModel(size.routers_run, size.caches, 1.0)
     return unloaded.rate_at_utilization(parameters.use_share, size.cores)
 
 
 def build_fleet(parameters: Parameters, size: Size, seed: int) -> Fleet:
-    """The fleet of a size, before its first request."""
+    """Create the fleet of a size, before its first request."""
     model = FleetModel(
         routers=size.routers,
         routers_sampled=size.routers_run,
@@ -93,7 +100,7 @@
 
 
 def run_surge(fleet: Fleet, parameters: Parameters, context: ExperimentContext) -> float:
-    """Run the surge; returns the share of clients' requests that is served in it.
+    """Run the surge; return the share of its client requests that were served before its end.
 
     Raises TimeLimitReachedError.
     """
@@ -106,7 +113,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Recovery:
-    """The fleet after the surge; the fields are metrics."""
+    """Metrics of the fleet after the surge, as described in `SurgeMetrics`."""
 
     served_share: float
     recovery_s: float
@@ -116,7 +123,7 @@
 
 
 def measure_recovery(fleet: Fleet, parameters: Parameters, context: ExperimentContext) -> Recovery:
-    """Run the fleet after the surge; raises TimeLimitReachedError."""
+    """Run the fleet after the surge and measure it. Raises TimeLimitReachedError."""
     fleet.reset()
     fleet.clients.set_demand(1.0)
     run_fleet(fleet, parameters.after_s, context)
@@ -134,7 +141,7 @@
 
 
 def measure_sample(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Sample:
-    """Measure the fleet before, in and after the surge; raises TimeLimitReachedError."""
+    """Measure the fleet before, during and after the surge. Raises TimeLimitReachedError."""
     fleet = build_fleet(parameters, size, seed)
     run_fleet(fleet, parameters.warm_s, context)
     fleet.reset()
@@ -158,7 +165,7 @@
 
 
 def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
-    """One sample; none if the time limit passes first."""
+    """Yield one sample, or none if the time limit passes first."""
     yield from complete_sample(lambda: measure_sample(parameters, size, seed, context))
 
 
