--- a/scale_experiments/scenarios/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -1,8 +1,9 @@
 """Connections and handshakes between routers and page caches, in a simulated fleet.
 
-The fleet is steady: no cache joins or leaves, and all have enough capacity. A sample of the routers is run,
-and the connections of a cache are scaled up to the fleet, by the ratio of `routers` to `routers_run`. The
-figures of the worst cache therefore include the sampling error, and tend to be too high.
+No cache joins or leaves the fleet, and all have enough capacity. Only a sample of the routers is simulated.
+Metrics of a page cache are scaled up to the whole fleet, by the ratio of `routers` to `routers_run`, and are
+described as scaled. Metrics of routers are measured on the sample and described as measured. A metric of the
+worst cache tends to be too high, because the sampling error adds to the differences between caches.
 """
 
 from __future__ import annotations
@@ -25,115 +26,115 @@
 from scale_experiments.simulation.model import FleetModel, site_settings
 from scale_experiments.simulation.statistics import CountedEvent
 
-SERVERS_USED_WINDOW_S = 10.0  # in which the distinct caches that a router connects to are counted
+SERVERS_USED_WINDOW_S = 10.0  # period over which the distinct caches that a router uses are counted
 MIN_ROUTERS_SAMPLED = 10
-MAX_LATENCY_US = 10_000_000  # the largest value of the histogram
+MAX_LATENCY_US = 10_000_000  # upper end of the latency histogram
 HIGH_PERCENTILE = 99
 
 
 class ConnectionsMetrics(Metrics):
-    """Connections of page caches and routers; the first word says whose."""
+    """Metrics of page caches (`cache_`), of routers (`router_`) and of requests."""
 
     routers_run: Count = Field(
-        description="routers that were simulated; all counts at a cache are of these, scaled up to the fleet"
+        description="routers that were simulated; metrics of a cache are scaled up from them"
     )
     cache_connections_mean: Count = Field(
-        description="connections open at a page cache, mean over time and caches (scaled)"
+        description="open connections at a page cache, mean over time and caches (scaled)"
     )
     cache_connections_p99: Count = Field(
-        description="the same at the 99th percentile of caches, mean over time (scaled)"
+        description="the same at the 99th percentile over caches, mean over time (scaled)"
     )
-    cache_connections_worst: Count = Field(description="the same of the worst cache, mean over time (scaled)")
+    cache_connections_worst: Count = Field(description="the same at the worst cache, mean over time (scaled)")
     cache_connections_worst_high: Count = Field(
         description="99th percentile over time at the worst cache (scaled, assuming a normal distribution)"
     )
     cache_connections_per_core: Ratio = Field(description="cache_connections_worst over cache_cores")
     cache_cores: Cores = Field(
-        description="cores that a page cache needs for its mean rate of requests at the stated utilization"
+        description="cores that a page cache needs for its mean rate at a utilization of `use_share`"
     )
-    cache_requests_per_s: PerSecond = Field(description="attempts received at a page cache, mean (scaled)")
+    cache_requests_per_s: PerSecond = Field(description="attempts received by a page cache, mean (scaled)")
     cache_requests_worst_ratio: Ratio = Field(
-        description="attempts received at the worst cache over the mean"
+        description="attempts received by the busiest cache over the mean of all caches"
     )
-    cache_handshakes_per_s: PerSecond = Field(description="connections made to a page cache, mean (scaled)")
+    cache_handshakes_per_s: PerSecond = Field(description="new connections at a page cache, mean (scaled)")
     cache_handshake_cores: Cores = Field(
         description="cores that a page cache spends on handshakes, mean (scaled)"
     )
-    handshakes_per_request: Ratio = Field(description="connections made for each request accepted (measured)")
+    handshakes_per_request: Ratio = Field(description="new connections for each request accepted (measured)")
     attempts_per_request: Ratio = Field(
         description="attempts at page caches for each request accepted (measured)"
     )
     router_connections_mean: Count = Field(
-        description="connections to page caches that a router holds, mean over time (measured)"
+        description="open connections of a router to page caches, mean over time (measured)"
     )
     router_connections_most: Count = Field(description="the most that any router had open at once (measured)")
     router_idle_share: Share = Field(
-        description="of the connections open at the end that were idle (measured)"
+        description="share of the routers' open connections that were idle at the end (measured)"
     )
-    router_dials_per_s: PerSecond = Field(description="connections that a router opens (measured)")
+    router_dials_per_s: PerSecond = Field(description="connection attempts of a router (measured)")
     caches_met_10s: Count = Field(
-        description="distinct page caches that a router sends to within 10 s, mean (measured)"
+        description="distinct page caches that a router uses within 10 s, mean (measured)"
     )
     handle_cpu_s: Seconds = Field(
-        description="processor time of one call of Router.handle, mean of every 16th (measured)"
+        description="processor time of one call of Router.handle, mean of every 16th call (measured)"
     )
     handle_calls_per_request: Ratio = Field(
         description="calls of Router.handle for each request accepted (measured)"
     )
     router_core_share: Share = Field(
-        description="of a core that the decision module takes at this rate (measured)"
+        description="share of a core that a decision module uses at the mean rate of requests (measured)"
     )
     served_share: Share = Field(
-        description="requests of clients that were served, retries included (measured)"
+        description="share of clients' requests that were served, retries included (measured)"
     )
 
 
 class Parameters(BaseModel):
-    """What all sizes of an experiment have in common. Times are in seconds; aliases are the keys."""
+    """The parameters that all sizes of an experiment share. Times are in seconds; aliases are the keys."""
 
     model_config = ConfigDict(extra="forbid")
 
     connection_price: float = Field(
-        ge=0, description="cost of 100 open connections at every cache, in the settings"
+        ge=0, description="price of 100 open connections at every cache, in the settings"
     )
     handshake_price: float = Field(
-        ge=0, description="cost of a new connection for every request, in the settings"
+        ge=0, description="price of a new connection for every request, in the settings"
     )
     idle_timeout_s: float = Field(
-        10.0, alias="connection_idle_s", gt=1, description="after which an idle connection is closed"
+        10.0, alias="connection_idle_s", gt=1, description="idle time until a cache closes a connection"
     )
     router_descriptors: int = Field(
-        372, alias="descriptors", ge=1, description="file descriptors of a router"
+        372, alias="descriptors", ge=1, description="descriptors of a router for connections to caches"
     )
     zipf_exponent: float = Field(
         0.95, alias="skew", ge=0, description="exponent of the popularity of keys (Zipf's law)"
     )
     objects: int = Field(100_000, ge=1, description="distinct objects")
     hit_share: float = Field(0.9, ge=0, le=1, description="share of reads that find their object at a cache")
-    use_share: float = Field(0.6, gt=0, le=1, description="share of the caches' cores in use")
-    warm_s: float = Field(12.0, gt=0, description="of load before it is measured, unless a size has its own")
-    measured_s: float = Field(10.0, ge=SERVERS_USED_WINDOW_S, description="of load that is measured")
+    use_share: float = Field(0.6, gt=0, le=1, description="utilization for which `cache_cores` is calculated")
+    warm_s: float = Field(12.0, gt=0, description="duration of the load before it is measured")
+    measured_s: float = Field(10.0, ge=SERVERS_USED_WINDOW_S, description="duration of the measurement")
     max_requests: int = Field(
         60_000,
         alias="most_requests",
         ge=1000,
-        description="requests to simulate for each size, approximately",
+        description="approximate number of requests to simulate for each size",
     )
 
 
 class Size(BaseModel):
-    """The columns of a size."""
+    """The columns of one size of an experiment."""
 
-    routers: WholeNumber = Field(description="routers of the fleet, of which a sample is run")
+    routers: WholeNumber = Field(description="routers of the fleet, of which a sample is simulated")
     caches: WholeNumber = Field(description="page caches")
-    requests_per_s: float = Field(description="requests of clients in the complete fleet")
+    requests_per_s: float = Field(description="requests of clients in the whole fleet, without retries")
     zones: WholeNumber = Field(1, description="zones over which routers and caches are spread")
     regions: WholeNumber = Field(1, description="regions over which the zones are spread")
-    warm_s: float | None = Field(None, description="seconds before it is measured; by default the parameter")
+    warm_s: float | None = Field(None, description="replaces the parameter `warm_s` if given")
 
 
 def build_model(parameters: Parameters, size: Size, warm_s: float) -> FleetModel:
-    """The fleet of a size; the sample of routers is sized for about `max_requests` requests."""
+    """Return the fleet of a size, with so many sampled routers that about `max_requests` are simulated."""
     routers = size.routers
     rate = size.requests_per_s / routers
     duration_s = warm_s + parameters.measured_s
@@ -153,7 +154,7 @@
 
 
 def build_settings(parameters: Parameters) -> Settings:
-    """The settings of the site, with the prices of connections."""
+    """Return the settings of the site, with the connection settings of the experiment."""
     return site_settings(
         connection_price=parameters.connection_price,
         handshake_price=parameters.handshake_price,
@@ -162,7 +163,7 @@
 
 
 def latency_histogram(fleet: Fleet) -> HdrHistogram:
-    """Microseconds from a client's first attempt until it is served."""
+    """Return the latencies in microseconds, from a client's first request until it is served."""
     latency = HdrHistogram(1, MAX_LATENCY_US, 2)
     for seconds in fleet.statistics.latencies:
         latency.record_value(round(seconds * 1e6))
@@ -171,43 +172,43 @@
 
 @dataclass(slots=True, frozen=True)
 class CacheLoad:
-    """The load of the page caches, scaled up to the complete fleet; connections are means over time."""
+    """The load of page caches, scaled up to the whole fleet."""
 
-    mean_connections: float
-    high_connections: float  # at the HIGH_PERCENTILE of caches
-    worst_connections: float  # of the worst cache
-    worst_connections_peak: float  # at the HIGH_PERCENTILE over time, of the worst cache
-    cores: int  # that a cache needs
-    requests_per_s: float  # at a cache
-    worst_requests_ratio: float  # at the busiest cache, over the mean
-    handshakes_per_s: float  # at a cache
-    handshake_cores: float  # of a cache
+    mean_connections: float  # mean over time and caches
+    high_connections: float  # mean over time, at HIGH_PERCENTILE over caches
+    worst_connections: float  # mean over time, at the cache where it is highest
+    worst_connections_peak: float  # 99th percentile over time, at the cache where it is highest
+    cores: int  # cores that a cache needs
+    requests_per_s: float  # attempts received by a cache, mean over caches
+    worst_requests_ratio: float  # attempts received by the busiest cache over the mean of all caches
+    handshakes_per_s: float  # handshakes at a cache, mean over caches
+    handshake_cores: float  # cores that a cache spends on handshakes, mean over caches
 
 
 @dataclass(slots=True, frozen=True)
 class RouterLoad:
-    """Connections and requests of the routers that are run."""
+    """Connections and attempts of the simulated routers."""
 
     handshakes_per_request: float
     attempts_per_request: float
-    mean_connections: float  # of a router, over time
-    max_connections: int  # of any router
-    idle_share: float  # of the connections that are open now
-    dials_per_s: float  # of a router
-    caches_used: float  # distinct caches of a router within SERVERS_USED_WINDOW_S
+    mean_connections: float  # open connections of a router, mean over time and routers
+    max_connections: int  # largest number that any router had open at once
+    idle_share: float  # share of the open connections that are idle now
+    dials_per_s: float  # connection attempts of a router
+    caches_used: float  # distinct caches that a router uses within SERVERS_USED_WINDOW_S, mean
 
 
 @dataclass(slots=True, frozen=True)
 class DecisionCost:
-    """The processor time of the decision module."""
+    """The processor time of a router's decision module."""
 
     seconds_per_call: float
     calls_per_request: float
-    core_share: float  # of a core, at the rate of requests of a router
+    core_share: float  # share of a core that it uses at the mean rate of requests of a router
 
 
 def cache_load(fleet: Fleet, use_share: float) -> CacheLoad:
-    """The load of the page caches since the last reset; their cores are used to `use_share`."""
+    """Return the load of page caches since the last reset, with cores for a utilization of `use_share`."""
     model, now = fleet.model, fleet.events.now
     seconds = now - fleet.statistics.counted_from
     caches = list(fleet.caches.values())
@@ -229,7 +230,7 @@
 
 
 def router_load(fleet: Fleet) -> RouterLoad:
-    """Connections and requests of the routers since the last reset."""
+    """Return the connections and attempts of the routers since the last reset."""
     counts, now = fleet.statistics.counts, fleet.events.now
     seconds = now - fleet.statistics.counted_from
     requests = max(1, counts[CountedEvent.REQUEST])
@@ -248,7 +249,7 @@
 
 
 def decision_cost(fleet: Fleet) -> DecisionCost:
-    """The processor time of the decision module since the last reset."""
+    """Return the processor time of the decision modules since the last reset."""
     calls = fleet.decision_timer.calls_per_request()
     seconds_per_call = fleet.decision_timer.seconds_per_call()
     return DecisionCost(
@@ -259,7 +260,7 @@
 
 
 def compute_metrics(fleet: Fleet, parameters: Parameters) -> ConnectionsMetrics:
-    """The metrics of a fleet since its last reset."""
+    """Return the metrics of a fleet since its last reset."""
     counts = fleet.statistics.counts
     caches = cache_load(fleet, parameters.use_share)
     routers = router_load(fleet)
@@ -291,7 +292,7 @@
 
 
 def measure_sample(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Sample:
-    """Warm the fleet up and measure it; raises TimeLimitReachedError."""
+    """Warm up the fleet and measure it. Raises TimeLimitReachedError."""
     warm_s = parameters.warm_s if size.warm_s is None else size.warm_s
     model = build_model(parameters, size, warm_s)
     fleet = Fleet(build_settings(parameters), model, seed)
@@ -307,7 +308,7 @@
 
 
 def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
-    """One sample; none if the time limit passes first."""
+    """Yield one sample, or none if the time limit passes first."""
     yield from complete_sample(lambda: measure_sample(parameters, size, seed, context))
 
 
