--- a/scale_experiments/scenarios/socket_metrics.py
+++ b/scale_experiments/scenarios/socket_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of real routers between clients and page caches, from the counts of all at two moments."""
+"""Metrics of real routers, clients and page caches, from their counts at two points in time."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Usage:
-    """Counts of caches and clients since the start, and CPU seconds of all routers."""
+    """Counts of caches and clients, and CPU seconds of all routers, since the start."""
 
     caches: CachesStats
     clients: ClientsStats
@@ -33,47 +33,50 @@
 
 
 class SocketsMetrics(Metrics):
-    """Clients, page caches and routers while the load is measured."""
+    """Metrics of clients, page caches and routers while the load is measured."""
 
-    requests_per_s: PerSecond = Field(description="requests that clients sent, all routers")
-    served_share: Share = Field(description="requests served, of those that ended")
-    refused_share: Share = Field(description="requests rejected, of those that ended")
+    requests_per_s: PerSecond = Field(description="requests that clients sent to all routers")
+    served_share: Share = Field(description="share of the ended requests that were served")
+    refused_share: Share = Field(description="share of the ended requests that were rejected")
     lost_share: Share = Field(
-        description="requests failed, unanswered or lost with their connection, of those that ended"
+        description="share of the ended requests that failed, were not answered, lost their connection or"
+        " could not be sent"
     )
-    latency_p50_s: Seconds = Field(description="of served requests, from when they were due")
-    latency_p99_s: Seconds = Field(description="of served requests, from when they were due")
-    attempts_per_request: Ratio = Field(description="requests at caches for each one of a client")
+    latency_p50_s: Seconds = Field(description="median latency of served requests, from when they were due")
+    latency_p99_s: Seconds = Field(
+        description="99th percentile of the latency of served requests, from when they were due"
+    )
+    attempts_per_request: Ratio = Field(description="attempts at caches for each request of a client")
     handshakes_per_request: Ratio = Field(
         description="new connections to caches for each request of a client"
     )
     handshakes_per_cache_per_s: PerSecond = Field(description="new connections at a cache")
     open_per_cache: Count = Field(description="open connections at a cache, mean over time and caches")
-    open_per_cache_per_router: Count = Field(description="the same for each router")
+    open_per_cache_per_router: Count = Field(description="the same from each router")
     most_open_at_a_cache: Count = Field(
-        description="open connections at the cache that had the most, at its peak since the start"
+        description="largest number of connections that any cache had open at once since the start"
     )
     open_to_caches_per_router: Count = Field(
         description="open connections of a router to caches, mean over time"
     )
-    caches_met_share: Share = Field(description="caches that received a request during the measurement")
+    caches_met_share: Share = Field(description="share of the caches that received an attempt")
     fullest_cache_share: Share = Field(
-        description="requests of the cache that received the most, over the mean"
+        description="attempts at the cache that received the most, over the mean of all caches"
     )
-    hit_share: Share = Field(description="attempts at caches that found the key")
+    hit_share: Share = Field(description="share of the attempts at caches that found the key")
     busy_per_request: Ratio = Field(description="attempts that caches rejected for each request of a client")
-    origin_per_request: Ratio = Field(description="requests at the origin for each one of a client")
+    origin_per_request: Ratio = Field(description="requests at the origin for each request of a client")
     router_cpu_per_request_s: Seconds = Field(
-        description="CPU seconds of a router for a request of a client, all that it does"
+        description="CPU seconds of a router for each request of a client, including all other work"
     )
-    router_cpu_share: Cores = Field(description="cores that a router uses")
+    router_cpu_share: Cores = Field(description="cores that a router uses, mean")
     router_resident_bytes: Bytes = Field(description="resident memory of a router at the end, mean")
     router_most_resident_bytes: Bytes = Field(
-        description="the most resident memory of a router since its start"
+        description="largest resident memory of any router since its start"
     )
-    router_descriptors: Count = Field(description="descriptors of a router at the end, mean")
+    router_descriptors: Count = Field(description="open descriptors of a router at the end, mean")
     client_connections_per_router: Count = Field(
-        description="open connections of clients to a router at the end"
+        description="open connections of clients to a router at the end, mean"
     )
     client_connections_per_request: Ratio = Field(
         description="connections that clients opened for each request"
@@ -82,7 +85,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientMetrics:
-    """Outcomes and latencies of the clients' requests; each field is one of SocketsMetrics."""
+    """Outcomes and latencies of the clients' requests, as described in `SocketsMetrics`."""
 
     served_share: float
     refused_share: float
@@ -93,7 +96,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CacheMetrics:
-    """Requests and connections at page caches; each field is one of SocketsMetrics."""
+    """Attempts and connections at page caches, as described in `SocketsMetrics`."""
 
     attempts_per_request: float
     handshakes_per_request: float
@@ -110,7 +113,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RouterMetrics:
-    """What the processes of routers use; each field is one of SocketsMetrics."""
+    """Resources used by the router processes, as described in `SocketsMetrics`."""
 
     router_cpu_per_request_s: float
     router_cpu_share: float
@@ -120,7 +123,7 @@
 
 
 def compute_metrics(before: Usage, after: Usage, routers: list[psutil.Process]) -> SocketsMetrics:
-    """The metrics of the time between two moments."""
+    """Return the metrics of the time between two points in time."""
     seconds = after.caches.at - before.caches.at
     counts = {
         name: count - before.clients.counts.get(name, 0) for name, count in after.clients.counts.items()
@@ -144,7 +147,7 @@
 
 
 def client_metrics(counts: Mapping[str, int], clients: ClientsStats) -> ClientMetrics:
-    """Shares of requests by outcome, from `counts`, and the latency of served requests."""
+    """Return the shares of requests by outcome, from `counts`, and the latency of served requests."""
     ended = max(1, sum(counts.get(outcome, 0) for outcome in (SERVED, REJECTED, *FAILED_OUTCOMES)))
 
     def share(*outcomes: str) -> float:
@@ -161,7 +164,7 @@
 
 
 def cache_metrics(before: CachesStats, after: CachesStats, requests: int, routers: int) -> CacheMetrics:
-    """Metrics of page caches; clients sent `requests` requests to `routers` routers in the same time."""
+    """Return metrics of page caches while clients sent `requests` requests to `routers` routers."""
     seconds = after.at - before.at
     pairs = [(before.caches[name], counters) for name, counters in after.caches.items()]
     received = [now.requests - then.requests for then, now in pairs]
@@ -189,7 +192,11 @@
 def router_metrics(
     cpu_s: float, requests: int, seconds: float, routers: list[psutil.Process]
 ) -> RouterMetrics:
-    """Metrics of routers that used `cpu_s` for `requests` requests; memory and descriptors are read now."""
+    """Return metrics of routers.
+
+    In `seconds` seconds they used `cpu_s` CPU seconds for `requests` requests. Memory and descriptors are
+    read from the running processes.
+    """
     resident = [router.memory_info().rss for router in routers]
     return RouterMetrics(
         router_cpu_per_request_s=cpu_s / requests,
@@ -201,7 +208,7 @@
 
 
 def peak_resident_bytes(routers: list[psutil.Process]) -> float:
-    """The largest high-water mark of resident memory of any router, by /proc (VmHWM)."""
+    """Return the largest peak of resident memory of any router, which is VmHWM in /proc."""
     marks = []
     for router in routers:
         lines = Path(f"/proc/{router.pid}/status").read_text().splitlines()
--- a/scale_experiments/scenarios/sockets.py
+++ b/scale_experiments/scenarios/sockets.py
@@ -1,9 +1,9 @@
-"""Connections and handshakes between real routers and page caches, and what they cost a router.
+"""Connections and handshakes between real routers and emulated page caches, and their cost for a router.
 
-Some routers are started by `run` of deploy/balancer.toml, after its `build` in a folder of the run, with the
-limits of a deployment. Each page cache has an address of its own, and clients generate the load. CPU is of
-the processes of the routers. `siblings` is the router count of the settings, which determines how long
-connections are kept.
+The `build` command of deploy/balancer.toml builds the router in a folder of the run. The `run` command starts
+each router process with the limits of a deployment. Each page cache has an address of its own, and emulated
+clients generate the load. CPU metrics are of the router processes only. `siblings` is the router count in the
+settings, which determines how long routers keep idle connections.
 """
 
 from __future__ import annotations
@@ -45,16 +45,16 @@
 READY_TIMEOUT_S = 30.0
 REPLY_TIMEOUT_S = 60.0
 REQUEST_DEADLINE_S = 2.0
-SEEDS_PER_SAMPLE = 1000
-LIST_INDEX = 1
-CACHE_NETWORK = "127.2"
+SEEDS_PER_SAMPLE = 1000  # seeds reserved for the routers of one sample
+LIST_INDEX = 1  # index of the only endpoint list that discovery serves
+CACHE_NETWORK = "127.2"  # prefix of the caches' addresses
 ORIGIN_LISTEN = "127.3.0.1:0"
 DISCOVERY_LISTEN = "127.3.0.2:0"
-ROUTER_NETWORK = "127.4.0"
+ROUTER_NETWORK = "127.4.0"  # prefix of the routers' addresses
 
 
 class Parameters(BaseModel):
-    """What all sizes of an experiment have in common; aliases are the keys."""
+    """The parameters that all sizes of an experiment share; aliases are the keys."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -66,8 +66,10 @@
         le=16384,
         description="file descriptors of a router, configured and enforced",
     )
-    warm_s: float = Field(5.0, ge=0, le=300, description="of load before it is measured")
-    measured_s: float = Field(15.0, alias="measure_s", gt=0, le=600, description="of load that is measured")
+    warm_s: float = Field(5.0, ge=0, le=300, description="seconds of load before it is measured")
+    measured_s: float = Field(
+        15.0, alias="measure_s", gt=0, le=600, description="seconds of load that are measured"
+    )
     keys: int = Field(100_000, ge=1, le=10_000_000, description="distinct keys of the clients' requests")
     zipf_exponent: float = Field(
         0.9, alias="zipf", ge=0, le=3, description="exponent of the popularity of keys"
@@ -75,51 +77,51 @@
     write_share: float = Field(0.0, ge=0, le=1, description="share of requests that write")
     value_bytes: int = Field(1024, ge=0, le=65536, description="size of each value")
     is_warm: bool = Field(True, alias="warm", description="whether the caches hold every key at the start")
-    service_s: float = Field(0.005, ge=0, le=10, description="of a request at a cache")
+    service_s: float = Field(0.005, ge=0, le=10, description="seconds that a cache takes for a request")
     handshake_s: float = Field(
-        0.002, ge=0, le=10, description="additional, of the first request on a connection"
+        0.002, ge=0, le=10, description="additional seconds for the first request on a connection"
     )
     idle_timeout_s: float = Field(
-        10.0, alias="idle_s", gt=0, le=600, description="after which a cache closes an idle connection"
+        10.0, alias="idle_s", gt=0, le=600, description="idle seconds until a cache closes a connection"
     )
     max_connections: int = Field(
-        750, alias="most_connections", ge=1, le=100_000, description="connections that a cache serves"
+        750, alias="most_connections", ge=1, le=100_000, description="connections that a cache serves at once"
     )
-    origin_service_s: float = Field(0.05, ge=0, le=10, description="of a fetch at the origin")
+    origin_service_s: float = Field(0.05, ge=0, le=10, description="seconds for a fetch at the origin")
     origin_max_concurrent: int = Field(
         200, alias="origin_most_at_once", ge=1, le=100_000, description="concurrent fetches at the origin"
     )
     connection_price: float = Field(
-        0.05, ge=0, le=10, description="cost of 100 open connections at every cache"
+        0.05, ge=0, le=10, description="price of 100 open connections at every cache, in the settings"
     )
     handshake_price: float = Field(
-        0.05, ge=0, le=10, description="cost of a new connection for every request"
+        0.05, ge=0, le=10, description="price of a new connection for every request, in the settings"
     )
     fault: Literal["dead", "hang", "drain"] = Field(
-        "dead", description="of the `faulty` caches of a size; the endpoint list does not show it"
+        "dead", description="fault of the `faulty` caches; the endpoint list does not show it"
     )
     fault_s: float = Field(
-        5.0, gt=0, le=600, description="duration of the fault, from the start of measuring"
+        5.0, gt=0, le=600, description="seconds for which the fault lasts, from the start of the measurement"
     )
 
 
 class Size(BaseModel):
-    """The columns of a size."""
+    """The columns of one size of an experiment."""
 
     routers: WholeNumber = Field(description="router processes")
     caches: WholeNumber = Field(description="page caches")
     requests_per_s: float = Field(description="requests of clients at each router")
-    siblings: WholeNumber = Field(description="routers of the fleet, as the settings of each router say")
-    faulty: WholeNumber = Field(0, description="page caches that have the fault for a time")
+    siblings: WholeNumber = Field(description="router count in the settings of each router")
+    faulty: WholeNumber = Field(0, description="page caches that have the fault")
 
 
 def build_cache_entries(count: int) -> list[EndpointEntry]:
-    """The entries of page caches, each with an address of its own."""
+    """Return entries for page caches, each with an address of its own."""
     return build_loopback_entries(count, CACHE_NETWORK, ["a"], "std")
 
 
 def build_settings(parameters: Parameters, router_count: int) -> dict[str, Any]:
-    """The settings of a site, as a configuration file has them."""
+    """Return the settings of a site in the form of a router's configuration file."""
     return {
         "classes": [
             {"name": "read", "aim": 0.5, "giveUp": 2.0, "effect": "free", "value": 1.0},
@@ -154,7 +156,7 @@
 
 
 class Deployment:
-    """The processes of one sample: caches with an origin, a discovery, routers and clients."""
+    """The processes of one sample: the caches with the origin, discovery, routers and clients."""
 
     def __init__(self, parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> None:
         self.parameters = parameters
@@ -170,7 +172,7 @@
 
         Raises ControlError, OSError or RouterStartError if a process does not start.
         """
-        build_router(self.context)  # before any emulator runs
+        build_router(self.context)  # first, so that no emulator runs during the build
         entries = build_cache_entries(self.size.caches)
         self.cache_names = [entry["name"] for entry in entries]
         origin = self._start_caches(entries)
@@ -187,7 +189,7 @@
         return client
 
     def _start_caches(self, entries: Sequence[EndpointEntry]) -> str:
-        """Start caches and origin; returns the origin's address."""
+        """Start the caches and the origin; return the origin's address."""
         p = self.parameters
         self.caches = self._start_emulator("cache", CACHES_MODULE)
         command = StartCaches(
@@ -206,7 +208,7 @@
         return self.caches.request(command).origin
 
     def _start_discovery(self, entries: Sequence[EndpointEntry]) -> str:
-        """Start discovery with a list; returns its address."""
+        """Start discovery with an endpoint list; return its address."""
         discovery = self._start_emulator("discovery", DISCOVERY_MODULE, DISCOVERY_LISTEN)
         address = discovery.receive(Listening).address
         discovery.request(ReplaceList(LIST_INDEX, entries))
@@ -246,13 +248,13 @@
         )
 
     def usage(self) -> Usage:
-        """Counts since the start, and latencies since the previous call."""
+        """Return the counts since the start, and the latencies since the previous call."""
         cpu_s = sum(sum(r.cpu_times()[:2]) for r in self.routers)
         clients = self.clients.request(GetClientsStats(restart=True))
         return Usage(self.caches.request(GetCachesStats()), clients, cpu_s)
 
     def run_load(self) -> None:
-        """Wait for the measured time; some caches have the fault in the first part of it."""
+        """Wait while the load is measured; for the first `fault_s` seconds some caches have the fault."""
         p, faulty = self.parameters, self.size.faulty
         remaining_s = p.measured_s
         if faulty:
@@ -264,18 +266,21 @@
         time.sleep(remaining_s)
 
     def check_routers(self) -> None:
-        """Raise RuntimeError if a router has ended."""
+        """Raise RuntimeError if a router process has exited."""
         if any(not each.is_running() or each.status() == psutil.STATUS_ZOMBIE for each in self.routers):
-            raise RuntimeError("a router has ended")
+            raise RuntimeError("a router process exited before the end of the measurement")
 
     def stop(self) -> None:
-        """End all processes of the sample, in the reverse order of their starts."""
+        """Stop all processes of the sample, the last started first."""
         for process in reversed(self.processes):
             self.context.stop(process)
 
 
 def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
-    """One sample; raises ControlError, OSError or RuntimeError if a process does not start, or ends early."""
+    """Yield one sample.
+
+    Raises ControlError, OSError or RuntimeError if a process does not start, or exits early.
+    """
     deployment = Deployment(parameters, size, seed, context)
     try:
         context.progress("start")
