--- a/scale_experiments/scenarios/__init__.py
+++ b/scale_experiments/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""The scenarios: each is a module that defines `SCENARIO`, and is named in `registry`."""
+"""The scenarios: each is a module that defines `SCENARIO` and is listed in `registry`."""
--- a/scale_experiments/scenarios/machine_metrics.py
+++ b/scale_experiments/scenarios/machine_metrics.py
@@ -1,4 +1,4 @@
-"""The speed and load of the measuring machine, with which results of different runs can be compared."""
+"""Speed and load of the measuring machine, by which results of different runs can be compared."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class MachineMetrics(Metrics):
-    """The machine during a sample."""
+    """Metrics of the machine during a sample."""
 
     reference_cpu_s: Seconds = Field(description=MACHINE_METRICS["reference_cpu_s"])
     load: Count = Field(description=MACHINE_METRICS["load"])
 
 
 def measure_machine(references: Sequence[float]) -> MachineMetrics:
-    """The machine now; `references` are the CPU seconds of the reference work during the sample."""
+    """Return the metrics of the machine; `references` are CPU seconds of the reference work in the sample."""
     return MachineMetrics(**machine_metrics(references))
--- a/scale_experiments/scenarios/placement.py
+++ b/scale_experiments/scenarios/placement.py
@@ -1,8 +1,9 @@
-"""The cost of a separate ring for each group of zones: each group fetches and caches objects for itself.
+"""Hash rings by group of zones, compared with one ring for all page caches.
 
-The routers of a group use only the page caches of their group: fewer routers connect to a cache, but each
-group caches copies of its own. Caches evict the least recently used object; the decision module's own ring
-places the keys. The fleet is small, because only the ratio to one ring for all caches is of interest.
+The routers of a group use only the page caches of their group. Fewer routers then connect to each cache, but
+each group fetches and caches its own copies of objects. Caches evict the least recently used object. Keys are
+assigned to caches by the hash ring of the decision module. The fleet is small, because only the ratio to one
+ring for all caches is of interest.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 
 
 class PlacementMetrics(Metrics):
-    """Rings by group, compared with one ring for all caches."""
+    """Metrics of rings by group, compared with one ring for all caches."""
 
     objects: Count = Field(
-        description="distinct objects, so many that one ring for all has the stated hit share"
+        description="distinct objects; as many as give one ring for all the hit share of the parameters"
     )
     groups_run: Count = Field(description="groups that were simulated; they differ only by random variation")
-    hit_share: Share = Field(description="reads that find their object at a page cache")
-    pooled_hit_share: Share = Field(description="the same with one ring for all, of the same objects")
+    hit_share: Share = Field(description="share of reads that find their object at a page cache")
+    pooled_hit_share: Share = Field(description="the same with one ring for all and the same objects")
     origin_fetch_ratio: Ratio = Field(description="fetches from the origin, over those with one ring for all")
     origin_load_ratio: Ratio = Field(
         description="fetches and writes at the origin, over those with one ring for all"
@@ -37,34 +38,39 @@
         description="reads at the busiest cache of a group over the mean (hot keys are not spread here)"
     )
     target_routers_per_cache: Count = Field(
-        description="routers that connect to a page cache at the target size"
+        description="routers that connect to a page cache at the target size (calculated)"
     )
     target_kept_connections: Count = Field(
-        description="open connections at a page cache at that size, as far as descriptors allow (calculated)"
+        description="open connections at a page cache at that size, limited by descriptors (calculated)"
     )
 
 
 class Parameters(BaseModel):
-    """What all sizes of an experiment have in common; aliases are the keys."""
+    """The parameters that all sizes of an experiment share; aliases are the keys."""
 
     model_config = ConfigDict(extra="forbid")
 
-    caches: int = Field(100, ge=1, description="page caches of all groups")
-    cached_objects: int = Field(200, alias="kept", ge=1, description="objects that a cache holds")
-    pooled_hit_share: float = Field(0.9, gt=0.1, lt=1, description="hit share that one ring for all has")
+    caches: int = Field(100, ge=1, description="page caches of all groups together")
+    cached_objects: int = Field(200, alias="kept", ge=1, description="objects that a cache can hold")
+    pooled_hit_share: float = Field(0.9, gt=0.1, lt=1, description="hit share of one ring for all")
     rank_offset: float = Field(
-        10.0, alias="flat", ge=0, description="added to the rank of each key; flattens the popularity"
+        10.0,
+        alias="flat",
+        ge=0,
+        description="number added to the rank of each key; makes their popularity more even",
     )
     write_share: float = Field(0.03, ge=0, lt=1, description="share of requests that write")
-    rounds: float = Field(8.0, gt=0, description="reads of a group, over the objects that its caches hold")
-    groups_run: int = Field(4, ge=1, description="groups that are simulated at most")
+    rounds: float = Field(8.0, gt=0, description="reads of a group over the objects that its caches can hold")
+    groups_run: int = Field(4, ge=1, description="maximum number of groups that are simulated")
     target_routers: int = Field(7100, ge=1, description="routers of the planned fleet")
     target_caches: int = Field(840, ge=1, description="page caches of the planned fleet")
-    descriptors: int = Field(372, ge=1, description="file descriptors of a router of the planned fleet")
+    descriptors: int = Field(
+        372, ge=1, description="descriptors of a router of the planned fleet for connections to caches"
+    )
 
 
 class Size(BaseModel):
-    """The columns of a size; aliases are the keys."""
+    """The columns of one size of an experiment; aliases are the keys."""
 
     groups: WholeNumber = Field(description="groups of zones, each with a ring of its own")
     zipf_exponent: float = Field(alias="skew", description="exponent of the popularity of keys (Zipf's law)")
@@ -73,7 +79,7 @@
 def measure_groups(
     parameters: Parameters, groups: int, zipf_exponent: float, objects: int, seed: int
 ) -> RingResult:
-    """The means over the groups that are simulated."""
+    """Simulate the caches of some groups; return the means over these groups."""
     caches = parameters.caches // groups
     shares = key_popularity(objects, zipf_exponent, parameters.rank_offset)
     reads = int(parameters.rounds * caches * parameters.cached_objects)
@@ -91,7 +97,7 @@
 def compute_metrics(
     parameters: Parameters, groups: int, objects: int, pooled: RingResult, grouped: RingResult
 ) -> PlacementMetrics:
-    """The metrics of rings by group, compared with one ring for all."""
+    """Return the metrics of rings by group, compared with one ring for all."""
     writes = parameters.write_share / (1 - parameters.write_share)
     misses, pooled_misses = 1 - grouped.hit_share, 1 - pooled.hit_share
     routers_per_cache = parameters.target_routers / groups
@@ -110,7 +116,7 @@
 
 
 def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
-    """One sample; none if the time limit passes first."""
+    """Yield one sample, or none if the time limit passes first."""
     groups, zipf_exponent = size.groups, size.zipf_exponent
     capacity = parameters.caches * parameters.cached_objects
     objects = objects_for(parameters.pooled_hit_share, capacity, zipf_exponent, parameters.rank_offset)
--- a/scale_experiments/scenarios/registry.py
+++ b/scale_experiments/scenarios/registry.py
@@ -7,7 +7,7 @@
 
 from scale_experiments.runs.scenario import AnyScenario
 
-# each is a module of this package that defines SCENARIO
+# Each is a module of this package that defines SCENARIO.
 SCENARIO_NAMES = (
     "cold_start",
     "connections",
@@ -24,14 +24,14 @@
 class ScenarioRegistry(Mapping[str, AnyScenario]):
     """Scenarios by name.
 
-    A scenario's module is imported when the scenario is looked up, because some import large packages.
+    A scenario's module is imported only when the scenario is looked up, because some import large packages.
     """
 
     def __init__(self, names: Sequence[str]) -> None:
         self._names = names
 
     def __getitem__(self, name: str) -> AnyScenario:
-        """The scenario of a name; raises KeyError if there is none."""
+        """Return the scenario with this name. Raises KeyError if there is none."""
         if name not in self._names:
             raise KeyError(name)
         scenario: AnyScenario = importlib.import_module(f"{__package__}.{name}").SCENARIO
--- a/scale_experiments/scenarios/ring_caching/__init__.py
+++ b/scale_experiments/scenarios/ring_caching/__init__.py
@@ -1,1 +1,1 @@
-"""The hit share of caches on a ring, by formula and by simulation."""
+"""The hit share of caches on a hash ring, by formula and by simulation."""
--- a/scale_experiments/scenarios/ring_caching/popularity.py
+++ b/scale_experiments/scenarios/ring_caching/popularity.py
@@ -1,4 +1,4 @@
-"""The popularity of keys, and the hit share that follows from it by formula."""
+"""The popularity of keys, and the hit share that a formula derives from it."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 import numpy as np
 
-BISECTION_STEPS = 60
-MAX_OBJECTS_RATIO = 100  # the most objects that are tried, over those that the caches hold
-OBJECTS_TOLERANCE = 0.01  # share of the number of objects, at which the bisection ends
+BISECTION_STEPS = 60  # more halvings than the precision of a float can distinguish
+MAX_OBJECTS_RATIO = 100  # largest number of objects to try, as a multiple of the capacity
+OBJECTS_TOLERANCE = 0.01  # width of the interval at which the bisection ends, as a share of its lower end
 FloatArray = np.ndarray[Any, np.dtype[np.float64]]
 
 
 def key_popularity(objects: int, zipf_exponent: float, rank_offset: float) -> FloatArray:
-    """The share of reads of each object by rank, by the Zipf-Mandelbrot law.
+    """Return the share of reads of each object, in order of rank, by the Zipf-Mandelbrot law.
 
     `zipf_exponent` is the exponent, and `rank_offset` is added to each rank.
     """
@@ -23,10 +23,11 @@
 
 
 def expected_hit_share(shares: FloatArray, capacity: int) -> float:
-    """The hit share of one least-recently-used cache that holds `capacity` objects.
+    """Return the hit share of one cache of `capacity` objects that evicts the least recently used one.
 
-    Che, Tung and Wang, "Hierarchical Web Caching Systems" (2002): an object is cached if it was read within
-    the characteristic time, in which as many distinct objects are read as the cache holds.
+    This is the approximation of Che, Tung and Wang, "Hierarchical Web Caching Systems" (2002): an object is
+    cached if it was read within the characteristic time, which is the time until as many distinct objects are
+    read as the cache can hold.
     """
     if capacity >= len(shares):
         return 1.0
@@ -43,7 +44,7 @@
 
 
 def objects_for(hit_share: float, capacity: int, zipf_exponent: float, rank_offset: float) -> int:
-    """The number of objects at which a cache of `capacity` objects has a hit share, by bisection."""
+    """Find the number of distinct objects at which a cache of `capacity` objects has this hit share."""
 
     def hits_more_often(objects: int) -> bool:
         return expected_hit_share(key_popularity(objects, zipf_exponent, rank_offset), capacity) > hit_share
--- a/scale_experiments/scenarios/ring_caching/simulation.py
+++ b/scale_experiments/scenarios/ring_caching/simulation.py
@@ -1,4 +1,4 @@
-"""A simulation of reads on a ring whose caches evict the least recently used object."""
+"""A simulation of reads on a hash ring whose caches evict the least recently used object."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 @dataclass(slots=True, frozen=True)
 class RingResult:
-    """How the reads on one ring ended."""
+    """The result of the simulated reads on one ring."""
 
     hit_share: float
-    worst_cache_ratio: float  # reads at the busiest cache over the mean
+    worst_cache_ratio: float  # reads at the busiest cache over the mean of all caches
 
 
 class LeastRecentlyUsedCaches:
-    """The caches of one ring; each starts with the most popular of its keys."""
+    """The caches of one ring; each is initially filled with the most popular of its keys."""
 
     def __init__(self, owners: Sequence[int], caches: int, capacity: int) -> None:
-        self.owners = owners  # the index of the cache of each key, by rank
+        self.owners = owners  # index of the cache of each key, by the rank of the key
         self.capacity = capacity
-        # by cache, its keys; the most recently used key is the last
+        # The cached keys of each cache. The most recently used key is the last.
         self.contents: list[OrderedDict[int, None]] = [OrderedDict() for _ in range(caches)]
         for key, owner in enumerate(owners):
             if len(self.contents[owner]) < capacity:
@@ -36,7 +36,7 @@
                 self.contents[owner].move_to_end(key, last=False)
 
     def read(self, key: int) -> bool:
-        """Whether the cache of a key holds it; the cache holds it afterwards."""
+        """Read a key and cache it; return whether its cache already had it."""
         cached = self.contents[self.owners[key]]
         if key in cached:
             cached.move_to_end(key)
@@ -56,7 +56,7 @@
     reads: int,
     rng: np.random.Generator,
 ) -> RingResult:
-    """Simulate reads; only the second half of them is counted, when the caches have warmed up."""
+    """Simulate reads. Only the second half of them is counted, as the first half warms up the caches."""
     ring = LeastRecentlyUsedCaches(owners, caches, capacity)
     received = [0] * caches
     hits = counted = 0
@@ -72,7 +72,7 @@
 
 
 def place_on_group(group: int, caches: int, objects: int) -> list[int]:
-    """The index, among the caches of a group, of the cache that the ring assigns to each key, by rank."""
+    """Return, for each key by rank, the index of the group's cache that the ring assigns it to."""
     names = [f"s-{group:02x}{number:06x}" for number in range(caches)]
     endpoints = [Endpoint(name, weight=1.0) for name in names]
     numbers = {name: number for number, name in enumerate(names)}
--- a/tests/scale_experiments/scenarios/test_ring_caching.py
+++ b/tests/scale_experiments/scenarios/test_ring_caching.py
@@ -1,4 +1,4 @@
-"""Hit shares of caches on a ring: by formula, and by simulated reads."""
+"""Hit shares of caches on a hash ring, by formula and by simulated reads."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
 def test_a_cache_evicts_its_least_recently_used_key() -> None:
     caches = LeastRecentlyUsedCaches(owners=[0, 0, 0, 1], caches=2, capacity=2)
     assert caches.read(0)
-    assert not caches.read(2)  # evicts 1, as 0 was read since
+    assert not caches.read(2)  # evicts key 1, as key 0 was read more recently
     assert caches.read(0)
     assert not caches.read(1)
-    assert caches.read(3)  # of the other cache
+    assert caches.read(3)  # key 3 is in the other cache
 
 
 def test_simulated_reads_hit_about_as_often_as_by_formula() -> None:
--- a/tests/scale_experiments/scenarios/test_socket_metrics.py
+++ b/tests/scale_experiments/scenarios/test_socket_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of real routers follow from the counts of clients, page caches and origin at two moments."""
+"""Metrics of real routers are computed from counts of clients, caches and origin at two points in time."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def caches_stats(at: float, samples: int, origin_requests: int, **caches: CacheCounters) -> CachesStats:
-    """Return the counts of caches by name."""
+    """Return the statistics of the caches emulator, with the counts of each cache."""
     return CachesStats(
         at=at,
         cpu_s=0.0,
@@ -56,7 +56,7 @@
 
 
 def clients_stats(counts: dict[str, int], latency: str = "") -> ClientsStats:
-    """Return the counts of clients by name."""
+    """Return the statistics of the clients emulator."""
     return ClientsStats(
         at=0.0, cpu_s=0.0, resident_bytes=0, descriptors=0, time=0.0, counts=counts, latency=latency
     )
@@ -104,7 +104,7 @@
 
 
 def test_metrics_of_a_run_have_counts_per_request_and_the_use_of_router_processes() -> None:
-    """The process of the test is measured as the router."""
+    """The process of the test stands for the router process."""
     routers = [psutil.Process(os.getpid())]
     before = Usage(
         caches_stats(10.0, 1, 4, a=NO_REQUESTS), clients_stats({REQUESTS: 100, CONNECTIONS_OPENED: 5}), 1.0
