--- a/scale_experiments/scenarios/cold_start.py
+++ b/scale_experiments/scenarios/cold_start.py
@@ -29,8 +29,8 @@
 
 MOST_POPULAR_KEY = "page:0"
 REMOVAL_NOTICE_S = 0.5  # delay from the shutdown until the first router is notified
-WARM_WINDOWS = 2  # overload windows after the slow start, over which the fair share is measured
-NO_REQUESTS = 1e-9  # avoids a division by zero if no cache received an attempt
+FAIR_SHARE_WINDOWS = 2  # overload windows after the slow start, over which the fair share is measured
+MIN_MEAN_RECEIVED = 1e-9  # avoids a division by zero if no cache received an attempt
 
 
 class ColdStartMetrics(Metrics):
@@ -176,7 +176,7 @@
     """Load of the warming cache, and attempts for each request of the fleet, since the cache started."""
 
     received: int  # attempts that the cache received
-    retry_share: float  # share of `received` that were the second or a later attempt of their request
+    later_attempts_share: float  # share of `received` that were not their request's first attempt
     served_share: float  # share of the requests of clients that were served
     attempts_per_request: float
     requests_per_client_request: float
@@ -200,7 +200,7 @@
     client_requests = max(1, counts[CountedEvent.CLIENT_REQUEST])
     return SlowStartUsage(
         received=received,
-        retry_share=cache.received_retries / max(1, received),
+        later_attempts_share=cache.received_retries / max(1, received),
         served_share=fleet.statistics.served_share(),
         attempts_per_request=counts[CountedEvent.ATTEMPT] / requests,
         requests_per_client_request=counts[CountedEvent.REQUEST] / client_requests,
@@ -225,11 +225,11 @@
 
     Raises TimeLimitReachedError.
     """
-    for each in fleet.caches.values():
-        each.reset_statistics()
-    run_fleet(fleet, fleet.settings.overload_window * WARM_WINDOWS, context)
-    mean_received = sum(each.received for each in fleet.caches.values()) / len(fleet.caches)
-    return cache.received / max(NO_REQUESTS, mean_received)
+    for server in fleet.caches.values():
+        server.reset_statistics()
+    run_fleet(fleet, fleet.settings.overload_window * FAIR_SHARE_WINDOWS, context)
+    mean_received = sum(server.received for server in fleet.caches.values()) / len(fleet.caches)
+    return cache.received / max(MIN_MEAN_RECEIVED, mean_received)
 
 
 def measure_sample(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Sample:
@@ -255,7 +255,7 @@
         budget_slack_share=budget.used_share_with_tolerance,
         budget_first_count=budget.first_window,
         received=usage.received,
-        received_again_share=usage.retry_share,
+        received_again_share=usage.later_attempts_share,
         fair_share=share,
         served_share=usage.served_share,
         attempts_per_request=usage.attempts_per_request,
--- a/scale_experiments/scenarios/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -138,12 +138,12 @@
     routers = size.routers
     rate = size.requests_per_s / routers
     duration_s = warm_s + parameters.measured_s
-    affordable = max(MIN_ROUTERS_SAMPLED, int(parameters.max_requests / (rate * duration_s)))
+    max_routers_sampled = max(MIN_ROUTERS_SAMPLED, int(parameters.max_requests / (rate * duration_s)))
     return FleetModel(
         routers=routers,
         caches=size.caches,
         requests_per_s=rate,
-        routers_sampled=min(routers, affordable),
+        routers_sampled=min(routers, max_routers_sampled),
         zones=size.zones,
         regions=size.regions,
         objects=parameters.objects,
@@ -175,7 +175,7 @@
     """The load of page caches, scaled up to the whole fleet."""
 
     mean_connections: float  # mean over time and caches
-    high_connections: float  # mean over time, at HIGH_PERCENTILE over caches
+    p99_connections: float  # mean over time, at HIGH_PERCENTILE over caches
     worst_connections: float  # mean over time, at the cache where it is highest
     worst_connections_peak: float  # 99th percentile over time, at the cache where it is highest
     cores: int  # cores that a cache needs
@@ -218,7 +218,7 @@
     handshakes = model.scale * fleet.statistics.counts[CountedEvent.HANDSHAKE] / len(caches) / seconds
     return CacheLoad(
         mean_connections=float(np.mean(connections)),
-        high_connections=float(np.percentile(connections, HIGH_PERCENTILE)),
+        p99_connections=float(np.percentile(connections, HIGH_PERCENTILE)),
         worst_connections=max(connections),
         worst_connections_peak=max(cache.connections.percentile_99(now, model.scale) for cache in caches),
         cores=math.ceil(rate * model.mean_service_time / use_share),
@@ -268,7 +268,7 @@
     return ConnectionsMetrics(
         routers_run=fleet.model.routers_run,
         cache_connections_mean=caches.mean_connections,
-        cache_connections_p99=caches.high_connections,
+        cache_connections_p99=caches.p99_connections,
         cache_connections_worst=caches.worst_connections,
         cache_connections_worst_high=caches.worst_connections_peak,
         cache_connections_per_core=caches.worst_connections / caches.cores,
--- a/scale_experiments/scenarios/socket_metrics.py
+++ b/scale_experiments/scenarios/socket_metrics.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Usage:
+class UsageSnapshot:
     """Counts of caches and clients, and CPU seconds of all routers, since the start."""
 
     caches: CachesStats
@@ -122,7 +122,9 @@
     router_descriptors: float
 
 
-def compute_metrics(before: Usage, after: Usage, routers: list[psutil.Process]) -> SocketsMetrics:
+def compute_metrics(
+    before: UsageSnapshot, after: UsageSnapshot, routers: list[psutil.Process]
+) -> SocketsMetrics:
     """Return the metrics of the time between two points in time."""
     seconds = after.caches.at - before.caches.at
     counts = {
@@ -209,8 +211,8 @@
 
 def peak_resident_bytes(routers: list[psutil.Process]) -> float:
     """Return the largest peak of resident memory of any router, which is VmHWM in /proc."""
-    marks = []
+    peaks = []
     for router in routers:
         lines = Path(f"/proc/{router.pid}/status").read_text().splitlines()
-        marks += [int(line.split()[1]) * 1024 for line in lines if line.startswith("VmHWM:")]
-    return float(max(marks, default=0))
+        peaks += [int(line.split()[1]) * 1024 for line in lines if line.startswith("VmHWM:")]
+    return float(max(peaks, default=0))
--- a/scale_experiments/scenarios/sockets.py
+++ b/scale_experiments/scenarios/sockets.py
@@ -40,7 +40,7 @@
 from scale_experiments.runs.sample import Sample
 from scale_experiments.runs.scenario import Scenario, WholeNumber
 from scale_experiments.scenarios.machine_metrics import MachineMetrics, measure_machine
-from scale_experiments.scenarios.socket_metrics import SocketsMetrics, Usage, compute_metrics
+from scale_experiments.scenarios.socket_metrics import SocketsMetrics, UsageSnapshot, compute_metrics
 
 READY_TIMEOUT_S = 30.0
 REPLY_TIMEOUT_S = 60.0
@@ -190,20 +190,20 @@
 
     def _start_caches(self, entries: Sequence[EndpointEntry]) -> str:
         """Start the caches and the origin; return the origin's address."""
-        p = self.parameters
+        parameters = self.parameters
         self.caches = self._start_emulator("cache", CACHES_MODULE)
         command = StartCaches(
             addresses={entry["name"]: entry["address"] for entry in entries},
             origin=ORIGIN_LISTEN,
-            max_keys=p.keys,
-            value_bytes=p.value_bytes,
-            service_s=p.service_s,
-            handshake_s=p.handshake_s,
-            idle_s=p.idle_timeout_s,
-            max_connections=p.max_connections,
-            warm=p.is_warm,
-            origin_service_s=p.origin_service_s,
-            origin_max_concurrent=p.origin_max_concurrent,
+            max_keys=parameters.keys,
+            value_bytes=parameters.value_bytes,
+            service_s=parameters.service_s,
+            handshake_s=parameters.handshake_s,
+            idle_s=parameters.idle_timeout_s,
+            max_connections=parameters.max_connections,
+            warm=parameters.is_warm,
+            origin_service_s=parameters.origin_service_s,
+            origin_max_concurrent=parameters.origin_max_concurrent,
         )
         return self.caches.request(command).origin
 
@@ -230,7 +230,7 @@
         return router
 
     def _start_clients(self, routers: list[str]) -> None:
-        p = self.parameters
+        parameters = self.parameters
         self.clients = self._start_emulator("clients", CLIENTS_MODULE)
         self.clients.request(
             StartClients(
@@ -240,34 +240,34 @@
                 deadline_s=REQUEST_DEADLINE_S,
                 read_class="read",
                 write_class="put",
-                keys=p.keys,
-                zipf_exponent=p.zipf_exponent,
-                write_share=p.write_share,
-                value_bytes=p.value_bytes,
+                keys=parameters.keys,
+                zipf_exponent=parameters.zipf_exponent,
+                write_share=parameters.write_share,
+                value_bytes=parameters.value_bytes,
             )
         )
 
-    def usage(self) -> Usage:
+    def usage_snapshot(self) -> UsageSnapshot:
         """Return the counts since the start, and the latencies since the previous call."""
-        cpu_s = sum(sum(r.cpu_times()[:2]) for r in self.routers)
+        cpu_s = sum(sum(router.cpu_times()[:2]) for router in self.routers)
         clients = self.clients.request(GetClientsStats(restart=True))
-        return Usage(self.caches.request(GetCachesStats()), clients, cpu_s)
+        return UsageSnapshot(self.caches.request(GetCachesStats()), clients, cpu_s)
 
     def run_load(self) -> None:
         """Wait while the load is measured; for the first `fault_s` seconds some caches have the fault."""
-        p, faulty = self.parameters, self.size.faulty
-        remaining_s = p.measured_s
+        parameters, faulty = self.parameters, self.size.faulty
+        remaining_s = parameters.measured_s
         if faulty:
             names = self.cache_names[:faulty]
-            self.caches.request(SetCacheMode(names, p.fault))
-            time.sleep(min(p.fault_s, remaining_s))
-            remaining_s -= min(p.fault_s, remaining_s)
+            self.caches.request(SetCacheMode(names, parameters.fault))
+            time.sleep(min(parameters.fault_s, remaining_s))
+            remaining_s -= min(parameters.fault_s, remaining_s)
             self.caches.request(SetCacheMode(names, "serve"))
         time.sleep(remaining_s)
 
     def check_routers(self) -> None:
         """Raise RuntimeError if a router process has exited."""
-        if any(not each.is_running() or each.status() == psutil.STATUS_ZOMBIE for each in self.routers):
+        if any(not router.is_running() or router.status() == psutil.STATUS_ZOMBIE for router in self.routers):
             raise RuntimeError("a router process exited before the end of the measurement")
 
     def stop(self) -> None:
@@ -288,9 +288,9 @@
         time.sleep(parameters.warm_s)
         context.progress("measure")
         references = [measure_reference_cpu_s()]
-        before = deployment.usage()
+        before = deployment.usage_snapshot()
         deployment.run_load()
-        after = deployment.usage()
+        after = deployment.usage_snapshot()
         references.append(measure_reference_cpu_s())
         deployment.check_routers()
         metrics = compute_metrics(before, after, deployment.routers)
--- a/tests/scale_experiments/scenarios/test_socket_metrics.py
+++ b/tests/scale_experiments/scenarios/test_socket_metrics.py
@@ -22,13 +22,13 @@
 from scale_experiments.measurement.histograms import encode_histogram
 from scale_experiments.scenarios.socket_metrics import (
     SocketsMetrics,
-    Usage,
+    UsageSnapshot,
     cache_metrics,
     client_metrics,
     compute_metrics,
 )
 
-NO_REQUESTS = CacheCounters(
+ZERO_COUNTERS = CacheCounters(
     accepted=0, handshakes=0, requests=0, hits=0, misses=0, rejected=0, open_sum=0.0, max_open=0, open=0
 )
 
@@ -36,8 +36,8 @@
 def encoded_latencies(*latencies_us: int) -> str:
     """Return an encoded histogram of latencies in microseconds."""
     histogram = HdrHistogram(1, 1_000_000, 2)
-    for each in latencies_us:
-        histogram.record_value(each)
+    for latency_us in latencies_us:
+        histogram.record_value(latency_us)
     return encode_histogram(histogram)
 
 
@@ -77,13 +77,20 @@
 
 
 def test_cache_metrics_are_those_of_the_time_between_both_moments() -> None:
-    used_before = replace(NO_REQUESTS, accepted=5, requests=50, hits=40, misses=10, open_sum=30.0, max_open=4)
+    used_before = replace(
+        ZERO_COUNTERS, accepted=5, requests=50, hits=40, misses=10, open_sum=30.0, max_open=4
+    )
     used = replace(
         used_before, accepted=8, requests=80, hits=61, misses=17, rejected=2, open_sum=90.0, max_open=6
     )
-    before = caches_stats(10.0, 10, 0, a=used_before, b=NO_REQUESTS, c=NO_REQUESTS)
+    before = caches_stats(10.0, 10, 0, a=used_before, b=ZERO_COUNTERS, c=ZERO_COUNTERS)
     after = caches_stats(
-        15.0, 30, 0, a=used, b=replace(NO_REQUESTS, accepted=3, requests=10, hits=9, misses=1), c=NO_REQUESTS
+        15.0,
+        30,
+        0,
+        a=used,
+        b=replace(ZERO_COUNTERS, accepted=3, requests=10, hits=9, misses=1),
+        c=ZERO_COUNTERS,
     )
     metrics = cache_metrics(before, after, requests=20, routers=2)
     assert asdict(metrics) == pytest.approx(
@@ -106,11 +113,11 @@
 def test_metrics_of_a_run_have_counts_per_request_and_the_use_of_router_processes() -> None:
     """The process of the test stands for the router process."""
     routers = [psutil.Process(os.getpid())]
-    before = Usage(
-        caches_stats(10.0, 1, 4, a=NO_REQUESTS), clients_stats({REQUESTS: 100, CONNECTIONS_OPENED: 5}), 1.0
+    before = UsageSnapshot(
+        caches_stats(10.0, 1, 4, a=ZERO_COUNTERS), clients_stats({REQUESTS: 100, CONNECTIONS_OPENED: 5}), 1.0
     )
-    after = Usage(
-        caches_stats(14.0, 2, 24, a=replace(NO_REQUESTS, requests=50, hits=50)),
+    after = UsageSnapshot(
+        caches_stats(14.0, 2, 24, a=replace(ZERO_COUNTERS, requests=50, hits=50)),
         clients_stats(
             {REQUESTS: 300, SERVED: 200, CONNECTIONS_OPENED: 15, OPEN_CONNECTIONS: 6},
             encoded_latencies(10_000),
