--- a/scale_experiments/scenarios/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -174,7 +174,7 @@
 class CacheLoad:
     """The load of page caches, scaled up to the whole fleet."""
 
-    mean_connections: float  # mean over time and caches
+    mean_connections: float  # open connections of a cache, mean over time and caches
     p99_connections: float  # mean over time, at HIGH_PERCENTILE over caches
     worst_connections: float  # mean over time, at the cache where it is highest
     worst_connections_peak: float  # 99th percentile over time, at the cache where it is highest
@@ -249,7 +249,7 @@
 
 
 def decision_cost(fleet: Fleet) -> DecisionCost:
-    """Return the processor time of the decision modules since the last reset."""
+    """Return the processor time of the decision modules since the decision timer was reset."""
     calls = fleet.decision_timer.calls_per_request()
     seconds_per_call = fleet.decision_timer.seconds_per_call()
     return DecisionCost(
--- a/scale_experiments/scenarios/ring_caching/popularity.py
+++ b/scale_experiments/scenarios/ring_caching/popularity.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-BISECTION_STEPS = 60  # more halvings than the precision of a float can distinguish
+BISECTION_STEPS = 60  # enough to reach the precision of a float
 MAX_OBJECTS_RATIO = 100  # largest number of objects to try, as a multiple of the capacity
 OBJECTS_TOLERANCE = 0.01  # width of the interval at which the bisection ends, as a share of its lower end
 FloatArray = np.ndarray[Any, np.dtype[np.float64]]
--- a/scale_experiments/scenarios/socket_metrics.py
+++ b/scale_experiments/scenarios/socket_metrics.py
@@ -59,7 +59,9 @@
     open_to_caches_per_router: Count = Field(
         description="open connections of a router to caches, mean over time"
     )
-    caches_met_share: Share = Field(description="share of the caches that received an attempt")
+    caches_met_share: Share = Field(
+        description="share of the caches that received an attempt during the measurement"
+    )
     fullest_cache_share: Share = Field(
         description="attempts at the cache that received the most, over the mean of all caches"
     )
--- a/scale_experiments/scenarios/sockets.py
+++ b/scale_experiments/scenarios/sockets.py
@@ -45,11 +45,11 @@
 READY_TIMEOUT_S = 30.0
 REPLY_TIMEOUT_S = 60.0
 REQUEST_DEADLINE_S = 2.0
-SEEDS_PER_SAMPLE = 1000  # seeds reserved for the routers of one sample
+SEEDS_PER_SAMPLE = 1000  # seeds reserved for the processes of one sample
 LIST_INDEX = 1  # index of the only endpoint list that discovery serves
 CACHE_NETWORK = "127.2"  # prefix of the caches' addresses
-ORIGIN_LISTEN = "127.3.0.1:0"
-DISCOVERY_LISTEN = "127.3.0.2:0"
+ORIGIN_LISTEN = "127.3.0.1:0"  # any free port
+DISCOVERY_LISTEN = "127.3.0.2:0"  # any free port
 ROUTER_NETWORK = "127.4.0"  # prefix of the routers' addresses
 
 
@@ -72,7 +72,7 @@
     )
     keys: int = Field(100_000, ge=1, le=10_000_000, description="distinct keys of the clients' requests")
     zipf_exponent: float = Field(
-        0.9, alias="zipf", ge=0, le=3, description="exponent of the popularity of keys"
+        0.9, alias="zipf", ge=0, le=3, description="exponent of the popularity of keys (Zipf's law)"
     )
     write_share: float = Field(0.0, ge=0, le=1, description="share of requests that write")
     value_bytes: int = Field(1024, ge=0, le=65536, description="size of each value")
--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -27,7 +27,9 @@
 class SurgeMetrics(Metrics):
     """Requests before, during and after the surge."""
 
-    requests_per_s: PerSecond = Field(description="requests of clients before the surge, without retries")
+    requests_per_s: PerSecond = Field(
+        description="requests of clients at all simulated routers before the surge, without retries"
+    )
     before_served_share: Share = Field(
         description="share of clients' requests before the surge that were served, retries included"
     )
