--- a/cache_router/__init__.py
+++ b/cache_router/__init__.py
@@ -11,13 +11,13 @@
 
 
 def __getattr__(name: str) -> object:
-    """Import `Router` when it is first used: the program holds signals back before it imports anything else.
+    """Import `Router` on first use, because the program must block signals before it imports anything else.
 
     Raises:
         AttributeError: the package has no attribute of this name.
     """
     if name != "Router":
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    from cache_router.decisions.router import Router  # noqa: PLC0415  # the purpose of this function
+    from cache_router.decisions.router import Router  # noqa: PLC0415  # this function exists to defer the import
 
     return Router
--- a/cache_router/__main__.py
+++ b/cache_router/__main__.py
@@ -6,7 +6,7 @@
 
 if __name__ == "__main__":
     hold_signals()
-    # after that, as it imports the whole program, which takes most of the start
+    # Signals are blocked before this import, which takes most of the startup time.
     from cache_router.program import main
 
     sys.exit(main())
--- a/cache_router/config.py
+++ b/cache_router/config.py
@@ -1,4 +1,4 @@
-"""One router's configuration: its JSON form, read and checked."""
+"""Reads and validates the JSON configuration of one router."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
 from cache_router.settings import Settings, SettingsError
 from cache_router.settings_reader import read_settings
 
-CONFIG_VARIABLE = "RELAY_CONFIG"  # environment variable: the path of the configuration file
-DEFAULT_DESCRIPTORS = 1024  # the platform's limit for one router
-# with fewer a router cannot serve: `descriptor_budget.RESERVED_DESCRIPTORS` are half of them
+CONFIG_VARIABLE = "RELAY_CONFIG"  # environment variable that holds the path of the configuration file
+DEFAULT_DESCRIPTORS = 1024  # file descriptors that the platform allows one router
+# A router with fewer cannot serve: half of this minimum is `descriptor_budget.RESERVED_DESCRIPTORS`.
 MIN_DESCRIPTORS = 64
 
 
 class ConfigError(RouterError, ValueError):
-    """A configuration that cannot be used; message and `where` name the field or the environment variable."""
+    """Unusable configuration; message and `where` name the field or environment variable at fault."""
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """What the platform configures for one router."""
+    """Configuration of one router, as the platform provides it."""
 
-    listen: tuple[str, int]  # host and port for clients
+    listen: tuple[str, int]  # host and port to listen on for clients
     discovery: str  # host:port of discovery, or of its agent on this machine
-    seed: int  # of the random choices of the decisions
-    max_descriptors: int  # file descriptors that the platform allows
-    cached_index: int  # index of the cached endpoint list
-    cached_endpoints: list[NetworkEndpoint]  # the endpoint list known at the start
+    seed: int  # seed of the random choices in the decisions
+    max_descriptors: int  # file descriptors that the platform allows this router
+    cached_index: int  # version of the cached endpoint list
+    cached_endpoints: list[NetworkEndpoint]  # entries of the endpoint list that was cached before the start
     settings: Settings
 
 
 def config_path(environment: Mapping[str, str]) -> str:
-    """The path of the configuration file, from the environment of the process.
+    """Return the path of the configuration file from the environment of the process.
 
     Raises:
-        ConfigError: the variable is not set, or empty.
+        ConfigError: the environment variable is not set, or empty.
     """
     path = environment.get(CONFIG_VARIABLE)
     if not path:
@@ -55,7 +55,7 @@
 
 
 def load_config(path: str) -> Config:
-    """Read and check the configuration in a file; errors found in the file begin with its path.
+    """Read and validate the configuration file at `path`; errors in its content begin with the path.
 
     Raises:
         ConfigError: the file cannot be read, or a field in it cannot be used.
@@ -71,7 +71,7 @@
 
 
 def read_config(text: bytes) -> Config:
-    """Read and check a configuration in its JSON form.
+    """Parse and validate a configuration in JSON form.
 
     Raises:
         ConfigError: `text` is not a JSON object, or a field in it cannot be used.
@@ -98,7 +98,7 @@
 
 @contextmanager
 def _errors_of(field: str) -> Iterator[None]:
-    """Convert the errors of a field's reader to errors of the configuration."""
+    """Convert the errors that the readers of a field raise into `ConfigError`s with that field as `where`."""
     try:
         yield
     except (SettingsError, EndpointListError) as error:
@@ -116,7 +116,7 @@
 
 
 def _read_seed(table: Mapping[str, object]) -> int:
-    """The seed, which the file has in hex digits."""
+    """Return the seed, which the configuration holds in hex digits."""
     seed = table.get("seed")
     try:
         return int(str(seed), 16)
@@ -125,7 +125,7 @@
 
 
 def _read_address(table: Mapping[str, object], field: str) -> str:
-    """A field of the form host:port, checked."""
+    """Return a field of the form host:port after validating it."""
     value = table.get(field)
     try:
         parse_address(value if isinstance(value, str) else "")
--- a/cache_router/load_report.py
+++ b/cache_router/load_report.py
@@ -1,4 +1,4 @@
-"""The load report that a server puts into its answers, by the names that the settings give its values."""
+"""Parses the load report that a server adds to its responses; the settings name the report's values."""
 
 from __future__ import annotations
 
@@ -9,14 +9,17 @@
 
 from cache_router.decisions.events import LoadReport
 
-# the names of the values in a load report that decisions use
+# Names of the values in a load report that the decisions use.
 SERVICE_TIME_MS = "svc_ms"
 QUEUE_LENGTH = "pending"
-MAX_LOAD_REPORT = 256  # bytes that are read; further ones are ignored
+MAX_LOAD_REPORT = 256  # bytes of a load report that are parsed; further ones are ignored
 
 
 def parse_load_report(text: bytes, names: tuple[str, ...]) -> LoadReport | None:
-    """Read `name=value` pairs, separated by commas, of the given names; None where a value is missing."""
+    """Parse comma-separated `name=value` pairs, ignoring those whose name is not in `names`.
+
+    Return None if a value that the decisions use is missing or invalid.
+    """
     values: dict[str, float] = {}
     for pair in text[:MAX_LOAD_REPORT].decode("latin-1").split(","):
         name, _, value = pair.partition("=")
@@ -27,9 +30,9 @@
 
 
 def read_load(values: Mapping[str, object]) -> LoadReport | None:
-    """A load report from its named values; None where it lacks one that decisions use, or one is no load.
+    """Create a load report; return None if a value that the decisions use is missing or invalid.
 
-    Reports are noisy: a decision must not take a malformed value for a load.
+    Reports are noisy, and a malformed value must not affect a decision.
     """
     service_time_ms = values.get(SERVICE_TIME_MS)
     queue_length = values.get(QUEUE_LENGTH)
@@ -39,5 +42,8 @@
 
 
 def _is_load(value: object) -> TypeGuard[float]:
-    """Whether a value is a finite number of at least 0; a bool is an int in Python, but no number in JSON."""
+    """Return whether a value is a finite number of at least 0.
+
+    A bool is an int in Python, but not a number in JSON.
+    """
     return isinstance(value, (int, float)) and not isinstance(value, bool) and 0 <= value < math.inf
--- a/cache_router/program.py
+++ b/cache_router/program.py
@@ -1,4 +1,4 @@
-"""The program of one router: its configuration, its log, its exit status."""
+"""Entry point of the router process: configuration, logging and exit status."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from cache_router.process_signals import hold_signals
 from cache_router.server import serve
 
-UNUSABLE_CONFIG_STATUS = 2  # exit status of the process
+UNUSABLE_CONFIG_STATUS = 2  # exit status of the process after a `ConfigError`
 LOG_FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
 
 
 def main() -> int:
-    """Run one router with the configuration file that the environment names; returns the exit status."""
+    """Run one router with the configuration file that the environment names, and return the exit status."""
     logging.basicConfig(level=logging.INFO, format=LOG_FORMAT)
     try:
         path = config_path(os.environ)
@@ -28,9 +28,9 @@
 
 
 async def _serve_until_shutdown(config: Config, path: str) -> None:
-    """Serve; after a shutdown, no further signal may change the status of the process.
+    """Serve until shutdown, then block signals, so that none of them changes the exit status.
 
-    The event loop takes its handlers back when it is closed, and the interpreter has still to finish then.
+    The event loop removes its signal handlers when it closes, before the interpreter has exited.
     """
     await serve(config, path)
     hold_signals()
--- a/cache_router/section_reader.py
+++ b/cache_router/section_reader.py
@@ -19,19 +19,19 @@
     __slots__ = ("_path", "_values")
 
     def __init__(self, values: Mapping[str, object], path: str = "") -> None:
-        """Read from `values`; `path` is the prefix of a field's name in errors, with a dot at its end."""
+        """Read from `values`; `path` is the prefix of field names in errors, with a trailing dot."""
         self._values = values
         self._path = path
 
     def value(self, field: str) -> object:
-        """The decoded JSON value of a field, unchecked; None if the field is absent or null."""
+        """Return the decoded JSON value of a field, not validated; None if the field is absent or null."""
         return self._values.get(field)
 
     def number(self, field: str, default: float, minimum: float = 0.0) -> float:
-        """A number, an int or a float as in the JSON.
+        """Return a number; it is an int or a float, as in the JSON.
 
         Raises:
-            SettingsError: the value is no number, or less than `minimum`.
+            SettingsError: the value is not a number, or is less than `minimum`.
         """
         value = self._values.get(field)
         if value is None:
@@ -41,7 +41,7 @@
         return value
 
     def flag(self, field: str) -> bool:
-        """A flag, false if absent.
+        """Return a flag; false if the field is absent.
 
         Raises:
             SettingsError: the value is neither true nor false.
@@ -52,10 +52,10 @@
         return bool(value)
 
     def choice(self, field: str, default: str, choices: Mapping[str, Choice]) -> Choice:
-        """The value that `choices` has for a word; `default` is the word if the field is absent.
+        """Return the value in `choices` of the key that the field holds, or of `default` if it is absent.
 
         Raises:
-            SettingsError: the value is none of the words in `choices`.
+            SettingsError: the value is not a key of `choices`.
         """
         value = self._values.get(field)
         word = default if value is None else value
@@ -64,10 +64,10 @@
         return choices[word]
 
     def names(self, field: str) -> tuple[str, ...]:
-        """A list of names, empty if absent.
+        """Return a list of names; empty if the field is absent.
 
         Raises:
-            SettingsError: the value is no list, or one of its entries is no string.
+            SettingsError: the value is not a list of strings.
         """
         value = self._values.get(field)
         names = [] if value is None else value
@@ -76,10 +76,10 @@
         return tuple(names)
 
     def section(self, field: str) -> SectionReader:
-        """A nested object, empty if absent.
+        """Return the reader of a nested object, which is empty if the field is absent.
 
         Raises:
-            SettingsError: the value is no object.
+            SettingsError: the value is not an object.
         """
         value = self._values.get(field)
         section = {} if value is None else value
@@ -88,10 +88,11 @@
         return SectionReader(section, f"{self._path}{field}.")
 
     def named_sections(self, field: str) -> dict[str, SectionReader]:
-        """A list of objects by their `name`s, empty if absent.
+        """Return the readers of a list of objects by the objects' `name`; empty if the field is absent.
 
         Raises:
-            SettingsError: the value is no list of objects, or a name is missing or repeated.
+            SettingsError: the value is not a list of objects, or a name is missing, not a string or a
+                duplicate.
         """
         value = self._values.get(field)
         rows = [] if value is None else value
@@ -101,12 +102,12 @@
         for index, row in enumerate(rows):
             name = row.get("name")
             if not isinstance(name, str):
-                raise self.unusable(f"{field}[{index}].name", "is missing")
+                raise self.unusable(f"{field}[{index}].name", f"is missing or not a string: {name!r}")
             if name in sections:
-                raise self.unusable(f"{field}[{index}].name", f"is there twice: {name!r}")
+                raise self.unusable(f"{field}[{index}].name", f"is a duplicate: {name!r}")
             sections[name] = SectionReader(row, f"{self._path}{field}[{name}].")
         return sections
 
     def unusable(self, field: str, reason: str) -> SettingsError:
-        """The error of a field of this section."""
+        """Create the error for a field of this section."""
         return SettingsError(f"settings: {self._path}{field} {reason}", where=f"{self._path}{field}")
--- a/cache_router/server.py
+++ b/cache_router/server.py
@@ -1,4 +1,4 @@
-"""One running router: its parts, its signals and its graceful shutdown."""
+"""Runs one router: its components, its signal handlers and its graceful shutdown."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 from cache_router.process_signals import release_signals
 from cache_router.shutdown_schedule import ShutdownSchedule
 
-# seconds to wait for the first endpoint list before serving from the cached one: an agent on the same machine
-# answers within milliseconds, or it is down
+# Seconds to wait for the first endpoint list before serving from the cached one. An agent on the same machine
+# answers within milliseconds unless it is down.
 FIRST_LIST_TIMEOUT = 1.0
 log = logging.getLogger(__name__)
 
 
 class RouterServer:
-    """A router on real sockets, from its cached endpoint list to the end of its graceful shutdown.
+    """A router on real sockets, from the cached endpoint list to the end of its graceful shutdown.
 
-    Create it within a running event loop.
+    It must be created within a running event loop.
     """
 
     def __init__(self, config: Config, config_path: str) -> None:
-        """Assemble the parts; no connection is opened yet.
+        """Create the components of the router; no connection is opened yet.
 
         Raises:
             ConfigError: this process may open too few file descriptors.
@@ -61,7 +61,7 @@
         """Serve until SIGTERM or SIGINT, then shut down gracefully.
 
         Raises:
-            ConfigError: the address to listen on cannot be taken.
+            ConfigError: the listen address cannot be bound.
         """
         self._bind()
         with closing(self._origin), closing(self._caches), closing(self._discovery):
@@ -70,18 +70,18 @@
             if self._updates_are_pushed:
                 await self._wait_for_first_list()
             if self._terminated.is_set():
-                return  # no client has connected yet
+                return  # nothing to drain: no client can have connected yet
             self._listener.start()
             log.info("listening on %s", self._listener.address)
             await self._terminated.wait()
             await self._drain()
 
     def _subscribe(self) -> None:
-        """Start a watch; the dispatcher calls this when the decisions ask for one."""
+        """Start a watch; the dispatcher calls this when the decisions request one."""
         self._discovery.subscribe()
 
     def _bind(self) -> None:
-        """Take the address before any other machine is contacted; no client can connect yet."""
+        """Bind the listen address before contacting any other machine; clients cannot connect yet."""
         try:
             self._listener.bind(self._config.listen)
         except (OSError, ValueError) as error:  # ValueError: a host name that cannot be encoded
@@ -91,11 +91,11 @@
         """Apply the cached endpoint list, and watch for changes to it."""
         self._dispatcher.on_endpoint_update(EndpointUpdateKind.CACHED, self._config.cached_endpoints)
         if self._updates_are_pushed:
-            # the decisions subscribe only where the settings require it; a watch reads pushed updates as well
+            # The decisions subscribe only if the settings require it; a watch also receives pushed updates.
             self._subscribe()
 
     def _handle_signals(self) -> None:
-        """Handle signals, first those that were held back since the start of the process."""
+        """Install the signal handlers, and unblock the signals that are pending since the process started."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -103,31 +103,31 @@
         release_signals()
 
     async def _wait_for_first_list(self) -> None:
-        """Wait until the agent has answered, for at most `FIRST_LIST_TIMEOUT`.
+        """Wait for the first answer of the agent, for at most `FIRST_LIST_TIMEOUT` seconds.
 
-        A router counts as knowing from its start what its agent knows, and the cached list may name servers
-        that have drained since.
+        Whatever the agent knows counts as known to the router from its start, while the cached list may
+        contain servers that have drained since.
         """
         with suppress(TimeoutError):
             async with asyncio.timeout(FIRST_LIST_TIMEOUT):
                 await self._discovery.wait_for_first_update()
 
     def _reload(self) -> None:
-        """Read the configuration again and change to a new discovery address.
+        """Reload the configuration file and apply a new discovery address.
 
-        All other fields need a restart. A file that is incomplete or malformed is rejected, and the router
-        keeps its configuration.
+        A change of any other field requires a restart. An incomplete or malformed file is rejected, and the
+        router keeps its configuration.
         """
         try:
             address = load_config(self._config_path).discovery
         except ConfigError as error:
-            log.error("configuration not taken, the old one stays: %s", error)
+            log.error("configuration rejected, the previous one stays in effect: %s", error)
             return
         if address != self._discovery.address:
             self._change_discovery(address)
 
     def _change_discovery(self, address: str) -> None:
-        """Watch the endpoint list of another discovery, `address`."""
+        """Watch the endpoint list of the discovery at `address` instead of the current one."""
         log.info("discovery is now %s", address)
         self._discovery.change_address(address)
         self._dispatcher.on_discovery_address_changed()
@@ -135,7 +135,7 @@
             self._subscribe()
 
     async def _drain(self) -> None:
-        """Answer the requests in flight, and close each client connection after its last answer."""
+        """Answer the requests in flight, and close each client connection after its last reply."""
         schedule = ShutdownSchedule.from_settings(self._config.settings)
         log.info(
             "draining %s: connections are accepted for %g s, SIGKILL may come in %g s",
@@ -148,9 +148,9 @@
 
 
 async def serve(config: Config, config_path: str) -> None:
-    """Run one router until it is terminated; `config_path` is read again on SIGHUP.
+    """Run one router until it is terminated; SIGHUP reloads the file at `config_path`.
 
     Raises:
-        ConfigError: the configuration does not fit this machine.
+        ConfigError: the process may open too few file descriptors, or the listen address cannot be bound.
     """
     await RouterServer(config, config_path).run()
--- a/tests/cache_router/test_server.py
+++ b/tests/cache_router/test_server.py
@@ -196,7 +196,7 @@
             path.write_bytes(b"{")
             process.send_signal(signal.SIGHUP)
             assert process.stderr is not None
-            while b"configuration not taken" not in await process.stderr.readline():
+            while b"configuration rejected" not in await process.stderr.readline():
                 assert not process.stderr.at_eof()
             await cache.serve(HIT)
             assert await client.resp() == b"value"
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -23,7 +23,7 @@
 ADDRESS_CHANGE_DEADLINE = 4.0  # the same after SIGHUP
 BUSY_MACHINE = 1.0  # seconds more for a router that may have to wait for a core
 READY_WITHIN = 10.0  # seconds
-EXPECTED_ERROR = "configuration not taken"
+EXPECTED_ERROR = "configuration rejected"
 ORDERED_KINDS = (ClientKind.PIPELINING.value, ClientKind.NOT_READING.value)  # answers wait for others
 
 
