--- a/cache_router/settings_reader.py
+++ b/cache_router/settings_reader.py
@@ -1,7 +1,7 @@
-"""Reads settings from the JSON form that the simulator and a deployment's configuration share.
+"""Reads settings from the JSON form that the simulator and the configuration of a deployment share.
 
-The JSON keys are those of the operators' pages. They appear in this module alone, each beside the field that
-holds its value.
+The JSON keys are those of the operators' documentation. They appear only in this module, each next to the
+field that holds its value.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from cache_router.section_reader import SectionReader
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings, SettingsError
 
-MIN_DIVISOR = 0.001  # seconds: the least value of a time by which decisions divide
+MIN_DIVISOR = 0.001  # seconds; lower bound of each time that decisions divide by
 IDEMPOTENCIES = {
     "free": Idempotency.IDEMPOTENT,
     "guarded": Idempotency.WITH_KEY,
@@ -17,18 +17,18 @@
 }
 IDEMPOTENCY_SCOPES = {scope.value: scope for scope in IdempotencyScope}
 CACHE_ASIDE_MODES = {"aside": True, "through": False}
-SUBSCRIPTION_MODES = {"subscribe": True, "automatic": False}  # whether updates come only after subscribing
+SUBSCRIPTION_MODES = {"subscribe": True, "automatic": False}  # whether updates are sent to subscribers only
 LIVE_WEIGHTS = "live"
 
 
 def read_settings(conf: object) -> Settings:
-    """The settings of a site, from their JSON object.
+    """Return the settings of a site, given as a JSON object.
 
     Raises:
-        SettingsError: `conf` is no object, names no class of requests, or has a field that cannot be used.
+        SettingsError: `conf` is not an object, has no request classes, or has an invalid field.
     """
     if not isinstance(conf, dict):
-        raise SettingsError("settings: conf must be an object", where="conf")
+        raise SettingsError(f"settings: conf must be an object, not {conf!r}", where="conf")
     root = SectionReader(conf)
     classes = _read_classes(root)
     limits, rules, family = root.section("limits"), root.section("rules"), root.section("familyInfo")
@@ -59,15 +59,15 @@
 
 
 def _read_classes(root: SectionReader) -> dict[str, RequestClass]:
-    """The classes of requests by name; settings without any are rejected."""
+    """Return the request classes by name; settings without request classes are rejected."""
     sections = root.named_sections("classes")
     if not sections:
-        raise root.unusable("classes", "is empty")
+        raise root.unusable("classes", "must not be empty")
     return {name: _read_class(name, section) for name, section in sections.items()}
 
 
 def _read_class(name: str, section: SectionReader) -> RequestClass:
-    """One class; a latency objective or client timeout that is absent takes the value of the other."""
+    """Return a request class; an absent latency objective or client timeout takes the value of the other."""
     objective_default = section.number("giveUp", 1.0)
     latency_objective = section.number("aim", objective_default, MIN_DIVISOR)
     return RequestClass(
@@ -82,7 +82,7 @@
 
 
 def _read_origin_kind(root: SectionReader, family: SectionReader) -> str | None:
-    """The kind of origin servers, given by its index in the list of kinds; None where there is none."""
+    """Return the kind of the origin's members, which is given by its index; None without an origin."""
     kinds = root.names("skus")
     index = int(family.number("originKind", -1, minimum=-1))
     return kinds[index] if 0 <= index < len(kinds) else None
--- a/cache_router/simulator_adapter.py
+++ b/cache_router/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""Runs routers for the simulator, whose wire is one JSON object a line; decides nothing itself.
+"""Runs routers for the simulator, over a protocol with one JSON object per line; makes no decisions itself.
 
-Each line of the simulator holds the events of one moment; each line of the adapter holds the commands of its
-routers.
+Each line from the simulator contains the events of one point in time. The adapter replies with one line that
+contains the commands of its routers.
 """
 
 from __future__ import annotations
@@ -28,23 +28,23 @@
 )
 from cache_router.simulator_wire import ACTION_WRITERS, EVENT_READERS, read_attempt_completed
 
-BROKEN_WIRE_STATUS = 2  # exit status of the process
-MAX_QUOTED_EVENT = 200  # characters of a malformed event that its error quotes
+BROKEN_WIRE_STATUS = 2  # exit status of the process after malformed input
+MAX_QUOTED_EVENT = 200  # characters of a malformed event that the error message quotes
 
 
 class WireError(RouterError, ValueError):
-    """A line of the simulator that is malformed; `where` is its batch or the event in it."""
+    """Malformed line from the simulator; `where` is "batch" for the whole line, "event" for one event."""
 
 
 class SimulatorAdapter:
-    """One router for each instance number; nothing is shared between them."""
+    """Runs one router per `routerId`; the routers share nothing."""
 
     def __init__(self) -> None:
-        """Start without any router; the simulator starts and stops them."""
+        """Create an adapter without routers; the simulator starts and kills them."""
         self.routers: dict[int, Router] = {}
 
     def handle_line(self, line: bytes) -> bytes:
-        """Answer one line of the simulator with one line.
+        """Handle one line from the simulator, and return the line that replies to it.
 
         Raises:
             WireError: the line or an event in it is malformed.
@@ -56,7 +56,7 @@
         return orjson.dumps({"cmds": commands}) + b"\n"
 
     def _handle_message(self, now: float, message: Any, commands: list[Command]) -> None:
-        """Pass one event to its router and append the router's actions to the commands."""
+        """Pass one event to its router, and append the router's actions to `commands`."""
         try:
             operation, router_id = message["op"], message["routerId"]
             event = self._read_event(now, operation, router_id, message)
@@ -79,7 +79,7 @@
             commands.append(command)
 
     def _read_event(self, now: float, operation: str, router_id: int, message: Any) -> Event | None:
-        """The event in a message, or None where the message leaves nothing to decide."""
+        """Return the event in a message; None if the message requires no decision."""
         if operation == ROUTER_STARTED:
             self._start_router(now, message)
             return None
@@ -90,7 +90,7 @@
             return None
         router = self.routers.get(router_id)
         if operation == ATTEMPT_COMPLETED:
-            # a router that was killed has no settings left, and handles no event
+            # a killed router has no settings any more, and its events are ignored
             fields = router.settings.load_report_fields if router is not None else ()
             return read_attempt_completed(message, fields)
         return EVENT_READERS[operation](message)
@@ -102,10 +102,10 @@
 def _read_batch(line: bytes) -> tuple[float, list[Any]]:
     """Decode a line into the time, in seconds on the simulator's clock, and the messages.
 
-    The messages are any JSON values; each is read as a `simulator_messages.Message`.
+    The messages are not validated; each is later read as a `simulator_messages.Message`.
 
     Raises:
-        WireError: the line is no JSON object with a time and a list of messages.
+        WireError: the line is not a JSON object with a time and a list of messages.
     """
     try:
         batch = orjson.loads(line)
@@ -113,12 +113,12 @@
         if not isinstance(messages, list):
             raise TypeError("news is not a list")
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as error:
-        raise WireError(f"not a batch: {error!r}", where="batch") from error
+        raise WireError(f"malformed batch: {error!r}", where="batch") from error
     return now, messages
 
 
 def main() -> int:
-    """Answer line by line until the end of input; returns the exit status."""
+    """Reply to each line of standard input until it ends, and return the exit status."""
     adapter = SimulatorAdapter()
     for line in sys.stdin.buffer:
         try:
--- a/cache_router/simulator_messages.py
+++ b/cache_router/simulator_messages.py
@@ -1,8 +1,8 @@
-"""The JSON objects of the simulator's wire, in both directions.
+"""JSON objects of the simulator's protocol, in both directions.
 
-The simulator sends a batch of messages for one moment and receives a batch of commands. Keys are those of the
-wire; times and durations are in seconds. These types describe well-formed objects and check nothing: the
-reading of a missing field raises KeyError.
+The simulator sends a batch of messages for one point in time and receives a batch of commands. Keys are those
+of the protocol; times and durations are in seconds. These types describe well-formed objects but validate
+nothing: reading a missing field raises KeyError.
 """
 
 from __future__ import annotations
@@ -11,95 +11,95 @@
 
 # Messages of the simulator
 
-# `op` of the messages that the adapter handles by itself, or with the settings of the router
+# `op` of messages that the adapter handles itself, or reads with the router's settings
 ROUTER_STARTED = "Born"
 ROUTER_KILLED = "Kill"
 ATTEMPT_COMPLETED = "Done"
-# `op` of replies to commands that no router here gives
+# `op` of replies to commands that these routers never send
 IGNORED_MESSAGES = frozenset(("Pong", "Heard"))
 
 
 class Message(TypedDict):
-    """What every message has: its kind, and the router that it is for."""
+    """Fields of every message: its kind, and the router that it is for."""
 
     op: str
     routerId: int
 
 
 class RouterStartedMessage(Message):
-    """A router starts."""
+    """Start of a router."""
 
     initSeed: int
-    conf: object  # the settings, which `settings_reader` checks
+    conf: object  # settings, which `settings_reader` validates
 
 
 class EndpointLine(TypedDict):
-    """One entry of an endpoint list."""
+    """Entry of an endpoint list."""
 
     server: str
     readiness: str
-    generationHw: NotRequired[str | None]  # type of machine
+    generationHw: NotRequired[str | None]  # machine type
     site: NotRequired[str | None]  # zone
     stripe: NotRequired[int | None]  # cell
     weight: NotRequired[float | None]
-    since: NotRequired[float | None]  # start of the server's process
+    since: NotRequired[float | None]  # time at which the server's process started
 
 
 class MembershipMessage(Message):
-    """An endpoint list, its changed entries, or the failure to get any."""
+    """Complete endpoint list, changed entries of it, or the failure of a call for it."""
 
     scope: str
     lines: NotRequired[list[EndpointLine] | None]
 
 
 class RequestMessage(Message):
-    """A client's request."""
+    """Arrival of a client's request."""
 
-    ticket: str  # the request's id
-    priority: str  # the request's class
+    ticket: str  # id of the request
+    priority: str  # class of the request
     timeBudget: NotRequired[float | None]
     partitionKey: NotRequired[str | None]
     effort: NotRequired[float | None]
-    update: NotRequired[bool | None]  # whether it is a write
+    update: NotRequired[bool | None]  # whether the request is a write
 
 
 class ResponseStartedMessage(Message):
-    """The first part of an attempt's answer."""
+    """Arrival of the first part of an attempt's response."""
 
     ticket: str
-    sendNo: int  # the attempt's number, from 0
+    sendNo: int  # number of the attempt, from 0
 
 
 class CompletionMessage(Message):
-    """The end of an attempt."""
+    """End of an attempt."""
 
     ticket: str
     sendNo: int
     outcome: str
-    final: NotRequired[bool | None]  # whether the request has ended as well
-    lag: NotRequired[float | None]  # latency
+    final: NotRequired[bool | None]  # whether the request has also ended
+    lag: NotRequired[float | None]  # latency of the attempt
     telemetry: NotRequired[list[Any] | None]  # values of the load report, in the order of the settings' names
 
 
 class ClientDisconnectedMessage(Message):
-    """A client has closed its connection."""
+    """Disconnect of the client that sent a request."""
 
     ticket: str
 
 
 class TimerMessage(Message):
-    """A timer is due."""
+    """Expiry of a timer."""
 
     ctx: str
 
 
 # Commands to the simulator
 
-SETTINGS_REJECTED = "InternalError"  # `op` of the command that replies to settings that cannot be used
+SETTINGS_REJECTED = "InternalError"  # `op` of the command that replies to invalid settings
 
 
 class Command(TypedDict):
-    """What every command has; the adapter adds the router."""
+    """Fields of every command; the adapter adds the router's id."""
 
     op: str
     routerId: NotRequired[int]
@@ -114,14 +114,14 @@
 
 
 class RejectCommand(Command):
-    """Reject a request, which the client may repeat."""
+    """Reject a request, which the client may safely send again."""
 
     ticket: str
     coolDown: NotRequired[float]  # Retry-After
 
 
 class FailCommand(Command):
-    """Answer a request with a failure; it may have been carried out."""
+    """Fail a request, which may have been executed."""
 
     ticket: str
 
@@ -140,7 +140,7 @@
 
 
 class TimerCommand(Command):
-    """Set a timer, whose context comes back in a `TimerMessage`."""
+    """Set a timer; its context is sent back in a `TimerMessage`."""
 
     fromNow: float
     ctx: str
@@ -153,6 +153,6 @@
 
 
 class LogCommand(Command):
-    """Log a line: a message for the operators, or an error of the settings."""
+    """Log a line: a message for the operators, or an error in the settings."""
 
     line: str
--- a/cache_router/simulator_wire.py
+++ b/cache_router/simulator_wire.py
@@ -1,6 +1,6 @@
-"""The simulator's wire: its JSON objects as events of the decisions, and their actions as its JSON objects.
+"""Converts the simulator's JSON objects into events for the decisions, and their actions into JSON objects.
 
-`simulator_messages.py` describes those objects. A field that is absent and one that is null mean the same.
+`simulator_messages.py` describes these objects. An absent field and a null field mean the same.
 """
 
 from __future__ import annotations
@@ -82,7 +82,7 @@
 
 
 def read_endpoint(line: EndpointLine) -> Endpoint:
-    """One entry of an endpoint list."""
+    """Convert an entry of an endpoint list."""
     return Endpoint(
         name=line["server"],
         state=ENDPOINT_STATES[line["readiness"]],
@@ -95,13 +95,13 @@
 
 
 def read_endpoint_update(message: MembershipMessage) -> EndpointUpdate:
-    """An endpoint list, its changes, or the failure to get any."""
+    """Convert a complete endpoint list, changed entries of it, or the failure of a call for it."""
     kind = UPDATE_KINDS[message["scope"]]
     return EndpointUpdate(kind, tuple(map(read_endpoint, message.get("lines") or ())))
 
 
 def read_request(message: RequestMessage) -> Request:
-    """A client's request; a time budget that is absent or negative is 0."""
+    """Convert a client's request; an absent or negative time budget is read as 0."""
     return Request(
         request_id=message["ticket"],
         request_class=message["priority"],
@@ -113,14 +113,14 @@
 
 
 def read_response_started(message: ResponseStartedMessage) -> ResponseStarted:
-    """The first part of an answer."""
+    """Convert the arrival of the first part of a response."""
     return ResponseStarted(message["ticket"], message["sendNo"])
 
 
 def read_attempt_completed(
     message: CompletionMessage, load_report_fields: tuple[str, ...]
 ) -> AttemptCompleted:
-    """The end of an attempt; the values of its load report come without their names."""
+    """Convert the end of an attempt; `load_report_fields` names the values of its load report in order."""
     load_report = read_load(dict(zip(load_report_fields, message.get("telemetry") or (), strict=False)))
     status = ATTEMPT_STATUSES[message["outcome"]]
     return AttemptCompleted(
@@ -134,12 +134,12 @@
 
 
 def read_client_disconnected(message: ClientDisconnectedMessage) -> ClientDisconnected:
-    """A client that has closed its connection."""
+    """Convert the disconnect of a client."""
     return ClientDisconnected(message["ticket"])
 
 
 def read_timer(context: str) -> Timer | None:
-    """A timer by the context that `write_timer` gave to the wire; None for any other context."""
+    """Return the timer of a context that `write_timer` returned; None for any other context."""
     kind, _, numbered_subject = context.partition(":")
     serial, _, subject = numbered_subject.partition(":")
     if kind not in TIMER_KINDS or not serial.isdecimal():
@@ -148,12 +148,12 @@
 
 
 def read_timer_fired(message: TimerMessage) -> TimerFired | None:
-    """A timer that is due."""
+    """Convert the expiry of a timer; None if its context is unknown."""
     timer = read_timer(message["ctx"])
     return TimerFired(timer) if timer is not None else None
 
 
-# all but ATTEMPT_COMPLETED, whose reader needs the settings of the router as well
+# Readers by `op`, except for ATTEMPT_COMPLETED, whose reader also needs the settings of the router.
 EVENT_READERS: dict[str, Callable[[Any], Event | None]] = {
     "Membership": read_endpoint_update,
     "Request": read_request,
@@ -166,7 +166,7 @@
 
 
 def write_send(action: Send) -> SendCommand:
-    """A new attempt; the field of a timeout is left out if there is none."""
+    """Convert the start of an attempt; without a timeout, its field is omitted."""
     command: SendCommand = {"op": "Send", "ticket": action.request_id, "server": action.server}
     if action.timeout is not None:
         command["timeout"] = action.timeout
@@ -174,7 +174,7 @@
 
 
 def write_reject(action: Reject) -> RejectCommand:
-    """A rejection, with the time to wait before a retry if there is any."""
+    """Convert a rejection; without a time to wait before a retry, its field is omitted."""
     command: RejectCommand = {"op": "Reject", "ticket": action.request_id}
     if action.retry_after:
         command["coolDown"] = action.retry_after
@@ -182,37 +182,37 @@
 
 
 def write_fail(action: Fail) -> FailCommand:
-    """A final answer that leaves open whether the request was carried out."""
+    """Convert a failure, which leaves open whether the request was executed."""
     return {"op": "GiveUp", "ticket": action.request_id}
 
 
 def write_cancel(action: Cancel) -> CancelCommand:
-    """A cancelled attempt."""
+    """Convert the cancellation of an attempt."""
     return {"op": "Cancel", "ticket": action.request_id, "sendNo": action.attempt_number}
 
 
 def write_close_idle_connections(action: CloseIdleConnections) -> CloseIdleCommand:
-    """The end of the idle connections to a server."""
+    """Convert the action that closes the idle connections to a server."""
     return {"op": "LetGo", "server": action.server}
 
 
 def write_timer(timer: Timer) -> str:
-    """A timer as a context of the wire: its kind, its serial number and its subject."""
+    """Return the context of a timer: its kind, serial number and subject, separated by colons."""
     return f"{timer.kind.value}:{timer.serial}:{timer.subject}"
 
 
 def write_set_timer(action: SetTimer) -> TimerCommand:
-    """A timer; its context comes back when it is due."""
+    """Convert the setting of a timer; the simulator sends its context back when it is due."""
     return {"op": "Timer", "fromNow": action.delay, "ctx": write_timer(action.timer)}
 
 
 def write_subscribe(_: SubscribeToEndpoints) -> SubscribeCommand:
-    """A subscription to endpoint updates."""
+    """Convert a subscription to endpoint updates."""
     return {"op": "Listen", "enable": True}
 
 
 def write_log_message(action: LogMessage) -> LogCommand:
-    """A line for the operators."""
+    """Convert a log line for the operators."""
     return {"op": "Record", "line": action.message}
 
 
--- a/tests/cache_router/test_simulator_adapter.py
+++ b/tests/cache_router/test_simulator_adapter.py
@@ -202,7 +202,7 @@
     bad = run_adapter(b"oops\n")
     assert bad.returncode != 0
     assert not bad.stdout
-    assert b"not a batch" in bad.stderr
+    assert b"malformed batch" in bad.stderr
     assert b"Traceback" not in bad.stderr
 
 
