--- a/cache_router/config.py
+++ b/cache_router/config.py
@@ -78,12 +78,12 @@
     """
     table = _read_object(text)
     seed = _read_seed(table)
-    with _errors_of("settings"):
+    with _as_config_errors("settings"):
         settings = read_settings(table.get("settings"))
-    with _errors_of("limits"):
+    with _as_config_errors("limits"):
         limits = SectionReader(table).section("limits")
         max_descriptors = int(limits.number("sockets", DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS))
-    with _errors_of("known"):
+    with _as_config_errors("known"):
         known = read_endpoint_list(table.get("known"), "known")
     return Config(
         listen=parse_address(_read_address(table, "listen")),
@@ -97,7 +97,7 @@
 
 
 @contextmanager
-def _errors_of(field: str) -> Iterator[None]:
+def _as_config_errors(field: str) -> Iterator[None]:
     """Convert the errors that the readers of a field raise into `ConfigError`s with that field as `where`."""
     try:
         yield
--- a/cache_router/load_report.py
+++ b/cache_router/load_report.py
@@ -26,22 +26,22 @@
         if name in names:
             with suppress(ValueError):
                 values[name] = float(value)
-    return read_load(values)
+    return load_report_from_values(values)
 
 
-def read_load(values: Mapping[str, object]) -> LoadReport | None:
+def load_report_from_values(values: Mapping[str, object]) -> LoadReport | None:
     """Create a load report; return None if a value that the decisions use is missing or invalid.
 
     Reports are noisy, and a malformed value must not affect a decision.
     """
     service_time_ms = values.get(SERVICE_TIME_MS)
     queue_length = values.get(QUEUE_LENGTH)
-    if not _is_load(service_time_ms) or not _is_load(queue_length):
+    if not _is_non_negative_number(service_time_ms) or not _is_non_negative_number(queue_length):
         return None
     return LoadReport(service_time_ms / 1000, queue_length)
 
 
-def _is_load(value: object) -> TypeGuard[float]:
+def _is_non_negative_number(value: object) -> TypeGuard[float]:
     """Return whether a value is a finite number of at least 0.
 
     A bool is an int in Python, but not a number in JSON.
--- a/cache_router/section_reader.py
+++ b/cache_router/section_reader.py
@@ -37,7 +37,7 @@
         if value is None:
             return default
         if isinstance(value, bool) or not isinstance(value, (int, float)) or value < minimum:
-            raise self.unusable(field, f"must be a number of at least {minimum:g}, not {value!r}")
+            raise self.field_error(field, f"must be a number of at least {minimum:g}, not {value!r}")
         return value
 
     def flag(self, field: str) -> bool:
@@ -48,7 +48,7 @@
         """
         value = self._values.get(field)
         if value not in (None, False, True):
-            raise self.unusable(field, f"must be true or false, not {value!r}")
+            raise self.field_error(field, f"must be true or false, not {value!r}")
         return bool(value)
 
     def choice(self, field: str, default: str, choices: Mapping[str, Choice]) -> Choice:
@@ -58,10 +58,10 @@
             SettingsError: the value is not a key of `choices`.
         """
         value = self._values.get(field)
-        word = default if value is None else value
-        if not isinstance(word, str) or word not in choices:
-            raise self.unusable(field, f"must be one of {', '.join(choices)}, not {word!r}")
-        return choices[word]
+        key = default if value is None else value
+        if not isinstance(key, str) or key not in choices:
+            raise self.field_error(field, f"must be one of {', '.join(choices)}, not {key!r}")
+        return choices[key]
 
     def names(self, field: str) -> tuple[str, ...]:
         """Return a list of names; empty if the field is absent.
@@ -72,7 +72,7 @@
         value = self._values.get(field)
         names = [] if value is None else value
         if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
-            raise self.unusable(field, f"must be a list of names, not {names!r}")
+            raise self.field_error(field, f"must be a list of names, not {names!r}")
         return tuple(names)
 
     def section(self, field: str) -> SectionReader:
@@ -84,7 +84,7 @@
         value = self._values.get(field)
         section = {} if value is None else value
         if not isinstance(section, dict):
-            raise self.unusable(field, f"must be an object, not {section!r}")
+            raise self.field_error(field, f"must be an object, not {section!r}")
         return SectionReader(section, f"{self._path}{field}.")
 
     def named_sections(self, field: str) -> dict[str, SectionReader]:
@@ -97,17 +97,17 @@
         value = self._values.get(field)
         rows = [] if value is None else value
         if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
-            raise self.unusable(field, "must be a list of objects")
+            raise self.field_error(field, "must be a list of objects")
         sections: dict[str, SectionReader] = {}
         for index, row in enumerate(rows):
             name = row.get("name")
             if not isinstance(name, str):
-                raise self.unusable(f"{field}[{index}].name", f"is missing or not a string: {name!r}")
+                raise self.field_error(f"{field}[{index}].name", f"is missing or not a string: {name!r}")
             if name in sections:
-                raise self.unusable(f"{field}[{index}].name", f"is a duplicate: {name!r}")
+                raise self.field_error(f"{field}[{index}].name", f"is a duplicate: {name!r}")
             sections[name] = SectionReader(row, f"{self._path}{field}[{name}].")
         return sections
 
-    def unusable(self, field: str, reason: str) -> SettingsError:
+    def field_error(self, field: str, reason: str) -> SettingsError:
         """Create the error for a field of this section."""
         return SettingsError(f"settings: {self._path}{field} {reason}", where=f"{self._path}{field}")
--- a/cache_router/settings_reader.py
+++ b/cache_router/settings_reader.py
@@ -62,14 +62,14 @@
     """Return the request classes by name; settings without request classes are rejected."""
     sections = root.named_sections("classes")
     if not sections:
-        raise root.unusable("classes", "must not be empty")
+        raise root.field_error("classes", "must not be empty")
     return {name: _read_class(name, section) for name, section in sections.items()}
 
 
 def _read_class(name: str, section: SectionReader) -> RequestClass:
     """Return a request class; an absent latency objective or client timeout takes the value of the other."""
-    objective_default = section.number("giveUp", 1.0)
-    latency_objective = section.number("aim", objective_default, MIN_DIVISOR)
+    default_objective = section.number("giveUp", 1.0)
+    latency_objective = section.number("aim", default_objective, MIN_DIVISOR)
     return RequestClass(
         name=name,
         latency_objective=latency_objective,
--- a/cache_router/simulator_adapter.py
+++ b/cache_router/simulator_adapter.py
@@ -28,7 +28,7 @@
 )
 from cache_router.simulator_wire import ACTION_WRITERS, EVENT_READERS, read_attempt_completed
 
-BROKEN_WIRE_STATUS = 2  # exit status of the process after malformed input
+MALFORMED_INPUT_STATUS = 2  # exit status of the process after malformed input
 MAX_QUOTED_EVENT = 200  # characters of a malformed event that the error message quotes
 
 
@@ -125,7 +125,7 @@
             reply = adapter.handle_line(line)
         except WireError as error:
             print(f"cache_router: {error}", file=sys.stderr)
-            return BROKEN_WIRE_STATUS
+            return MALFORMED_INPUT_STATUS
         sys.stdout.buffer.write(reply)
         sys.stdout.buffer.flush()
     return 0
--- a/cache_router/simulator_wire.py
+++ b/cache_router/simulator_wire.py
@@ -33,7 +33,7 @@
     TimerKind,
 )
 from cache_router.endpoint import Endpoint, EndpointState, bounded_weight
-from cache_router.load_report import read_load
+from cache_router.load_report import load_report_from_values
 from cache_router.simulator_messages import (
     CancelCommand,
     ClientDisconnectedMessage,
@@ -121,7 +121,9 @@
     message: CompletionMessage, load_report_fields: tuple[str, ...]
 ) -> AttemptCompleted:
     """Convert the end of an attempt; `load_report_fields` names the values of its load report in order."""
-    load_report = read_load(dict(zip(load_report_fields, message.get("telemetry") or (), strict=False)))
+    load_report = load_report_from_values(
+        dict(zip(load_report_fields, message.get("telemetry") or (), strict=False))
+    )
     status = ATTEMPT_STATUSES[message["outcome"]]
     return AttemptCompleted(
         request_id=message["ticket"],
