--- a/tests/cache_router/conftest.py
+++ b/tests/cache_router/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that the router's tests on loopback share."""
+"""Fixtures for the tests that run the router on loopback."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 async def clients() -> AsyncIterator[Clients]:
-    """Connections that the test opens as a client; they are closed after it."""
+    """Client connections that the test opens; they are closed after the test."""
     async with Clients() as clients:
         yield clients
 
@@ -32,8 +32,8 @@
 ) -> AsyncIterator[Router]:
     """A running router between two cache servers and an origin; `router_with` changes its options.
 
-    It requests `monkeypatch`, so that what a test replaces stays replaced until the router has stopped. The
-    time limit of a test does not cover its fixtures, which therefore have their own.
+    The fixture requests `monkeypatch`, so that the replacements of a test stay in place until the router has
+    stopped. The time limit of a test does not cover its fixtures, so this one has its own.
     """
     asyncio.get_running_loop().set_exception_handler(lambda _, context: loop_errors.append(context))
     create: Callable[[], Router] = getattr(request, "param", Router)
--- a/tests/cache_router/test_address_changes.py
+++ b/tests/cache_router/test_address_changes.py
@@ -1,4 +1,4 @@
-"""Changes of discovery's address during an outage, on a real process.
+"""Changes of discovery's address during an outage, with a real router process.
 
 `decisions/test_single_timers.py` describes the fault.
 """
@@ -30,14 +30,14 @@
 
 @pytest.fixture
 def closed_address() -> Iterator[str]:
-    """An address at which connections are refused, and that nobody else can take."""
+    """An address that refuses connections, and that no other process can bind."""
     with socket.socket() as bound:
         bound.bind(("127.0.0.1", 0))
         yield format_address(bound.getsockname())
 
 
 def least_time(settings: Settings, polls: int) -> float:
-    """The least time in seconds from the first of some failing polls to the last."""
+    """Return the minimum time in seconds from the first to the last of several failing polls."""
     total = 0.0
     backoff = settings.overload_window / 2
     for _ in range(polls - 1):
@@ -52,9 +52,10 @@
 async def test_backoff_is_kept_after_many_changes_of_address(
     mode: str, observed_polls: int, closed_address: str, tmp_path: Path
 ) -> None:
-    """A number of polls takes a least time, however busy the machine is.
+    """A number of polls takes a minimum time, also on a busy machine.
 
-    With a chain of polls for each change, they took a small part of it.
+    The fault: each change of the address started another chain of polls, so that the polls took a small part
+    of that time.
     """
     path = tmp_path / "config.json"
     async with Peer() as cache, Peer() as reached:
--- a/tests/cache_router/test_config.py
+++ b/tests/cache_router/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration of the router."""
+"""Reading and validation of the router's configuration."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def test_configuration_is_read() -> None:
-    """Each field of a valid configuration arrives with its type."""
+    """Each field of a valid configuration is converted to its type."""
     config = read_config(orjson.dumps(VALID_CONFIG))
     assert (config.listen, config.discovery) == (("127.0.0.1", 6379), "127.0.0.1:8500")
     assert (config.seed, config.max_descriptors, config.cached_index) == (0x8C1F30D27A5BE964, 1024, 41)
--- a/tests/cache_router/test_descriptor_budget.py
+++ b/tests/cache_router/test_descriptor_budget.py
@@ -1,4 +1,4 @@
-"""The file descriptors that a router plans with."""
+"""The file descriptors that a router may open, and their division."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def test_usable_descriptors_are_bounded_by_the_process_limit(
     limit: int, usable: int | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The lower of both limits counts; too low a limit is an error of the configuration."""
+    """The lower of the configured and the process limit applies; too low a limit raises a ConfigError."""
     monkeypatch.setattr(resource, "getrlimit", lambda _: (limit, resource.RLIM_INFINITY))
     if usable is None:
         with pytest.raises(ConfigError, match=r"^limits\.sockets"):
@@ -26,6 +26,6 @@
 
 
 def test_descriptors_are_divided_between_the_kinds_of_connections() -> None:
-    """Clients, origins and cache servers have shares of their own."""
+    """Cache servers, the origin and clients each have their own share."""
     assert DescriptorBudget.divide(1024) == DescriptorBudget(372, 124, 496)
     assert DescriptorBudget.divide(64) == DescriptorBudget(12, 4, 16)
--- a/tests/cache_router/test_load_report.py
+++ b/tests/cache_router/test_load_report.py
@@ -1,4 +1,4 @@
-"""How load reports are read."""
+"""Parsing of load reports."""
 
 from __future__ import annotations
 
--- a/tests/cache_router/test_server.py
+++ b/tests/cache_router/test_server.py
@@ -1,4 +1,4 @@
-"""The program: its signals and its start."""
+"""The program: its startup, its signals and its shutdown."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 
 def exit_status(config: bytes | None, path: Path, monkeypatch: pytest.MonkeyPatch) -> int:
-    """Run the program on a configuration that it rejects, None for a missing file; return its exit status."""
+    """Run the program with a configuration that it rejects, or None for no file; return its exit status."""
     if config is not None:
         path.write_bytes(config)
     monkeypatch.setenv("RELAY_CONFIG", str(path))
     status = main()
-    # a listener that could not be bound leaves its socket to the end of the process, which does not end here
+    # A listener that could not be bound keeps its socket until the process exits, which this one does not.
     with warnings.catch_warnings():
         warnings.simplefilter("ignore", ResourceWarning)
         gc.collect()
@@ -55,7 +55,7 @@
         ({"seed": "xyz"}, "seed"),
         ({"limits": {"sockets": "many"}}, "limits.sockets"),
         ({"limits": 3}, "limits"),
-        ({"listen": "127.0.0.1:\u00b2"}, "listen"),  # a digit, and no number
+        ({"listen": "127.0.0.1:\u00b2"}, "listen"),  # superscript two: a digit, but not a decimal one
         ({"settings": {**SETTINGS_JSON, "skus": 3}}, "skus"),
         ({"settings": {**SETTINGS_JSON, "skus": ["std", 4]}}, "skus"),
         ({"settings": {**SETTINGS_JSON, "limits": {"mayCancel": "no"}}}, "limits.mayCancel"),
@@ -85,7 +85,7 @@
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """The line names the file, and the field in it that can't be used."""
+    """The line names the file and the invalid field in it."""
     config = orjson.dumps({**VALID_CONFIG, **change})
     path = tmp_path / "config.json"
     assert exit_status(config, path, monkeypatch) == 2
@@ -121,7 +121,7 @@
 def test_listen_host_that_cannot_be_encoded_fails_the_start_with_one_line(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """The form of the address is right, so that only taking the address shows the error."""
+    """The address is well-formed, so that only binding it reveals the error."""
     config = orjson.dumps({**VALID_CONFIG, "listen": "a" * 70 + ":6379"})
     assert exit_status(config, tmp_path / "config.json", monkeypatch) == 2
     (line,) = capsys.readouterr().err.splitlines()
@@ -142,7 +142,7 @@
 async def test_sigterm_ends_the_process_once_all_requests_are_answered(
     clients: Clients, mode: str, tmp_path: Path
 ) -> None:
-    """Ended too early it loses accepted requests; too late it is killed with requests in flight."""
+    """Exiting too early loses accepted requests; too late, SIGKILL ends those still in flight."""
     async with (
         Peer() as cache,
         Peer() as discovery,
@@ -172,7 +172,7 @@
 async def test_sighup_moves_the_watch_to_the_new_address_under_load(
     clients: Clients, mode: str, tmp_path: Path
 ) -> None:
-    """Unhandled, SIGHUP kills the router; a watch of the old address would miss later drains."""
+    """An unhandled SIGHUP would kill the router; a watch of the old address would miss later drains."""
     path = tmp_path / "config.json"
     async with Peer() as cache, Peer() as first, Peer() as second, Peer() as third:
         config = config_with_cache(cache, first, mode)
@@ -206,7 +206,7 @@
 
 @asynccontextmanager
 async def serving_in_process(config: dict[str, Any], path: Path) -> AsyncIterator[tuple[str, int]]:
-    """Run the program in this process, and return the address at which it will listen."""
+    """Run the program in this process, and yield the address that it will listen on."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         address: tuple[str, int] = free.getsockname()
     config = {**config, "listen": format_address(address)}
@@ -221,7 +221,7 @@
 async def test_router_listens_only_after_its_first_endpoint_list(
     clients: Clients, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The drain deadline of discovery's list counts from the start; the cached list may be outdated."""
+    """Drains in discovery's list count as known from the start, and the cached list may be outdated."""
     monkeypatch.setattr(server, "FIRST_LIST_TIMEOUT", DEFAULT_TIME_LIMIT)
 
     async with Peer() as draining, Peer() as ready, Peer() as agent:
@@ -231,7 +231,7 @@
         config["known"]["endpoints"].append(ready_entry)
         async with serving_in_process(config, tmp_path / "config.json") as address:
             poll = await agent.link()
-            # without a wait, so that discovery answers also when nothing has changed
+            # The first poll has no wait, so that discovery answers it even if nothing has changed.
             assert "after=1&wait_ms=0 " in (await poll.http())[0]
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*address)
@@ -249,7 +249,7 @@
 async def test_router_serves_from_the_cached_list_while_discovery_is_silent(
     clients: Clients, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Discovery may be unavailable for long, and has then sent nothing newer."""
+    """Discovery may be unavailable for long; the cached list is then the newest one known."""
     monkeypatch.setattr(server, "FIRST_LIST_TIMEOUT", 0.01)
 
     async with (
--- a/tests/cache_router/test_settings_reader.py
+++ b/tests/cache_router/test_settings_reader.py
@@ -1,4 +1,4 @@
-"""How the settings of a site are read, and their defaults."""
+"""Reading of a site's settings, and their defaults."""
 
 from __future__ import annotations
 
--- a/tests/cache_router/test_shutdown.py
+++ b/tests/cache_router/test_shutdown.py
@@ -21,14 +21,14 @@
 
 @pytest.mark.parametrize("waiting_for", ["server", "origin", "capacity"])
 async def test_every_request_is_answered_before_the_kill_deadline(waiting_for: str) -> None:
-    """With a fixed shutdown time, requests at servers that hang were unanswered at SIGKILL."""
+    """The fault: with a fixed shutdown time, requests at hanging servers had no answer when SIGKILL came."""
     read_class = replace(READ, latency_objective=600.0, client_timeout=0.01)
     async with Router(replace(SETTINGS, classes={"read": read_class, "book": KEYED_WRITE})) as router:
         client = await router.client()
         info = "c=read,t=x,d=600000"
         if waiting_for == "capacity":
             origin = router.dispatcher.router.endpoints.origins[0].concurrency
-            origin.limit = origin.in_flight  # no capacity there, and none is freed
+            origin.limit = origin.in_flight  # the origin has no free capacity, and none is freed
         client.write(read("r1", info=info))
         cache = await router.cache()
         await cache.resp()
@@ -40,7 +40,7 @@
             await wait_until(lambda: any(r.is_queued for r in router.dispatcher.router.pending.values()))
         router.dispatcher.start_shutdown(0.05)
         assert isinstance(await client.resp(), hiredis.ReplyError)
-        client.write(read("r2", info=info))  # one that comes later is rejected at once
+        client.write(read("r2", info=info))  # a request during shutdown is rejected at once
         assert str(await client.resp()).startswith("BUSY")
         await wait_until(lambda: not router.dispatcher.requests)
 
@@ -48,7 +48,7 @@
 async def test_shutdown_time_follows_from_the_longest_client_timeout(
     clients: Clients, tmp_path: Path
 ) -> None:
-    """The request at a server that hangs would be cut off at the end of the process, or by SIGKILL."""
+    """Otherwise the process could exit, or be killed, while a request waits for a server that hangs."""
     async with Peer() as cache, Peer() as agent:
         config = config_with_cache(cache, agent, "automatic")
         classes = [{**row, "giveUp": 0.2, "aim": 0.2} for row in config["settings"]["classes"]]
@@ -67,10 +67,10 @@
 
 @router_with(max_clients=1)
 async def test_client_in_the_backlog_at_shutdown_is_served(router: Router) -> None:
-    """The kernel has accepted it and its request: closing the listening socket would reset both."""
+    """The kernel has accepted the connection and its request; closing the listening socket would reset it."""
     first, cache = await router.start_read()
     second = await router.client()
-    await wait_until(lambda: len(router.client_connections()) == 2)  # one too many, and none to evict
+    await wait_until(lambda: len(router.client_connections()) == 2)  # one above the limit, none to evict
     second.write(read("r2"))
     third = await router.client()
     third.write(read("r3"))
@@ -91,7 +91,7 @@
 
 
 async def next_request(router: Router, *links: Link) -> Link:
-    """Return the connection, old or new, on which the next request comes."""
+    """Return the connection, old or new, on which the next request arrives."""
     reads = {asyncio.ensure_future(link.resp()): link for link in links}
     accept = asyncio.ensure_future(router.cache())
     done, pending = await asyncio.wait([*reads, accept], return_when=asyncio.FIRST_COMPLETED)
@@ -106,7 +106,7 @@
 async def test_client_just_accepted_at_shutdown_may_send_its_request(
     router: Router, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Closed without a reply it would count as a refused connection, and many of them as lost requests."""
+    """A connection closed without a reply counts as refused, and many of them count as lost requests."""
     client = await router.client()
     await wait_until(router.client_connections)
     monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", DEFAULT_TIME_LIMIT)
@@ -122,13 +122,13 @@
 
 
 async def test_last_reply_while_draining_closes_its_connection(router: Router) -> None:
-    """Left open any longer, the client would send its next request to a process that ends."""
+    """On a connection that stays open, the client would send its next request to a process that exits."""
     client, _ = await router.start_read()
     (connection,) = router.client_connections()
     shutdown = asyncio.create_task(router.listener.stop(0.0, DEFAULT_TIME_LIMIT))
     await wait_until(lambda: router.listener.is_draining)
     router.dispatcher.requests.respond("r1", b"-ERR failed\r\n")
-    assert not connection.is_connected()  # closing, as the client has not disconnected
+    assert not connection.is_connected()  # closed by the router: the client has not disconnected
     assert isinstance(await client.resp(), hiredis.ReplyError)
     assert await client.closed_by_peer()
     await shutdown
--- a/tests/cache_router/test_shutdown_schedule.py
+++ b/tests/cache_router/test_shutdown_schedule.py
@@ -1,4 +1,4 @@
-"""When the steps of a graceful shutdown end."""
+"""Deadlines for the steps of a graceful shutdown."""
 
 from __future__ import annotations
 
--- a/tests/cache_router/test_signals.py
+++ b/tests/cache_router/test_signals.py
@@ -1,9 +1,9 @@
-"""Signals at the start and at the end of the program, each sent at a moment that the test forces.
+"""Signals during startup and exit of the program, each sent at a point where the test halts it.
 
-What happened: SIGHUP within the first half second after the start ended the process, six times of six,
-because it had the default effect until the event loop had its handlers. Signals during a graceful shutdown
-ended it with the status of the signal, eight times of eight, because the loop takes its handlers back when
-it is closed, while the interpreter has still to finish.
+Faults that these tests guard against: SIGHUP in the first half second after the start killed the process (6
+of 6), because the event loop had no handlers yet. Signals during a graceful shutdown killed it with the
+status of the signal (8 of 8), because the event loop removes its handlers when it closes, before the
+interpreter exits.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
 
 SIGNALS = [signal.SIGHUP, signal.SIGTERM]
 REPEATS = 20
-# Python imports this module at its start. It halts the program where the test wants it, by a pipe that has no
-# writer until the test opens it, and continues when the test closes the pipe.
+# Python imports this module, as `sitecustomize`, when it starts. The module halts the program at a given
+# point by reading a pipe, which blocks until the test has opened the pipe for writing and closed it.
 HALTING_MODULE = """
 import atexit, os, sys
 
@@ -54,9 +54,9 @@
 
 
 async def open_for_writing(pipe: Path, process: asyncio.subprocess.Process) -> int:
-    """Open a pipe for writing once the process reads it; returns the descriptor."""
+    """Open a pipe for writing once the process has opened it for reading; return the descriptor."""
     while process.returncode is None:
-        with suppress(OSError):  # nobody reads yet
+        with suppress(OSError):  # the process has not opened the pipe yet
             return os.open(pipe, os.O_WRONLY | os.O_NONBLOCK)
         await asyncio.sleep(0.001)
     pytest.fail(f"the process ended with status {process.returncode}")
@@ -64,13 +64,13 @@
 
 @dataclass(slots=True)
 class HaltedProcess:
-    """A router's process that halts at one moment."""
+    """A router process that halts at a given point."""
 
     process: asyncio.subprocess.Process
     pipe: Path
 
     async def reach_halt(self) -> int:
-        """Wait until the process has halted; returns the descriptor that `resume` closes."""
+        """Wait until the process has halted; return the descriptor to pass to `resume`."""
         return await open_for_writing(self.pipe, self.process)
 
     @staticmethod
@@ -79,7 +79,7 @@
         os.close(descriptor)
 
     def send_repeatedly(self, number: signal.Signals) -> None:
-        """Send a signal in a series."""
+        """Send a signal `REPEATS` times in a row."""
         for _ in range(REPEATS):
             send_signal(self.process, number)
 
@@ -88,7 +88,7 @@
 async def halting_process(
     config: dict[str, Any], folder: Path, halt_at: str, monkeypatch: pytest.MonkeyPatch
 ) -> AsyncIterator[HaltedProcess]:
-    """Run a router that halts when it imports a module, or at the "exit" of the interpreter."""
+    """Run a router that halts when it imports the module `halt_at`; "exit" is the interpreter's exit."""
     pipe = folder / "pipe"
     os.mkfifo(pipe)
     (folder / "sitecustomize.py").write_text(HALTING_MODULE)
@@ -131,7 +131,7 @@
             os.write(descriptor, orjson.dumps(config))
             os.close(descriptor)
             await old.link()  # the program has closed the file
-            descriptor = await open_for_writing(path, process)  # which it opens again
+            descriptor = await open_for_writing(path, process)  # the program opens the file to reload it
             os.write(descriptor, orjson.dumps({**config, "discovery": new.address}))
             os.close(descriptor)
             await new.link()
--- a/tests/cache_router/test_simulator_adapter.py
+++ b/tests/cache_router/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: every event and action in wire form, and malformed input."""
+"""The simulator's adapter: every event and action in wire format, and malformed input."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 
 def endpoint_line(server: str, kind: str = "std", **fields: Any) -> dict[str, Any]:
-    """One line of an endpoint list in wire form."""
+    """Return one entry of an endpoint list in wire format."""
     base = {"generationHw": kind, "since": None, "readiness": "active", "site": "z", "stripe": 0}
     return {**base, "server": server, "weight": 1.0, **fields}
 
 
 def endpoint_update(scope: str, generation: int, lines: list[dict[str, Any]] | None) -> dict[str, Any]:
-    """An endpoint update in wire form, or the failure of a call for one."""
+    """Return an endpoint update, or the failure of a call for one, in wire format."""
     return {"op": "Membership", "scope": scope, "generation": generation, "lines": lines}
 
 
 def handle_events(adapter: SimulatorAdapter, now: float, *events: dict[str, Any]) -> list[dict[str, Any]]:
-    """Give a router some events at one time, in seconds; returns its commands without the router's number."""
+    """Pass events to a router at `now`, in seconds; return its commands without the router's id."""
     line = json.dumps({"t": now, "news": [{"routerId": ROUTER_ID, **event} for event in events]}).encode()
     commands = json.loads(adapter.handle_line(line))["cmds"]
     assert {command.pop("routerId") for command in commands} <= {ROUTER_ID}
@@ -39,9 +39,9 @@
 
 
 def started_adapter(**changes: Any) -> SimulatorAdapter:
-    """An adapter with one router, which has a cached list of one cache and the origin.
+    """Return an adapter with one router, whose cached list has one cache server and the origin.
 
-    `changes` are made to `SETTINGS_JSON`.
+    The settings are `SETTINGS_JSON` with `changes`.
     """
     adapter = SimulatorAdapter()
     lines = [endpoint_line("a"), endpoint_line("o", "store")]
@@ -56,19 +56,19 @@
 
 
 def request_event(name: str, **fields: Any) -> dict[str, Any]:
-    """The arrival of a request in wire form."""
+    """Return the arrival of a request in wire format."""
     base = {"op": "Request", "ticket": name, "priority": "read", "timeBudget": 1.0, "partitionKey": "k"}
     return {**base, "userGroup": None, "effort": None, "retry": False, "update": False, **fields}
 
 
 def completion_event(name: str, number: int, outcome: str, final: bool = False) -> dict[str, Any]:
-    """The end of an attempt in wire form."""
+    """Return the end of an attempt in wire format."""
     base = {"op": "Done", "ticket": name, "sendNo": number, "outcome": outcome, "final": final, "lag": 0.01}
     return {**base, "note": None, "server": "a", "telemetry": None}
 
 
 def servers_sent_to(commands: list[dict[str, Any]]) -> list[str]:
-    """The servers to which the commands send attempts."""
+    """Return the servers to which the commands send attempts."""
     return [command["server"] for command in commands if command["op"] == "Send"]
 
 
@@ -230,7 +230,7 @@
 
 
 def commands_under_other_settings(adapter: SimulatorAdapter, start: float) -> list[list[dict[str, Any]]]:
-    """Start a router with `OTHER_SETTINGS` and let four requests fail; returns all of its commands."""
+    """Start a router with `OTHER_SETTINGS` and let four requests fail; return all of its commands."""
     lines = [endpoint_line("a"), endpoint_line("b"), endpoint_line("o", "store")]
     start_event = {"op": "Born", "initSeed": 5, "conf": OTHER_SETTINGS}
     commands = [handle_events(adapter, start, start_event, endpoint_update("SAVED", 1, lines))]
@@ -247,7 +247,7 @@
 
 
 def test_killed_router_leaves_no_trace_in_the_next_one() -> None:
-    """Classes of the same names but other settings: only the settings given last count."""
+    """Both routers have classes of the same names; only the settings of the second one apply to it."""
     used = started_adapter()
     for n in range(20):
         handle_events(used, 1.0 + n / 100, request_event(f"r{n}", partitionKey=f"k{n % 3}"))
--- a/tests/cache_router/test_simulator_wire.py
+++ b/tests/cache_router/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""Events and actions in the simulator's wire form."""
+"""Events and actions in the simulator's wire format."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     ],
 )
 def test_every_action_has_its_bytes(action: Action, encoded: bytes) -> None:
-    """The order of the keys is part of the wire's form, and an absent time is left out."""
+    """The order of the keys is part of the wire format, and an absent time is omitted."""
     assert orjson.dumps(simulator_wire.ACTION_WRITERS[type(action)](action)) == encoded
 
 
@@ -94,12 +94,12 @@
     ],
 )
 def test_absent_and_null_fields_take_their_defaults(message: dict[str, Any], event: Event | None) -> None:
-    """A timer with a context that no router gave is no event."""
+    """A timer whose context no router has set is not an event."""
     assert simulator_wire.EVENT_READERS[message["op"]](message) == event
 
 
 def test_load_report_is_read_by_the_names_of_the_settings() -> None:
-    """Values come without names, in the order of the settings."""
+    """The values have no names; they are in the order of the names in the settings."""
     completion: Any = {"ticket": "1", "sendNo": 0, "outcome": "empty", "telemetry": [7, 20.0]}
     completed = simulator_wire.read_attempt_completed(completion, ("pending", "svc_ms"))
     assert completed == AttemptCompleted("1", 0, AttemptStatus.MISS, False, 0.0, LoadReport(0.02, 7))
--- a/tests/cache_router/test_startup.py
+++ b/tests/cache_router/test_startup.py
@@ -1,4 +1,4 @@
-"""The start of the program: its log, and its work with a long endpoint list."""
+"""Startup of the program: its log, and the work that a long endpoint list causes."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def cache_entries(count: int) -> list[dict[str, Any]]:
-    """Entries of cache servers at addresses that nobody connects to here."""
+    """Return entries of cache servers; these tests never connect to their addresses."""
     return [
         {
             **ENDPOINT_ENTRY,
@@ -49,7 +49,7 @@
 
 
 class RouterStart:
-    """What the program does with its cached endpoint list, and then with an equal first snapshot."""
+    """Startup work of the program: it applies a cached endpoint list, then an equal first snapshot."""
 
     def __init__(self, count: int) -> None:
         """Prepare a configuration and a snapshot with `count` cache servers."""
@@ -59,7 +59,7 @@
         self.snapshot = encode_endpoint_list(2, True, *entries)
 
     def run(self) -> None:
-        """Read the configuration, and hand the dispatcher both lists."""
+        """Read the configuration, and pass both lists to the dispatcher."""
         config = read_config(self.encoded_config)
         servers = ConnectionPool(CacheConnection, 8, 1.0, 60.0)
         origin = ConnectionPool(OriginConnection, 8, 1.0, 60.0)
@@ -69,7 +69,7 @@
         dispatcher.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, update.endpoints)
 
     def calls(self) -> int:
-        """Count the calls of functions, also of those written in C."""
+        """Return the number of function calls in a run, including calls of C functions."""
         calls = 0
 
         def count(frame: FrameType, event: str, argument: object) -> None:
@@ -94,10 +94,11 @@
 
 
 def test_startup_work_grows_no_faster_than_the_endpoint_list() -> None:
-    """With 840 entries and a shared core, nine routers in ten have to be ready within 10 s."""
+    """With 840 entries and a shared core, nine out of ten routers must be ready within 10 s."""
     small, large = RouterStart(210), RouterStart(840)
     assert large.calls() < 1.25 * 4 * small.calls()
-    assert large.seconds() < 3.0 * 4 * small.seconds()  # also work in C that no call shows
+    # The time also covers work in C, which the number of calls does not show.
+    assert large.seconds() < 3.0 * 4 * small.seconds()
 
 
 def processor_seconds(process: asyncio.subprocess.Process) -> float:
@@ -110,7 +111,7 @@
 async def test_startup_with_840_entries_polls_the_complete_list_once(
     clients: Clients, tmp_path: Path, record_property: Callable[[str, object], None]
 ) -> None:
-    """When many routers start together, a second poll for the list would wait behind all first ones."""
+    """When many routers start together, a second poll for the list would wait behind all first polls."""
     async with Peer() as agent:
         entries = cache_entries(840)
         config = config_with_cache(agent, agent, "automatic")
@@ -121,7 +122,7 @@
             poll.write(http("200 OK", encode_endpoint_list(2, True, *entries)))
             client = await clients.connect_and_ping(await listen_address(process.stderr))
             record_property("processor_seconds", processor_seconds(process))
-            watch = await agent.link()  # for changes after the list, and not for the list again
+            watch = await agent.link()  # a poll for later changes, not for the complete list again
             first, _, _ = await watch.http()
             assert "after=2&" in first
             assert "wait_ms=0 " not in first
@@ -132,7 +133,7 @@
 
 @pytest.mark.time_limit(PROCESS_TEST_TIMEOUT)
 async def test_log_line_has_time_level_logger_and_message(tmp_path: Path) -> None:
-    """The page for on-call engineers names the loggers."""
+    """The runbook for on-call engineers names the loggers."""
     async with Peer() as agent:
         config = config_with_cache(agent, agent, "subscribe")
         async with router_process(config, tmp_path / "config.json") as process:
--- a/tests/cache_router/test_watch_budget.py
+++ b/tests/cache_router/test_watch_budget.py
@@ -1,4 +1,4 @@
-"""The watch budget: timeout, backoff and the next call together keep the notification deadline."""
+"""The watch budget: a timeout, the backoff and the next poll together keep the notification deadline."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     "polled": settings(must_subscribe=True, overload_window=2.0, slow_start_duration=8.9),
     "pushed": settings(slow_start_duration=8.9),
 }
-# how long the nth failing call takes, as a share of the call timeout
+# Duration of the nth failing poll, as a share of the poll's timeout.
 FAILED_CALL_DURATIONS: dict[str, Callable[[int], float]] = {
     "hangs": lambda n: 1.0,
     "connection refused": lambda n: 0.0,
@@ -36,12 +36,12 @@
 
 
 def subscribes(actions: list[Action]) -> bool:
-    """Whether one of the actions is a call to discovery."""
+    """Return whether one of the actions subscribes, which starts a poll of discovery."""
     return any(isinstance(a, SubscribeToEndpoints) for a in actions)
 
 
 def fail_call(driver: Driver, duration: float) -> float:
-    """Start a call now and let it fail after `duration` seconds; returns when the next one starts."""
+    """Start a poll now and let it fail after `duration` seconds; return the start time of the next one."""
     driver.now += duration
     timers = [a for a in driver.handle(FAILED_CALL) if isinstance(a, SetTimer)]
     timers = [timer for timer in timers if timer.timer.kind is TimerKind.ENDPOINT_POLL]
@@ -58,7 +58,7 @@
 def test_update_is_known_before_its_notification_deadline(mode: str, failure: str, seed: int) -> None:
     """After an outage of any length, a change is known within 6 s.
 
-    Discovery recovers right after the start of a call, and has a change. The next call must get it in time.
+    Discovery recovers right after the start of a poll, and has a change. The next poll must get it in time.
     """
     conf = SETTINGS[mode]
     budget = conf.watch_budget
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("mode", SETTINGS)
 def test_lost_first_call_to_a_new_address_is_retried_in_time(mode: str) -> None:
-    """Updates of the new discovery have a notification deadline of 4 s after SIGHUP."""
+    """Updates from the new address must be known within 4 s after SIGHUP."""
     driver = Driver(SETTINGS[mode])
     driver.update_endpoints(entry("a"))
     driver.advance(60.0)
@@ -103,7 +103,7 @@
 
 @pytest.mark.parametrize("timeout_share", [0.0, 1.0])
 def test_calls_of_two_hundred_routers_are_spread_by_jitter(timeout_share: float) -> None:
-    """All lose discovery at one instant; the next calls are spread over the backoff, also the later ones."""
+    """All routers lose discovery at the same time; each of the next polls is spread over the backoff."""
     conf = SETTINGS["polled"]
     drivers = [Driver(conf, seed) for seed in range(200)]
     for driver in drivers:
@@ -119,7 +119,7 @@
 async def test_call_times_out_by_its_budget() -> None:
     """A long poll times out after its wait and the response timeout.
 
-    A call for the complete list, which has no wait, times out after the response timeout alone.
+    A poll for the complete list, which has no wait, times out after the response timeout alone.
     """
     async with Peer() as peer:
         budget = WatchBudget(response_timeout=0.05, notification_deadline=600.0)
@@ -129,7 +129,8 @@
         recorder.discovery.change_address(peer.address)
         recorder.discovery.subscribe()
         assert "wait_ms" not in (await accept_poll(peer))[0]
-        assert await recorder.updates.get() is None  # and not after ten minutes
+        # The poll fails by its timeout, and not at the notification deadline of ten minutes.
+        assert await recorder.updates.get() is None
         recorder.discovery.subscribe()
         _, link = await accept_poll(peer)
         link.write(http("200 OK", encode_endpoint_list(3, True, ENDPOINT_ENTRY)))
@@ -138,7 +139,7 @@
 
 
 def test_broken_long_subscriptions_are_renewed_with_jitter() -> None:
-    """Where updates are pushed, all routers lose their subscriptions at once and have no call in flight."""
+    """If updates are pushed, all routers lose their subscriptions at once and have no poll in flight."""
     conf = SETTINGS["polled"]
     delays = []
     for seed in range(100):
