--- a/tests/cache_router/test_address_changes.py
+++ b/tests/cache_router/test_address_changes.py
@@ -36,7 +36,7 @@
         yield format_address(bound.getsockname())
 
 
-def least_time(settings: Settings, polls: int) -> float:
+def min_duration(settings: Settings, polls: int) -> float:
     """Return the minimum time in seconds from the first to the last of several failing polls."""
     total = 0.0
     backoff = settings.overload_window / 2
@@ -58,8 +58,8 @@
     of that time.
     """
     path = tmp_path / "config.json"
-    async with Peer() as cache, Peer() as reached:
-        config = config_with_cache(cache, reached, mode)
+    async with Peer() as cache, Peer() as reachable:
+        config = config_with_cache(cache, reachable, mode)
         addresses = [closed_address, closed_address.replace("127.0.0.1", "127.0.0.2")]
         config["discovery"] = addresses[1]
         async with router_process(config, path) as process:
@@ -68,11 +68,11 @@
                 path.write_bytes(orjson.dumps({**config, "discovery": discovery}))
                 process.send_signal(signal.SIGHUP)
                 await read_log_until(process, f"discovery {discovery}: 1 consecutive failure")
-            path.write_bytes(orjson.dumps({**config, "discovery": reached.address}))
+            path.write_bytes(orjson.dumps({**config, "discovery": reachable.address}))
             process.send_signal(signal.SIGHUP)
-            (await reached.link()).reset()
+            (await reachable.link()).reset()
             started_at = asyncio.get_running_loop().time()
             for _ in range(observed_polls - 1):
-                (await reached.link()).reset()
-            taken = asyncio.get_running_loop().time() - started_at
-            assert taken >= least_time(read_settings(config["settings"]), observed_polls)
+                (await reachable.link()).reset()
+            elapsed = asyncio.get_running_loop().time() - started_at
+            assert elapsed >= min_duration(read_settings(config["settings"]), observed_polls)
--- a/tests/cache_router/test_section_reader.py
+++ b/tests/cache_router/test_section_reader.py
@@ -9,7 +9,7 @@
 from cache_router.section_reader import SectionReader
 from cache_router.settings import SettingsError
 
-WORDS = {"yes": 1, "no": 2}
+CHOICES = {"yes": 1, "no": 2}
 
 
 @pytest.mark.parametrize("values", [{}, {"field": None}], ids=["absent", "null"])
@@ -18,7 +18,7 @@
     assert reader.value("field") is None
     assert reader.number("field", 2.5, minimum=9.0) == 2.5
     assert reader.flag("field") is False
-    assert reader.choice("field", "no", WORDS) == 2
+    assert reader.choice("field", "no", CHOICES) == 2
     assert reader.names("field") == ()
     assert reader.section("field").number("inner", 4.0) == 4.0
     assert reader.named_sections("field") == {}
@@ -29,7 +29,7 @@
     reader = SectionReader(values)
     assert (reader.value("size"), reader.number("size", 0.0)) == (3, 3)
     assert reader.flag("on") is True
-    assert reader.choice("word", "no", WORDS) == 1
+    assert reader.choice("word", "no", CHOICES) == 1
     assert reader.names("names") == ("a", "b")
     assert reader.named_sections("rows")["x"].number("size", 0.0) == 7
 
@@ -41,8 +41,8 @@
         pytest.param(True, lambda reader: reader.number("field", 0.0), id="flag for a number"),
         pytest.param(0.5, lambda reader: reader.number("field", 0.0, minimum=1.0), id="below the minimum"),
         pytest.param(2, lambda reader: reader.flag("field"), id="number for a flag"),
-        pytest.param("maybe", lambda reader: reader.choice("field", "no", WORDS), id="unknown choice"),
-        pytest.param(["yes"], lambda reader: reader.choice("field", "no", WORDS), id="list for a choice"),
+        pytest.param("maybe", lambda reader: reader.choice("field", "no", CHOICES), id="unknown choice"),
+        pytest.param(["yes"], lambda reader: reader.choice("field", "no", CHOICES), id="list for a choice"),
         pytest.param(["a", 1], lambda reader: reader.names("field"), id="number for a name"),
         pytest.param([], lambda reader: reader.section("field"), id="list for a section"),
         pytest.param({}, lambda reader: reader.named_sections("field"), id="section for a list"),
--- a/tests/cache_router/test_signals.py
+++ b/tests/cache_router/test_signals.py
@@ -69,7 +69,7 @@
     process: asyncio.subprocess.Process
     pipe: Path
 
-    async def reach_halt(self) -> int:
+    async def wait_until_halted(self) -> int:
         """Wait until the process has halted; return the descriptor to pass to `resume`."""
         return await open_for_writing(self.pipe, self.process)
 
@@ -107,7 +107,7 @@
     async with Peer() as cache, Peer() as old, Peer() as new:
         config = config_with_cache(cache, old, "subscribe")
         async with halting_process(config, tmp_path, module, monkeypatch) as halted:
-            descriptor = await halted.reach_halt()
+            descriptor = await halted.wait_until_halted()
             path = tmp_path / "config.json"
             path.write_bytes(orjson.dumps({**config, "discovery": new.address}))
             halted.send_repeatedly(signal.SIGHUP)
@@ -146,7 +146,7 @@
     async with Peer() as cache, Peer() as discovery:
         config = config_with_cache(cache, discovery, "subscribe")
         async with halting_process(config, tmp_path, module, monkeypatch) as halted:
-            descriptor = await halted.reach_halt()
+            descriptor = await halted.wait_until_halted()
             halted.send_repeatedly(signal.SIGTERM)
             halted.resume(descriptor)
             await discard_log(halted.process.stderr)
@@ -163,7 +163,7 @@
         async with halting_process(config, tmp_path, "exit", monkeypatch) as halted:
             await listen_address(halted.process.stderr)
             halted.process.send_signal(signal.SIGTERM)
-            descriptor = await halted.reach_halt()
+            descriptor = await halted.wait_until_halted()
             halted.send_repeatedly(number)
             halted.resume(descriptor)
             assert await halted.process.wait() == 0
--- a/tests/cache_router/test_simulator_adapter.py
+++ b/tests/cache_router/test_simulator_adapter.py
@@ -246,7 +246,7 @@
     return commands
 
 
-def test_killed_router_leaves_no_trace_in_the_next_one() -> None:
+def test_killed_router_does_not_affect_the_next_one() -> None:
     """Both routers have classes of the same names; only the settings of the second one apply to it."""
     used = started_adapter()
     for n in range(20):
--- a/tests/cache_router/test_simulator_wire.py
+++ b/tests/cache_router/test_simulator_wire.py
@@ -62,7 +62,7 @@
         (LogMessage("x"), b'{"op":"Record","line":"x"}'),
     ],
 )
-def test_every_action_has_its_bytes(action: Action, encoded: bytes) -> None:
+def test_every_action_has_a_fixed_encoding(action: Action, encoded: bytes) -> None:
     """The order of the keys is part of the wire format, and an absent time is omitted."""
     assert orjson.dumps(simulator_wire.ACTION_WRITERS[type(action)](action)) == encoded
 
--- a/tests/cache_router/test_startup.py
+++ b/tests/cache_router/test_startup.py
@@ -68,7 +68,7 @@
         update = read_endpoint_list(orjson.loads(self.snapshot))
         dispatcher.on_endpoint_update(EndpointUpdateKind.SNAPSHOT, update.endpoints)
 
-    def calls(self) -> int:
+    def count_calls(self) -> int:
         """Return the number of function calls in a run, including calls of C functions."""
         calls = 0
 
@@ -83,7 +83,7 @@
             sys.setprofile(None)
         return calls
 
-    def seconds(self) -> float:
+    def measure_seconds(self) -> float:
         """Return the least processor time of five runs, in seconds."""
         times = []
         for _ in range(5):
@@ -96,9 +96,9 @@
 def test_startup_work_grows_no_faster_than_the_endpoint_list() -> None:
     """With 840 entries and a shared core, nine out of ten routers must be ready within 10 s."""
     small, large = RouterStart(210), RouterStart(840)
-    assert large.calls() < 1.25 * 4 * small.calls()
+    assert large.count_calls() < 1.25 * 4 * small.count_calls()
     # The time also covers work in C, which the number of calls does not show.
-    assert large.seconds() < 3.0 * 4 * small.seconds()
+    assert large.measure_seconds() < 3.0 * 4 * small.measure_seconds()
 
 
 def processor_seconds(process: asyncio.subprocess.Process) -> float:
--- a/tests/cache_router/test_watch_budget.py
+++ b/tests/cache_router/test_watch_budget.py
@@ -27,7 +27,7 @@
     "pushed": settings(slow_start_duration=8.9),
 }
 # Duration of the nth failing poll, as a share of the poll's timeout.
-FAILED_CALL_DURATIONS: dict[str, Callable[[int], float]] = {
+FAILED_POLL_DURATIONS: dict[str, Callable[[int], float]] = {
     "hangs": lambda n: 1.0,
     "connection refused": lambda n: 0.0,
     "503": lambda n: 0.66,
@@ -35,12 +35,12 @@
 }
 
 
-def subscribes(actions: list[Action]) -> bool:
+def starts_poll(actions: list[Action]) -> bool:
     """Return whether one of the actions subscribes, which starts a poll of discovery."""
     return any(isinstance(a, SubscribeToEndpoints) for a in actions)
 
 
-def fail_call(driver: Driver, duration: float) -> float:
+def fail_poll(driver: Driver, duration: float) -> float:
     """Start a poll now and let it fail after `duration` seconds; return the start time of the next one."""
     driver.now += duration
     timers = [a for a in driver.handle(FAILED_CALL) if isinstance(a, SetTimer)]
@@ -48,12 +48,12 @@
     driver.timers.clear()
     assert len(timers) == 1
     driver.now += timers[0].delay
-    assert subscribes(driver.handle(TimerFired(timers[0].timer)))
+    assert starts_poll(driver.handle(TimerFired(timers[0].timer)))
     return driver.now
 
 
 @pytest.mark.parametrize("mode", SETTINGS)
-@pytest.mark.parametrize("failure", FAILED_CALL_DURATIONS)
+@pytest.mark.parametrize("failure", FAILED_POLL_DURATIONS)
 @pytest.mark.parametrize("seed", range(5))
 def test_update_is_known_before_its_notification_deadline(mode: str, failure: str, seed: int) -> None:
     """After an outage of any length, a change is known within 6 s.
@@ -64,11 +64,11 @@
     budget = conf.watch_budget
     driver = Driver(conf, seed)
     driver.update_endpoints(entry("a"))
-    call_started = driver.now
+    poll_started = driver.now
     for n in range(40):
-        next_started = fail_call(driver, FAILED_CALL_DURATIONS[failure](n) * budget.call_timeout)
-        assert next_started - call_started + budget.response_timeout <= 6.0 - budget.scheduling_slack + 1e-6
-        call_started = next_started
+        next_started = fail_poll(driver, FAILED_POLL_DURATIONS[failure](n) * budget.call_timeout)
+        assert next_started - poll_started + budget.response_timeout <= 6.0 - budget.scheduling_slack + 1e-6
+        poll_started = next_started
 
 
 @pytest.mark.parametrize("mode", SETTINGS)
@@ -78,11 +78,11 @@
     driver.update_endpoints(entry("a"))
     driver.advance(60.0)
     for _ in range(4):
-        fail_call(driver, 0.0)
+        fail_poll(driver, 0.0)
     address_changed = driver.now
     driver.handle(DiscoveryAddressChanged())
-    spent = fail_call(driver, driver.settings.watch_budget.response_timeout) - address_changed
-    assert spent <= 4.0 - driver.settings.watch_budget.response_timeout + MIN_BACKOFF + 1e-6
+    elapsed = fail_poll(driver, driver.settings.watch_budget.response_timeout) - address_changed
+    assert elapsed <= 4.0 - driver.settings.watch_budget.response_timeout + MIN_BACKOFF + 1e-6
 
 
 @pytest.mark.parametrize("mode", SETTINGS)
@@ -109,11 +109,11 @@
     for driver in drivers:
         driver.update_endpoints(entry("a"))
     for _ in range(4):
-        calls = sorted(
-            fail_call(driver, timeout_share * conf.watch_budget.call_timeout) for driver in drivers
+        starts = sorted(
+            fail_poll(driver, timeout_share * conf.watch_budget.call_timeout) for driver in drivers
         )
-        most_in_a_tenth = max(sum(at <= call < at + 0.1 for call in calls) for at in calls)
-        assert most_in_a_tenth <= 60
+        max_polls_per_100ms = max(sum(at <= start < at + 0.1 for start in starts) for at in starts)
+        assert max_polls_per_100ms <= 60
 
 
 async def test_call_times_out_by_its_budget() -> None:
