--- a/cache_router/__init__.py
+++ b/cache_router/__init__.py
@@ -18,6 +18,6 @@
     """
     if name != "Router":
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    from cache_router.decisions.router import Router  # noqa: PLC0415  # this function exists to defer the import
+    from cache_router.decisions.router import Router  # noqa: PLC0415  # deferred on purpose
 
     return Router
--- a/cache_router/server.py
+++ b/cache_router/server.py
@@ -95,7 +95,7 @@
             self._subscribe()
 
     def _handle_signals(self) -> None:
-        """Install the signal handlers, and unblock the signals that are pending since the process started."""
+        """Install the signal handlers, then unblock the signals; those sent since the start are pending."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         for number in (signal.SIGTERM, signal.SIGINT):
