--- a/cache_router/section_reader.py
+++ b/cache_router/section_reader.py
@@ -102,9 +102,9 @@
         for index, row in enumerate(rows):
             name = row.get("name")
             if not isinstance(name, str):
-                raise self.field_error(f"{field}[{index}].name", f"is missing or not a string: {name!r}")
+                raise self.field_error(f"{field}[{index}].name", "is missing")
             if name in sections:
-                raise self.field_error(f"{field}[{index}].name", f"is a duplicate: {name!r}")
+                raise self.field_error(f"{field}[{index}].name", f"is there twice: {name!r}")
             sections[name] = SectionReader(row, f"{self._path}{field}[{name}].")
         return sections
 
--- a/cache_router/settings_reader.py
+++ b/cache_router/settings_reader.py
@@ -28,7 +28,7 @@
         SettingsError: `conf` is not an object, has no request classes, or has an invalid field.
     """
     if not isinstance(conf, dict):
-        raise SettingsError(f"settings: conf must be an object, not {conf!r}", where="conf")
+        raise SettingsError("settings: conf must be an object", where="conf")
     root = SectionReader(conf)
     classes = _read_classes(root)
     limits, rules, family = root.section("limits"), root.section("rules"), root.section("familyInfo")
@@ -62,7 +62,7 @@
     """Return the request classes by name; settings without request classes are rejected."""
     sections = root.named_sections("classes")
     if not sections:
-        raise root.field_error("classes", "must not be empty")
+        raise root.field_error("classes", "is empty")
     return {name: _read_class(name, section) for name, section in sections.items()}
 
 
