--- a/cache_router/section_reader.py
+++ b/cache_router/section_reader.py
@@ -19,94 +19,95 @@
     __slots__ = ("_path", "_values")
 
     def __init__(self, values: Mapping[str, object], path: str = "") -> None:
-        """Read from `values`; `path` is the prefix of a field's name in errors, with a dot at its end."""
+        """Read from `values`; `path` is the prefix of field names in errors, with a trailing dot."""
         self._values = values
         self._path = path
 
     def value(self, field: str) -> object:
-        """The decoded JSON value of a field, unchecked; None if the field is absent or null."""
+        """Return the decoded JSON value of a field, not validated; None if the field is absent or null."""
         return self._values.get(field)
 
     def number(self, field: str, default: float, minimum: float = 0.0) -> float:
-        """A number, an int or a float as in the JSON.
+        """Return a number; it is an int or a float, as in the JSON.
 
         Raises:
-            SettingsError: the value is no number, or less than `minimum`.
+            SettingsError: the value is not a number, or is less than `minimum`.
         """
         value = self._values.get(field)
         if value is None:
             return default
         if isinstance(value, bool) or not isinstance(value, (int, float)) or value < minimum:
-            raise self.unusable(field, f"must be a number of at least {minimum:g}, not {value!r}")
+            raise self.field_error(field, f"must be a number of at least {minimum:g}, not {value!r}")
         return value
 
     def flag(self, field: str) -> bool:
-        """A flag, false if absent.
+        """Return a flag; false if the field is absent.
 
         Raises:
             SettingsError: the value is neither true nor false.
         """
         value = self._values.get(field)
         if value not in (None, False, True):
-            raise self.unusable(field, f"must be true or false, not {value!r}")
+            raise self.field_error(field, f"must be true or false, not {value!r}")
         return bool(value)
 
     def choice(self, field: str, default: str, choices: Mapping[str, Choice]) -> Choice:
-        """The value that `choices` has for a word; `default` is the word if the field is absent.
+        """Return the value in `choices` of the key that the field holds, or of `default` if it is absent.
 
         Raises:
-            SettingsError: the value is none of the words in `choices`.
+            SettingsError: the value is not a key of `choices`.
         """
         value = self._values.get(field)
-        word = default if value is None else value
-        if not isinstance(word, str) or word not in choices:
-            raise self.unusable(field, f"must be one of {', '.join(choices)}, not {word!r}")
-        return choices[word]
+        key = default if value is None else value
+        if not isinstance(key, str) or key not in choices:
+            raise self.field_error(field, f"must be one of {', '.join(choices)}, not {key!r}")
+        return choices[key]
 
     def names(self, field: str) -> tuple[str, ...]:
-        """A list of names, empty if absent.
+        """Return a list of names; empty if the field is absent.
 
         Raises:
-            SettingsError: the value is no list, or one of its entries is no string.
+            SettingsError: the value is not a list of strings.
         """
         value = self._values.get(field)
         names = [] if value is None else value
         if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
-            raise self.unusable(field, f"must be a list of names, not {names!r}")
+            raise self.field_error(field, f"must be a list of names, not {names!r}")
         return tuple(names)
 
     def section(self, field: str) -> SectionReader:
-        """A nested object, empty if absent.
+        """Return the reader of a nested object, which is empty if the field is absent.
 
         Raises:
-            SettingsError: the value is no object.
+            SettingsError: the value is not an object.
         """
         value = self._values.get(field)
         section = {} if value is None else value
         if not isinstance(section, dict):
-            raise self.unusable(field, f"must be an object, not {section!r}")
+            raise self.field_error(field, f"must be an object, not {section!r}")
         return SectionReader(section, f"{self._path}{field}.")
 
     def named_sections(self, field: str) -> dict[str, SectionReader]:
-        """A list of objects by their `name`s, empty if absent.
+        """Return the readers of a list of objects by the objects' `name`; empty if the field is absent.
 
         Raises:
-            SettingsError: the value is no list of objects, or a name is missing or repeated.
+            SettingsError: the value is not a list of objects, or a name is missing, not a string or a
+                duplicate.
         """
         value = self._values.get(field)
         rows = [] if value is None else value
         if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
-            raise self.unusable(field, "must be a list of objects")
+            raise self.field_error(field, "must be a list of objects")
         sections: dict[str, SectionReader] = {}
         for index, row in enumerate(rows):
             name = row.get("name")
             if not isinstance(name, str):
-                raise self.unusable(f"{field}[{index}].name", "is missing")
+                raise self.field_error(f"{field}[{index}].name", "is missing")
             if name in sections:
-                raise self.unusable(f"{field}[{index}].name", f"is there twice: {name!r}")
+                raise self.field_error(f"{field}[{index}].name", f"is there twice: {name!r}")
             sections[name] = SectionReader(row, f"{self._path}{field}[{name}].")
         return sections
 
-    def unusable(self, field: str, reason: str) -> SettingsError:
-        """The error of a field of this section."""
+    def field_error(self, field: str, reason: str) -> SettingsError:
+        """Create the error for a field of this section."""
         return SettingsError(f"settings: {self._path}{field} {reason}", where=f"{self._path}{field}")
--- a/tests/cache_router/test_watch_budget.py
+++ b/tests/cache_router/test_watch_budget.py
@@ -1,4 +1,4 @@
-"""The watch budget: timeout, backoff and the next call together keep the notification deadline."""
+"""The watch budget: a timeout, the backoff and the next poll together keep the notification deadline."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     "polled": settings(must_subscribe=True, overload_window=2.0, slow_start_duration=8.9),
     "pushed": settings(slow_start_duration=8.9),
 }
-# how long the nth failing call takes, as a share of the call timeout
-FAILED_CALL_DURATIONS: dict[str, Callable[[int], float]] = {
+# Duration of the nth failing poll, as a share of the poll's timeout.
+FAILED_POLL_DURATIONS: dict[str, Callable[[int], float]] = {
     "hangs": lambda n: 1.0,
     "connection refused": lambda n: 0.0,
     "503": lambda n: 0.66,
@@ -35,54 +35,54 @@
 }
 
 
-def subscribes(actions: list[Action]) -> bool:
-    """Whether one of the actions is a call to discovery."""
+def starts_poll(actions: list[Action]) -> bool:
+    """Return whether one of the actions subscribes, which starts a poll of discovery."""
     return any(isinstance(a, SubscribeToEndpoints) for a in actions)
 
 
-def fail_call(driver: Driver, duration: float) -> float:
-    """Start a call now and let it fail after `duration` seconds; returns when the next one starts."""
+def fail_poll(driver: Driver, duration: float) -> float:
+    """Start a poll now and let it fail after `duration` seconds; return the start time of the next one."""
     driver.now += duration
     timers = [a for a in driver.handle(FAILED_CALL) if isinstance(a, SetTimer)]
     timers = [timer for timer in timers if timer.timer.kind is TimerKind.ENDPOINT_POLL]
     driver.timers.clear()
     assert len(timers) == 1
     driver.now += timers[0].delay
-    assert subscribes(driver.handle(TimerFired(timers[0].timer)))
+    assert starts_poll(driver.handle(TimerFired(timers[0].timer)))
     return driver.now
 
 
 @pytest.mark.parametrize("mode", SETTINGS)
-@pytest.mark.parametrize("failure", FAILED_CALL_DURATIONS)
+@pytest.mark.parametrize("failure", FAILED_POLL_DURATIONS)
 @pytest.mark.parametrize("seed", range(5))
 def test_update_is_known_before_its_notification_deadline(mode: str, failure: str, seed: int) -> None:
     """After an outage of any length, a change is known within 6 s.
 
-    Discovery recovers right after the start of a call, and has a change. The next call must get it in time.
+    Discovery recovers right after the start of a poll, and has a change. The next poll must get it in time.
     """
     conf = SETTINGS[mode]
     budget = conf.watch_budget
     driver = Driver(conf, seed)
     driver.update_endpoints(entry("a"))
-    call_started = driver.now
+    poll_started = driver.now
     for n in range(40):
-        next_started = fail_call(driver, FAILED_CALL_DURATIONS[failure](n) * budget.call_timeout)
-        assert next_started - call_started + budget.response_timeout <= 6.0 - budget.scheduling_slack + 1e-6
-        call_started = next_started
+        next_started = fail_poll(driver, FAILED_POLL_DURATIONS[failure](n) * budget.call_timeout)
+        assert next_started - poll_started + budget.response_timeout <= 6.0 - budget.scheduling_slack + 1e-6
+        poll_started = next_started
 
 
 @pytest.mark.parametrize("mode", SETTINGS)
 def test_lost_first_call_to_a_new_address_is_retried_in_time(mode: str) -> None:
-    """Updates of the new discovery have a notification deadline of 4 s after SIGHUP."""
+    """Updates from the new address must be known within 4 s after SIGHUP."""
     driver = Driver(SETTINGS[mode])
     driver.update_endpoints(entry("a"))
     driver.advance(60.0)
     for _ in range(4):
-        fail_call(driver, 0.0)
+        fail_poll(driver, 0.0)
     address_changed = driver.now
     driver.handle(DiscoveryAddressChanged())
-    spent = fail_call(driver, driver.settings.watch_budget.response_timeout) - address_changed
-    assert spent <= 4.0 - driver.settings.watch_budget.response_timeout + MIN_BACKOFF + 1e-6
+    elapsed = fail_poll(driver, driver.settings.watch_budget.response_timeout) - address_changed
+    assert elapsed <= 4.0 - driver.settings.watch_budget.response_timeout + MIN_BACKOFF + 1e-6
 
 
 @pytest.mark.parametrize("mode", SETTINGS)
@@ -103,23 +103,23 @@
 
 @pytest.mark.parametrize("timeout_share", [0.0, 1.0])
 def test_calls_of_two_hundred_routers_are_spread_by_jitter(timeout_share: float) -> None:
-    """All lose discovery at one instant; the next calls are spread over the backoff, also the later ones."""
+    """All routers lose discovery at the same time; each of the next polls is spread over the backoff."""
     conf = SETTINGS["polled"]
     drivers = [Driver(conf, seed) for seed in range(200)]
     for driver in drivers:
         driver.update_endpoints(entry("a"))
     for _ in range(4):
-        calls = sorted(
-            fail_call(driver, timeout_share * conf.watch_budget.call_timeout) for driver in drivers
+        starts = sorted(
+            fail_poll(driver, timeout_share * conf.watch_budget.call_timeout) for driver in drivers
         )
-        most_in_a_tenth = max(sum(at <= call < at + 0.1 for call in calls) for at in calls)
-        assert most_in_a_tenth <= 60
+        max_polls_per_100ms = max(sum(at <= start < at + 0.1 for start in starts) for at in starts)
+        assert max_polls_per_100ms <= 60
 
 
 async def test_call_times_out_by_its_budget() -> None:
     """A long poll times out after its wait and the response timeout.
 
-    A call for the complete list, which has no wait, times out after the response timeout alone.
+    A poll for the complete list, which has no wait, times out after the response timeout alone.
     """
     async with Peer() as peer:
         budget = WatchBudget(response_timeout=0.05, notification_deadline=600.0)
@@ -129,7 +129,8 @@
         recorder.discovery.change_address(peer.address)
         recorder.discovery.subscribe()
         assert "wait_ms" not in (await accept_poll(peer))[0]
-        assert await recorder.updates.get() is None  # and not after ten minutes
+        # The poll fails by its timeout, and not at the notification deadline of ten minutes.
+        assert await recorder.updates.get() is None
         recorder.discovery.subscribe()
         _, link = await accept_poll(peer)
         link.write(http("200 OK", encode_endpoint_list(3, True, ENDPOINT_ENTRY)))
@@ -138,7 +139,7 @@
 
 
 def test_broken_long_subscriptions_are_renewed_with_jitter() -> None:
-    """Where updates are pushed, all routers lose their subscriptions at once and have no call in flight."""
+    """If updates are pushed, all routers lose their subscriptions at once and have no poll in flight."""
     conf = SETTINGS["polled"]
     delays = []
     for seed in range(100):
