--- a/scale_experiments/emulators/codec.py
+++ b/scale_experiments/emulators/codec.py
@@ -6,7 +6,7 @@
 from dataclasses import MISSING, fields, is_dataclass
 from typing import Any, ClassVar, Protocol, TypeVar
 
-# keys of a field's metadata: its name in JSON, and the function that decodes its value
+# Keys of a field's metadata: KEY holds the field's name in JSON, DECODE the function that decodes its value.
 KEY = "key"
 DECODE = "decode"
 
@@ -15,7 +15,7 @@
 
 
 class CommandError(ValueError):
-    """A command whose name the emulator does not know."""
+    """A command with a name that the emulator does not know."""
 
 
 class Command(Protocol[ReplyT_co]):
@@ -23,28 +23,28 @@
 
     @property
     def do(self) -> str:
-        """The name of the command in JSON."""
+        """Name of the command in JSON."""
         ...
 
     @property
     def reply_type(self) -> type[ReplyT_co]:
-        """The class of the reply to it."""
+        """Class of the reply to the command."""
         ...
 
 
 class NamedCommand(Protocol):
-    """A class of commands that has one name in JSON."""
+    """A class whose commands all have the same name in JSON."""
 
     do: ClassVar[str]
 
 
 def types_by_name(*command_types: type[NamedCommand]) -> dict[str, type[NamedCommand]]:
-    """The classes of an emulator's commands by their names in JSON."""
+    """Map the name of each command in JSON to the command's class."""
     return {command_type.do: command_type for command_type in command_types}
 
 
 def encode(message: object) -> Any:
-    """A message as a JSON object; fields that are None are left out."""
+    """Return a message as a JSON object, without the fields that are None."""
     if isinstance(message, dict):
         return {key: encode(value) for key, value in message.items()}
     if not is_dataclass(message):
@@ -54,15 +54,15 @@
 
 
 def encode_command(command: Command[Any]) -> dict[str, Any]:
-    """A command as a JSON object, with its name under `do`."""
+    """Return a command as a JSON object, with its name under the key `do`."""
     return {"do": command.do, **encode(command)}
 
 
 def decode(message_type: type[Message], message: Mapping[str, Any]) -> Message:
-    """A message from its JSON object; unknown keys are ignored.
+    """Return the message that a JSON object encodes; unknown keys are ignored.
 
     Raises:
-        KeyError: A field has neither a value nor a default.
+        KeyError: The object lacks a field that has no default.
     """
     values: dict[str, Any] = {}
     for each in fields(message_type):  # type: ignore[arg-type]
@@ -75,11 +75,11 @@
 
 
 def decode_command(command_types: Mapping[str, type[Any]], message: Mapping[str, Any]) -> Any:
-    """A command from its JSON object; `command_types` has the classes of an emulator's commands by name.
+    """Return the command that a JSON object encodes; `command_types` maps names to classes of commands.
 
     Raises:
         CommandError: The command's name is unknown.
-        KeyError: The command has no name, or a field has neither a value nor a default.
+        KeyError: The object lacks the name of the command, or a field that has no default.
     """
     name = message["do"]
     if name not in command_types:
--- a/scale_experiments/emulators/control.py
+++ b/scale_experiments/emulators/control.py
@@ -1,7 +1,7 @@
 """The control channel of an emulator: commands on its standard input, a reply to each on its standard output.
 
-Commands and replies are JSON objects, one a line. The end of standard input ends the process, so that no
-emulator outlives the experiment that started it.
+Commands and replies are JSON objects, one per line. An emulator exits when its standard input is closed, so
+that it does not outlive the experiment that started it.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 from scale_experiments.emulators.codec import Command, decode, decode_command, encode, encode_command
 from scale_experiments.emulators.messages.common import ProcessUsage
 
-# a list of some thousand entries, or the times of some thousand routers
+# enough for an endpoint list with thousands of entries, or the update times of thousands of routers
 MAX_LINE_BYTES = 64 * 1024 * 1024
-READ_BYTES = 1 << 20
-ERROR_KEY = "error"  # of the reply to a command that failed
+READ_BYTES = 1 << 20  # maximum size of one read from an emulator
+ERROR_KEY = "error"  # key of the error text in the reply to a failed command
 MAX_ERROR_LENGTH = 300
 Reply = TypeVar("Reply")
 Handler = Callable[[Any], Coroutine[Any, Any, object]]
 
 
 class ControlError(RuntimeError):
-    """An emulator has ended, sent no reply in time, or reported an error."""
+    """An emulator has exited, sent no reply in time, or reported an error."""
 
 
 def process_usage() -> ProcessUsage:
-    """What this process has used until now."""
+    """Return the resources that this process has used until now."""
     process = psutil.Process()
     return ProcessUsage(
         at=time.monotonic(),
@@ -46,10 +46,10 @@
 
 
 async def serve_commands(handle: Handler, command_types: Mapping[str, type[Any]]) -> None:
-    """Carry out commands until standard input ends.
+    """Read commands from standard input and execute them, until standard input is closed.
 
-    `handle` carries out a command and returns its reply; `command_types` has the classes of commands by name.
-    The reply to a command that fails has the error as text.
+    `handle` executes a command and returns its reply; `command_types` maps the names of commands to their
+    classes. The reply to a command that fails contains the text of the error.
     """
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
@@ -66,7 +66,7 @@
 class ControlClient:
     """The experiment's end of an emulator's control channel.
 
-    `process` must have been started with pipes for standard input and output. The caller ends it.
+    `process` must have been started with pipes for standard input and output. The caller has to stop it.
 
     Raises:
         ValueError: `process` has no pipe for standard input or output.
@@ -83,22 +83,22 @@
         self._output = process.stdout.fileno()
 
     def send(self, command: Command[Any]) -> None:
-        """Send a command, whose reply `receive` returns.
+        """Send a command without waiting for its reply, which `receive` returns.
 
         Raises:
-            ControlError: The emulator has ended.
+            ControlError: The emulator has exited.
         """
         try:
             self._input.write(orjson.dumps(encode_command(command)) + b"\n")
             self._input.flush()
         except OSError as e:
-            raise ControlError(f"{self.name} has ended: {e}") from e
+            raise ControlError(f"{self.name} has exited: {e}") from e
 
     def receive(self, reply_type: type[Reply]) -> Reply:
-        """The reply to the oldest command whose reply has not been received.
+        """Wait for the next reply and return it; replies arrive in the order of their commands.
 
         Raises:
-            ControlError: The emulator has ended, reports an error, or sends no reply in `reply_timeout_s`.
+            ControlError: The emulator has exited, reports an error, or sends no reply in `reply_timeout_s`.
         """
         message = orjson.loads(self._read_line())
         if not isinstance(message, dict) or ERROR_KEY in message:
@@ -106,7 +106,7 @@
         return decode(reply_type, message)
 
     def request(self, command: Command[Reply]) -> Reply:
-        """Send a command and wait for its reply; raises as `receive`."""
+        """Send a command and wait for its reply; raises ControlError as `receive` does."""
         self.send(command)
         return self.receive(command.reply_type)
 
@@ -116,10 +116,10 @@
             selector.register(self._output, selectors.EVENT_READ)
             while (end := self._unread.find(b"\n")) < 0:
                 if not selector.select(max(0.0, deadline - time.monotonic())):
-                    raise ControlError(f"{self.name} gave no answer within {self._reply_timeout_s:g} s")
+                    raise ControlError(f"{self.name} sent no reply within {self._reply_timeout_s:g} s")
                 data = os.read(self._output, READ_BYTES)
                 if not data:
-                    raise ControlError(f"{self.name} has ended")
+                    raise ControlError(f"{self.name} has exited")
                 self._unread += data
         line = bytes(self._unread[:end])
         del self._unread[: end + 1]
@@ -127,10 +127,10 @@
 
 
 def request_all(clients: Sequence[ControlClient], command: Command[Reply]) -> list[Reply]:
-    """Send one command to several emulators, then wait for their replies; returns these in the same order.
+    """Send one command to several emulators; return their replies in the order of `clients`.
 
     Raises:
-        ControlError: An emulator has ended, reports an error, or sends no reply in time.
+        ControlError: An emulator has exited, reports an error, or sends no reply in time.
     """
     for client in clients:
         client.send(command)
--- a/scale_experiments/emulators/launch.py
+++ b/scale_experiments/emulators/launch.py
@@ -1,4 +1,4 @@
-"""Starts emulators as processes of a run."""
+"""Starts emulators as processes of an experiment's run."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     *arguments: str,
     reply_timeout_s: float = DEFAULT_REPLY_TIMEOUT_S,
 ) -> ControlClient:
-    """Start a module as a process, which ends with the context at the latest.
+    """Start a module as a process, which is stopped when the context is closed, unless it has exited before.
 
-    `name` is the emulator's name in errors, `arguments` are those of its command.
+    `name` identifies the emulator in errors, `arguments` are its command-line arguments.
 
     Raises:
         OSError: The process cannot be started.
--- a/tests/scale_experiments/emulators/test_control.py
+++ b/tests/scale_experiments/emulators/test_control.py
@@ -1,4 +1,4 @@
-"""An experiment commands emulators in processes of their own, and receives their replies or errors."""
+"""An experiment sends commands to emulators in other processes and receives their replies or errors."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 def controlled(
     *arguments: str, name: str = "emulator", reply_timeout_s: float = REPLY_TIMEOUT_S
 ) -> Iterator[ControlClient]:
-    """Run Python with arguments, and yield its control channel."""
+    """Run Python with arguments and yield the client of its control channel; kill the process at the end."""
     process = subprocess.Popen([sys.executable, *arguments], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
     try:
         yield ControlClient(process, name, reply_timeout_s)
@@ -47,7 +47,7 @@
         assert process.stdin is not None
         assert process.stdout is not None
         process.stdout.close()
-        with suppress(BrokenPipeError):  # a command may be left that could not be sent
+        with suppress(BrokenPipeError):  # the buffer may hold a command that could not be sent
             process.stdin.close()
 
 
@@ -98,17 +98,17 @@
 def test_emulator_that_sends_no_reply_in_time_is_an_error() -> None:
     with (
         controlled("-c", "input(); input()", reply_timeout_s=0.05) as client,
-        pytest.raises(ControlError, match=r"emulator gave no answer within 0\.05 s"),
+        pytest.raises(ControlError, match=r"emulator sent no reply within 0\.05 s"),
     ):
         client.request(GetCachesStats())
 
 
-def test_emulator_that_has_ended_is_an_error() -> None:
+def test_emulator_that_has_exited_is_an_error() -> None:
     with controlled("-c", "input()") as client:
-        with pytest.raises(ControlError, match="emulator has ended"):
+        with pytest.raises(ControlError, match="emulator has exited"):
             client.request(GetCachesStats())
         client.process.wait(STOP_TIMEOUT_S)
-        with pytest.raises(ControlError, match="emulator has ended"):
+        with pytest.raises(ControlError, match="emulator has exited"):
             client.send(SetCacheMode(["a"], "dead"))
 
 
