--- a/scale_experiments/emulators/messages/caches.py
+++ b/scale_experiments/emulators/messages/caches.py
@@ -1,4 +1,4 @@
-"""Commands of the caches' emulator, and its replies."""
+"""Commands to the cache emulator, and its replies."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class CacheSettings:
-    """The settings that all caches of a process share."""
+    """Settings that all caches of a process share."""
 
-    value_bytes: int
-    service_s: float  # of each request
-    handshake_s: float  # more, for the first request on a connection
-    idle_s: float  # after which a connection without requests is closed
-    max_connections: int = field(metadata={KEY: "most_connections"})  # of each cache
-    max_keys: int = field(metadata={KEY: "most_keys"})  # of each cache that does not start warm
-    warm: bool  # caches have every key at the start
+    value_bytes: int  # size of the value of every key
+    service_s: float  # time to serve a request
+    handshake_s: float  # additional time for the first request on a connection
+    idle_s: float  # time without requests after which a connection is closed
+    max_connections: int = field(metadata={KEY: "most_connections"})  # limit of each cache
+    max_keys: int = field(metadata={KEY: "most_keys"})  # limit of a cache that starts empty
+    warm: bool  # whether caches have every key at the start
 
 
 @dataclass(slots=True, frozen=True)
 class CachesStarted:
-    """Where the origin listens, as host:port."""
+    """The reply to `StartCaches`, with the address of the origin as host:port."""
 
     origin: str
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class StartCaches(CacheSettings):
-    """Start the caches at `addresses` (host:port by name), and the origin at `origin` (host:port)."""
+    """Start a cache at each of `addresses` (host:port by name), and the origin at `origin` (host:port)."""
 
     do: ClassVar[str] = "start"
     reply_type: ClassVar[type[CachesStarted]] = CachesStarted
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetCacheMode:
-    """Change the mode of some caches, which the command's module explains."""
+    """Change the mode of some caches; `scale_experiments.emulators.cache.__main__` describes the modes."""
 
     do: ClassVar[str] = "mode"
     reply_type: ClassVar[type[Done]] = Done
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class CacheCounters:
-    """Counts of one cache since its start; `open_sum` is the sum of open connections over all samples."""
+    """Counters of one cache since its start; `open_sum` is the sum of open connections over all samples."""
 
     accepted: int
     handshakes: int
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class OriginCounters:
-    """Counts of the origin since its start."""
+    """Counters of the origin since its start."""
 
     requests: int = 0
     rejected: int = field(default=0, metadata={KEY: "turned_away"})
@@ -83,20 +83,20 @@
 
 
 def decode_cache_counters(caches: Mapping[str, Mapping[str, Any]]) -> dict[str, CacheCounters]:
-    """The counters of all caches by name."""
+    """Decode the counters of all caches, by name."""
     return {name: decode(CacheCounters, counters) for name, counters in caches.items()}
 
 
 def decode_origin_counters(counters: Mapping[str, Any]) -> OriginCounters:
-    """The counters of the origin."""
+    """Decode the counters of the origin."""
     return decode(OriginCounters, counters)
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class CachesStats(ProcessUsage):
-    """Counts of each cache and of the origin; `samples` is how many times open connections were sampled."""
+    """Counters of each cache and of the origin; `samples` is the number of samples of open connections."""
 
-    time: float  # of the wall clock
+    time: float  # wall-clock time at which the counters were read
     samples: int
     caches: dict[str, CacheCounters] = field(metadata={DECODE: decode_cache_counters})
     origin: OriginCounters = field(metadata={DECODE: decode_origin_counters})
@@ -104,7 +104,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GetCachesStats:
-    """Get the counts since the start."""
+    """Get the counters since the start."""
 
     do: ClassVar[str] = "stats"
     reply_type: ClassVar[type[CachesStats]] = CachesStats
--- a/scale_experiments/emulators/messages/clients.py
+++ b/scale_experiments/emulators/messages/clients.py
@@ -1,4 +1,4 @@
-"""Commands of the clients' emulator, and its replies."""
+"""Commands to the client emulator, and its replies."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from scale_experiments.emulators.codec import KEY
 from scale_experiments.emulators.messages.common import Done, ProcessUsage
 
-# outcomes of requests: keys of ClientsStats.counts
+# outcomes of requests, as keys of ClientsStats.counts
 SERVED = "served"
 REJECTED = "refused"
 FAILED = "failed"
 UNANSWERED = "unanswered"
-LOST = "lost"  # with its connection
+LOST = "lost"  # the connection was closed before the reply
 NOT_CONNECTED = "not_connected"
 NOT_SENT = "not_sent"
 FAILED_OUTCOMES = (FAILED, UNANSWERED, LOST, NOT_CONNECTED, NOT_SENT)
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class StartClients:
-    """Start the load on each of `routers` (host:port).
+    """Start to send load to each of `routers` (host:port).
 
     The keys of requests follow Zipf's law: the popularity of the key of rank r is proportional to r to the
     power of `-zipf_exponent`.
@@ -36,7 +36,7 @@
     reply_type: ClassVar[type[Done]] = Done
 
     routers: list[str]
-    rate_per_s: float  # at each router
+    rate_per_s: float  # requests per second at each router
     seed: int
     deadline_s: float
     read_class: str = field(metadata={KEY: "read"})
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PauseClients:
-    """Send no new requests."""
+    """Stop sending new requests."""
 
     do: ClassVar[str] = "rest"
     reply_type: ClassVar[type[Done]] = Done
@@ -57,10 +57,10 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class ClientsStats(ProcessUsage):
-    """Counts since the start, by the names above; `latency` is an encoded HDR histogram in microseconds."""
+    """Counts since the start; `latency` is an encoded HDR histogram of latencies in microseconds."""
 
-    time: float  # of the wall clock
-    counts: dict[str, int]
+    time: float  # wall-clock time at which the counts were read
+    counts: dict[str, int]  # by the keys that this module defines
     latency: str
 
 
--- a/scale_experiments/emulators/messages/common.py
+++ b/scale_experiments/emulators/messages/common.py
@@ -7,14 +7,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Done:
-    """The reply of a command that returns nothing."""
+    """The reply to a command that returns no data."""
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class ProcessUsage:
-    """What a process has used since its start, and what it uses now."""
+    """CPU time that a process has used since its start, and its current memory and descriptors."""
 
-    at: float  # when this was read, of the monotonic clock
-    cpu_s: float  # user and system
+    at: float  # monotonic time at which the usage was read
+    cpu_s: float  # user and system time
     resident_bytes: int
-    descriptors: int
+    descriptors: int  # open ones
--- a/scale_experiments/emulators/messages/discovery.py
+++ b/scale_experiments/emulators/messages/discovery.py
@@ -1,4 +1,4 @@
-"""Commands of discovery's emulator, and its replies."""
+"""Commands to the discovery emulator, and its replies."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Listening:
-    """Where discovery listens, as host:port. It sends this once, before it reads any command."""
+    """The address of discovery as host:port, sent once before any command is read."""
 
     address: str
 
 
 @dataclass(slots=True, frozen=True)
 class Timestamp:
-    """When a command was carried out."""
+    """The time at which a command was executed."""
 
     at: float
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointListCommand:
-    """A list, or changes of it, under an index; `endpoints` are JSON objects in discovery's form."""
+    """An endpoint list or changed entries, under an index; `endpoints` are in discovery's JSON format."""
 
     reply_type: ClassVar[type[Timestamp]] = Timestamp
 
@@ -37,7 +37,7 @@
 
 
 class ReplaceList(EndpointListCommand):
-    """Take a complete list."""
+    """Replace the endpoint list with a complete one."""
 
     __slots__ = ()
 
@@ -45,7 +45,7 @@
 
 
 class ChangeList(EndpointListCommand):
-    """Take changed entries under the next index."""
+    """Apply changed entries under the next index."""
 
     __slots__ = ()
 
@@ -54,17 +54,17 @@
 
 @dataclass(slots=True, frozen=True)
 class SetDiscoveryMode:
-    """Answer polls, or fail them in one of the ways, from now on. The mode is the command's name in JSON."""
+    """Change how discovery handles polls. The mode is the name of the command in JSON."""
 
     reply_type: ClassVar[type[Timestamp]] = Timestamp
 
     do: DiscoveryMode
-    after_s: float | None = None  # from a poll to its rejection, in the mode "busy"
+    after_s: float | None = None  # delay of a rejection in the mode "busy"
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionsReset:
-    """How many connections were reset, and when."""
+    """The number of connections that were reset, and the time of the reset."""
 
     at: float
     reset: int
@@ -80,11 +80,11 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class DiscoveryStats(ProcessUsage):
-    """Counts since the start, and the current index, open connections and waiting polls.
+    """Counters since the start, and the current index, open connections and waiting polls.
 
     `notification_s` is the time from the latest change until the last response to it was written, and
     `notified_polls` the number of these responses. `polls_over_time` has a pair for each interval of
-    `bucket_s` in which there were polls: the number of the interval on the monotonic clock, and its polls.
+    `bucket_s` seconds with any polls: the number of the interval on the monotonic clock, and its polls.
     """
 
     polls: int = field(metadata={KEY: "calls"})
@@ -104,7 +104,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GetDiscoveryStats:
-    """Get the counts since the start."""
+    """Get the counters since the start."""
 
     do: ClassVar[str] = "stats"
     reply_type: ClassVar[type[DiscoveryStats]] = DiscoveryStats
--- a/scale_experiments/emulators/messages/routers.py
+++ b/scale_experiments/emulators/messages/routers.py
@@ -1,4 +1,4 @@
-"""Commands of a process of hollow routers, and its replies."""
+"""Commands to a process of hollow routers, and its replies."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 class StartRouters:
     """Start `routers` routers, spread evenly over `spread_s`.
 
-    Each router watches one of the addresses (host:port) of `discovery`, in turn.
+    Each router watches one address (host:port) of `discovery`; the addresses are assigned in rotation.
     """
 
     do: ClassVar[str] = "start"
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class RoutersStats(ProcessUsage):
-    """Updates and failed polls of all routers, and the lowest index and fewest endpoints of any router."""
+    """Counts of updates and failed polls of all routers, and their lowest index and endpoint count."""
 
     updates: int = field(metadata={KEY: "told"})
     failed: int
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GetRoutersStats:
-    """Get the counts since the start."""
+    """Get the counts since the start, and the current minima."""
 
     do: ClassVar[str] = "stats"
     reply_type: ClassVar[type[RoutersStats]] = RoutersStats
@@ -51,9 +51,9 @@
 
 @dataclass(slots=True, frozen=True)
 class UpdateTimes:
-    """When each router had an index, of the monotonic clock.
+    """Monotonic times at which the routers first had an index.
 
-    Where a router has not had it, the sender has NaN, which JSON has as null and the receiver as None.
+    For a router that has not had it, the sender sets NaN, which JSON encodes as null; the receiver gets None.
     """
 
     times: Sequence[float | None]
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GetUpdateTimes:
-    """Get when each router had an index."""
+    """Get the time at which each router first had an index."""
 
     do: ClassVar[str] = "had"
     reply_type: ClassVar[type[UpdateTimes]] = UpdateTimes
