--- a/scale_experiments/emulators/discovery/__init__.py
+++ b/scale_experiments/emulators/discovery/__init__.py
@@ -1,5 +1,6 @@
-"""Emulated discovery: serves whole endpoint lists and watches, several thousand waiting polls in one process.
+"""Emulated discovery: serves endpoint lists and long polls; thousands of polls can wait in one process.
 
-`__main__` is the command, `emulator` carries out the commands of its control channel and answers polls,
-`poll_connection` is a connection that carries polls, and `endpoint_registry` the list with its changes.
+`__main__` is the program, `emulator` executes the commands of its control channel and answers polls,
+`poll_connection` is a connection that carries polls, `endpoint_registry` stores the endpoint list and its
+changes, and `statistics` has the counters.
 """
--- a/scale_experiments/emulators/discovery/__main__.py
+++ b/scale_experiments/emulators/discovery/__main__.py
@@ -1,22 +1,22 @@
-"""Emulates discovery over HTTP/1.1: whole endpoint lists, and watches that wait for the next change.
+"""Emulates discovery over HTTP/1.1: complete endpoint lists, and long polls that wait for the next change.
 
     python -m scale_experiments.emulators.discovery 127.0.1.1:0
 
-The argument is the address to listen at; port 0 chooses a free one. The first line on standard output is the
-address that was chosen, as `Listening`. The process then reads commands from standard input, one JSON object
-a line, and writes a reply to each. It ends with its standard input. The commands are `ReplaceList`,
-`ChangeList`, `SetDiscoveryMode`, `ResetUnanswered` and `GetDiscoveryStats` of
+The argument is the address to listen on; port 0 selects a free port. The first line on standard output is a
+`Listening` message with the actual address. The process then reads commands from standard input, one JSON
+object per line, and writes a reply to each. It exits when its standard input is closed. The commands are
+`ReplaceList`, `ChangeList`, `SetDiscoveryMode`, `ResetUnanswered` and `GetDiscoveryStats` of
 `scale_experiments.emulators.messages.discovery`.
 
-Several processes that receive the same changes under the same indices act as one discovery that has an
-address for each process.
+Several processes that receive the same changes under the same indices act as one discovery with one address
+for each process.
 
 Modes:
 
-- "serve": polls are answered.
+- "serve": polls are answered with the endpoint list or its changes.
 - "silent": polls are accepted, read and never answered.
 - "refuse": all connections are reset and new ones are refused.
-- "busy": polls are answered by 503 after a delay.
+- "busy": polls are answered with status 503 after a delay.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 async def main(listen: str) -> None:
-    """Serve at an address until standard input ends.
+    """Serve at an address until standard input is closed.
 
     Raises:
         ValueError: The port of `listen` is not a number.
--- a/scale_experiments/emulators/discovery/emulator.py
+++ b/scale_experiments/emulators/discovery/emulator.py
@@ -1,4 +1,4 @@
-"""Discovery: answers polls as its mode says, and carries out the commands of its control channel."""
+"""Emulated discovery: answers polls according to its mode, and executes commands of the control channel."""
 
 from __future__ import annotations
 
@@ -24,35 +24,35 @@
     Timestamp,
 )
 
-BACKLOG = 4096
-DEFAULT_ADDRESS = ("127.0.0.1", 0)
-DEFAULT_BUSY_DELAY_S = 2.0  # of a response in the mode "busy"
+BACKLOG = 4096  # limit of connections that have not been accepted yet
+DEFAULT_ADDRESS = ("127.0.0.1", 0)  # on a free port
+DEFAULT_BUSY_DELAY_S = 2.0  # delay of a rejection in the mode "busy"
 DiscoveryCommand = ReplaceList | ChangeList | SetDiscoveryMode | ResetUnanswered | GetDiscoveryStats
 COMMAND_TYPES: dict[str, type[NamedCommand] | type[SetDiscoveryMode]] = {
     **types_by_name(ReplaceList, ChangeList, ResetUnanswered, GetDiscoveryStats),
-    **dict.fromkeys(get_args(DiscoveryMode), SetDiscoveryMode),  # the mode is the command's name
+    **dict.fromkeys(get_args(DiscoveryMode), SetDiscoveryMode),  # the mode is the name of the command
 }
 
 
 class DiscoveryEmulator:
-    """One process of discovery: its list, its connections and its counts."""
+    """One process of discovery, with its endpoint list, connections and counters."""
 
     def __init__(self, address: tuple[str, int] = DEFAULT_ADDRESS) -> None:
-        self.address = address  # once it listens, with the port that was chosen
+        self.address = address  # has the actual port once discovery listens
         self._registry = Registry()
         self._mode: DiscoveryMode = "serve"
         self._busy_delay_s = DEFAULT_BUSY_DELAY_S
         self._connections: dict[PollConnection, None] = {}
-        self._waiting: dict[PollConnection, None] = {}  # those whose poll waits for a change
+        self._waiting: dict[PollConnection, None] = {}  # connections whose poll waits for a change
         self._listener: asyncio.Server | None = None
         self._statistics = DiscoveryStatistics()
 
     async def handle(self, command: DiscoveryCommand) -> object:
-        """Carry out a command of the control channel; returns the reply.
+        """Execute a command of the control channel and return the reply.
 
         Raises:
             OSError: Discovery cannot listen again after the mode "refuse".
-            ValueError: A change does not have the next index.
+            ValueError: The index of a change does not follow the current index.
         """
         match command:
             case GetDiscoveryStats():
@@ -70,7 +70,7 @@
         return Timestamp(time.monotonic())
 
     async def listen(self) -> None:
-        """Accept connections; after the first call, the port stays the same.
+        """Start to accept connections; later calls reuse the port of the first one.
 
         Raises:
             OSError: The address cannot be used.
@@ -82,14 +82,14 @@
         self.address = self._listener.sockets[0].getsockname()
 
     def replace_list(self, index: int, endpoints: Sequence[Entry]) -> None:
-        """Take a complete list; polls that wait are not answered before the next change."""
+        """Replace the endpoint list, without answering the polls that wait for a change."""
         self._registry.replace(index, endpoints)
 
     def change_list(self, index: int, endpoints: Sequence[Entry]) -> None:
-        """Apply a change and, in the mode "serve", answer all polls that wait.
+        """Apply a change and, in the mode "serve", answer all polls that wait for one.
 
         Raises:
-            ValueError: `index` is not the next one.
+            ValueError: `index` does not follow the current index.
         """
         started_at = time.monotonic()
         self._registry.change(index, endpoints)
@@ -101,7 +101,7 @@
         self._statistics.on_change_sent(time.monotonic() - started_at)
 
     async def set_mode(self, mode: DiscoveryMode) -> None:
-        """Behave as `mode` says from now on.
+        """Switch to a mode; all modes except "serve" drop the polls that wait for a change.
 
         Raises:
             OSError: Discovery cannot listen again after the mode "refuse".
@@ -117,7 +117,7 @@
             self._drop_waiting_polls()
 
     def _drop_waiting_polls(self) -> None:
-        """Leave all polls that wait without a response."""
+        """Drop all polls that wait for a change, and leave them without a response."""
         for connection in self._waiting:
             connection.cancel_timer()
         self._waiting.clear()
@@ -125,7 +125,7 @@
     def reset_unanswered(self) -> int:
         """Reset the connections whose polls were left without a response, as a restarted machine does.
 
-        Returns how many connections were reset.
+        Returns the number of connections that were reset.
         """
         unanswered = [c for c in self._connections if c.is_unanswered and c not in self._waiting]
         for connection in unanswered:
@@ -133,7 +133,7 @@
         return len(unanswered)
 
     def stats(self) -> DiscoveryStats:
-        """Counts since the start, and what the process has used."""
+        """Return the counters since the start and the resource usage of the process."""
         return self._statistics.stats(
             index=self._registry.index,
             open_connections=len(self._connections),
@@ -147,7 +147,7 @@
         self._connections[connection] = None
 
     def on_disconnected(self, connection: PollConnection) -> None:
-        """Remove a connection, with its poll."""
+        """Remove a connection and its poll."""
         self._connections.pop(connection, None)
         self._waiting.pop(connection, None)
 
@@ -160,7 +160,7 @@
         self._statistics.on_sent(byte_count)
 
     def on_poll(self, connection: PollConnection, wait_ms: int) -> None:
-        """Answer a poll, or let it wait for a change, as the mode says."""
+        """Answer, delay, reject or ignore a poll, depending on the mode and on the index in the poll."""
         self._statistics.on_poll(time.monotonic())
         if self._mode == "silent":
             return
--- a/scale_experiments/emulators/discovery/endpoint_registry.py
+++ b/scale_experiments/emulators/discovery/endpoint_registry.py
@@ -8,37 +8,39 @@
 
 import orjson
 
-CHANGE_LOG_LENGTH = 1024  # changes; a poll that has an older index gets the complete list
-MAX_CACHED_BODIES = 256
-Entry = Mapping[str, Any]  # a JSON object in discovery's form
+CHANGE_LOG_LENGTH = 1024  # number of changes; a poll with an older index gets the complete list
+MAX_CACHED_BODIES = 256  # number of encoded responses kept under the current index
+Entry = Mapping[str, Any]  # entry of the endpoint list, in discovery's JSON format
 
 
 class Registry:
-    """The list under its current index, and the latest `log_length` changes."""
+    """The endpoint list under its current index, and its latest `log_length` changes."""
 
     def __init__(self, log_length: int = CHANGE_LOG_LENGTH) -> None:
         self._index = 0
-        self._entries: dict[str, Entry] = {}  # by name
-        self._changes: deque[tuple[int, Sequence[Entry]]] = deque(maxlen=log_length)  # with their indices
-        self._bodies: dict[int | None, bytes] = {}  # responses under the current index, by a poll's index
+        self._entries: dict[str, Entry] = {}  # current entries by name
+        # the index of each change and its entries
+        self._changes: deque[tuple[int, Sequence[Entry]]] = deque(maxlen=log_length)
+        # encoded responses under the current index, by the index in the poll
+        self._bodies: dict[int | None, bytes] = {}
 
     @property
     def index(self) -> int:
-        """The current index."""
+        """Index of the latest change or complete list."""
         return self._index
 
     def replace(self, index: int, entries: Iterable[Entry]) -> None:
-        """Take a complete list; a poll that has an earlier index gets it."""
+        """Replace the list and clear the log of changes: polls with an earlier index get the complete list."""
         self._index = index
         self._entries = {e["name"]: e for e in entries}
         self._changes.clear()
         self._bodies.clear()
 
     def change(self, index: int, entries: Sequence[Entry]) -> None:
-        """Take changed entries; those that are terminated are removed.
+        """Apply changed entries; terminated ones are removed from the list.
 
         Raises:
-            ValueError: `index` is not the next one.
+            ValueError: `index` does not follow the current index.
         """
         if index != self._index + 1:
             raise ValueError(f"change {index} does not follow {self._index}")
@@ -52,13 +54,13 @@
         self._bodies.clear()
 
     def has_update(self, after: int | None) -> bool:
-        """Whether the current index is another than a poll's."""
+        """Return whether the current index differs from `after`, the index in a poll."""
         return after != self._index
 
     def response_body(self, after: int | None) -> bytes:
-        """The response to a poll: the entries changed since its index, or the complete list.
+        """Return the response to a poll: the entries changed since the index `after`, or the complete list.
 
-        The list is complete where the poll has no index, or one that the log of changes does not reach.
+        The list is complete if the poll has no index, or one that the log of changes does not cover.
         """
         body = self._bodies.get(after)
         if body is None:
@@ -75,7 +77,7 @@
         return orjson.dumps(message)
 
     def _changed_since(self, after: int) -> dict[str, Entry]:
-        """The latest state of each entry that changed since an index, by name."""
+        """Return the latest state of each entry that changed since an index, by name."""
         return {
             entry["name"]: entry for index, entries in self._changes if index > after for entry in entries
         }
--- a/scale_experiments/emulators/discovery/poll_connection.py
+++ b/scale_experiments/emulators/discovery/poll_connection.py
@@ -8,57 +8,57 @@
 from typing import Protocol, cast
 from urllib.parse import parse_qs, urlsplit
 
-MAX_HEAD_BYTES = 8192  # of a poll
-MAX_WAIT_MS = 60_000
+MAX_HEAD_BYTES = 8192  # size limit of a poll
+MAX_WAIT_MS = 60_000  # limit of the time that a poll may wait for a change
 LIST_PATH = "/registry/instances"
 
 
 class PollError(ValueError):
-    """A poll that is not of the protocol."""
+    """A request that is not a valid poll."""
 
 
 @dataclass(slots=True, frozen=True)
 class Poll:
-    """What a poll asks for: a list newer than index `after`, or the complete list where that is None."""
+    """A request for updates after the index `after`, or for the complete list if that is None."""
 
     after: int | None
-    wait_ms: int
+    wait_ms: int  # time that the poll may wait for a change
 
 
 def parse_poll(target: str) -> Poll:
-    """The poll of a request's target.
+    """Parse the path and query of a poll.
 
     Raises:
-        PollError: The path is not the list's, or a parameter is not a number.
+        PollError: The path is not that of the endpoint list, or a parameter is not an integer.
     """
     parts = urlsplit(target)
     if parts.path != LIST_PATH:
-        raise PollError("no such path")
+        raise PollError(f"no such path: {parts.path}")
     query = parse_qs(parts.query)
     try:
         after = int(query["after"][0]) if "after" in query else None
         wait_ms = int(query["wait_ms"][0]) if "wait_ms" in query else 0
     except ValueError as e:
-        raise PollError("not a number") from e
+        raise PollError(f"after or wait_ms is not an integer: {parts.query}") from e
     return Poll(after, min(max(0, wait_ms), MAX_WAIT_MS))
 
 
 def encode_response(status: str, body: bytes, close: bool) -> bytes:
-    """An HTTP/1.1 response; `close` announces that the connection is closed after it."""
+    """Encode an HTTP/1.1 response; `close` announces that the connection is closed after it."""
     ending = b"Connection: close\r\n" if close else b""
     head = b"HTTP/1.1 %b\r\nContent-Length: %d\r\n%b\r\n" % (status.encode(), len(body), ending)
     return head + body
 
 
 class ConnectionOwner(Protocol):
-    """Discovery as its connections see it."""
+    """The part of discovery that its connections use."""
 
     def on_connected(self, connection: PollConnection) -> None:
         """Add a connection."""
         ...
 
     def on_disconnected(self, connection: PollConnection) -> None:
-        """Remove a connection, with its poll."""
+        """Remove a connection and its poll."""
         ...
 
     def on_received(self, byte_count: int) -> None:
@@ -70,22 +70,22 @@
         ...
 
     def on_poll(self, connection: PollConnection, wait_ms: int) -> None:
-        """Answer a poll at once or later, by the connection's `respond`."""
+        """Handle a poll; the response is sent by the connection's `respond`, now or later."""
         ...
 
 
 class PollConnection(asyncio.Protocol):
-    """One connection, which carries one poll at a time, in the order of their arrival."""
+    """A connection that handles one poll at a time, in the order of arrival."""
 
-    # many thousands are open at a time
+    # slots save memory: many thousands of connections are open at the same time
     __slots__ = ("_buffer", "_close_after", "_discovery", "_timer", "_transport", "after", "is_unanswered")
 
     def __init__(self, discovery: ConnectionOwner) -> None:
-        self.after: int | None = None  # the index that the latest poll has
-        self.is_unanswered = False  # a poll has no response yet
+        self.after: int | None = None  # index in the latest poll
+        self.is_unanswered = False  # whether the latest poll has no response yet
         self._discovery = discovery
         self._buffer = b""
-        self._close_after = False  # the response to the current poll
+        self._close_after = False  # whether to close the connection after the response to the latest poll
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -98,7 +98,7 @@
         self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Read a poll, unless the previous one has no response yet."""
+        """Buffer the data, and read the next poll unless the previous one has no response yet."""
         self._discovery.on_received(len(data))
         self._buffer += data
         if len(self._buffer) > MAX_HEAD_BYTES:
@@ -116,9 +116,9 @@
         try:
             method, target, _ = first.decode("ascii").split(" ")
             if method != "GET":
-                raise PollError("not a GET")
+                raise PollError(f"method is not GET: {method}")
             poll = parse_poll(target)
-        except ValueError:  # also PollError, and text that is not ASCII
+        except ValueError:  # includes PollError and UnicodeDecodeError
             self._close_after = True
             self.respond("400 Bad Request", b"")
             return
@@ -127,17 +127,17 @@
         self._discovery.on_poll(self, poll.wait_ms)
 
     def start_timer(self, delay_s: float, on_expired: Callable[[PollConnection], None]) -> None:
-        """Call `on_expired` with this connection after a delay, unless the poll is answered before."""
+        """Call `on_expired` with this connection after a delay, unless the timer is cancelled before."""
         self._timer = asyncio.get_running_loop().call_later(delay_s, on_expired, self)
 
     def cancel_timer(self) -> None:
-        """Leave the poll without a response."""
+        """Cancel the timer of the latest poll, if one is running."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def respond(self, status: str, body: bytes) -> None:
-        """Respond to the poll, and read the next one if it has arrived."""
+        """Send the response to the latest poll, and read the next poll if it has arrived."""
         self.cancel_timer()
         self.is_unanswered = False
         data = encode_response(status, body, self._close_after)
@@ -149,6 +149,6 @@
             self._read_poll()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Remove the connection from discovery, with its poll."""
+        """Remove the connection and its poll from discovery."""
         self.cancel_timer()
         self._discovery.on_disconnected(self)
--- a/scale_experiments/emulators/discovery/statistics.py
+++ b/scale_experiments/emulators/discovery/statistics.py
@@ -1,4 +1,4 @@
-"""The counts of an emulated discovery; no I/O."""
+"""Counters of the discovery emulator; no I/O."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from scale_experiments.emulators.messages.common import ProcessUsage
 from scale_experiments.emulators.messages.discovery import DiscoveryStats
 
-BUCKET_SECONDS = 0.1  # of the counts of polls over time
-MAX_BUCKETS = 6000
+BUCKET_SECONDS = 0.1  # width of an interval in which polls are counted
+MAX_BUCKETS = 6000  # number of the latest intervals that are kept
 
 
 class DiscoveryStatistics:
-    """Counts since the start, one method for each event that is counted; times are in seconds."""
+    """Counters since the start, with one method per counted event; times are in seconds."""
 
     def __init__(self) -> None:
         self._polls = 0
@@ -22,8 +22,8 @@
         self._rejected = 0
         self._bytes_in = 0
         self._bytes_out = 0
-        self._polls_over_time: deque[list[float]] = deque(maxlen=MAX_BUCKETS)  # [number of the bucket, polls]
-        self._notification_s = 0.0  # from the latest change until the last response to it was written
+        self._polls_over_time: deque[list[float]] = deque(maxlen=MAX_BUCKETS)  # [bucket number, polls]
+        self._notification_s = 0.0  # time from the latest change until the last response to it was written
         self._notified_polls = 0
 
     def on_connected(self) -> None:
@@ -39,7 +39,7 @@
         self._bytes_out += byte_count
 
     def on_poll(self, now: float) -> None:
-        """Count a poll, also in its bucket of time."""
+        """Count a poll, also in the bucket of its time."""
         self._polls += 1
         bucket = now // BUCKET_SECONDS
         if self._polls_over_time and self._polls_over_time[-1][0] == bucket:
@@ -48,25 +48,25 @@
             self._polls_over_time.append([bucket, 1])
 
     def on_answered(self) -> None:
-        """Count a poll that is answered by a list or by changes."""
+        """Count a poll that is answered with a complete list or with changes."""
         self._answered += 1
 
     def on_rejected(self) -> None:
-        """Count a poll that is answered by 503."""
+        """Count a poll that is answered with status 503."""
         self._rejected += 1
 
     def on_change(self, waiting_polls: int) -> None:
-        """Record how many polls waited for a change."""
+        """Record the number of polls that waited for a change."""
         self._notified_polls = waiting_polls
 
     def on_change_sent(self, duration_s: float) -> None:
-        """Record how long it took to respond to all polls that waited for a change."""
+        """Record the time that the responses to all polls that waited for a change have taken."""
         self._notification_s = duration_s
 
     def stats(
         self, *, index: int, open_connections: int, waiting: int, usage: ProcessUsage
     ) -> DiscoveryStats:
-        """All counts, with the current index, connections, waiting polls and usage of the process."""
+        """Return all counters, with the current index, connections, waiting polls and process usage."""
         return DiscoveryStats(
             polls=self._polls,
             connections=self._connections,
