--- a/scale_experiments/emulators/discovery/endpoint_registry.py
+++ b/scale_experiments/emulators/discovery/endpoint_registry.py
@@ -30,7 +30,7 @@
         return self._index
 
     def replace(self, index: int, entries: Iterable[Entry]) -> None:
-        """Replace the list and clear the log of changes: polls with an earlier index get the complete list."""
+        """Replace the list and clear the log; a poll with an earlier index gets the complete list."""
         self._index = index
         self._entries = {e["name"]: e for e in entries}
         self._changes.clear()
