--- a/scale_experiments/emulators/messages/routers.py
+++ b/scale_experiments/emulators/messages/routers.py
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GetRoutersStats:
-    """Get the counts since the start, and the current minima."""
+    """Get the counts since the start, and the lowest index and endpoint count."""
 
     do: ClassVar[str] = "stats"
     reply_type: ClassVar[type[RoutersStats]] = RoutersStats
--- a/scale_experiments/routers/hollow/fleet.py
+++ b/scale_experiments/routers/hollow/fleet.py
@@ -27,7 +27,7 @@
 
 
 class HollowFleet:
-    """The routers of this process."""
+    """All hollow routers of this process."""
 
     def __init__(self) -> None:
         self._routers: list[HollowRouter] = []
@@ -35,10 +35,10 @@
         self._start_timers: list[asyncio.TimerHandle] = []
 
     async def handle(self, command: HollowCommand) -> object:
-        """Carry out a command of the control channel; returns the reply.
+        """Execute a command of the control channel and return the reply.
 
         Raises:
-            ValueError: There is no such mode, or the settings or the cached list cannot be used.
+            ValueError: The mode is unknown, or the settings or the cached list cannot be used.
         """
         match command:
             case StartRouters():
@@ -50,7 +50,7 @@
                 return UpdateTimes(self._statistics.update_times(command.index))
 
     def _start(self, command: StartRouters) -> None:
-        """Start the routers, spread evenly over the time of the command."""
+        """Start the routers, spread evenly over `spread_s` of the command."""
         if command.mode not in get_args(HollowMode):
             raise ValueError(f"no such mode: {command.mode}")
         settings = read_settings(command.settings)
@@ -72,7 +72,7 @@
             self._start_timers.append(loop.call_later(delay_s, router.start, cached_list.endpoints))
 
     def _stats(self) -> RoutersStats:
-        """Counts since the start, and what the process has used."""
+        """Return the counts since the start, the lowest index and endpoint count, and the process usage."""
         return RoutersStats(
             updates=self._statistics.updates,
             failed=self._statistics.failed,
--- a/scale_experiments/routers/hollow/minimal_discovery.py
+++ b/scale_experiments/routers/hollow/minimal_discovery.py
@@ -1,4 +1,4 @@
-"""A watch that sends and reads a poll with the least work that puts the same bytes on the wire."""
+"""A watch that puts the same bytes on the wire as the router's own, with as little work as possible."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     rb"HTTP/1.1 (\d+) .*?\r\ncontent-length: *(\d+)\r\n.*?\r\n\r\n", re.IGNORECASE | re.DOTALL
 )
 LIST_START = re.compile(rb'{"index":(\d+),"snapshot":(true|false),"endpoints":\[(.?)')
-# replaces the endpoints of a response that has any
+# stands for the endpoints of a response with at least one
 PLACEHOLDER_ENDPOINTS = [NetworkEndpoint(Endpoint("-"), "127.0.0.1:1")]
 
 
 class MinimalPoll(asyncio.Protocol):
-    """One poll; `done` gets the body of its response, or the error.
+    """The connection of one poll; sets the body of the response, or an error, as the result of `done`.
 
-    Errors are those of the connection, and EndpointListError for a response that cannot be used.
+    The error is that of the connection, or EndpointListError for a response that cannot be used.
     """
 
     def __init__(self, request: bytes, done: asyncio.Future[bytes]) -> None:
@@ -36,20 +36,20 @@
         cast(asyncio.Transport, transport).write(self._request)
 
     def data_received(self, data: bytes) -> None:
-        """Finish once the response is complete, or fail if it cannot be used."""
+        """Buffer the data; finish if the response is complete, or fail if it cannot be used."""
         self._buffer += data
         head = RESPONSE_HEAD.match(self._buffer)
         if head is not None and len(self._buffer) >= head.end() + int(head[2]):
             if head[1] == b"200":
                 self._finish(self._buffer[head.end() :])
             else:
-                self._fail(EndpointListError(f"answered {head[1].decode()}"))
+                self._fail(EndpointListError(f"response has status {head[1].decode()}"))
         elif len(self._buffer) > MAX_LIST_SIZE:
-            self._fail(EndpointListError("too long"))
+            self._fail(EndpointListError(f"response is longer than {MAX_LIST_SIZE} bytes"))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail, unless the response was complete."""
-        self._fail(exc or ConnectionResetError("ended without an answer"))
+        """Fail, unless the response has been read."""
+        self._fail(exc or ConnectionResetError("connection closed before the end of the response"))
 
     def _finish(self, body: bytes) -> None:
         if not self._done.done():
@@ -61,7 +61,7 @@
 
 
 class MinimalDiscovery(Discovery):
-    """The program's watch with a poll of its own: same request, same times, but only the index is read."""
+    """The router's watch with the same requests at the same times; only the start of a response is read."""
 
     async def _poll(self) -> EndpointListMessage:
         poll = self.next_poll()
@@ -76,9 +76,9 @@
                 body = await done
             finally:
                 transport.close()
-        # decoding a complete list would cost as much as storing it
+        # the list is not decoded, because that would cost as much as storing it
         start = LIST_START.match(body)
         if start is None:
-            raise EndpointListError("no list")
+            raise EndpointListError(f"response does not begin with an endpoint list: {body[:40]!r}")
         endpoints = PLACEHOLDER_ENDPOINTS if start[3] == b"{" else []
         return EndpointListMessage(int(start[1]), start[2] == b"true", endpoints)
--- a/scale_experiments/routers/hollow/router.py
+++ b/scale_experiments/routers/hollow/router.py
@@ -1,4 +1,4 @@
-"""One hollow router: the program's own watch and dispatcher, without clients and without requests."""
+"""One hollow router: the watch and the dispatcher of a complete router, without clients and requests."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RinglessDispatcher(Dispatcher):
-    """A dispatcher that stores endpoints, and from which the decision module builds no ring."""
+    """A dispatcher that stores endpoints, but whose decision module builds no hash ring from them."""
 
     def post(self, event: Event) -> None:
         """Post an event; an endpoint update is posted without its endpoints."""
@@ -27,7 +27,7 @@
 
 
 class HollowRouter:
-    """The router `number` of a process, which watches discovery at `address` (host:port)."""
+    """A hollow router, with its number in the process, that watches discovery at `address` (host:port)."""
 
     def __init__(
         self,
@@ -62,16 +62,16 @@
 
     @property
     def index(self) -> int:
-        """The highest index that the router has had."""
+        """Highest index that the router has had, including that of the cached list."""
         return self._index
 
     @property
     def endpoint_count(self) -> int:
-        """How many endpoints the dispatcher stores."""
+        """Number of endpoints that the dispatcher stores."""
         return len(self._dispatcher.endpoints)
 
     def start(self, cached_list: list[NetworkEndpoint]) -> None:
-        """Post the cached endpoint list and subscribe, as the program does."""
+        """Post the cached endpoint list and subscribe, as a complete router does."""
         endpoints = [] if self._mode == "index" else cached_list
         self._dispatcher.on_endpoint_update(EndpointUpdateKind.CACHED, endpoints)
         if self._is_automatic:
@@ -87,7 +87,7 @@
         asyncio.get_running_loop().call_soon(self._record_index)
 
     def _record_index(self) -> None:
-        """Count the update of an index that is higher than all before it."""
+        """Record the current index of the watch, if it is higher than all indices before."""
         index = self._discovery.index
         if index is not None and index > self._index:
             self._statistics.on_index(self._number, self._index, index, time.monotonic())
--- a/scale_experiments/routers/hollow/update_times.py
+++ b/scale_experiments/routers/hollow/update_times.py
@@ -1,4 +1,4 @@
-"""Records when each hollow router had each index, and counts updates and failed polls; no I/O."""
+"""Records when each hollow router first had each index, and counts updates and failed polls; no I/O."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from array import array
 from collections import OrderedDict
 
-MAX_RECORDED_INDICES = 512
+MAX_RECORDED_INDICES = 512  # the oldest index is dropped beyond this number
 
 
 class UpdateTimeTable:
-    """When each router first had each index: seconds of the monotonic clock, NaN where it has not had it."""
+    """Monotonic times in seconds at which each router first had each index; NaN if it has not had it."""
 
     def __init__(self, routers: int) -> None:
         self._routers = routers
         self._times_by_index: OrderedDict[int, array[float]] = OrderedDict()
 
     def record(self, router: int, before: int, index: int, at: float) -> None:
-        """Record that a router has `index`, and so all indices after `before`, at a time.
+        """Record that a router has `index` at the time `at`, and so all indices after `before`.
 
-        The oldest indices are dropped where there are more than `MAX_RECORDED_INDICES`.
+        The oldest indices are dropped if there are more than `MAX_RECORDED_INDICES`.
         """
         for each in range(max(before + 1, index - MAX_RECORDED_INDICES + 1), index + 1):
             if each not in self._times_by_index:
@@ -29,7 +29,7 @@
             self._times_by_index[each][router] = at
 
     def times(self, index: int) -> list[float]:
-        """When each router had an index."""
+        """Return the time at which each router first had an index."""
         return list(self._times_by_index.get(index) or self._unknown_times())
 
     def _unknown_times(self) -> array[float]:
@@ -37,7 +37,7 @@
 
 
 class FleetStatistics:
-    """Updates and failed polls of all routers of a process, and when each router had each index."""
+    """Counts of updates and failed polls of all routers of a process, and the times of each index."""
 
     def __init__(self, routers: int) -> None:
         self._update_times = UpdateTimeTable(routers)
@@ -46,16 +46,16 @@
 
     @property
     def updates(self) -> int:
-        """How many responses of discovery the routers have received."""
+        """Number of updates that the routers have received from discovery."""
         return self._updates
 
     @property
     def failed(self) -> int:
-        """How many polls have failed."""
+        """Number of failed polls."""
         return self._failed
 
     def on_update(self) -> None:
-        """Count a response of discovery."""
+        """Count an update from discovery."""
         self._updates += 1
 
     def on_failure(self) -> None:
@@ -67,5 +67,5 @@
         self._update_times.record(router, before, index, now)
 
     def update_times(self, index: int) -> list[float]:
-        """When each router had an index; NaN where it has not had it."""
+        """Return the time at which each router first had an index; NaN if it has not had it."""
         return self._update_times.times(index)
--- a/tests/scale_experiments/routers/test_hollow.py
+++ b/tests/scale_experiments/routers/test_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow routers follow the list of an emulated discovery, and record when they had each index."""
+"""Hollow routers apply the updates of an emulated discovery and record when they first had each index."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def start_command(mode: HollowMode, discovery: DiscoveryEmulator) -> StartRouters:
-    """Return the command that starts two routers, which have a list of one entry."""
+    """Return the command that starts two routers with a cached list of one entry."""
     return StartRouters(
         routers=2,
         seed=1,
@@ -56,7 +56,7 @@
 
 
 async def update_times(fleet: HollowFleet, index: int) -> list[float | None]:
-    """Return when each router of a fleet had an index."""
+    """Return the time at which each router of a fleet first had an index."""
     reply = await fleet.handle(GetUpdateTimes(index))
     assert isinstance(reply, UpdateTimes)
     return list(reply.times)
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize(("mode", "endpoints"), [("router", 2), ("list", 2), ("index", 1)])
 async def test_hollow_routers_follow_discovery(mode: HollowMode, endpoints: int) -> None:
-    """Each mode has the new index; the mode "index" stores one placeholder instead of the endpoints."""
+    """Routers of each mode apply the new index; in the mode "index" they store one placeholder endpoint."""
     discovery = DiscoveryEmulator()
     await discovery.listen()
     discovery.replace_list(LIST_INDEX, [endpoint_entry("s-1")])
