--- a/scale_experiments/emulators/codec.py
+++ b/scale_experiments/emulators/codec.py
@@ -6,9 +6,9 @@
 from dataclasses import MISSING, fields, is_dataclass
 from typing import Any, ClassVar, Protocol, TypeVar
 
-# Keys of a field's metadata: KEY holds the field's name in JSON, DECODE the function that decodes its value.
-KEY = "key"
-DECODE = "decode"
+# Keys of a field's metadata, for the field's key in JSON and for the function that decodes its value.
+JSON_KEY = "key"
+DECODER = "decode"
 
 Message = TypeVar("Message")
 ReplyT_co = TypeVar("ReplyT_co", covariant=True)
@@ -49,7 +49,9 @@
         return {key: encode(value) for key, value in message.items()}
     if not is_dataclass(message):
         return message
-    values = {each.metadata.get(KEY, each.name): getattr(message, each.name) for each in fields(message)}
+    values = {
+        field.metadata.get(JSON_KEY, field.name): getattr(message, field.name) for field in fields(message)
+    }
     return {key: encode(value) for key, value in values.items() if value is not None}
 
 
@@ -65,12 +67,12 @@
         KeyError: The object lacks a field that has no default.
     """
     values: dict[str, Any] = {}
-    for each in fields(message_type):  # type: ignore[arg-type]
-        key = each.metadata.get(KEY, each.name)
-        if key not in message and each.default is not MISSING:
+    for field in fields(message_type):  # type: ignore[arg-type]
+        key = field.metadata.get(JSON_KEY, field.name)
+        if key not in message and field.default is not MISSING:
             continue
         value = message[key]
-        values[each.name] = each.metadata[DECODE](value) if DECODE in each.metadata else value
+        values[field.name] = field.metadata[DECODER](value) if DECODER in field.metadata else value
     return message_type(**values)
 
 
--- a/scale_experiments/emulators/messages/caches.py
+++ b/scale_experiments/emulators/messages/caches.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any, ClassVar, Literal
 
-from scale_experiments.emulators.codec import DECODE, KEY, decode
+from scale_experiments.emulators.codec import DECODER, JSON_KEY, decode
 from scale_experiments.emulators.messages.common import Done, ProcessUsage
 
 CacheMode = Literal["serve", "drain", "hang", "dead"]
@@ -20,8 +20,8 @@
     service_s: float  # time to serve a request
     handshake_s: float  # additional time for the first request on a connection
     idle_s: float  # time without requests after which a connection is closed
-    max_connections: int = field(metadata={KEY: "most_connections"})  # limit of each cache
-    max_keys: int = field(metadata={KEY: "most_keys"})  # limit of a cache that starts empty
+    max_connections: int = field(metadata={JSON_KEY: "most_connections"})  # limit of each cache
+    max_keys: int = field(metadata={JSON_KEY: "most_keys"})  # limit of a cache that starts empty
     warm: bool  # whether caches have every key at the start
 
 
@@ -42,7 +42,7 @@
     addresses: dict[str, str]
     origin: str
     origin_service_s: float
-    origin_max_concurrent: int = field(metadata={KEY: "origin_most_at_once"})
+    origin_max_concurrent: int = field(metadata={JSON_KEY: "origin_most_at_once"})
 
 
 @dataclass(slots=True, frozen=True)
@@ -64,10 +64,10 @@
     handshakes: int
     requests: int
     hits: int
-    misses: int = field(metadata={KEY: "missed"})
-    rejected: int = field(metadata={KEY: "busy"})
+    misses: int = field(metadata={JSON_KEY: "missed"})
+    rejected: int = field(metadata={JSON_KEY: "busy"})
     open_sum: float
-    max_open: int = field(metadata={KEY: "most_open"})
+    max_open: int = field(metadata={JSON_KEY: "most_open"})
     open: int
 
 
@@ -76,10 +76,10 @@
     """Counters of the origin since its start."""
 
     requests: int = 0
-    rejected: int = field(default=0, metadata={KEY: "turned_away"})
+    rejected: int = field(default=0, metadata={JSON_KEY: "turned_away"})
     connections: int = 0
     open: int = 0
-    max_open: int = field(default=0, metadata={KEY: "most_open"})
+    max_open: int = field(default=0, metadata={JSON_KEY: "most_open"})
 
 
 def decode_cache_counters(caches: Mapping[str, Mapping[str, Any]]) -> dict[str, CacheCounters]:
@@ -98,8 +98,8 @@
 
     time: float  # wall-clock time at which the counters were read
     samples: int
-    caches: dict[str, CacheCounters] = field(metadata={DECODE: decode_cache_counters})
-    origin: OriginCounters = field(metadata={DECODE: decode_origin_counters})
+    caches: dict[str, CacheCounters] = field(metadata={DECODER: decode_cache_counters})
+    origin: OriginCounters = field(metadata={DECODER: decode_origin_counters})
 
 
 @dataclass(slots=True, frozen=True)
--- a/scale_experiments/emulators/messages/clients.py
+++ b/scale_experiments/emulators/messages/clients.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import ClassVar
 
-from scale_experiments.emulators.codec import KEY
+from scale_experiments.emulators.codec import JSON_KEY
 from scale_experiments.emulators.messages.common import Done, ProcessUsage
 
 # outcomes of requests, as keys of ClientsStats.counts
@@ -39,10 +39,10 @@
     rate_per_s: float  # requests per second at each router
     seed: int
     deadline_s: float
-    read_class: str = field(metadata={KEY: "read"})
-    write_class: str = field(metadata={KEY: "write"})
+    read_class: str = field(metadata={JSON_KEY: "read"})
+    write_class: str = field(metadata={JSON_KEY: "write"})
     keys: int
-    zipf_exponent: float = field(metadata={KEY: "zipf"})
+    zipf_exponent: float = field(metadata={JSON_KEY: "zipf"})
     write_share: float
     value_bytes: int
 
--- a/scale_experiments/emulators/messages/discovery.py
+++ b/scale_experiments/emulators/messages/discovery.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any, ClassVar, Literal
 
-from scale_experiments.emulators.codec import KEY
+from scale_experiments.emulators.codec import JSON_KEY
 from scale_experiments.emulators.messages.common import ProcessUsage
 
 DiscoveryMode = Literal["serve", "silent", "refuse", "busy"]
@@ -87,19 +87,19 @@
     `bucket_s` seconds with any polls: the number of the interval on the monotonic clock, and its polls.
     """
 
-    polls: int = field(metadata={KEY: "calls"})
+    polls: int = field(metadata={JSON_KEY: "calls"})
     connections: int
     answered: int
-    rejected: int = field(metadata={KEY: "refused"})
+    rejected: int = field(metadata={JSON_KEY: "refused"})
     bytes_in: int
     bytes_out: int
-    notification_s: float = field(metadata={KEY: "told_s"})
-    notified_polls: int = field(metadata={KEY: "told_calls"})
+    notification_s: float = field(metadata={JSON_KEY: "told_s"})
+    notified_polls: int = field(metadata={JSON_KEY: "told_calls"})
     index: int
     open: int
     waiting: int
     bucket_s: float
-    polls_over_time: list[list[float]] = field(metadata={KEY: "over_time"})
+    polls_over_time: list[list[float]] = field(metadata={JSON_KEY: "over_time"})
 
 
 @dataclass(slots=True, frozen=True)
--- a/scale_experiments/emulators/messages/routers.py
+++ b/scale_experiments/emulators/messages/routers.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any, ClassVar, Literal
 
-from scale_experiments.emulators.codec import KEY
+from scale_experiments.emulators.codec import JSON_KEY
 from scale_experiments.emulators.messages.common import Done, ProcessUsage
 
 HollowMode = Literal["router", "list", "index"]
@@ -24,10 +24,10 @@
 
     routers: int
     seed: int
-    mode: HollowMode = field(metadata={KEY: "held"})
+    mode: HollowMode = field(metadata={JSON_KEY: "held"})
     discovery: list[str]
     settings: dict[str, Any]
-    cached_list: Mapping[str, Any] = field(metadata={KEY: "known"})
+    cached_list: Mapping[str, Any] = field(metadata={JSON_KEY: "known"})
     spread_s: float
 
 
@@ -35,10 +35,10 @@
 class RoutersStats(ProcessUsage):
     """Counts of updates and failed polls of all routers, and their lowest index and endpoint count."""
 
-    updates: int = field(metadata={KEY: "told"})
+    updates: int = field(metadata={JSON_KEY: "told"})
     failed: int
-    lowest_index: int = field(metadata={KEY: "lowest"})
-    fewest_endpoints: int = field(metadata={KEY: "entries"})
+    lowest_index: int = field(metadata={JSON_KEY: "lowest"})
+    fewest_endpoints: int = field(metadata={JSON_KEY: "entries"})
 
 
 @dataclass(slots=True, frozen=True)
