--- a/scale_experiments/routers/hollow/minimal_discovery.py
+++ b/scale_experiments/routers/hollow/minimal_discovery.py
@@ -21,14 +21,14 @@
 
 
 class MinimalPoll(asyncio.Protocol):
-    """The connection of one poll; sets the body of the response, or an error, as the result of `done`.
+    """The connection of one poll; sets the body of the response, or an error, as the result of `response`.
 
     The error is that of the connection, or EndpointListError for a response that cannot be used.
     """
 
-    def __init__(self, request: bytes, done: asyncio.Future[bytes]) -> None:
+    def __init__(self, request: bytes, response: asyncio.Future[bytes]) -> None:
         self._request = request
-        self._done = done
+        self._response = response
         self._buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -52,28 +52,28 @@
         self._fail(exc or ConnectionResetError("connection closed before the end of the response"))
 
     def _finish(self, body: bytes) -> None:
-        if not self._done.done():
-            self._done.set_result(body)
+        if not self._response.done():
+            self._response.set_result(body)
 
     def _fail(self, error: Exception) -> None:
-        if not self._done.done():
-            self._done.set_exception(error)
+        if not self._response.done():
+            self._response.set_exception(error)
 
 
 class MinimalDiscovery(Discovery):
-    """The router's watch with the same requests at the same times; only the start of a response is read."""
+    """The router's watch with the same requests at the same times; only the start of a response is parsed."""
 
     async def _poll(self) -> EndpointListMessage:
         poll = self.next_poll()
         request = f"GET {poll.target} HTTP/1.1\r\nHost: {self.address}\r\nConnection: close\r\n\r\n".encode()
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(poll.timeout):
-            done: asyncio.Future[bytes] = loop.create_future()
+            response: asyncio.Future[bytes] = loop.create_future()
             transport, _ = await loop.create_connection(
-                lambda: MinimalPoll(request, done), *parse_address(self.address)
+                lambda: MinimalPoll(request, response), *parse_address(self.address)
             )
             try:
-                body = await done
+                body = await response
             finally:
                 transport.close()
         # the list is not decoded, because that would cost as much as storing it
--- a/scale_experiments/routers/hollow/router.py
+++ b/scale_experiments/routers/hollow/router.py
@@ -49,14 +49,14 @@
         origin_pool = ConnectionPool(OriginConnection, 1, connect_timeout, idle_timeout)
         dispatcher_type = Dispatcher if mode == "router" else RinglessDispatcher
         self._dispatcher = dispatcher_type(settings, seed, cache_pool, origin_pool, self._subscribe)
-        self._is_automatic = not settings.must_subscribe
+        self._updates_are_pushed = not settings.must_subscribe
         discovery_type = MinimalDiscovery if mode == "index" else Discovery
         self._discovery = discovery_type(
             address,
             index,
             self._on_update,
             self._on_failure,
-            self._is_automatic,
+            self._updates_are_pushed,
             budget=settings.watch_budget,
         )
 
@@ -74,7 +74,7 @@
         """Post the cached endpoint list and subscribe, as a complete router does."""
         endpoints = [] if self._mode == "index" else cached_list
         self._dispatcher.on_endpoint_update(EndpointUpdateKind.CACHED, endpoints)
-        if self._is_automatic:
+        if self._updates_are_pushed:
             self._discovery.subscribe()
 
     def _subscribe(self) -> None:
--- a/scale_experiments/routers/hollow/update_times.py
+++ b/scale_experiments/routers/hollow/update_times.py
@@ -21,12 +21,12 @@
 
         The oldest indices are dropped if there are more than `MAX_RECORDED_INDICES`.
         """
-        for each in range(max(before + 1, index - MAX_RECORDED_INDICES + 1), index + 1):
-            if each not in self._times_by_index:
-                self._times_by_index[each] = self._unknown_times()
+        for passed in range(max(before + 1, index - MAX_RECORDED_INDICES + 1), index + 1):
+            if passed not in self._times_by_index:
+                self._times_by_index[passed] = self._unknown_times()
                 if len(self._times_by_index) > MAX_RECORDED_INDICES:
                     self._times_by_index.popitem(last=False)
-            self._times_by_index[each][router] = at
+            self._times_by_index[passed][router] = at
 
     def times(self, index: int) -> list[float]:
         """Return the time at which each router first had an index."""
