--- a/scale_experiments/emulators/control.py
+++ b/scale_experiments/emulators/control.py
@@ -23,7 +23,7 @@
 
 # enough for an endpoint list with thousands of entries, or the update times of thousands of routers
 MAX_LINE_BYTES = 64 * 1024 * 1024
-READ_BYTES = 1 << 20  # maximum size of one read from an emulator
+MAX_READ_BYTES = 1 << 20  # maximum size of one read from an emulator
 ERROR_KEY = "error"  # key of the error text in the reply to a failed command
 MAX_ERROR_LENGTH = 300
 Reply = TypeVar("Reply")
@@ -78,9 +78,9 @@
         self.process = process
         self.name = name
         self._reply_timeout_s = reply_timeout_s
-        self._unread = bytearray()
+        self._unread_bytes = bytearray()
         self._input = process.stdin
-        self._output = process.stdout.fileno()
+        self._output_descriptor = process.stdout.fileno()
 
     def send(self, command: Command[Any]) -> None:
         """Send a command without waiting for its reply, which `receive` returns.
@@ -113,16 +113,16 @@
     def _read_line(self) -> bytes:
         deadline = time.monotonic() + self._reply_timeout_s
         with selectors.DefaultSelector() as selector:
-            selector.register(self._output, selectors.EVENT_READ)
-            while (end := self._unread.find(b"\n")) < 0:
+            selector.register(self._output_descriptor, selectors.EVENT_READ)
+            while (end := self._unread_bytes.find(b"\n")) < 0:
                 if not selector.select(max(0.0, deadline - time.monotonic())):
                     raise ControlError(f"{self.name} sent no reply within {self._reply_timeout_s:g} s")
-                data = os.read(self._output, READ_BYTES)
+                data = os.read(self._output_descriptor, MAX_READ_BYTES)
                 if not data:
                     raise ControlError(f"{self.name} has exited")
-                self._unread += data
-        line = bytes(self._unread[:end])
-        del self._unread[: end + 1]
+                self._unread_bytes += data
+        line = bytes(self._unread_bytes[:end])
+        del self._unread_bytes[: end + 1]
         return line
 
 
--- a/scale_experiments/emulators/discovery/endpoint_registry.py
+++ b/scale_experiments/emulators/discovery/endpoint_registry.py
@@ -22,7 +22,7 @@
         # the index of each change and its entries
         self._changes: deque[tuple[int, Sequence[Entry]]] = deque(maxlen=log_length)
         # encoded responses under the current index, by the index in the poll
-        self._bodies: dict[int | None, bytes] = {}
+        self._cached_bodies: dict[int | None, bytes] = {}
 
     @property
     def index(self) -> int:
@@ -34,7 +34,7 @@
         self._index = index
         self._entries = {e["name"]: e for e in entries}
         self._changes.clear()
-        self._bodies.clear()
+        self._cached_bodies.clear()
 
     def change(self, index: int, entries: Sequence[Entry]) -> None:
         """Apply changed entries; terminated ones are removed from the list.
@@ -51,7 +51,7 @@
             else:
                 self._entries[entry["name"]] = entry
         self._changes.append((index, entries))
-        self._bodies.clear()
+        self._cached_bodies.clear()
 
     def has_update(self, after: int | None) -> bool:
         """Return whether the current index differs from `after`, the index in a poll."""
@@ -62,11 +62,11 @@
 
         The list is complete if the poll has no index, or one that the log of changes does not cover.
         """
-        body = self._bodies.get(after)
+        body = self._cached_bodies.get(after)
         if body is None:
             body = self._encode_body(after)
-            if len(self._bodies) < MAX_CACHED_BODIES:
-                self._bodies[after] = body
+            if len(self._cached_bodies) < MAX_CACHED_BODIES:
+                self._cached_bodies[after] = body
         return body
 
     def _encode_body(self, after: int | None) -> bytes:
--- a/scale_experiments/emulators/discovery/poll_connection.py
+++ b/scale_experiments/emulators/discovery/poll_connection.py
@@ -45,8 +45,8 @@
 
 def encode_response(status: str, body: bytes, close: bool) -> bytes:
     """Encode an HTTP/1.1 response; `close` announces that the connection is closed after it."""
-    ending = b"Connection: close\r\n" if close else b""
-    head = b"HTTP/1.1 %b\r\nContent-Length: %d\r\n%b\r\n" % (status.encode(), len(body), ending)
+    close_header = b"Connection: close\r\n" if close else b""
+    head = b"HTTP/1.1 %b\r\nContent-Length: %d\r\n%b\r\n" % (status.encode(), len(body), close_header)
     return head + body
 
 
@@ -78,14 +78,14 @@
     """A connection that handles one poll at a time, in the order of arrival."""
 
     # slots save memory: many thousands of connections are open at the same time
-    __slots__ = ("_buffer", "_close_after", "_discovery", "_timer", "_transport", "after", "is_unanswered")
+    __slots__ = ("_buffer", "_discovery", "_must_close", "_timer", "_transport", "after", "is_unanswered")
 
     def __init__(self, discovery: ConnectionOwner) -> None:
         self.after: int | None = None  # index in the latest poll
         self.is_unanswered = False  # whether the latest poll has no response yet
         self._discovery = discovery
         self._buffer = b""
-        self._close_after = False  # whether to close the connection after the response to the latest poll
+        self._must_close = False  # whether to close the connection after the response to the latest poll
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -107,19 +107,19 @@
             self._read_poll()
 
     def _read_poll(self) -> None:
-        head, found, self._buffer = self._buffer.partition(b"\r\n\r\n")
-        if not found:
+        head, separator, self._buffer = self._buffer.partition(b"\r\n\r\n")
+        if not separator:
             self._buffer = head
             return
-        first, _, fields = head.partition(b"\r\n")
-        self._close_after = b"connection: close" in fields.lower()
+        request_line, _, header_lines = head.partition(b"\r\n")
+        self._must_close = b"connection: close" in header_lines.lower()
         try:
-            method, target, _ = first.decode("ascii").split(" ")
+            method, target, _ = request_line.decode("ascii").split(" ")
             if method != "GET":
                 raise PollError(f"method is not GET: {method}")
             poll = parse_poll(target)
         except ValueError:  # includes PollError and UnicodeDecodeError
-            self._close_after = True
+            self._must_close = True
             self.respond("400 Bad Request", b"")
             return
         self.after = poll.after
@@ -140,10 +140,10 @@
         """Send the response to the latest poll, and read the next poll if it has arrived."""
         self.cancel_timer()
         self.is_unanswered = False
-        data = encode_response(status, body, self._close_after)
+        data = encode_response(status, body, self._must_close)
         self._discovery.on_sent(len(data))
         self._transport.write(data)
-        if self._close_after:
+        if self._must_close:
             self._transport.close()
         elif self._buffer:
             self._read_poll()
--- a/scale_experiments/emulators/discovery/statistics.py
+++ b/scale_experiments/emulators/discovery/statistics.py
@@ -8,7 +8,7 @@
 from scale_experiments.emulators.messages.common import ProcessUsage
 from scale_experiments.emulators.messages.discovery import DiscoveryStats
 
-BUCKET_SECONDS = 0.1  # width of an interval in which polls are counted
+BUCKET_S = 0.1  # width of an interval in which polls are counted
 MAX_BUCKETS = 6000  # number of the latest intervals that are kept
 
 
@@ -41,7 +41,7 @@
     def on_poll(self, now: float) -> None:
         """Count a poll, also in the bucket of its time."""
         self._polls += 1
-        bucket = now // BUCKET_SECONDS
+        bucket = now // BUCKET_S
         if self._polls_over_time and self._polls_over_time[-1][0] == bucket:
             self._polls_over_time[-1][1] += 1
         else:
@@ -79,7 +79,7 @@
             index=index,
             open=open_connections,
             waiting=waiting,
-            bucket_s=BUCKET_SECONDS,
+            bucket_s=BUCKET_S,
             polls_over_time=list(self._polls_over_time),
             **asdict(usage),
         )
