--- a/tests/scale_experiments/emulators/test_control.py
+++ b/tests/scale_experiments/emulators/test_control.py
@@ -34,7 +34,7 @@
 
 
 @contextmanager
-def controlled(
+def control_client(
     *arguments: str, name: str = "emulator", reply_timeout_s: float = REPLY_TIMEOUT_S
 ) -> Iterator[ControlClient]:
     """Run Python with arguments and yield the client of its control channel; kill the process at the end."""
@@ -62,7 +62,7 @@
 def test_emulator_replies_until_its_standard_input_ends(
     module: str, command: Stats, reply_type: type[ProcessUsage]
 ) -> None:
-    with controlled("-m", module) as client:
+    with control_client("-m", module) as client:
         reply = client.request(command)
         assert type(reply) is reply_type
         assert reply.resident_bytes > 0
@@ -73,8 +73,8 @@
 
 def test_discoveries_send_their_addresses_and_carry_out_the_same_commands() -> None:
     with (
-        controlled("-m", DISCOVERY_MODULE, "127.0.0.1:0") as first,
-        controlled("-m", DISCOVERY_MODULE, "127.0.0.1:0") as second,
+        control_client("-m", DISCOVERY_MODULE, "127.0.0.1:0") as first,
+        control_client("-m", DISCOVERY_MODULE, "127.0.0.1:0") as second,
     ):
         addresses = [client.receive(Listening).address for client in (first, second)]
         assert all(address.startswith("127.0.0.1:") for address in addresses)
@@ -86,7 +86,7 @@
 
 
 def test_command_that_fails_is_reported_and_the_next_one_is_carried_out() -> None:
-    with controlled("-m", DISCOVERY_MODULE, "127.0.0.1:0", name="discovery") as client:
+    with control_client("-m", DISCOVERY_MODULE, "127.0.0.1:0", name="discovery") as client:
         client.receive(Listening)
         client.request(ReplaceList(7, []))
         with pytest.raises(ControlError, match=r"discovery: .*ValueError: change 9 does not follow 7"):
@@ -97,14 +97,14 @@
 
 def test_emulator_that_sends_no_reply_in_time_is_an_error() -> None:
     with (
-        controlled("-c", "input(); input()", reply_timeout_s=0.05) as client,
+        control_client("-c", "input(); input()", reply_timeout_s=0.05) as client,
         pytest.raises(ControlError, match=r"emulator sent no reply within 0\.05 s"),
     ):
         client.request(GetCachesStats())
 
 
 def test_emulator_that_has_exited_is_an_error() -> None:
-    with controlled("-c", "input()") as client:
+    with control_client("-c", "input()") as client:
         with pytest.raises(ControlError, match="emulator has exited"):
             client.request(GetCachesStats())
         client.process.wait(STOP_TIMEOUT_S)
@@ -120,7 +120,7 @@
             "sys.stdout.flush(); input()",
         ]
     )
-    with controlled("-c", program) as client:
+    with control_client("-c", program) as client:
         assert [client.receive(Done) for _ in range(3)] == [Done()] * 3
 
 
