--- a/scale_experiments/emulators/messages/clients.py
+++ b/scale_experiments/emulators/messages/clients.py
@@ -60,7 +60,7 @@
     """Counts since the start; `latency` is an encoded HDR histogram of latencies in microseconds."""
 
     time: float  # wall-clock time at which the counts were read
-    counts: dict[str, int]  # by the keys that this module defines
+    counts: dict[str, int]  # keys are constants of this module
     latency: str
 
 
--- a/scale_experiments/emulators/messages/common.py
+++ b/scale_experiments/emulators/messages/common.py
@@ -17,4 +17,4 @@
     at: float  # monotonic time at which the usage was read
     cpu_s: float  # user and system time
     resident_bytes: int
-    descriptors: int  # open ones
+    descriptors: int  # number of open file descriptors
--- a/scale_experiments/routers/hollow/minimal_discovery.py
+++ b/scale_experiments/routers/hollow/minimal_discovery.py
@@ -21,7 +21,7 @@
 
 
 class MinimalPoll(asyncio.Protocol):
-    """The connection of one poll; sets the body of the response, or an error, as the result of `response`.
+    """The connection of one poll; completes the future `response` with the response's body or an error.
 
     The error is that of the connection, or EndpointListError for a response that cannot be used.
     """
--- a/scale_experiments/routers/hollow/router.py
+++ b/scale_experiments/routers/hollow/router.py
@@ -87,7 +87,7 @@
         asyncio.get_running_loop().call_soon(self._record_index)
 
     def _record_index(self) -> None:
-        """Record the current index of the watch, if it is higher than all indices before."""
+        """Record the current index of the watch, if it is higher than all earlier ones."""
         index = self._discovery.index
         if index is not None and index > self._index:
             self._statistics.on_index(self._number, self._index, index, time.monotonic())
