--- a/scale_experiments/emulators/codec.py
+++ b/scale_experiments/emulators/codec.py
@@ -44,7 +44,7 @@
 
 
 def encode(message: object) -> Any:
-    """Return a message as a JSON object without the fields that are None; other values stay as they are."""
+    """Encode a message as a JSON object without the fields that are None; return other values unchanged."""
     if isinstance(message, dict):
         return {key: encode(value) for key, value in message.items()}
     if not is_dataclass(message):
--- a/scale_experiments/emulators/discovery/emulator.py
+++ b/scale_experiments/emulators/discovery/emulator.py
@@ -25,7 +25,7 @@
 )
 
 BACKLOG = 4096  # limit of connections that have not been accepted yet
-DEFAULT_ADDRESS = ("127.0.0.1", 0)  # on a free port
+DEFAULT_ADDRESS = ("127.0.0.1", 0)  # listens on a free port
 DEFAULT_BUSY_DELAY_S = 2.0  # delay of a rejection in the mode "busy"
 DiscoveryCommand = ReplaceList | ChangeList | SetDiscoveryMode | ResetUnanswered | GetDiscoveryStats
 COMMAND_TYPES: dict[str, type[NamedCommand] | type[SetDiscoveryMode]] = {
--- a/scale_experiments/routers/hollow/__main__.py
+++ b/scale_experiments/routers/hollow/__main__.py
@@ -1,4 +1,4 @@
-"""Runs hollow routers: routers without a data path, each of which watches discovery over its own sockets.
+"""Runs hollow routers: routers without a data path that watch discovery, each over its own sockets.
 
     python -m scale_experiments.routers.hollow
 
--- a/scale_experiments/routers/hollow/minimal_discovery.py
+++ b/scale_experiments/routers/hollow/minimal_discovery.py
@@ -16,7 +16,7 @@
     rb"HTTP/1.1 (\d+) .*?\r\ncontent-length: *(\d+)\r\n.*?\r\n\r\n", re.IGNORECASE | re.DOTALL
 )
 LIST_START = re.compile(rb'{"index":(\d+),"snapshot":(true|false),"endpoints":\[(.?)')
-# stands for the endpoints of a response with at least one
+# replaces the endpoints of a response that is not empty
 PLACEHOLDER_ENDPOINTS = [NetworkEndpoint(Endpoint("-"), "127.0.0.1:1")]
 
 
--- a/tests/scale_experiments/routers/__init__.py
+++ b/tests/scale_experiments/routers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the routers under test."""
+"""Tests of the routers that experiments start."""
