--- a/scale_experiments/emulators/__init__.py
+++ b/scale_experiments/emulators/__init__.py
@@ -1,1 +1,1 @@
-"""Emulators of what surrounds the routers, written from the protocol; each runs as a process of its own."""
+"""Emulators of the routers' clients and servers, written from the protocol; each runs in its own process."""
--- a/scale_experiments/emulators/address.py
+++ b/scale_experiments/emulators/address.py
@@ -1,14 +1,14 @@
-"""Addresses of emulators as text of the form `host:port`.
+"""Parsing and formatting of emulator addresses, text of the form `host:port`.
 
-The router's own parser is not used here: importing it would load the router's decisions into the process of
-discovery, whose memory is measured.
+The router's own parser is not used here: importing it would load the router's decision module into the
+discovery process, whose memory is measured.
 """
 
 from __future__ import annotations
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Host and port of a text that is split at its last colon.
+    """Return the host and the port of an address, which is split at its last colon.
 
     Raises:
         ValueError: The port is not a number.
@@ -18,6 +18,6 @@
 
 
 def format_address(address: tuple[str, int]) -> str:
-    """An address as `host:port`."""
+    """Return an address as `host:port`."""
     host, port = address
     return f"{host}:{port}"
--- a/scale_experiments/emulators/cache/__main__.py
+++ b/scale_experiments/emulators/cache/__main__.py
@@ -1,16 +1,17 @@
-"""Emulates page caches, each at an address of its own, and the origin behind them.
+"""Emulates cache servers, each at an address of its own, and the origin behind them.
 
     python -m scale_experiments.emulators.cache
 
-The process reads commands from standard input, one JSON object a line, and writes a reply to each on
-standard output. It ends with its standard input. The commands are `StartCaches`, `GetCachesStats` and
+The process reads commands from standard input, one JSON object per line, and writes a reply to each on
+standard output. It exits when standard input ends. The commands are `StartCaches`, `GetCachesStats` and
 `SetCacheMode` of `scale_experiments.emulators.messages.caches`.
 
-Caches speak the router's protocol over RESP2. A cache never fetches a key itself: it reports a miss, and
-stores the key once the origin has answered the request that missed. The first request on a connection takes
-`handshake_s` longer, as a TLS handshake would. A connection over the limit is rejected at its first request.
+Cache servers speak the router's protocol over RESP2. A cache server never fetches a key itself: it reports a
+miss, and stores the key once the origin has answered the request that missed. The first request on a
+connection takes `handshake_s` longer, as a TLS handshake would. On a connection beyond `max_connections`, the
+first request is rejected and the connection is closed.
 
-Modes of a cache:
+Modes of a cache server:
 
 - "serve": requests are served.
 - "drain": requests are rejected.
--- a/scale_experiments/emulators/cache/connection.py
+++ b/scale_experiments/emulators/cache/connection.py
@@ -1,4 +1,4 @@
-"""A connection to a page cache: reads requests, and writes replies after their service time."""
+"""A connection to a cache server: reads requests, and writes each reply after its service time."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from cache_router.net.resp import INCOMPLETE, RespError, RespReader
 from scale_experiments.emulators.messages.caches import CacheSettings
 
-MAX_ARRAY_LENGTH = 16  # of a request
+MAX_ARRAY_LENGTH = 16  # elements of a request
 MAX_VALUE_BYTES = 64 * 1024
-MAX_REQUEST_BYTES = MAX_VALUE_BYTES + 8192
+MAX_REQUEST_BYTES = MAX_VALUE_BYTES + 8192  # room for the other elements beside the value
 PING_REPLY = b"+PONG\r\n"
 REJECTED_REPLY = b"-BUSY\r\n"
 
 
 class ConnectionOwner(Protocol):
-    """The page cache as its connections see it."""
+    """Interface through which connections use their cache server."""
 
     @property
     def settings(self) -> CacheSettings:
-        """The settings of the cache."""
+        """Settings of the cache server."""
         ...
 
     @property
@@ -30,50 +30,52 @@
         ...
 
     def on_connected(self, connection: CacheConnection) -> bool:
-        """Add a connection; returns whether it is over the limit."""
+        """Add a connection; return whether it exceeds the connection limit."""
         ...
 
     def on_disconnected(self, connection: CacheConnection, unsent_replies: int) -> None:
-        """Remove a connection, and drop the replies that it had queued."""
+        """Remove a connection; its unsent replies are no longer pending."""
         ...
 
     def handle_read(self, key: bytes, request_id: bytes, *, is_over_limit: bool) -> bytes | None:
-        """Handle a read; returns its reply without the load report, or None where it is rejected."""
+        """Handle a read; return its reply without the load report, or None if it is rejected."""
         ...
 
     def handle_write(self, request_id: bytes, *, is_over_limit: bool) -> bytes | None:
-        """Handle a write; returns its reply without the load report, or None where it is rejected."""
+        """Handle a write; return its reply without the load report, or None if it is rejected."""
         ...
 
     def on_reply_queued(self) -> None:
-        """Count a request that waits for its service time to pass."""
+        """Count a request as pending."""
         ...
 
     def on_reply_due(self) -> None:
-        """Count a request whose service time has passed."""
+        """Count a request as no longer pending, because its service time has passed."""
         ...
 
     def load_report(self) -> bytes:
-        """The load report that ends a reply."""
+        """Return the load report, the last element of a reply."""
         ...
 
 
 class CacheConnection(asyncio.Protocol):
-    """One connection to a cache; replies are sent in the order of the requests."""
+    """One connection to a cache server.
+
+    The replies to admitted requests are sent in the order of the requests. Rejections and PING replies are
+    sent at once.
+    """
 
     def __init__(self, cache: ConnectionOwner) -> None:
         self._cache = cache
         self._reader = RespReader(MAX_ARRAY_LENGTH, MAX_VALUE_BYTES, MAX_REQUEST_BYTES)
-        self._reply_at = (
-            0.0  # when the latest reply is due: the reply to a later request does not overtake it
-        )
+        self._reply_at = 0.0  # time at which the last queued reply is due; later replies are not sent before
         self._is_over_limit = False
         self._served_requests = 0
         self._idle_timer: asyncio.TimerHandle | None = None
-        self._pending_replies: deque[bytes] = deque()  # without their load reports; a timer for each
+        self._pending_replies: deque[bytes] = deque()  # replies without load reports; each has a timer
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Add the connection to the cache."""
+        """Add the connection to the cache server."""
         self._transport = cast(asyncio.Transport, transport)
         self._is_over_limit = self._cache.on_connected(self)
         self._restart_idle_timer()
@@ -93,7 +95,7 @@
             self._transport.close()
 
     def data_received(self, data: bytes) -> None:
-        """Handle the requests that are complete, unless the cache hangs."""
+        """Handle all complete requests; discard the data while the cache server hangs."""
         if self._cache.is_hanging:
             return
         self._reader.feed(data)
@@ -105,7 +107,7 @@
             self._transport.close()
 
     def _handle_request(self, parts: object) -> None:
-        """Carry out a command; raises RespError for one that is not of the protocol."""
+        """Execute a command; raise RespError if it is not part of the protocol."""
         if not isinstance(parts, list) or not all(isinstance(p, bytes) for p in parts):
             raise RespError("not a command")
         match [bytes(p) for p in parts]:
@@ -121,7 +123,7 @@
                 raise RespError("unknown command")
 
     def _respond(self, reply: bytes | None) -> None:
-        """Queue a reply, or send a rejection at once; a connection over the limit is then closed."""
+        """Queue a reply, or send a rejection at once and close a connection that exceeds the limit."""
         if reply is not None:
             self._queue_reply(reply)
             return
@@ -130,7 +132,7 @@
             self._transport.close()
 
     def _queue_reply(self, reply: bytes) -> None:
-        """Send a reply once its service time has passed; the first one also takes the handshake's time."""
+        """Send a reply after the service time; the first reply is also delayed by the handshake time."""
         loop = asyncio.get_running_loop()
         settings = self._cache.settings
         handshake_s = settings.handshake_s if self._served_requests == 0 else 0.0
@@ -141,7 +143,7 @@
         loop.call_at(self._reply_at, self._send_reply)
 
     def _send_reply(self) -> None:
-        if not self._pending_replies:  # the connection has ended
+        if not self._pending_replies:  # the connection was closed before the reply was due
             return
         reply = self._pending_replies.popleft()
         self._cache.on_reply_due()
@@ -152,7 +154,7 @@
         self._restart_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Remove the connection from the cache, with the replies that were not sent."""
+        """Remove the connection from the cache server, and drop the unsent replies."""
         if self._idle_timer is not None:
             self._idle_timer.cancel()
         unsent_replies = len(self._pending_replies)
--- a/scale_experiments/emulators/cache/emulator.py
+++ b/scale_experiments/emulators/cache/emulator.py
@@ -1,4 +1,4 @@
-"""The page caches and the origin of a process, and the commands of its control channel."""
+"""The cache servers and the origin of a process, and the commands of its control channel."""
 
 from __future__ import annotations
 
@@ -24,27 +24,27 @@
 )
 from scale_experiments.emulators.messages.common import Done
 
-SAMPLE_INTERVAL_S = 0.1  # between samples of the number of open connections
+SAMPLE_INTERVAL_S = 0.1  # interval between samples of the number of open connections
 CachesCommand = StartCaches | SetCacheMode | GetCachesStats
 COMMAND_TYPES = types_by_name(StartCaches, SetCacheMode, GetCachesStats)
 
 
 class CachesEmulator:
-    """All that the process emulates."""
+    """The emulated cache servers and the origin of the process, controlled by commands."""
 
     def __init__(self) -> None:
-        self._caches: dict[str, CacheServer] = {}  # by name
+        self._caches: dict[str, CacheServer] = {}  # cache servers by name
         self._origin: Origin | None = None
         self._samples = 0
         self._sampling: asyncio.Task[None] | None = None
 
     async def handle(self, command: CachesCommand) -> object:
-        """Carry out a command of the control channel; returns the reply.
+        """Execute a command of the control channel and return its reply.
 
         Raises:
             OSError: An address cannot be used.
-            KeyError: There is no cache of a name.
-            ValueError: There is no such mode, or the port of an address is not a number.
+            KeyError: No cache server has the name given.
+            ValueError: The mode does not exist, or the port of an address is not a number.
         """
         match command:
             case StartCaches():
--- a/scale_experiments/emulators/cache/keys.py
+++ b/scale_experiments/emulators/cache/keys.py
@@ -1,4 +1,4 @@
-"""The keys that a page cache has stored; no I/O."""
+"""The keys that a cache server has stored; no I/O."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class CachedKeys:
-    """The keys of one cache.
+    """The keys of one cache server.
 
-    A cache that starts warm has every key, so only those that it lacks are recorded, without a limit. A cache
-    that starts empty has at most `max_keys` keys and evicts the least recently used one.
+    A cache server that starts warm has every key, so only the keys that it lacks are recorded, without a
+    limit. One that starts empty has at most `max_keys` keys and evicts the least recently used one.
     """
 
     def __init__(self, *, warm: bool, max_keys: int) -> None:
         self._is_warm = warm
         self._max_keys = max_keys
-        self._keys: OrderedDict[bytes, None] = OrderedDict()  # that a warm cache lacks, or another one has
+        self._keys: OrderedDict[bytes, None] = OrderedDict()  # stored keys; if warm, the missing keys
 
     def contains(self, key: bytes) -> bool:
-        """Whether the cache has a key, which becomes the most recently used one."""
+        """Return whether the cache server has a key, which then becomes the most recently used one."""
         if self._is_warm:
             return key not in self._keys
         if key in self._keys:
@@ -43,6 +43,6 @@
             self._keys.pop(key, None)
 
     def clear(self) -> None:
-        """Lose all keys; from now on the cache is as one that started empty."""
+        """Remove all keys; from now on, the cache server behaves as one that started empty."""
         self._keys.clear()
         self._is_warm = False
--- a/scale_experiments/emulators/cache/origin.py
+++ b/scale_experiments/emulators/cache/origin.py
@@ -1,4 +1,4 @@
-"""The origin: answers reads and writes over HTTP/1.1 after a delay, with a limit of concurrent requests."""
+"""The origin: answers reads and writes over HTTP/1.1 after a delay, and limits concurrent requests."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 MAX_HEAD_BYTES = 16 * 1024
 BACKLOG = 1024
 BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-REJECTED_STATUS = b"503 Service Unavailable\r\nNot-Started: 1"  # with a header: the request was not started
-WRITE_RECEIPT = b"receipt"
-# called with the key, the request's id and whether it was a write
+REJECTED_STATUS = b"503 Service Unavailable\r\nNot-Started: 1"  # Not-Started marks a request as safe to retry
+WRITE_RECEIPT = b"receipt"  # response body of a write
+# Callback that receives the key, the request id and whether the request is a write.
 OnFetched = Callable[[bytes, bytes, bool], None]
 
 
 @dataclass(slots=True, frozen=True)
 class OriginRequest:
-    """The head of a read or a write."""
+    """Head of a read or a write request."""
 
     key: bytes
     request_id: bytes
@@ -31,10 +31,10 @@
 
 
 class Origin:
-    """What all connections to the origin share: the requests in progress, and the counts.
+    """State shared by all connections to the origin: the number of requests in progress, and the counts.
 
     Each request takes `service_s` seconds. The origin rejects a request while `max_concurrent` others are in
-    progress. `on_fetched` is called with each completed request, before its response is sent.
+    progress. `on_fetched` is called for each completed request, before its response is sent.
     """
 
     def __init__(self, on_fetched: OnFetched, value: bytes, service_s: float, max_concurrent: int) -> None:
@@ -51,7 +51,7 @@
         self._listener: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
-        """Accept connections; returns host and port, a free one where `port` is 0.
+        """Accept connections and return the host and the port; a `port` of 0 selects a free one.
 
         Raises:
             OSError: The address cannot be used.
@@ -72,7 +72,10 @@
         self._open -= 1
 
     def admit(self) -> bool:
-        """Count a request; returns whether it is admitted. It is then in progress until it ends."""
+        """Count a request and return whether it is admitted.
+
+        An admitted request is in progress until `complete` or `on_request_lost` is called for it.
+        """
         self._requests += 1
         if self._concurrent >= self._max_concurrent:
             self._rejected += 1
@@ -81,7 +84,7 @@
         return True
 
     def complete(self, request: OriginRequest) -> bytes:
-        """End an admitted request and notify the caches of it; returns the body of its response."""
+        """End an admitted request, notify the cache servers of it, and return the body of its response."""
         self._concurrent -= 1
         self._on_fetched(request.key, request.request_id, request.is_write)
         return WRITE_RECEIPT if request.is_write else self._value
@@ -91,7 +94,7 @@
         self._concurrent -= 1
 
     def counters(self) -> OriginCounters:
-        """Counts since the start."""
+        """Return the counts since the start."""
         return OriginCounters(
             requests=self._requests,
             rejected=self._rejected,
@@ -102,7 +105,7 @@
 
 
 def _parse_head(head: bytes) -> OriginRequest | None:
-    """The request of a head without its last empty line; None where it is not of the protocol."""
+    """Parse a head without its terminating empty line; return None if it is not a request of the protocol."""
     first, *lines = head.split(b"\r\n")
     fields = {n.strip().lower(): v.strip() for n, _, v in (line.partition(b":") for line in lines)}
     try:
@@ -117,12 +120,12 @@
 
 
 class OriginConnection(asyncio.Protocol):
-    """One connection to the origin, which carries one request at a time."""
+    """One connection to the origin, with one request in progress at a time."""
 
     def __init__(self, origin: Origin) -> None:
         self._origin = origin
         self._buffer = b""
-        self._response_timer: asyncio.TimerHandle | None = None  # of the request in progress
+        self._response_timer: asyncio.TimerHandle | None = None  # set while a request is in progress
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Count the connection."""
@@ -130,13 +133,13 @@
         self._origin.on_connected()
 
     def data_received(self, data: bytes) -> None:
-        """Read a request, unless one is in progress."""
+        """Buffer the data, and start the next request unless one is in progress."""
         self._buffer += data
         if self._response_timer is None:
             self._read_request()
 
     def _read_request(self) -> None:
-        """Start the next request of the buffer, if it is complete."""
+        """Start the next buffered request if it is complete."""
         head, found, rest = self._buffer.partition(b"\r\n\r\n")
         if not found:
             if len(self._buffer) > MAX_HEAD_BYTES:
@@ -169,7 +172,7 @@
             asyncio.get_running_loop().call_soon(self._read_request)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Count the connection as closed, and drop the request in progress."""
+        """Count the connection as closed, and cancel the request in progress."""
         self._origin.on_disconnected()
         if self._response_timer is not None:
             self._response_timer.cancel()
--- a/scale_experiments/emulators/cache/server.py
+++ b/scale_experiments/emulators/cache/server.py
@@ -1,4 +1,4 @@
-"""One page cache: listens at its address and decides how each request is answered."""
+"""One cache server: listens at its address and determines the reply to each request."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from scale_experiments.emulators.messages.caches import CacheCounters, CacheMode, CacheSettings
 
 BACKLOG = 512
-MISS_REPLY = b"*3\r\n$-1\r\n$4\r\nmiss\r\n"  # without its load report, the third element
+MISS_REPLY = b"*3\r\n$-1\r\n$4\r\nmiss\r\n"  # the third element, the load report, is appended when it is sent
 
 
 class CacheServer:
-    """A page cache at `address`, with its keys, connections and counts."""
+    """A cache server at `address`, with its keys, connections and counts."""
 
     def __init__(self, cluster: CacheCluster, name: str, address: tuple[str, int]) -> None:
         self.name = name
@@ -22,14 +22,14 @@
         self._address = address
         self._mode: CacheMode = "serve"
         self._keys = cluster.add_cache()
-        self._connections: dict[CacheConnection, None] = {}  # in the order in which they were accepted
+        self._connections: dict[CacheConnection, None] = {}  # connections in the order of their acceptance
         self._listener: asyncio.Server | None = None
         self._statistics = CacheStatistics()
-        self._pending_requests = 0  # whose service time has not passed
+        self._pending_requests = 0  # admitted requests whose service time has not passed
 
     @property
     def settings(self) -> CacheSettings:
-        """The settings, which all caches of the process share."""
+        """Settings shared by all cache servers of the process."""
         return self._cluster.settings
 
     @property
@@ -49,10 +49,10 @@
         )
 
     async def set_mode(self, mode: CacheMode) -> None:
-        """Behave as `mode` says from now on.
+        """Switch to a mode; any mode but "dead" restarts a dead cache server.
 
         Raises:
-            OSError: A dead cache cannot listen again.
+            OSError: A dead cache server cannot listen again at its address.
         """
         if mode == "dead":
             self._stop()
@@ -61,7 +61,7 @@
         self._mode = mode
 
     def _stop(self) -> None:
-        """Reset all connections, refuse new ones and lose all keys."""
+        """Reset all connections, refuse new ones and remove all keys."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
@@ -70,7 +70,7 @@
         self._keys.clear()
 
     def on_connected(self, connection: CacheConnection) -> bool:
-        """Add a connection; returns whether it is over the limit."""
+        """Add a connection; return whether it exceeds the connection limit."""
         self._connections[connection] = None
         open_connections = len(self._connections)
         is_over_limit = open_connections > self.settings.max_connections
@@ -78,18 +78,18 @@
         return is_over_limit
 
     def on_disconnected(self, connection: CacheConnection, unsent_replies: int) -> None:
-        """Remove a connection, and drop the replies that it had queued."""
+        """Remove a connection; its unsent replies are no longer pending."""
         self._pending_requests -= unsent_replies
         self._connections.pop(connection, None)
 
     def handle_read(self, key: bytes, request_id: bytes, *, is_over_limit: bool) -> bytes | None:
-        """Handle a read; returns its reply without the load report, or None where it is rejected."""
-        # the lookup comes first: also a rejected read makes its key the most recently used one
+        """Handle a read; return its reply without the load report, or None if it is rejected."""
+        # the lookup precedes the rejection: a rejected read also makes its key the most recently used one
         is_hit = self._keys.contains(key)
         return self._handle(request_id, is_hit=is_hit, is_over_limit=is_over_limit)
 
     def handle_write(self, request_id: bytes, *, is_over_limit: bool) -> bytes | None:
-        """Handle a write as a miss, because only the origin carries out writes; returns as `handle_read`."""
+        """Handle a write as a miss, because only the origin executes writes; return as `handle_read` does."""
         return self._handle(request_id, is_hit=False, is_over_limit=is_over_limit)
 
     def _handle(self, request_id: bytes, *, is_hit: bool, is_over_limit: bool) -> bytes | None:
@@ -105,21 +105,21 @@
         return MISS_REPLY
 
     def on_reply_queued(self) -> None:
-        """Count a request that waits for its service time to pass."""
+        """Count a request as pending."""
         self._pending_requests += 1
 
     def on_reply_due(self) -> None:
-        """Count a request whose service time has passed."""
+        """Count a request as no longer pending, because its service time has passed."""
         self._pending_requests -= 1
 
     def load_report(self) -> bytes:
-        """The load report that ends a reply: service time in milliseconds, and pending requests."""
+        """Return the load report: the service time in milliseconds, and the number of pending requests."""
         return b"svc_ms=%.1f,pending=%d" % (self.settings.service_s * 1000, self._pending_requests)
 
     def sample_connections(self) -> None:
-        """Add a sample of the number of open connections to the counts."""
+        """Record a sample of the number of open connections."""
         self._statistics.on_sample(len(self._connections))
 
     def counters(self) -> CacheCounters:
-        """Counts since the start."""
+        """Return the counts since the start."""
         return self._statistics.counters(len(self._connections))
--- a/tests/scale_experiments/emulators/test_address.py
+++ b/tests/scale_experiments/emulators/test_address.py
@@ -1,4 +1,4 @@
-"""Addresses of emulators are split and joined at the last colon."""
+"""Parsing and formatting of emulator addresses."""
 
 from __future__ import annotations
 
--- a/tests/scale_experiments/emulators/test_cache.py
+++ b/tests/scale_experiments/emulators/test_cache.py
@@ -1,4 +1,4 @@
-"""The emulated page caches and their origin answer as the real ones, and count what happens at them."""
+"""Emulated cache servers and their origin: replies in each mode, stored keys, and counts."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def test_cache_stores_a_missed_key_from_the_origin_response_until_a_write() -> None:
-    """The cache server of a miss stores the value; a write removes it everywhere."""
+    """The cache server that missed a key stores it; a write removes the key from all cache servers."""
     cluster = CacheCluster(CACHE_SETTINGS)
     first, other = cluster.add_cache(), cluster.add_cache()
     cluster.on_miss(b"r1", first)
@@ -57,7 +57,7 @@
     assert not other.contains(b"k1")
     for key in (b"k1", b"k2", b"k3"):
         first.store(key)
-    assert not first.contains(b"k1")  # no more than its capacity
+    assert not first.contains(b"k1")  # evicted, because three keys exceed the capacity of two
     assert first.contains(b"k3")
 
 
@@ -108,7 +108,7 @@
 
 
 async def test_cache_drains_hangs_fails_and_restarts_empty() -> None:
-    """Each mode answers as a real cache server would, and a restart loses all keys."""
+    """Each mode shows the behaviour of a real cache server in that state; a restart loses all keys."""
     address = free_address()
     cache = CacheServer(CacheCluster(replace(CACHE_SETTINGS, warm=True)), "a", address)
     await cache.listen()
@@ -116,7 +116,7 @@
     for link, value in zip(links, (b"vvv", b"vvv", None), strict=True):
         link.write(read("r1"))
         response = await link.resp()
-        if value is None:  # over the limit of two
+        if value is None:  # beyond the limit of two connections
             assert str(response) == "BUSY"
             assert await link.closed_by_peer()
         else:
@@ -143,7 +143,7 @@
 
 
 async def test_cache_sends_replies_in_the_order_of_requests_and_reports_its_pending_requests() -> None:
-    """The second reply is not sent before the first, whose request also took the handshake's time."""
+    """The second reply waits for the first one, which is delayed by the handshake time."""
     address = free_address()
     settings = replace(CACHE_SETTINGS, service_s=0.01, handshake_s=0.05, warm=True)
     cache = CacheServer(CacheCluster(settings), "a", address)
