--- a/scale_experiments/emulators/clients/__init__.py
+++ b/scale_experiments/emulators/clients/__init__.py
@@ -1,6 +1,6 @@
-"""Emulated clients of routers: an open load of reads and writes on each router, in one process.
+"""Emulated clients of routers: an open-loop load of reads and writes on each router, from one process.
 
-`__main__` is the command, `emulator` carries out the commands of its control channel, `load` is the load
-on one router, `request_sequence` makes its requests, `connection` carries them, and `statistics` counts their
-outcomes.
+`__main__` is the entry point, and `emulator` executes the commands of the control channel. `load` is the load
+on one router: `request_sequence` generates its requests, `connection` sends them, and `statistics` counts
+their outcomes.
 """
--- a/scale_experiments/emulators/clients/connection.py
+++ b/scale_experiments/emulators/clients/connection.py
@@ -1,4 +1,4 @@
-"""A connection of a client to a router, which carries one request at a time."""
+"""A client's connection to a router, with one request in flight at a time."""
 
 from __future__ import annotations
 
@@ -8,14 +8,17 @@
 from cache_router.net.resp import INCOMPLETE, ErrorReply, Message, RespError, RespReader
 from scale_experiments.emulators.messages.clients import FAILED, LOST, REJECTED, SERVED, UNANSWERED
 
-MAX_ARRAY_LENGTH = 16  # of a reply
+MAX_ARRAY_LENGTH = 16  # elements of a reply
 MAX_VALUE_BYTES = 64 * 1024
-MAX_REPLY_BYTES = MAX_VALUE_BYTES + 8192
-DEADLINE_GRACE_S = 0.2  # from a request's deadline until its connection is reset
+MAX_REPLY_BYTES = MAX_VALUE_BYTES + 8192  # room for the other elements beside the value
+DEADLINE_GRACE_S = 0.2  # time between a request's deadline and the reset of its connection
 
 
 class ClientRequest:
-    """One request; its latency starts at `due_at`, when it was to be sent, in seconds of the event loop."""
+    """One encoded request, which is due at `due_at`, in seconds of the event loop's clock.
+
+    Its latency is measured from then, even if it is sent later.
+    """
 
     __slots__ = ("_is_retry", "data", "due_at")
 
@@ -26,16 +29,16 @@
 
     @property
     def is_retry(self) -> bool:
-        """Whether the request was retried."""
+        """Whether the request has been retried."""
         return self._is_retry
 
     def mark_retried(self) -> None:
-        """Record that the request is retried, which it is only once."""
+        """Record the retry of the request, which is not retried again."""
         self._is_retry = True
 
 
 class ConnectionOwner(Protocol):
-    """The load on a router as its connections see it."""
+    """Interface through which connections use the load on their router."""
 
     @property
     def deadline_s(self) -> float:
@@ -47,15 +50,15 @@
         ...
 
     def on_disconnected(self, connection: ClientConnection) -> None:
-        """Count a connection as closed, and send nothing more on it."""
+        """Count a connection as closed, and stop using it."""
         ...
 
     def on_idle(self, connection: ClientConnection) -> None:
-        """Use a connection for the next request."""
+        """Make a connection available for the next request."""
         ...
 
     def on_outcome(self, outcome: str, request: ClientRequest) -> None:
-        """Count how a request ended."""
+        """Count the outcome of a request."""
         ...
 
     def retry(self, request: ClientRequest) -> None:
@@ -64,12 +67,12 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection that carries one request at a time."""
+    """A connection to a router, with one request in flight at a time."""
 
     def __init__(self, load: ConnectionOwner) -> None:
         self._load = load
         self._reader = RespReader(MAX_ARRAY_LENGTH, MAX_VALUE_BYTES, MAX_REPLY_BYTES)
-        self._request: ClientRequest | None = None  # in flight
+        self._request: ClientRequest | None = None  # the request in flight
         self._completed_requests = 0
         self._expiry: asyncio.TimerHandle | None = None
 
@@ -84,14 +87,14 @@
         self._load.on_connected()
 
     def send(self, request: ClientRequest) -> None:
-        """Send a request; none may be in flight."""
+        """Send a request; no other one may be in flight."""
         self._request = request
         expires_at = request.due_at + self._load.deadline_s + DEADLINE_GRACE_S
         self._expiry = asyncio.get_running_loop().call_at(expires_at, self._expire)
         self._transport.write(request.data)
 
     def _end_request(self) -> ClientRequest | None:
-        """Return the request that was in flight; from now on none is."""
+        """Clear the request in flight, cancel its timer, and return the request."""
         request, self._request = self._request, None
         if self._expiry is not None:
             self._expiry.cancel()
@@ -123,12 +126,12 @@
         self._load.on_idle(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Retry the request in flight if it crossed a close, or count it as lost."""
+        """Retry the request in flight if it may not have been read; otherwise count it as lost."""
         self._load.on_disconnected(self)
         request = self._request
         if request is None:
             return
-        # the router may close a connection between requests, before it has read the next one
+        # the router may have closed the connection as idle while this request was on its way
         if self._completed_requests and not request.is_retry:
             self._end_request()
             self._load.retry(request)
@@ -137,7 +140,7 @@
 
 
 def outcome_of(reply: Message) -> str:
-    """The outcome of a request by its reply: served, rejected or failed."""
+    """Return the outcome of a request by its reply: served, rejected or failed."""
     match reply:
         case bytes() | [bytes(), *_]:
             return SERVED
--- a/scale_experiments/emulators/clients/emulator.py
+++ b/scale_experiments/emulators/clients/emulator.py
@@ -25,14 +25,14 @@
 
 
 class ClientsEmulator:
-    """All that the process emulates."""
+    """The emulated clients of the process, with a load on each router, controlled by commands."""
 
     def __init__(self) -> None:
         self._loads: list[RouterLoad] = []
         self._tasks: list[asyncio.Task[None]] = []
 
     async def handle(self, command: ClientsCommand) -> object:
-        """Carry out a command of the control channel; returns the reply.
+        """Execute a command of the control channel and return its reply.
 
         Raises:
             ValueError: The port of a router's address is not a number.
@@ -59,7 +59,7 @@
             self._tasks.append(asyncio.create_task(load.run()))
 
     def _stats(self) -> ClientsStats:
-        """Counts since the start, in sum over the routers, and what the process has used."""
+        """Return the counts since the start, in sum over the routers, and the usage of the process."""
         counts: Counter[str] = Counter()
         latency = build_latency_histogram()
         for load in self._loads:
--- a/scale_experiments/emulators/clients/load.py
+++ b/scale_experiments/emulators/clients/load.py
@@ -1,4 +1,4 @@
-"""The load of clients on one router: when requests are sent, and on which connections."""
+"""The load of clients on one router: schedules requests and assigns them to connections."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         self._address = parse_address(address)
         self._deadline_s = command.deadline_s
         self._rate_per_s = command.rate_per_s
-        self._random = np.random.default_rng(seed)  # of the requests and of the times between them
+        self._random = np.random.default_rng(seed)  # determines the requests and the times between them
         self._requests = RequestSequence(command, seed, self._random)
         self._idle: deque[ClientConnection] = deque()
         self._pending_connects: set[asyncio.Task[None]] = set()
@@ -39,12 +39,12 @@
     async def run(self) -> None:
         """Send requests at random times, at the rate of the command, until paused.
 
-        A request that is late is sent at once, and its latency starts when it was due.
+        A late request is sent at once, and its latency is measured from when it was due.
         """
         loop = asyncio.get_running_loop()
         due_at = loop.time()
         for data in self._requests:
-            due_at += -math.log(1.0 - self._random.random()) / self._rate_per_s  # exponentially distributed
+            due_at += -math.log(1.0 - self._random.random()) / self._rate_per_s  # Poisson process
             if (remaining_s := due_at - loop.time()) > 0:
                 await asyncio.sleep(remaining_s)
             if self._is_paused:
@@ -53,11 +53,14 @@
             self.send(ClientRequest(data, due_at))
 
     def pause(self) -> None:
-        """Send no new requests."""
+        """Stop sending new requests."""
         self._is_paused = True
 
     def send(self, request: ClientRequest) -> None:
-        """Send on the idle connection that was used last, or on a new one."""
+        """Send a request on the most recently used idle connection, or on a new one.
+
+        At `MAX_CONNECTIONS_PER_ROUTER` connections, the request is counted as not sent.
+        """
         while self._idle:
             connection = self._idle.pop()
             if not connection.is_closing:
@@ -76,7 +79,7 @@
                 _, connection = await asyncio.get_running_loop().create_connection(
                     lambda: ClientConnection(self), *self._address
                 )
-        except OSError:  # also TimeoutError
+        except OSError:  # includes TimeoutError
             self.on_outcome(NOT_CONNECTED, request)
             return
         connection.send(request)
@@ -92,16 +95,16 @@
         self.statistics.on_connected()
 
     def on_disconnected(self, connection: ClientConnection) -> None:
-        """Count a connection as closed, and send nothing more on it."""
+        """Count a connection as closed, and stop using it."""
         self.statistics.on_disconnected()
         if connection in self._idle:
             self._idle.remove(connection)
 
     def on_idle(self, connection: ClientConnection) -> None:
-        """Use a connection for the next request."""
+        """Make a connection available for the next request."""
         self._idle.append(connection)
 
     def on_outcome(self, outcome: str, request: ClientRequest) -> None:
-        """Count how a request ended and, if it was served, its latency."""
+        """Count the outcome of a request and, if it was served, record its latency."""
         latency_s = asyncio.get_running_loop().time() - request.due_at
         self.statistics.on_outcome(outcome, latency_s)
--- a/scale_experiments/emulators/clients/request_sequence.py
+++ b/scale_experiments/emulators/clients/request_sequence.py
@@ -1,4 +1,4 @@
-"""The requests of the load on one router, encoded in the router's protocol; no I/O."""
+"""Generation of the requests to one router, encoded in the router's protocol; no I/O."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 from cache_router.net.resp import encode_command
 from scale_experiments.emulators.messages.clients import StartClients
 
-KEYS_PER_DRAW = 4096
+KEYS_PER_DRAW = 4096  # requests per batch of random numbers; another size changes the sequence of a seed
 
 
 class RequestSequence:
-    """Random reads and writes without end, the same for the same seed.
+    """Endless sequence of random reads and writes, which is the same for the same seed.
 
-    The popularity of the key of rank r is proportional to r to the power of `-zipf_exponent`, by Zipf's law.
+    Keys follow Zipf's law: the popularity of the key of rank r is proportional to r to the power of
+    `-zipf_exponent`.
     """
 
     def __init__(self, command: StartClients, seed: int, random: np.random.Generator) -> None:
@@ -31,7 +32,7 @@
         self._request_count = 0
 
     def __iter__(self) -> Iterator[bytes]:
-        """Encoded requests without end."""
+        """Yield encoded requests without end."""
         while True:
             keys = np.searchsorted(self._cumulative_popularity, self._random.random(KEYS_PER_DRAW))
             writes = self._random.random(KEYS_PER_DRAW) < self._write_share
@@ -43,6 +44,6 @@
         key = b"%016x" % key_number
         request_id = b"%08x%08x" % (self._seed, self._request_count)
         if is_write:
-            request_info = self._write_info + b",k=" + request_id  # which is also the idempotency key
+            request_info = self._write_info + b",k=" + request_id  # idempotency key: the request id
             return encode_command([b"C.SET", key, request_id, request_info, self._value])
         return encode_command([b"C.GET", key, request_id, self._read_info])
--- a/scale_experiments/emulators/clients/statistics.py
+++ b/scale_experiments/emulators/clients/statistics.py
@@ -1,4 +1,4 @@
-"""The counts and latencies of the load on one router; no I/O."""
+"""Counts and latencies of the load on one router; no I/O."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
     SERVED,
 )
 
-MAX_LATENCY_US = 60_000_000
-LATENCY_DIGITS = 2  # significant ones
+MAX_LATENCY_US = 60_000_000  # longer latencies are recorded as this one
+LATENCY_DIGITS = 2  # significant digits
 
 
 def build_latency_histogram() -> HdrHistogram:
-    """A histogram of latencies in microseconds."""
+    """Return an empty histogram of latencies in microseconds."""
     return HdrHistogram(1, MAX_LATENCY_US, LATENCY_DIGITS)
 
 
 class LoadStatistics:
-    """Counts since the start, one method for each event that is counted."""
+    """Counts since the start, with one method for each counted event, and latencies of served requests."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
@@ -34,7 +34,7 @@
 
     @property
     def open_connections(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return self._open_connections
 
     def on_connected(self) -> None:
@@ -47,7 +47,7 @@
         self._open_connections -= 1
 
     def on_request(self) -> None:
-        """Count a request; its retry is not another one."""
+        """Count a request; its retry does not count as another request."""
         self._counts[REQUESTS] += 1
 
     def on_retry(self) -> None:
@@ -55,17 +55,17 @@
         self._counts[RETRIES] += 1
 
     def on_outcome(self, outcome: str, latency_s: float) -> None:
-        """Count how a request ended and, if it was served, its latency."""
+        """Count the outcome of a request and, if it was served, record its latency."""
         self._counts[outcome] += 1
         if outcome == SERVED:
             self._latency.record_value(max(1, min(MAX_LATENCY_US, round(latency_s * 1e6))))
 
     def restart_latency(self) -> None:
-        """Drop the latencies that were recorded until now."""
+        """Discard the latencies recorded so far."""
         self._latency.reset()
 
     def add_to(self, counts: Counter[str], latency: HdrHistogram) -> None:
-        """Add all counts and latencies to those of other loads."""
+        """Add all counts to `counts` and all latencies to `latency`."""
         counts.update(self._counts)
         counts[OPEN_CONNECTIONS] += self._open_connections
         counts[CONNECTIONS_OPENED] += self._connections_opened
--- a/tests/scale_experiments/emulators/test_clients.py
+++ b/tests/scale_experiments/emulators/test_clients.py
@@ -1,4 +1,4 @@
-"""The emulated clients reuse connections, retry once after a close, and count each outcome once."""
+"""Emulated clients: reuse of connections, the retry after a closed connection, and counts of outcomes."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 async def wait_for_outcome(load: RouterLoad, outcome: str, count: int = 1) -> None:
-    """Wait until `count` requests ended with an outcome."""
+    """Wait until `count` requests have ended with an outcome."""
     while counts_of(load)[outcome] < count:
         await asyncio.sleep(0.001)
 
@@ -102,7 +102,7 @@
     writes = [each for each in requests if each[0] == b"C.SET"]
     assert len(reads) + len(writes) == 2000
     assert 0.2 < len(writes) / 2000 < 0.3
-    assert requests[9][2] == b"%08x%08x" % (7, 10)  # seed and number
+    assert requests[9][2] == b"%08x%08x" % (7, 10)  # request id: seed and request number
     assert len({each[2] for each in requests}) == 2000
     assert all(each[3] == b"c=read,t=t,d=2000" for each in reads)
     assert all(each[3:] == [b"c=put,t=t,d=2000,k=" + each[2], b"wwwww"] for each in writes)
@@ -134,7 +134,7 @@
         statistics.on_request()
     statistics.on_retry()
     statistics.on_outcome(SERVED, 0.01)
-    statistics.on_outcome(SERVED, 100.0)  # more than the histogram holds
+    statistics.on_outcome(SERVED, 100.0)  # recorded as 60 s, the maximum of the histogram
     statistics.on_outcome(LOST, 5.0)
     counts, latency = Counter({SERVED: 10}), build_latency_histogram()
     statistics.add_to(counts, latency)
@@ -165,7 +165,7 @@
         send_request(load, "r3")
         assert (await first.resp())[2] == b"r3"
         first.write(b"-BUSY\r\n")
-        second.write(b"?\r\n")  # not of the protocol
+        second.write(b"?\r\n")  # malformed reply
         await wait_for_outcome(load, REJECTED)
         await wait_for_outcome(load, FAILED)
         assert await second.closed_by_peer()
@@ -175,7 +175,7 @@
 
 
 async def test_request_that_crossed_a_close_is_retried_once() -> None:
-    """A connection that served a request before may have been closed as idle; a second close is a loss."""
+    """A router may close an idle connection while the next request is on its way; a retry is not retried."""
     async with Peer() as router:
         load = RouterLoad(router.address, START, 1)
         first = await receive_request(load, router, "r1")
@@ -194,7 +194,7 @@
 
 async def test_request_without_a_reply_or_a_connection_is_counted() -> None:
     async with Peer() as router:
-        # longer than a pause of this process while the connection is made
+        # longer than the process may be suspended while the connection is made
         load = RouterLoad(router.address, replace(START, deadline_s=0.5), 1)
         link = await receive_request(load, router, "r1")
         await wait_for_outcome(load, UNANSWERED)
@@ -218,7 +218,7 @@
             await asyncio.sleep(0.001)
         assert decode_histogram(stats.latency).get_total_count() == 1
         assert await emulator.handle(PauseClients()) == Done()
-        await asyncio.sleep(0.05)  # longer than the pause before any request at this rate
+        await asyncio.sleep(0.05)  # longer than the time until the next request at this rate
         paused = await emulator.handle(GetClientsStats(restart=True))
         await asyncio.sleep(0.05)
         stats = await emulator.handle(GetClientsStats())
--- a/tests/scale_experiments/emulators/test_discovery.py
+++ b/tests/scale_experiments/emulators/test_discovery.py
@@ -1,4 +1,4 @@
-"""The emulated discovery speaks the protocol that routers rely on, and fails as its modes say."""
+"""Emulated discovery: polls by the protocol of the routers, and the failures of each mode."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 
 
 def endpoint_entry(name: str, status: str = "in_service") -> dict[str, Any]:
-    """Return an entry of an endpoint list."""
+    """Return an entry of an endpoint list with a name and a status."""
     return {**ENDPOINT_ENTRY, "name": name, "status": status}
 
 
 def poll(registry: Registry, after: int | None) -> tuple[int, bool, dict[str, str]]:
-    """Poll for what is newer than an index; return index, whether a snapshot, and states by name."""
+    """Poll for changes after an index; return the index, whether it is a snapshot, and statuses by name."""
     response = orjson.loads(registry.response_body(after))
     states = {e["name"]: e["status"] for e in response["endpoints"]}
     return response["index"], response["snapshot"], states
 
 
 def test_registry_sends_changes_or_a_snapshot_if_the_index_is_too_old() -> None:
-    """Changes are sent to a known index, a snapshot to one that is unknown or no longer kept."""
+    """A poll whose index the change log covers gets the changes since it; any other gets a snapshot."""
     registry = Registry(log_length=2)
     registry.replace(5, [endpoint_entry("a"), endpoint_entry("b")])
     assert poll(registry, None) == (5, True, {"a": "in_service", "b": "in_service"})
     assert poll(registry, 5) == (5, False, {})
-    assert poll(registry, 4)[1]  # from before the list
-    assert poll(registry, 6)[1]  # an index of another discovery
+    assert poll(registry, 4)[1]  # an index older than the list
+    assert poll(registry, 6)[1]  # an index from another discovery service
     registry.change(6, [endpoint_entry("a", "terminating")])
     registry.change(7, [endpoint_entry("a", "terminated"), endpoint_entry("c")])
     assert poll(registry, 5) == (7, False, {"a": "terminated", "c": "in_service"})
@@ -86,7 +86,7 @@
 
 
 async def test_poll_with_a_malformed_index_gets_a_bad_request() -> None:
-    """The emulator rejects what routers never send, so that a mistake in a router is not overlooked."""
+    """The emulator rejects malformed polls, so that a router that sends one does not go unnoticed."""
     server = DiscoveryEmulator()
     await server.listen()
     client = Link(*await asyncio.open_connection(*server.address))
@@ -96,7 +96,7 @@
 
 
 async def test_discovery_rejects_polls_while_it_is_busy() -> None:
-    """The mode "busy" answers by 503 after the delay of its command; the connection stays open."""
+    """In the mode "busy", a poll gets a 503 after the delay of the command, and its connection stays open."""
     server = DiscoveryEmulator()
     await server.listen()
     server.replace_list(5, [endpoint_entry("a")])
--- a/tests/scale_experiments/emulators/test_messages.py
+++ b/tests/scale_experiments/emulators/test_messages.py
@@ -1,4 +1,4 @@
-"""The messages of the emulators' control channel keep their form as JSON."""
+"""The messages of the emulators' control channel keep their JSON keys and values."""
 
 from __future__ import annotations
 
