--- a/scale_experiments/emulators/cache/cluster.py
+++ b/scale_experiments/emulators/cache/cluster.py
@@ -26,7 +26,7 @@
         return len(self._pending_misses)
 
     def add_cache(self) -> CachedKeys:
-        """Add a cache server and return its keys, which `on_fetched` updates."""
+        """Add a cache server and return its keys, which `on_origin_response` updates."""
         keys = CachedKeys(warm=self.settings.warm, max_keys=self.settings.max_keys)
         self._keys_of_caches.append(keys)
         return keys
@@ -40,7 +40,7 @@
         if len(self._pending_misses) > MAX_PENDING_MISSES:
             self._pending_misses.popitem(last=False)
 
-    def on_fetched(self, key: bytes, request_id: bytes, is_write: bool) -> None:
+    def on_origin_response(self, key: bytes, request_id: bytes, is_write: bool) -> None:
         """Store a read key at the cache servers that missed it, or remove a written key from all of them."""
         caches_that_missed = self._pending_misses.pop(request_id, ())
         if is_write:
--- a/scale_experiments/emulators/cache/connection.py
+++ b/scale_experiments/emulators/cache/connection.py
@@ -68,9 +68,9 @@
     def __init__(self, cache: ConnectionOwner) -> None:
         self._cache = cache
         self._reader = RespReader(MAX_ARRAY_LENGTH, MAX_VALUE_BYTES, MAX_REQUEST_BYTES)
-        self._reply_at = 0.0  # time at which the last queued reply is due; later replies are not sent before
+        self._last_reply_due_at = 0.0  # in seconds of the event loop; later replies are not sent before
         self._is_over_limit = False
-        self._served_requests = 0
+        self._admitted_requests = 0
         self._idle_timer: asyncio.TimerHandle | None = None
         self._pending_replies: deque[bytes] = deque()  # replies without load reports; each has a timer
 
@@ -100,17 +100,17 @@
             return
         self._reader.feed(data)
         try:
-            while (parts := self._reader.next()) is not INCOMPLETE:
-                self._handle_request(parts)
+            while (message := self._reader.next()) is not INCOMPLETE:
+                self._handle_request(message)
         except RespError as e:
             self._transport.write(b"-SYNTAX %b\r\n" % str(e).encode())
             self._transport.close()
 
-    def _handle_request(self, parts: object) -> None:
+    def _handle_request(self, message: object) -> None:
         """Execute a command; raise RespError if it is not part of the protocol."""
-        if not isinstance(parts, list) or not all(isinstance(p, bytes) for p in parts):
+        if not isinstance(message, list) or not all(isinstance(p, bytes) for p in message):
             raise RespError("not a command")
-        match [bytes(p) for p in parts]:
+        match [bytes(p) for p in message]:
             case [b"PING"]:
                 self._transport.write(PING_REPLY)
             case [b"C.GET", key, request_id, _]:
@@ -135,12 +135,14 @@
         """Send a reply after the service time; the first reply is also delayed by the handshake time."""
         loop = asyncio.get_running_loop()
         settings = self._cache.settings
-        handshake_s = settings.handshake_s if self._served_requests == 0 else 0.0
-        self._served_requests += 1
-        self._reply_at = max(self._reply_at, loop.time() + (settings.service_s + handshake_s))
+        handshake_s = settings.handshake_s if self._admitted_requests == 0 else 0.0
+        self._admitted_requests += 1
+        self._last_reply_due_at = max(
+            self._last_reply_due_at, loop.time() + (settings.service_s + handshake_s)
+        )
         self._cache.on_reply_queued()
         self._pending_replies.append(reply)
-        loop.call_at(self._reply_at, self._send_reply)
+        loop.call_at(self._last_reply_due_at, self._send_reply)
 
     def _send_reply(self) -> None:
         if not self._pending_replies:  # the connection was closed before the reply was due
--- a/scale_experiments/emulators/cache/emulator.py
+++ b/scale_experiments/emulators/cache/emulator.py
@@ -35,8 +35,8 @@
     def __init__(self) -> None:
         self._caches: dict[str, CacheServer] = {}  # cache servers by name
         self._origin: Origin | None = None
-        self._samples = 0
-        self._sampling: asyncio.Task[None] | None = None
+        self._sample_count = 0
+        self._sampling_task: asyncio.Task[None] | None = None
 
     async def handle(self, command: CachesCommand) -> object:
         """Execute a command of the control channel and return its reply.
@@ -62,15 +62,15 @@
         for cache in list(self._caches.values()):
             await cache.listen()
         self._origin = Origin(
-            cluster.on_fetched, cluster.value, command.origin_service_s, command.origin_max_concurrent
+            cluster.on_origin_response, cluster.value, command.origin_service_s, command.origin_max_concurrent
         )
-        self._sampling = asyncio.create_task(self._sample_connections())
+        self._sampling_task = asyncio.create_task(self._sample_connections())
         origin_address = await self._origin.listen(*parse_address(command.origin))
         return CachesStarted(format_address(origin_address))
 
     async def _sample_connections(self) -> None:
         while True:
-            self._samples += 1
+            self._sample_count += 1
             for cache in self._caches.values():
                 cache.sample_connections()
             await asyncio.sleep(SAMPLE_INTERVAL_S)
@@ -84,7 +84,7 @@
     def _stats(self) -> CachesStats:
         return CachesStats(
             time=time.time(),
-            samples=self._samples,
+            samples=self._sample_count,
             caches={cache.name: cache.counters() for cache in self._caches.values()},
             origin=self._origin.counters() if self._origin is not None else OriginCounters(),
             **asdict(process_usage()),
--- a/scale_experiments/emulators/cache/origin.py
+++ b/scale_experiments/emulators/cache/origin.py
@@ -12,12 +12,12 @@
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 REJECTED_STATUS = b"503 Service Unavailable\r\nNot-Started: 1"  # Not-Started marks a request as safe to retry
 WRITE_RECEIPT = b"receipt"  # response body of a write
 # Callback that receives the key, the request id and whether the request is a write.
-OnFetched = Callable[[bytes, bytes, bool], None]
+OnCompleted = Callable[[bytes, bytes, bool], None]
 
 
 @dataclass(slots=True, frozen=True)
@@ -34,20 +34,22 @@
     """State shared by all connections to the origin: the number of requests in progress, and the counts.
 
     Each request takes `service_s` seconds. The origin rejects a request while `max_concurrent` others are in
-    progress. `on_fetched` is called for each completed request, before its response is sent.
+    progress. `on_completed` is called for each completed request, before its response is sent.
     """
 
-    def __init__(self, on_fetched: OnFetched, value: bytes, service_s: float, max_concurrent: int) -> None:
+    def __init__(
+        self, on_completed: OnCompleted, value: bytes, service_s: float, max_concurrent: int
+    ) -> None:
         self.service_s = service_s
-        self._on_fetched = on_fetched
+        self._on_completed = on_completed
         self._value = value
         self._max_concurrent = max_concurrent
-        self._concurrent = 0
+        self._concurrent_requests = 0
         self._requests = 0
         self._rejected = 0
-        self._connections = 0
-        self._open = 0
-        self._max_open = 0
+        self._accepted_connections = 0
+        self._open_connections = 0
+        self._max_open_connections = 0
         self._listener: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
@@ -57,19 +59,21 @@
             OSError: The address cannot be used.
         """
         loop = asyncio.get_running_loop()
-        self._listener = await loop.create_server(lambda: OriginConnection(self), host, port, backlog=BACKLOG)
+        self._listener = await loop.create_server(
+            lambda: OriginConnection(self), host, port, backlog=LISTEN_BACKLOG
+        )
         address: tuple[str, int] = self._listener.sockets[0].getsockname()
         return address
 
     def on_connected(self) -> None:
         """Count a new connection."""
-        self._connections += 1
-        self._open += 1
-        self._max_open = max(self._max_open, self._open)
+        self._accepted_connections += 1
+        self._open_connections += 1
+        self._max_open_connections = max(self._max_open_connections, self._open_connections)
 
     def on_disconnected(self) -> None:
         """Count a connection as closed."""
-        self._open -= 1
+        self._open_connections -= 1
 
     def admit(self) -> bool:
         """Count a request and return whether it is admitted.
@@ -77,46 +81,46 @@
         An admitted request is in progress until `complete` or `on_request_lost` is called for it.
         """
         self._requests += 1
-        if self._concurrent >= self._max_concurrent:
+        if self._concurrent_requests >= self._max_concurrent:
             self._rejected += 1
             return False
-        self._concurrent += 1
+        self._concurrent_requests += 1
         return True
 
     def complete(self, request: OriginRequest) -> bytes:
         """End an admitted request, notify the cache servers of it, and return the body of its response."""
-        self._concurrent -= 1
-        self._on_fetched(request.key, request.request_id, request.is_write)
+        self._concurrent_requests -= 1
+        self._on_completed(request.key, request.request_id, request.is_write)
         return WRITE_RECEIPT if request.is_write else self._value
 
     def on_request_lost(self) -> None:
         """End an admitted request whose connection was closed before the response."""
-        self._concurrent -= 1
+        self._concurrent_requests -= 1
 
     def counters(self) -> OriginCounters:
         """Return the counts since the start."""
         return OriginCounters(
             requests=self._requests,
             rejected=self._rejected,
-            connections=self._connections,
-            open=self._open,
-            max_open=self._max_open,
+            connections=self._accepted_connections,
+            open=self._open_connections,
+            max_open=self._max_open_connections,
         )
 
 
 def _parse_head(head: bytes) -> OriginRequest | None:
     """Parse a head without its terminating empty line; return None if it is not a request of the protocol."""
-    first, *lines = head.split(b"\r\n")
-    fields = {n.strip().lower(): v.strip() for n, _, v in (line.partition(b":") for line in lines)}
+    request_line, *lines = head.split(b"\r\n")
+    headers = {n.strip().lower(): v.strip() for n, _, v in (line.partition(b":") for line in lines)}
     try:
-        length = int(fields.get(b"content-length", b"0"))
-        method, target, _ = first.split(b" ")
+        length = int(headers.get(b"content-length", b"0"))
+        method, target, _ = request_line.split(b" ")
     except ValueError:
         return None
-    if not 0 <= length <= MAX_BODY_BYTES or method not in (b"GET", b"PUT") or b"request-id" not in fields:
+    if not 0 <= length <= MAX_BODY_BYTES or method not in (b"GET", b"PUT") or b"request-id" not in headers:
         return None
     key = unquote_to_bytes(target.removeprefix(b"/"))
-    return OriginRequest(key, fields[b"request-id"], method == b"PUT", length)
+    return OriginRequest(key, headers[b"request-id"], method == b"PUT", length)
 
 
 class OriginConnection(asyncio.Protocol):
@@ -140,8 +144,8 @@
 
     def _read_request(self) -> None:
         """Start the next buffered request if it is complete."""
-        head, found, rest = self._buffer.partition(b"\r\n\r\n")
-        if not found:
+        head, separator, rest = self._buffer.partition(b"\r\n\r\n")
+        if not separator:
             if len(self._buffer) > MAX_HEAD_BYTES:
                 self._transport.abort()
             return
@@ -153,16 +157,16 @@
         if len(rest) < request.body_bytes:
             return
         self._buffer = rest[request.body_bytes :]
-        self._start(request)
+        self._start_request(request)
 
-    def _start(self, request: OriginRequest) -> None:
+    def _start_request(self, request: OriginRequest) -> None:
         if not self._origin.admit():
             self._send_response(REJECTED_STATUS, b"")
             return
         loop = asyncio.get_running_loop()
-        self._response_timer = loop.call_later(self._origin.service_s, self._complete, request)
+        self._response_timer = loop.call_later(self._origin.service_s, self._complete_request, request)
 
-    def _complete(self, request: OriginRequest) -> None:
+    def _complete_request(self, request: OriginRequest) -> None:
         self._response_timer = None
         self._send_response(b"200 OK", self._origin.complete(request))
 
--- a/scale_experiments/emulators/cache/server.py
+++ b/scale_experiments/emulators/cache/server.py
@@ -9,7 +9,7 @@
 from scale_experiments.emulators.cache.statistics import CacheStatistics
 from scale_experiments.emulators.messages.caches import CacheCounters, CacheMode, CacheSettings
 
-BACKLOG = 512
+LISTEN_BACKLOG = 512
 MISS_REPLY = b"*3\r\n$-1\r\n$4\r\nmiss\r\n"  # the third element, the load report, is appended when it is sent
 
 
@@ -45,7 +45,7 @@
         """
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
-            lambda: CacheConnection(self), *self._address, backlog=BACKLOG, reuse_address=True
+            lambda: CacheConnection(self), *self._address, backlog=LISTEN_BACKLOG, reuse_address=True
         )
 
     async def set_mode(self, mode: CacheMode) -> None:
@@ -86,13 +86,13 @@
         """Handle a read; return its reply without the load report, or None if it is rejected."""
         # the lookup precedes the rejection: a rejected read also makes its key the most recently used one
         is_hit = self._keys.contains(key)
-        return self._handle(request_id, is_hit=is_hit, is_over_limit=is_over_limit)
+        return self._handle_request(request_id, is_hit=is_hit, is_over_limit=is_over_limit)
 
     def handle_write(self, request_id: bytes, *, is_over_limit: bool) -> bytes | None:
         """Handle a write as a miss, because only the origin executes writes; return as `handle_read` does."""
-        return self._handle(request_id, is_hit=False, is_over_limit=is_over_limit)
+        return self._handle_request(request_id, is_hit=False, is_over_limit=is_over_limit)
 
-    def _handle(self, request_id: bytes, *, is_hit: bool, is_over_limit: bool) -> bytes | None:
+    def _handle_request(self, request_id: bytes, *, is_hit: bool, is_over_limit: bool) -> bytes | None:
         if is_over_limit or self._mode == "drain":
             self._statistics.on_rejected()
             return None
--- a/tests/scale_experiments/emulators/test_cache.py
+++ b/tests/scale_experiments/emulators/test_cache.py
@@ -37,8 +37,8 @@
 
 def free_address() -> tuple[str, int]:
     """Return a loopback address at which nothing listens."""
-    with socket.create_server(("127.0.0.1", 0)) as occupied:
-        host, port = occupied.getsockname()
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        host, port = listener.getsockname()
         return host, port
 
 
@@ -47,12 +47,12 @@
     cluster = CacheCluster(CACHE_SETTINGS)
     first, other = cluster.add_cache(), cluster.add_cache()
     cluster.on_miss(b"r1", first)
-    cluster.on_fetched(b"k1", b"r1", False)
+    cluster.on_origin_response(b"k1", b"r1", False)
     assert first.contains(b"k1")
     assert not other.contains(b"k1")
     assert not cluster.pending_misses
     other.store(b"k1")
-    cluster.on_fetched(b"k1", b"w1", True)
+    cluster.on_origin_response(b"k1", b"w1", True)
     assert not first.contains(b"k1")
     assert not other.contains(b"k1")
     for key in (b"k1", b"k2", b"k3"):
@@ -87,8 +87,8 @@
     for request_id in (b"r1", b"r2", b"r3"):
         cluster.on_miss(request_id, keys)
     assert cluster.pending_misses == 2
-    cluster.on_fetched(b"k1", b"r1", False)
-    cluster.on_fetched(b"k3", b"r3", False)
+    cluster.on_origin_response(b"k1", b"r1", False)
+    cluster.on_origin_response(b"k3", b"r3", False)
     assert [keys.contains(key) for key in (b"k1", b"k3")] == [False, True]
 
 
@@ -158,7 +158,7 @@
     await cache.set_mode("dead")
 
 
-async def test_cache_forgets_the_pending_requests_of_a_lost_connection() -> None:
+async def test_cache_drops_the_pending_requests_of_a_lost_connection() -> None:
     address = free_address()
     cache = CacheServer(CacheCluster(replace(CACHE_SETTINGS, service_s=5.0)), "a", address)
     await cache.listen()
@@ -174,7 +174,7 @@
     await cache.set_mode("dead")
 
 
-async def test_caches_emulator_carries_out_its_commands() -> None:
+async def test_caches_emulator_executes_its_commands() -> None:
     emulator = CachesEmulator()
     host, port = free_address()
     command = StartCaches(
@@ -212,8 +212,8 @@
 
 
 async def test_origin_notifies_the_caches_and_rejects_requests_beyond_its_limit() -> None:
-    fetched: list[tuple[bytes, bytes, bool]] = []
-    origin = Origin(lambda *request: fetched.append(request), b"vvv", 0.02, 1)
+    completed: list[tuple[bytes, bytes, bool]] = []
+    origin = Origin(lambda *request: completed.append(request), b"vvv", 0.02, 1)
     address = await origin.listen("127.0.0.1", 0)
     first, second = [Link(*await asyncio.open_connection(*address)) for _ in range(2)]
     first.write(origin_request("GET", "r1"))
@@ -225,7 +225,7 @@
     assert await first.http() == ("HTTP/1.1 200 OK", {"content-length": "3"}, b"vvv")
     first.write(origin_request("PUT", "w1", "body"))
     assert await first.http() == ("HTTP/1.1 200 OK", {"content-length": "7"}, b"receipt")
-    assert fetched == [(b"a/b", b"r1", False), (b"a/b", b"w1", True)]
+    assert completed == [(b"a/b", b"r1", False), (b"a/b", b"w1", True)]
     first.close()
     while origin.counters().open == 2:
         await asyncio.sleep(0.001)
@@ -233,9 +233,9 @@
     second.close()
 
 
-async def test_origin_frees_the_place_of_a_request_whose_connection_is_lost() -> None:
-    fetched: list[bytes] = []
-    origin = Origin(lambda _, request_id, __: fetched.append(request_id), b"vvv", 0.02, 1)
+async def test_request_whose_connection_is_lost_no_longer_counts_as_concurrent() -> None:
+    completed: list[bytes] = []
+    origin = Origin(lambda _, request_id, __: completed.append(request_id), b"vvv", 0.02, 1)
     address = await origin.listen("127.0.0.1", 0)
     first, second = [Link(*await asyncio.open_connection(*address)) for _ in range(2)]
     first.write(origin_request("GET", "r1"))
@@ -246,5 +246,5 @@
         await asyncio.sleep(0.001)
     second.write(origin_request("GET", "r2"))
     assert (await second.http())[0] == "HTTP/1.1 200 OK"
-    assert fetched == [b"r2"]
+    assert completed == [b"r2"]
     second.close()
