--- a/tests/scale_experiments/emulators/test_discovery.py
+++ b/tests/scale_experiments/emulators/test_discovery.py
@@ -28,8 +28,8 @@
 def poll(registry: Registry, after: int | None) -> tuple[int, bool, dict[str, str]]:
     """Poll for changes after an index; return the index, whether it is a snapshot, and statuses by name."""
     response = orjson.loads(registry.response_body(after))
-    states = {e["name"]: e["status"] for e in response["endpoints"]}
-    return response["index"], response["snapshot"], states
+    statuses = {e["name"]: e["status"] for e in response["endpoints"]}
+    return response["index"], response["snapshot"], statuses
 
 
 def test_registry_sends_changes_or_a_snapshot_if_the_index_is_too_old() -> None:
@@ -48,14 +48,14 @@
     assert poll(registry, 5) == (8, True, {"b": "in_service", "c": "in_service"})
 
 
-async def test_watch_waits_for_updates_and_hangs_with_discovery() -> None:
-    """A poll waits until the list changes, and gets no response while discovery hangs."""
-    server = DiscoveryEmulator()
-    await server.listen()
-    server.replace_list(41, [endpoint_entry("a")])
+async def test_watch_waits_for_updates_and_gets_none_while_discovery_is_silent() -> None:
+    """A poll waits until the list changes, and gets no response while discovery is silent."""
+    emulator = DiscoveryEmulator()
+    await emulator.listen()
+    emulator.replace_list(41, [endpoint_entry("a")])
     updates: asyncio.Queue[tuple[EndpointUpdateKind, list[str]]] = asyncio.Queue()
     watch = Discovery(
-        format_address(server.address),
+        format_address(emulator.address),
         41,
         lambda kind, endpoints: updates.put_nowait((kind, [e.entry.name for e in endpoints])),
         lambda _: updates.put_nowait((EndpointUpdateKind.FAILED, [])),
@@ -63,76 +63,76 @@
     watch.subscribe()
 
     async def wait_for_polls(count: int) -> None:
-        while server.stats().polls < count:
+        while emulator.stats().polls < count:
             await asyncio.sleep(0.001)
 
     await wait_for_polls(1)
-    assert server.stats().waiting == 1
+    assert emulator.stats().waiting == 1
     assert updates.empty()
-    server.change_list(42, [endpoint_entry("b")])
+    emulator.change_list(42, [endpoint_entry("b")])
     assert await updates.get() == (EndpointUpdateKind.DELTA, ["b"])
     await wait_for_polls(2)
-    await server.set_mode("silent")
-    server.change_list(43, [endpoint_entry("c")])
-    assert not server.stats().waiting
+    await emulator.set_mode("silent")
+    emulator.change_list(43, [endpoint_entry("c")])
+    assert not emulator.stats().waiting
     assert updates.empty()
-    assert server.reset_unanswered() == 1
+    assert emulator.reset_unanswered() == 1
     assert await updates.get() == (EndpointUpdateKind.FAILED, [])
-    await server.set_mode("serve")
+    await emulator.set_mode("serve")
     watch.subscribe()
     assert await updates.get() == (EndpointUpdateKind.DELTA, ["c"])
     watch.close()
-    await server.set_mode("refuse")
+    await emulator.set_mode("refuse")
 
 
 async def test_poll_with_a_malformed_index_gets_a_bad_request() -> None:
     """The emulator rejects malformed polls, so that a router that sends one does not go unnoticed."""
-    server = DiscoveryEmulator()
-    await server.listen()
-    client = Link(*await asyncio.open_connection(*server.address))
+    emulator = DiscoveryEmulator()
+    await emulator.listen()
+    client = Link(*await asyncio.open_connection(*emulator.address))
     client.write(b"GET /registry/instances?after=x HTTP/1.1\r\n\r\n")
     assert (await client.http())[0] == "HTTP/1.1 400 Bad Request"
-    await server.set_mode("refuse")
+    await emulator.set_mode("refuse")
 
 
 async def test_discovery_rejects_polls_while_it_is_busy() -> None:
     """In the mode "busy", a poll gets a 503 after the delay of the command, and its connection stays open."""
-    server = DiscoveryEmulator()
-    await server.listen()
-    server.replace_list(5, [endpoint_entry("a")])
-    assert isinstance(await server.handle(SetDiscoveryMode("busy", 0.02)), Timestamp)
-    client = Link(*await asyncio.open_connection(*server.address))
+    emulator = DiscoveryEmulator()
+    await emulator.listen()
+    emulator.replace_list(5, [endpoint_entry("a")])
+    assert isinstance(await emulator.handle(SetDiscoveryMode("busy", 0.02)), Timestamp)
+    client = Link(*await asyncio.open_connection(*emulator.address))
     started_at = asyncio.get_running_loop().time()
     client.write(b"GET /registry/instances HTTP/1.1\r\n\r\n")
     assert (await client.http())[0] == "HTTP/1.1 503 Service Unavailable"
     assert asyncio.get_running_loop().time() - started_at >= 0.02
-    await server.set_mode("serve")
+    await emulator.set_mode("serve")
     client.write(b"GET /registry/instances HTTP/1.1\r\n\r\n")
     assert (await client.http())[0] == "HTTP/1.1 200 OK"
-    stats = server.stats()
+    stats = emulator.stats()
     assert (stats.polls, stats.connections, stats.answered, stats.rejected) == (2, 1, 1, 1)
-    await server.set_mode("refuse")
+    await emulator.set_mode("refuse")
 
 
 async def test_discovery_refuses_connections_until_it_serves_again_at_the_same_address() -> None:
-    server = DiscoveryEmulator()
-    await server.listen()
-    address = server.address
+    emulator = DiscoveryEmulator()
+    await emulator.listen()
+    address = emulator.address
     client = Link(*await asyncio.open_connection(*address))
     client.write(b"GET /registry/instances?after=0&wait_ms=9000 HTTP/1.1\r\n\r\n")
-    while not server.stats().waiting:
+    while not emulator.stats().waiting:
         await asyncio.sleep(0.001)
-    await server.set_mode("refuse")
+    await emulator.set_mode("refuse")
     assert await client.closed_by_peer()
     with pytest.raises(ConnectionRefusedError):
         await asyncio.open_connection(*address)
-    await server.set_mode("serve")
-    assert server.address == address
+    await emulator.set_mode("serve")
+    assert emulator.address == address
     client = Link(*await asyncio.open_connection(*address))
     client.write(b"GET /registry/instances?after=0 HTTP/1.1\r\nConnection: close\r\n\r\n")
     assert (await client.http())[2] == b'{"index":0,"snapshot":false,"endpoints":[]}'
     assert await client.closed_by_peer()
-    await server.set_mode("refuse")
+    await emulator.set_mode("refuse")
 
 
 def test_change_that_does_not_have_the_next_index_is_rejected() -> None:
