--- a/scale_experiments/emulators/clients/connection.py
+++ b/scale_experiments/emulators/clients/connection.py
@@ -20,21 +20,21 @@
     Its latency is measured from then, even if it is sent later.
     """
 
-    __slots__ = ("_is_retry", "data", "due_at")
+    __slots__ = ("_is_retried", "data", "due_at")
 
     def __init__(self, data: bytes, due_at: float) -> None:
         self.data = data
         self.due_at = due_at
-        self._is_retry = False
+        self._is_retried = False
 
     @property
-    def is_retry(self) -> bool:
+    def is_retried(self) -> bool:
         """Whether the request has been retried."""
-        return self._is_retry
+        return self._is_retried
 
     def mark_retried(self) -> None:
         """Record the retry of the request, which is not retried again."""
-        self._is_retry = True
+        self._is_retried = True
 
 
 class ConnectionOwner(Protocol):
@@ -74,7 +74,7 @@
         self._reader = RespReader(MAX_ARRAY_LENGTH, MAX_VALUE_BYTES, MAX_REPLY_BYTES)
         self._request: ClientRequest | None = None  # the request in flight
         self._completed_requests = 0
-        self._expiry: asyncio.TimerHandle | None = None
+        self._expiry_timer: asyncio.TimerHandle | None = None
 
     @property
     def is_closing(self) -> bool:
@@ -90,14 +90,14 @@
         """Send a request; no other one may be in flight."""
         self._request = request
         expires_at = request.due_at + self._load.deadline_s + DEADLINE_GRACE_S
-        self._expiry = asyncio.get_running_loop().call_at(expires_at, self._expire)
+        self._expiry_timer = asyncio.get_running_loop().call_at(expires_at, self._expire_request)
         self._transport.write(request.data)
 
     def _end_request(self) -> ClientRequest | None:
         """Clear the request in flight, cancel its timer, and return the request."""
         request, self._request = self._request, None
-        if self._expiry is not None:
-            self._expiry.cancel()
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
         return request
 
     def _complete(self, outcome: str) -> None:
@@ -106,7 +106,7 @@
         if request is not None:
             self._load.on_outcome(outcome, request)
 
-    def _expire(self) -> None:
+    def _expire_request(self) -> None:
         self._complete(UNANSWERED)
         self._transport.abort()
 
@@ -122,7 +122,7 @@
         if reply is INCOMPLETE:
             return
         self._completed_requests += 1
-        self._complete(outcome_of(reply))
+        self._complete(classify_reply(reply))
         self._load.on_idle(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -132,14 +132,14 @@
         if request is None:
             return
         # the router may have closed the connection as idle while this request was on its way
-        if self._completed_requests and not request.is_retry:
+        if self._completed_requests and not request.is_retried:
             self._end_request()
             self._load.retry(request)
         else:
             self._complete(LOST)
 
 
-def outcome_of(reply: Message) -> str:
+def classify_reply(reply: Message) -> str:
     """Return the outcome of a request by its reply: served, rejected or failed."""
     match reply:
         case bytes() | [bytes(), *_]:
--- a/scale_experiments/emulators/clients/load.py
+++ b/scale_experiments/emulators/clients/load.py
@@ -26,8 +26,8 @@
         self._deadline_s = command.deadline_s
         self._rate_per_s = command.rate_per_s
         self._random = np.random.default_rng(seed)  # determines the requests and the times between them
-        self._requests = RequestSequence(command, seed, self._random)
-        self._idle: deque[ClientConnection] = deque()
+        self._request_sequence = RequestSequence(command, seed, self._random)
+        self._idle_connections: deque[ClientConnection] = deque()
         self._pending_connects: set[asyncio.Task[None]] = set()
         self._is_paused = False
 
@@ -43,14 +43,14 @@
         """
         loop = asyncio.get_running_loop()
         due_at = loop.time()
-        for data in self._requests:
+        for encoded_request in self._request_sequence:
             due_at += -math.log(1.0 - self._random.random()) / self._rate_per_s  # Poisson process
             if (remaining_s := due_at - loop.time()) > 0:
                 await asyncio.sleep(remaining_s)
             if self._is_paused:
                 return
             self.statistics.on_request()
-            self.send(ClientRequest(data, due_at))
+            self.send(ClientRequest(encoded_request, due_at))
 
     def pause(self) -> None:
         """Stop sending new requests."""
@@ -61,8 +61,8 @@
 
         At `MAX_CONNECTIONS_PER_ROUTER` connections, the request is counted as not sent.
         """
-        while self._idle:
-            connection = self._idle.pop()
+        while self._idle_connections:
+            connection = self._idle_connections.pop()
             if not connection.is_closing:
                 connection.send(request)
                 return
@@ -97,12 +97,12 @@
     def on_disconnected(self, connection: ClientConnection) -> None:
         """Count a connection as closed, and stop using it."""
         self.statistics.on_disconnected()
-        if connection in self._idle:
-            self._idle.remove(connection)
+        if connection in self._idle_connections:
+            self._idle_connections.remove(connection)
 
     def on_idle(self, connection: ClientConnection) -> None:
         """Make a connection available for the next request."""
-        self._idle.append(connection)
+        self._idle_connections.append(connection)
 
     def on_outcome(self, outcome: str, request: ClientRequest) -> None:
         """Count the outcome of a request and, if it was served, record its latency."""
--- a/scale_experiments/emulators/clients/request_sequence.py
+++ b/scale_experiments/emulators/clients/request_sequence.py
@@ -9,7 +9,7 @@
 from cache_router.net.resp import encode_command
 from scale_experiments.emulators.messages.clients import StartClients
 
-KEYS_PER_DRAW = 4096  # requests per batch of random numbers; another size changes the sequence of a seed
+RANDOM_BATCH_SIZE = 4096  # requests; another size changes the sequence of a seed
 
 
 class RequestSequence:
@@ -34,8 +34,8 @@
     def __iter__(self) -> Iterator[bytes]:
         """Yield encoded requests without end."""
         while True:
-            keys = np.searchsorted(self._cumulative_popularity, self._random.random(KEYS_PER_DRAW))
-            writes = self._random.random(KEYS_PER_DRAW) < self._write_share
+            keys = np.searchsorted(self._cumulative_popularity, self._random.random(RANDOM_BATCH_SIZE))
+            writes = self._random.random(RANDOM_BATCH_SIZE) < self._write_share
             for key, is_write in zip(keys.tolist(), writes.tolist(), strict=True):
                 self._request_count += 1
                 yield self._encode(key, is_write=is_write)
--- a/scale_experiments/emulators/clients/statistics.py
+++ b/scale_experiments/emulators/clients/statistics.py
@@ -15,12 +15,12 @@
 )
 
 MAX_LATENCY_US = 60_000_000  # longer latencies are recorded as this one
-LATENCY_DIGITS = 2  # significant digits
+LATENCY_SIGNIFICANT_DIGITS = 2
 
 
 def build_latency_histogram() -> HdrHistogram:
     """Return an empty histogram of latencies in microseconds."""
-    return HdrHistogram(1, MAX_LATENCY_US, LATENCY_DIGITS)
+    return HdrHistogram(1, MAX_LATENCY_US, LATENCY_SIGNIFICANT_DIGITS)
 
 
 class LoadStatistics:
--- a/tests/scale_experiments/emulators/test_clients.py
+++ b/tests/scale_experiments/emulators/test_clients.py
@@ -12,7 +12,7 @@
 import pytest
 
 from cache_router.net.resp import ErrorReply, Message
-from scale_experiments.emulators.clients.connection import ClientRequest, outcome_of
+from scale_experiments.emulators.clients.connection import ClientRequest, classify_reply
 from scale_experiments.emulators.clients.emulator import ClientsEmulator
 from scale_experiments.emulators.clients.load import RouterLoad
 from scale_experiments.emulators.clients.request_sequence import RequestSequence
@@ -70,7 +70,7 @@
     load.send(ClientRequest(read(request_id), asyncio.get_running_loop().time()))
 
 
-async def receive_request(load: RouterLoad, router: Peer, request_id: str) -> Link:
+async def send_on_new_connection(load: RouterLoad, router: Peer, request_id: str) -> Link:
     """Send a request that needs a new connection; return the router's side of it."""
     send_request(load, request_id)
     link = await router.link()
@@ -78,12 +78,12 @@
     return link
 
 
-def parse_requests(data: list[bytes]) -> list[list[bytes]]:
+def parse_requests(encoded_requests: list[bytes]) -> list[list[bytes]]:
     """Return the parts of encoded requests."""
     reader = hiredis.Reader()
     parts = []
-    for each in data:
-        reader.feed(each)
+    for request in encoded_requests:
+        reader.feed(request)
         parts.append(reader.gets())
     return parts
 
@@ -98,15 +98,15 @@
 
 def test_request_sequence_has_reads_and_writes_of_the_protocol() -> None:
     requests = parse_requests(list(islice(RequestSequence(START, 7, np.random.default_rng(7)), 2000)))
-    reads = [each for each in requests if each[0] == b"C.GET"]
-    writes = [each for each in requests if each[0] == b"C.SET"]
+    reads = [request for request in requests if request[0] == b"C.GET"]
+    writes = [request for request in requests if request[0] == b"C.SET"]
     assert len(reads) + len(writes) == 2000
     assert 0.2 < len(writes) / 2000 < 0.3
     assert requests[9][2] == b"%08x%08x" % (7, 10)  # request id: seed and request number
-    assert len({each[2] for each in requests}) == 2000
-    assert all(each[3] == b"c=read,t=t,d=2000" for each in reads)
-    assert all(each[3:] == [b"c=put,t=t,d=2000,k=" + each[2], b"wwwww"] for each in writes)
-    popularity = Counter(int(each[1], 16) for each in requests)
+    assert len({request[2] for request in requests}) == 2000
+    assert all(request[3] == b"c=read,t=t,d=2000" for request in reads)
+    assert all(request[3:] == [b"c=put,t=t,d=2000,k=" + request[2], b"wwwww"] for request in writes)
+    popularity = Counter(int(request[1], 16) for request in requests)
     assert set(popularity) <= set(range(START.keys))
     assert popularity.most_common(1)[0][0] == 0
 
@@ -122,7 +122,7 @@
     ],
 )
 def test_reply_determines_the_outcome_of_a_request(reply: Message, outcome: str) -> None:
-    assert outcome_of(reply) == outcome
+    assert classify_reply(reply) == outcome
 
 
 def test_load_statistics_count_outcomes_and_the_latency_of_served_requests() -> None:
@@ -158,8 +158,8 @@
 async def test_load_reuses_an_idle_connection_and_opens_one_when_all_are_busy() -> None:
     async with Peer() as router:
         load = RouterLoad(router.address, START, 1)
-        first = await receive_request(load, router, "r1")
-        second = await receive_request(load, router, "r2")
+        first = await send_on_new_connection(load, router, "r1")
+        second = await send_on_new_connection(load, router, "r2")
         first.write(SERVED_REPLY)
         await wait_for_outcome(load, SERVED)
         send_request(load, "r3")
@@ -174,11 +174,11 @@
         first.close()
 
 
-async def test_request_that_crossed_a_close_is_retried_once() -> None:
+async def test_request_sent_on_a_connection_that_the_router_closes_is_retried_once() -> None:
     """A router may close an idle connection while the next request is on its way; a retry is not retried."""
     async with Peer() as router:
         load = RouterLoad(router.address, START, 1)
-        first = await receive_request(load, router, "r1")
+        first = await send_on_new_connection(load, router, "r1")
         first.write(SERVED_REPLY)
         await wait_for_outcome(load, SERVED)
         send_request(load, "r2")
@@ -196,7 +196,7 @@
     async with Peer() as router:
         # longer than the process may be suspended while the connection is made
         load = RouterLoad(router.address, replace(START, deadline_s=0.5), 1)
-        link = await receive_request(load, router, "r1")
+        link = await send_on_new_connection(load, router, "r1")
         await wait_for_outcome(load, UNANSWERED)
         assert await link.closed_by_peer()
     send_request(load, "r2")
@@ -205,7 +205,7 @@
     assert (counts[UNANSWERED], counts[NOT_CONNECTED], counts[LOST], counts[RETRIES]) == (1, 1, 0, 0)
 
 
-async def test_clients_emulator_carries_out_its_commands() -> None:
+async def test_clients_emulator_executes_its_commands() -> None:
     emulator = ClientsEmulator()
     async with Peer() as router:
         assert await emulator.handle(replace(START, routers=[router.address])) == Done()
