--- a/scale_experiments/emulators/cache/connection.py
+++ b/scale_experiments/emulators/cache/connection.py
@@ -11,7 +11,7 @@
 
 MAX_ARRAY_LENGTH = 16  # elements of a request
 MAX_VALUE_BYTES = 64 * 1024
-MAX_REQUEST_BYTES = MAX_VALUE_BYTES + 8192  # room for the other elements beside the value
+MAX_REQUEST_BYTES = MAX_VALUE_BYTES + 8192  # a value, and room for the other elements
 PING_REPLY = b"+PONG\r\n"
 REJECTED_REPLY = b"-BUSY\r\n"
 
@@ -68,7 +68,7 @@
     def __init__(self, cache: ConnectionOwner) -> None:
         self._cache = cache
         self._reader = RespReader(MAX_ARRAY_LENGTH, MAX_VALUE_BYTES, MAX_REQUEST_BYTES)
-        self._last_reply_due_at = 0.0  # in seconds of the event loop; later replies are not sent before
+        self._last_reply_due_at = 0.0  # event loop time; later replies are not sent before it
         self._is_over_limit = False
         self._admitted_requests = 0
         self._idle_timer: asyncio.TimerHandle | None = None
--- a/scale_experiments/emulators/clients/__main__.py
+++ b/scale_experiments/emulators/clients/__main__.py
@@ -7,9 +7,9 @@
 `GetClientsStats` of `scale_experiments.emulators.messages.clients`.
 
 Requests are due at random times at the given rate, whether or not earlier ones have a reply. One seed
-determines the requests and their times. Requests reuse idle connections; a new one is opened when all are
-busy. A request that is lost because the router closed an idle connection at the same time is retried once;
-there are no other retries.
+determines the requests and when they are due. Requests reuse idle connections; a new one is opened when all
+are busy. A request that is lost because the router closed an idle connection at the same time is retried
+once; there are no other retries.
 """
 
 from __future__ import annotations
--- a/scale_experiments/emulators/clients/connection.py
+++ b/scale_experiments/emulators/clients/connection.py
@@ -10,7 +10,7 @@
 
 MAX_ARRAY_LENGTH = 16  # elements of a reply
 MAX_VALUE_BYTES = 64 * 1024
-MAX_REPLY_BYTES = MAX_VALUE_BYTES + 8192  # room for the other elements beside the value
+MAX_REPLY_BYTES = MAX_VALUE_BYTES + 8192  # a value, and room for the other elements
 DEADLINE_GRACE_S = 0.2  # time between a request's deadline and the reset of its connection
 
 
@@ -33,7 +33,7 @@
         return self._is_retried
 
     def mark_retried(self) -> None:
-        """Record the retry of the request, which is not retried again."""
+        """Record that the request has been retried; there is no second retry."""
         self._is_retried = True
 
 
--- a/scale_experiments/emulators/clients/request_sequence.py
+++ b/scale_experiments/emulators/clients/request_sequence.py
@@ -9,7 +9,7 @@
 from cache_router.net.resp import encode_command
 from scale_experiments.emulators.messages.clients import StartClients
 
-RANDOM_BATCH_SIZE = 4096  # requests; another size changes the sequence of a seed
+RANDOM_BATCH_SIZE = 4096  # requests per batch; the sequence of a seed depends on it
 
 
 class RequestSequence:
--- a/tests/scale_experiments/emulators/test_cache.py
+++ b/tests/scale_experiments/emulators/test_cache.py
@@ -116,7 +116,7 @@
     for link, value in zip(links, (b"vvv", b"vvv", None), strict=True):
         link.write(read("r1"))
         response = await link.resp()
-        if value is None:  # beyond the limit of two connections
+        if value is None:  # third connection, with a limit of two
             assert str(response) == "BUSY"
             assert await link.closed_by_peer()
         else:
