--- a/scale_experiments/emulators/clients/connection.py
+++ b/scale_experiments/emulators/clients/connection.py
@@ -1,4 +1,4 @@
-"""A connection of a client to a router, which carries one request at a time."""
+"""A client's connection to a router, with one request in flight at a time."""
 
 from __future__ import annotations
 
@@ -8,34 +8,37 @@
 from cache_router.net.resp import INCOMPLETE, ErrorReply, Message, RespError, RespReader
 from scale_experiments.emulators.messages.clients import FAILED, LOST, REJECTED, SERVED, UNANSWERED
 
-MAX_ARRAY_LENGTH = 16  # of a reply
+MAX_ARRAY_LENGTH = 16  # elements of a reply
 MAX_VALUE_BYTES = 64 * 1024
-MAX_REPLY_BYTES = MAX_VALUE_BYTES + 8192
-DEADLINE_GRACE_S = 0.2  # from a request's deadline until its connection is reset
+MAX_REPLY_BYTES = MAX_VALUE_BYTES + 8192  # a value, and room for the other elements
+DEADLINE_GRACE_S = 0.2  # time between a request's deadline and the reset of its connection
 
 
 class ClientRequest:
-    """One request; its latency starts at `due_at`, when it was to be sent, in seconds of the event loop."""
+    """One encoded request, which is due at `due_at`, in seconds of the event loop's clock.
 
-    __slots__ = ("_is_retry", "data", "due_at")
+    Its latency is measured from then, even if it is sent later.
+    """
+
+    __slots__ = ("_is_retried", "data", "due_at")
 
     def __init__(self, data: bytes, due_at: float) -> None:
         self.data = data
         self.due_at = due_at
-        self._is_retry = False
+        self._is_retried = False
 
     @property
-    def is_retry(self) -> bool:
-        """Whether the request was retried."""
-        return self._is_retry
+    def is_retried(self) -> bool:
+        """Whether the request has been retried."""
+        return self._is_retried
 
     def mark_retried(self) -> None:
-        """Record that the request is retried, which it is only once."""
-        self._is_retry = True
+        """Record that the request has been retried; there is no second retry."""
+        self._is_retried = True
 
 
 class ConnectionOwner(Protocol):
-    """The load on a router as its connections see it."""
+    """Interface through which connections use the load on their router."""
 
     @property
     def deadline_s(self) -> float:
@@ -47,15 +50,15 @@
         ...
 
     def on_disconnected(self, connection: ClientConnection) -> None:
-        """Count a connection as closed, and send nothing more on it."""
+        """Count a connection as closed, and stop using it."""
         ...
 
     def on_idle(self, connection: ClientConnection) -> None:
-        """Use a connection for the next request."""
+        """Make a connection available for the next request."""
         ...
 
     def on_outcome(self, outcome: str, request: ClientRequest) -> None:
-        """Count how a request ended."""
+        """Count the outcome of a request."""
         ...
 
     def retry(self, request: ClientRequest) -> None:
@@ -64,14 +67,14 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection that carries one request at a time."""
+    """A connection to a router, with one request in flight at a time."""
 
     def __init__(self, load: ConnectionOwner) -> None:
         self._load = load
         self._reader = RespReader(MAX_ARRAY_LENGTH, MAX_VALUE_BYTES, MAX_REPLY_BYTES)
-        self._request: ClientRequest | None = None  # in flight
+        self._request: ClientRequest | None = None  # the request in flight
         self._completed_requests = 0
-        self._expiry: asyncio.TimerHandle | None = None
+        self._expiry_timer: asyncio.TimerHandle | None = None
 
     @property
     def is_closing(self) -> bool:
@@ -84,17 +87,17 @@
         self._load.on_connected()
 
     def send(self, request: ClientRequest) -> None:
-        """Send a request; none may be in flight."""
+        """Send a request; no other one may be in flight."""
         self._request = request
         expires_at = request.due_at + self._load.deadline_s + DEADLINE_GRACE_S
-        self._expiry = asyncio.get_running_loop().call_at(expires_at, self._expire)
+        self._expiry_timer = asyncio.get_running_loop().call_at(expires_at, self._expire_request)
         self._transport.write(request.data)
 
     def _end_request(self) -> ClientRequest | None:
-        """Return the request that was in flight; from now on none is."""
+        """Clear the request in flight, cancel its timer, and return the request."""
         request, self._request = self._request, None
-        if self._expiry is not None:
-            self._expiry.cancel()
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
         return request
 
     def _complete(self, outcome: str) -> None:
@@ -103,7 +106,7 @@
         if request is not None:
             self._load.on_outcome(outcome, request)
 
-    def _expire(self) -> None:
+    def _expire_request(self) -> None:
         self._complete(UNANSWERED)
         self._transport.abort()
 
@@ -119,25 +122,25 @@
         if reply is INCOMPLETE:
             return
         self._completed_requests += 1
-        self._complete(outcome_of(reply))
+        self._complete(classify_reply(reply))
         self._load.on_idle(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Retry the request in flight if it crossed a close, or count it as lost."""
+        """Retry the request in flight if it may not have been read; otherwise count it as lost."""
         self._load.on_disconnected(self)
         request = self._request
         if request is None:
             return
-        # the router may close a connection between requests, before it has read the next one
-        if self._completed_requests and not request.is_retry:
+        # the router may have closed the connection as idle while this request was on its way
+        if self._completed_requests and not request.is_retried:
             self._end_request()
             self._load.retry(request)
         else:
             self._complete(LOST)
 
 
-def outcome_of(reply: Message) -> str:
-    """The outcome of a request by its reply: served, rejected or failed."""
+def classify_reply(reply: Message) -> str:
+    """Return the outcome of a request by its reply: served, rejected or failed."""
     match reply:
         case bytes() | [bytes(), *_]:
             return SERVED
