--- a/scale_experiments/capacity/model.py
+++ b/scale_experiments/capacity/model.py
@@ -12,7 +12,7 @@
 from scale_experiments.capacity.kept_results import KeptResults
 from scale_experiments.capacity.paths import CAPACITY_TABLE
 from scale_experiments.capacity.references import resolve_in_code, resolve_in_target
-from scale_experiments.capacity.schema import CapacityItem, CapacityTable, Demand, MeasuredTerm, Parameter
+from scale_experiments.capacity.schema import CapacityEntry, CapacityTable, Demand, MeasuredTerm, Parameter
 from scale_experiments.expression import Expression, ExpressionError
 from scale_experiments.fitting.forms import FitError
 from scale_experiments.fitting.observations import CONFOUNDED_COLUMNS, Size, mean_at, varying_columns
@@ -77,10 +77,12 @@
         """A formula of parameters and variables, without terms."""
         return formula.value(lambda name: self.parameter(name, point))
 
-    def estimate(self, item: CapacityItem, point: FleetPoint, formula: Expression | None = None) -> Estimate:
-        """A formula of an item's terms at a point, by default the item's own formula, in the item's unit."""
-        formula = formula or item.formula
-        return self._propagate_errors(item, point, formula.names, formula.value)
+    def estimate(
+        self, entry: CapacityEntry, point: FleetPoint, formula: Expression | None = None
+    ) -> Estimate:
+        """Evaluate a formula at a point, by default the entry's own formula; in the entry's unit."""
+        formula = formula or entry.formula
+        return self._propagate_errors(entry, point, formula.names, formula.value)
 
     def budget(self, demand: Demand, point: FleetPoint) -> float | None:
         """The budget of a demand at a point, in its unit; None if it has none."""
@@ -98,17 +100,17 @@
         return ratio.value + standard_errors * ratio.standard_error
 
     def _propagate_errors(
-        self, item: CapacityItem, point: FleetPoint, names: set[str], evaluate: Callable[[Lookup], float]
+        self, entry: CapacityEntry, point: FleetPoint, names: set[str], evaluate: Callable[[Lookup], float]
     ) -> Estimate:
         """The value of an evaluation that uses the given names, and its standard error.
 
         The error is the root of the sum of squares of the changes that each term causes when only that term
         is moved by its standard error.
         """
-        with self._locating_errors(item):
+        with self._locating_errors(entry):
             terms = {
                 name: self.results.fit(term).predict(self._columns_of_term(term, point))
-                for name, term in item.terms.items()
+                for name, term in entry.terms.items()
                 if name in names
             }
 
@@ -125,12 +127,12 @@
             return Estimate(value, math.sqrt(sum((value_with(name) - value) ** 2 for name in terms)))
 
     @contextlib.contextmanager
-    def _locating_errors(self, item: CapacityItem) -> Iterator[None]:
-        """Name the file and the item in errors of its formulas and terms."""
+    def _locating_errors(self, entry: CapacityEntry) -> Iterator[None]:
+        """Name the file and the entry in errors of its formulas and terms."""
         try:
             yield
         except (ExpressionError, FitError, UnknownNameError) as e:
-            raise InputError(f"{CAPACITY_TABLE}: {self.table.location(item)}: {e}") from e
+            raise InputError(f"{CAPACITY_TABLE}: {self.table.location(entry)}: {e}") from e
 
     def breaking_point(self, demand: Demand, standard_errors: float = 0.0) -> float | None:
         """The first progress along the growth path at which a demand exceeds its budget; None without one.
@@ -146,28 +148,28 @@
             self._breaking_points[key] = first_exceeding(excess)
         return self._breaking_points[key]
 
-    def measured_value(self, item: CapacityItem, point: FleetPoint) -> float | None:
-        """An item from the means measured at a point itself; None if any term was not measured there."""
-        with self._locating_errors(item):
+    def measured_value(self, entry: CapacityEntry, point: FleetPoint) -> float | None:
+        """An entry from the means measured at a point itself; None if any term was not measured there."""
+        with self._locating_errors(entry):
             means: dict[str, float] = {}
-            for name in item.formula.names & item.terms.keys():
-                mean = self._mean_of_term(item.terms[name], point)
+            for name in entry.formula.names & entry.terms.keys():
+                mean = self._mean_of_term(entry.terms[name], point)
                 if mean is None:
                     return None
                 means[name] = mean
             if not means:
                 return None
-            return item.formula.value(
+            return entry.formula.value(
                 lambda name: means[name] if name in means else self.parameter(name, point)
             )
 
-    def is_measured_at_one_size(self, item: CapacityItem) -> bool:
-        """Whether any term of an item was measured at one size only, so that its slopes are unknown."""
-        return any(self.results.fit(term).size_count == 1 for term in item.terms.values())
+    def is_measured_at_one_size(self, entry: CapacityEntry) -> bool:
+        """Whether any term of an entry was measured at one size only, so that its slopes are unknown."""
+        return any(self.results.fit(term).size_count == 1 for term in entry.terms.values())
 
-    def extrapolation_factor(self, item: CapacityItem, point: FleetPoint) -> float:
+    def extrapolation_factor(self, entry: CapacityEntry, point: FleetPoint) -> float:
         """The largest ratio of a point's columns to the largest that were measured; 1 without terms."""
-        used = [term for name, term in item.terms.items() if name in item.formula.names]
+        used = [term for name, term in entry.terms.items() if name in entry.formula.names]
         factors = (self.results.fit(t).extrapolation_factor(self._columns_of_term(t, point)) for t in used)
         return max(factors, default=1.0)
 
--- a/scale_experiments/capacity/provenance.py
+++ b/scale_experiments/capacity/provenance.py
@@ -8,27 +8,27 @@
 
 from scale_experiments.capacity.model import CapacityModel
 from scale_experiments.capacity.paths import RESULTS_FOLDER
-from scale_experiments.capacity.schema import CapacityItem, MeasuredTerm
+from scale_experiments.capacity.schema import CapacityEntry, MeasuredTerm
 from scale_experiments.expression import Expression
 from scale_experiments.fitting.forms import Fit
 from scale_experiments.fitting.observations import SAME_SIZE_TOLERANCE
 from scale_experiments.number_format import FACTOR_DIGITS, SIZE_DIGITS, format_number
 
 
-def describe_basis(model: CapacityModel, item: CapacityItem) -> str:
-    """Whether an item is measured, extrapolated or given, and the parameters that are assumed for it."""
-    terms = [term for name, term in item.terms.items() if name in item.formula.names]
+def describe_basis(model: CapacityModel, entry: CapacityEntry) -> str:
+    """Whether an entry is measured, extrapolated or given, and the parameters that are assumed for it."""
+    terms = [term for name, term in entry.terms.items() if name in entry.formula.names]
     fits = [model.results.fit(term) for term in terms]
-    parts = [*_describe_extrapolation(model, item, fits), *_describe_single_sizes(fits)]
+    parts = [*_describe_extrapolation(model, entry, fits), *_describe_single_sizes(fits)]
     if any(model.results.is_only_baseline(term.result) for term in terms):
         parts.append("from the earlier version only")
-    if assumed := _assumed_parameters(model, item.formula, terms):
+    if assumed := _assumed_parameters(model, entry.formula, terms):
         parts.append("assumed: " + ", ".join(f"`{name}`" for name in assumed))
     return "; ".join(parts) or "given"
 
 
-def _describe_extrapolation(model: CapacityModel, item: CapacityItem, fits: Sequence[Fit]) -> Iterator[str]:
-    factor = model.extrapolation_factor(item, model.growth_path.at_target())
+def _describe_extrapolation(model: CapacityModel, entry: CapacityEntry, fits: Sequence[Fit]) -> Iterator[str]:
+    factor = model.extrapolation_factor(entry, model.growth_path.at_target())
     if any(fit.size_count > 1 for fit in fits):
         if factor <= 1.0 + SAME_SIZE_TOLERANCE:
             yield "measured"
@@ -68,10 +68,10 @@
     return names
 
 
-def describe_sources(model: CapacityModel, item: CapacityItem) -> str:
-    """The sources of an item, each with its fit and a link to its result, and the item's formula."""
-    sources = [_describe_source(model, term) for term in item.terms.values()]
-    return "; ".join([*sources, f"`{item.formula.text}`"])
+def describe_sources(model: CapacityModel, entry: CapacityEntry) -> str:
+    """The sources of an entry, each with its fit and a link to its result, and the entry's formula."""
+    sources = [_describe_source(model, term) for term in entry.terms.values()]
+    return "; ".join([*sources, f"`{entry.formula.text}`"])
 
 
 def _describe_source(model: CapacityModel, term: MeasuredTerm) -> str:
--- a/scale_experiments/capacity/reader.py
+++ b/scale_experiments/capacity/reader.py
@@ -59,9 +59,9 @@
     optional += [demand.budget for demand in table.demands]
     optional += [failure.recovery for failure in table.failures]
     yield from (formula for formula in optional if formula is not None)
-    for item in (*table.demands, *table.failures):
-        yield item.formula
-        for term in item.terms.values():
+    for entry in (*table.demands, *table.failures):
+        yield entry.formula
+        for term in entry.terms.values():
             yield from term.column_formulas.values()
 
 
--- a/scale_experiments/capacity/schema.py
+++ b/scale_experiments/capacity/schema.py
@@ -84,7 +84,7 @@
         return self
 
 
-class CapacityItem(StrictModel):
+class CapacityEntry(StrictModel):
     """The fields that steady demands and failure impacts have in common."""
 
     role: str
@@ -95,7 +95,7 @@
     note: str = ""
 
 
-class Demand(CapacityItem):
+class Demand(CapacityEntry):
     """A steady load on a role, and its budget."""
 
     resource: Resource = Field(alias="kind")
@@ -111,7 +111,7 @@
         return f"{self.resource}: {self.description}"
 
 
-class FailureImpact(CapacityItem):
+class FailureImpact(CapacityEntry):
     """The cost of an everyday failure to a role, and the recovery time in seconds."""
 
     event: str
@@ -153,13 +153,13 @@
     failures: list[FailureImpact]
     comparisons: list[Comparison] = []
 
-    def location(self, item: CapacityItem) -> str:
-        """The location of an item in the file, such as `lines[3]`."""
-        for key, items in (("lines", self.demands), ("failures", self.failures)):
-            for i, each in enumerate(items):
-                if each is item:
-                    return f"{key}[{i}]"
-        raise LookupError(f"no item of the table: {item.description}")
+    def location(self, entry: CapacityEntry) -> str:
+        """The location of an entry in the file, such as `lines[3]`."""
+        for key, entries in (("lines", self.demands), ("failures", self.failures)):
+            for index, candidate in enumerate(entries):
+                if candidate is entry:
+                    return f"{key}[{index}]"
+        raise LookupError(f"no entry of the table: {entry.description}")
 
     def role_titles(self) -> dict[str, str]:
         """The title of each role, by name."""
