--- a/scale_experiments/capacity/breaking_point.py
+++ b/scale_experiments/capacity/breaking_point.py
@@ -9,7 +9,7 @@
 BISECTION_STEPS = 60
 
 
-def first_exceeding(excess: Callable[[float], float]) -> float | None:
+def find_breaking_point(excess: Callable[[float], float]) -> float | None:
     """The first progress from 0 to MAX_PROGRESS at which an excess is above 0; None if there is none.
 
     An excess that starts and ends between two neighbouring points of the scan is not found.
@@ -18,14 +18,14 @@
         return 0.0
     below = 0.0
     for step in range(1, SCAN_STEPS + 1):
-        progress = _scan_point(step)
+        progress = _progress_of_step(step)
         if excess(progress) > 0:
             return _bisect(excess, below, progress)
         below = progress
     return None
 
 
-def _scan_point(step: int) -> float:
+def _progress_of_step(step: int) -> float:
     """The progress of a step: linear spacing up to the target (progress 1), geometric spacing beyond it."""
     half = SCAN_STEPS / 2
     return step / half if step <= half else MAX_PROGRESS ** ((step - half) / half)
--- a/scale_experiments/capacity/comparison_table.py
+++ b/scale_experiments/capacity/comparison_table.py
@@ -24,7 +24,7 @@
 HEADER = ("metric", "size", "before", "after", "after / before", "after / before, by the reference")
 NOT_MEASURED_ROW = ("not measured", *[""] * (len(HEADER) - 1))
 NO_VALUE = "-"
-FITTED_SIZES = "fit up to the largest size shown"
+FITTED_SIZES_LABEL = "fit up to the largest size shown"
 # metrics in these units depend on the speed and the load of the machine
 MACHINE_DEPENDENT_UNITS = ("s", "cores")
 
@@ -117,7 +117,7 @@
 
 
 def _is_shown(comparison: Comparison, size: SizeKey) -> bool:
-    return all(x in comparison.sizes.get(column, [x]) for column, x in size)
+    return all(value in comparison.sizes.get(column, [value]) for column, value in size)
 
 
 def _format_ratio(ratio: float | None) -> str:
@@ -131,13 +131,13 @@
         for result in (results.before, results.after)
     ]
     if all(observations):
-        slopes = [_fit_growth(metric, each).describe() for each in observations]
-        yield [f"`{metric}`", FITTED_SIZES, *slopes, NO_VALUE, NO_VALUE]
+        descriptions = [_fit_growth(metric, fitted).describe() for fitted in observations]
+        yield [f"`{metric}`", FITTED_SIZES_LABEL, *descriptions, NO_VALUE, NO_VALUE]
 
 
 def _up_to_largest_shown(comparison: Comparison, observations: Sequence[Observation]) -> list[Observation]:
-    largest = {column: max(shown) for column, shown in comparison.sizes.items()}
-    return [o for o in observations if all(o.size[c] <= x for c, x in largest.items() if c in o.size)]
+    limits = {column: max(shown) for column, shown in comparison.sizes.items()}
+    return [o for o in observations if all(o.size[c] <= limit for c, limit in limits.items() if c in o.size)]
 
 
 def _fit_growth(metric: str, observations: Sequence[Observation]) -> Fit:
@@ -150,8 +150,8 @@
 
 def _means(result: Result, metric: str) -> dict[SizeKey, float]:
     """The mean of a metric at each size."""
-    values: dict[SizeKey, list[float]] = {}
+    values_by_size: dict[SizeKey, list[float]] = {}
     for observation in observations_of(result, metric):
-        key = tuple(sorted((column, float(x)) for column, x in observation.size.items()))
-        values.setdefault(key, []).append(observation.value)
-    return {size: math.fsum(v) / len(v) for size, v in values.items()}
+        key = tuple(sorted((column, float(value)) for column, value in observation.size.items()))
+        values_by_size.setdefault(key, []).append(observation.value)
+    return {size: math.fsum(values) / len(values) for size, values in values_by_size.items()}
--- a/scale_experiments/capacity/growth_path.py
+++ b/scale_experiments/capacity/growth_path.py
@@ -6,8 +6,8 @@
 
 from scale_experiments.target import HEADROOM_FACTOR, Target
 
-TODAY = 0.0  # progress along the path
-TARGET = 1.0
+TODAY_PROGRESS = 0.0  # progress along the path
+TARGET_PROGRESS = 1.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -63,11 +63,11 @@
 
     def at_today(self) -> FleetPoint:
         """The point of today's fleet."""
-        return self.at(TODAY)
+        return self.at(TODAY_PROGRESS)
 
     def at_target(self) -> FleetPoint:
         """The point of the target."""
-        return self.at(TARGET)
+        return self.at(TARGET_PROGRESS)
 
     def with_headroom(self) -> FleetPoint:
         """HEADROOM_FACTOR times the target in both routers and caches, which is slightly off the path."""
--- a/scale_experiments/capacity/markers.py
+++ b/scale_experiments/capacity/markers.py
@@ -6,9 +6,9 @@
 
 from scale_experiments.runs.input_files import InputError
 
-START_PREFIX = "<!-- table: "
-START_SUFFIX = " -->"
-END = "<!-- end -->"
+START_MARKER_PREFIX = "<!-- table: "
+START_MARKER_SUFFIX = " -->"
+END_MARKER = "<!-- end -->"
 
 
 def replace_tables(page: str, tables: Mapping[str, Sequence[str]], page_name: str) -> str:
@@ -18,53 +18,55 @@
     has no end marker.
     """
     lines: list[str] = []
-    current: str | None = None
-    found: set[str] = set()
+    open_table: str | None = None
+    started: set[str] = set()
     for number, line in enumerate(page.splitlines(), 1):
-        table = _started_table(line)
+        table = _start_marker_table(line)
         if table is not None:
-            if problem := _problem_of_start(table, current, found, tables):
-                raise InputError(f"{page_name}:{number}: {problem}")
-            current = table
-            found.add(table)
+            if error := _start_marker_error(table, open_table, started, tables):
+                raise InputError(f"{page_name}:{number}: {error}")
+            open_table = table
+            started.add(table)
             lines += [line, *tables[table]]
-        elif line.strip() == END:
-            if current is None:
-                raise InputError(f"{page_name}:{number}: {END} must follow the start of a table")
-            current = None
+        elif line.strip() == END_MARKER:
+            if open_table is None:
+                raise InputError(f"{page_name}:{number}: {END_MARKER} must follow the start of a table")
+            open_table = None
             lines.append(line)
-        elif current is None:
+        elif open_table is None:
             lines.append(line)
-    _check_complete(current, found, tables, page_name)
+    _check_complete(open_table, started, tables, page_name)
     return "\n".join(lines) + "\n"
 
 
-def _started_table(line: str) -> str | None:
+def _start_marker_table(line: str) -> str | None:
     """The name of the table that a line starts; None if it starts none."""
     text = line.strip()
-    if text.startswith(START_PREFIX) and text.endswith(START_SUFFIX):
-        return text.removeprefix(START_PREFIX).removesuffix(START_SUFFIX)
+    if text.startswith(START_MARKER_PREFIX) and text.endswith(START_MARKER_SUFFIX):
+        return text.removeprefix(START_MARKER_PREFIX).removesuffix(START_MARKER_SUFFIX)
     return None
 
 
-def _problem_of_start(
-    table: str, current: str | None, found: Collection[str], tables: Collection[str]
+def _start_marker_error(
+    table: str, open_table: str | None, started: Collection[str], tables: Collection[str]
 ) -> str | None:
     """Why a table can't start here; None if it can."""
-    if current is not None:
-        return f"table {table!r} must start after the end of table {current!r}"
+    if open_table is not None:
+        return f"table {table!r} must start after the end of table {open_table!r}"
     if table not in tables:
         return f"table {table!r} is not known; must be one of {', '.join(sorted(tables))}"
-    if table in found:
+    if table in started:
         return f"table {table!r} must start once, and has started before"
     return None
 
 
 def _check_complete(
-    current: str | None, found: Collection[str], tables: Collection[str], page_name: str
+    open_table: str | None, started: Collection[str], tables: Collection[str], page_name: str
 ) -> None:
-    if current is not None:
-        raise InputError(f"{page_name}: table {current!r} must end with {END}")
-    missing = sorted(set(tables) - set(found))
+    if open_table is not None:
+        raise InputError(f"{page_name}: table {open_table!r} must end with {END_MARKER}")
+    missing = sorted(set(tables) - set(started))
     if missing:
-        raise InputError(f"{page_name}: must have {START_PREFIX}{missing[0]}{START_SUFFIX}, which is missing")
+        raise InputError(
+            f"{page_name}: must have {START_MARKER_PREFIX}{missing[0]}{START_MARKER_SUFFIX}, which is missing"
+        )
--- a/scale_experiments/capacity/model.py
+++ b/scale_experiments/capacity/model.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator
 from pathlib import Path
 
-from scale_experiments.capacity.breaking_point import first_exceeding
+from scale_experiments.capacity.breaking_point import find_breaking_point
 from scale_experiments.capacity.growth_path import FleetPoint, GrowthPath
 from scale_experiments.capacity.kept_results import KeptResults
 from scale_experiments.capacity.paths import CAPACITY_TABLE
@@ -114,12 +114,12 @@
                 if name in names
             }
 
-            def value_with(moved_term: str | None = None) -> float:
+            def value_with(shifted_term: str | None = None) -> float:
                 def lookup(name: str) -> float:
                     if name not in terms:
                         return self.parameter(name, point)
                     term = terms[name]
-                    return term.value + term.standard_error if name == moved_term else term.value
+                    return term.value + term.standard_error if name == shifted_term else term.value
 
                 return evaluate(lookup)
 
@@ -145,7 +145,7 @@
             def excess(progress: float) -> float:
                 return self.utilization(demand, self.growth_path.at(progress), standard_errors) - 1.0
 
-            self._breaking_points[key] = first_exceeding(excess)
+            self._breaking_points[key] = find_breaking_point(excess)
         return self._breaking_points[key]
 
     def measured_value(self, entry: CapacityEntry, point: FleetPoint) -> float | None:
--- a/scale_experiments/capacity/ranking_table.py
+++ b/scale_experiments/capacity/ranking_table.py
@@ -29,7 +29,7 @@
 # breaking point, utilization at three sizes, and basis of a demand that no mechanism carries
 WITHOUT_MECHANISM_CELLS = ("at any size", "-", "-", "-", "not measured")
 EXCEEDED_WHERE_MEASURED = "exceeded where measured"
-KEPT_WHERE_MEASURED = "not exceeded where measured"
+NOT_EXCEEDED_WHERE_MEASURED = "not exceeded where measured"
 
 
 @dataclass(slots=True, frozen=True)
@@ -39,15 +39,18 @@
     demand: Demand
     # progress along the growth path; None if the budget is not exceeded on it
     breaking_point: float | None
-    today: float
-    target: float
-    with_headroom: float
+    utilization_today: float
+    utilization_at_target: float
+    utilization_with_headroom: float
 
     def sort_key(self) -> tuple[float, float]:
         """The smallest breaking point first; for equal breaking points, the highest utilization first."""
         if self.breaking_point is None:
-            return math.inf, -self.target
-        return self.breaking_point, -self.today if self.breaking_point == 0 else -self.target
+            return math.inf, -self.utilization_at_target
+        return (
+            self.breaking_point,
+            -self.utilization_today if self.breaking_point == 0 else -self.utilization_at_target,
+        )
 
 
 def ranking_table(model: CapacityModel, contradictions: bool = False) -> list[str]:
@@ -81,18 +84,18 @@
     return RankedDemand(
         demand,
         breaking_point=model.breaking_point(demand),
-        today=model.utilization(demand, path.at_today()),
-        target=model.utilization(demand, path.at_target()),
-        with_headroom=model.utilization(demand, path.with_headroom()),
+        utilization_today=model.utilization(demand, path.at_today()),
+        utilization_at_target=model.utilization(demand, path.at_target()),
+        utilization_with_headroom=model.utilization(demand, path.with_headroom()),
     )
 
 
 def _cells(model: CapacityModel, ranked: RankedDemand) -> list[str]:
     return [
         format_breaking_point(model, ranked.demand, ranked.breaking_point),
-        format_number(ranked.today),
-        format_number(ranked.target),
-        format_number(ranked.with_headroom),
+        format_number(ranked.utilization_today),
+        format_number(ranked.utilization_at_target),
+        format_number(ranked.utilization_with_headroom),
         describe_basis(model, ranked.demand),
     ]
 
@@ -100,7 +103,7 @@
 def format_breaking_point(model: CapacityModel, demand: Demand, progress: float | None) -> str:
     """The size at which a demand exceeds its budget, and its ratio to the largest size measured."""
     if model.is_measured_at_one_size(demand):
-        return EXCEEDED_WHERE_MEASURED if progress == 0 else KEPT_WHERE_MEASURED
+        return EXCEEDED_WHERE_MEASURED if progress == 0 else NOT_EXCEEDED_WHERE_MEASURED
     text = format_progress(model.growth_path, progress)
     if progress is None:
         return text
--- a/scale_experiments/capacity/reader.py
+++ b/scale_experiments/capacity/reader.py
@@ -22,27 +22,27 @@
         table = CapacityTable.model_validate(read_toml(path))
     except ValidationError as e:
         raise InputError(describe_validation_error(path, e)) from e
-    _check_mechanisms(table, path)
-    _check_demands_differ(table, path)
+    _check_mechanisms_exist(table, path)
+    _check_demands_are_unique(table, path)
     _check_parameters_are_used(table, path)
-    _check_headings_exist(table, path)
+    _check_roles_and_events(table, path)
     return table
 
 
-def _check_mechanisms(table: CapacityTable, path: Path) -> None:
+def _check_mechanisms_exist(table: CapacityTable, path: Path) -> None:
     for i, demand in enumerate(table.demands):
         if demand.mechanism != MISSING_MECHANISM:
             resolve_in_code(demand.mechanism, f"{path}: lines[{i}].mechanism")
 
 
-def _check_demands_differ(table: CapacityTable, path: Path) -> None:
-    first: dict[tuple[str, str, str], int] = {}
+def _check_demands_are_unique(table: CapacityTable, path: Path) -> None:
+    first_indices: dict[tuple[str, str, str], int] = {}
     for i, demand in enumerate(table.demands):
-        j = first.setdefault((demand.role, demand.resource, demand.description), i)
-        if j != i:
+        first_index = first_indices.setdefault((demand.role, demand.resource, demand.description), i)
+        if first_index != i:
             raise InputError(
-                f"{path}: lines[{i}].what: must differ from lines[{j}].what, which has the same role and"
-                f" kind: {demand.description!r}"
+                f"{path}: lines[{i}].what: must differ from lines[{first_index}].what, which has the same"
+                f" role and kind: {demand.description!r}"
             )
 
 
@@ -55,26 +55,26 @@
 
 def _formulas(table: CapacityTable) -> Iterator[Expression]:
     """All formulas of the table."""
-    optional = [parameter.formula for parameter in table.parameters]
-    optional += [demand.budget for demand in table.demands]
-    optional += [failure.recovery for failure in table.failures]
-    yield from (formula for formula in optional if formula is not None)
+    optional_formulas = [parameter.formula for parameter in table.parameters]
+    optional_formulas += [demand.budget for demand in table.demands]
+    optional_formulas += [failure.recovery for failure in table.failures]
+    yield from (formula for formula in optional_formulas if formula is not None)
     for entry in (*table.demands, *table.failures):
         yield entry.formula
         for term in entry.terms.values():
             yield from term.column_formulas.values()
 
 
-def _check_headings_exist(table: CapacityTable, path: Path) -> None:
+def _check_roles_and_events(table: CapacityTable, path: Path) -> None:
     for i, demand in enumerate(table.demands):
-        _check_heading_exists(demand.role, table.roles, f"{path}: lines[{i}].role")
+        _check_heading_name(demand.role, table.roles, f"{path}: lines[{i}].role")
     for i, failure in enumerate(table.failures):
-        _check_heading_exists(failure.role, table.roles, f"{path}: failures[{i}].role")
+        _check_heading_name(failure.role, table.roles, f"{path}: failures[{i}].role")
     for i, failure in enumerate(table.failures):
-        _check_heading_exists(failure.event, table.events, f"{path}: failures[{i}].event")
+        _check_heading_name(failure.event, table.events, f"{path}: failures[{i}].event")
 
 
-def _check_heading_exists(name: str, headings: list[Heading], location: str) -> None:
+def _check_heading_name(name: str, headings: list[Heading], location: str) -> None:
     known = [heading.name for heading in headings]
     if name not in known:
         raise InputError(f"{location}: must be one of {', '.join(known)}, not {name!r}")
--- a/scale_experiments/capacity/references.py
+++ b/scale_experiments/capacity/references.py
@@ -19,22 +19,22 @@
     """
     module, _, path = reference.partition(":")
     try:
-        found: Any = importlib.import_module(module)
+        resolved: Any = importlib.import_module(module)
         for name in path.split("."):
-            found = getattr(found, name)
+            resolved = getattr(resolved, name)
     except (ImportError, AttributeError, ValueError) as e:
         raise InputError(f"{location}: must be module:name of the code, not {reference!r}: {e}") from e
-    return found
+    return resolved
 
 
 def resolve_in_target(target: Target, reference: str, location: str) -> float:
     """The number of target.toml at table.name or table.name.index; raises InputError if there is none."""
-    found: Any = target
+    resolved: Any = target
     for name in reference.split("."):
-        found = _element(found, name)
-    if not isinstance(found, (int, float)):
+        resolved = _element(resolved, name)
+    if not isinstance(resolved, (int, float)):
         raise InputError(f"{location}: must name a number of {TARGET_FILE.name}, not {reference!r}")
-    return float(found)
+    return float(resolved)
 
 
 def _element(container: Any, name: str) -> Any:
