--- a/scale_experiments/commands/fit.py
+++ b/scale_experiments/commands/fit.py
@@ -51,11 +51,11 @@
     """The values at the target and beyond it; a column without a target has its largest measured value."""
     for name, factor in (("target", 1.0), (f"{HEADROOM_FACTOR:g} x target", HEADROOM_FACTOR)):
         size = {c: target[c] * factor if c in target else fit.largest[c] for c in fit.columns}
-        value = fit.predict(size)
-        at = ", ".join(f"{c} {format_number(x, SIZE_DIGITS)}" for c, x in size.items()) or "any size"
+        estimate = fit.predict(size)
+        size_text = ", ".join(f"{c} {format_number(x, SIZE_DIGITS)}" for c, x in size.items()) or "any size"
         yield (
-            f"  {'':<{METRIC_WIDTH}}   at {name} ({at}): {format_number(value.value)}"
-            f" ± {format_number(value.standard_error, ERROR_DIGITS)},"
+            f"  {'':<{METRIC_WIDTH}}   at {name} ({size_text}): {format_number(estimate.value)}"
+            f" ± {format_number(estimate.standard_error, ERROR_DIGITS)},"
             f" {format_number(fit.extrapolation_factor(size))} times the largest measured"
         )
 
--- a/scale_experiments/commands/report.py
+++ b/scale_experiments/commands/report.py
@@ -27,37 +27,37 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Rendering:
+class RenderedPage:
     """The page in the repository, and the page that follows from the results."""
 
-    kept: str
+    current: str
     expected: str
 
 
-def render(root: Path = ROOT) -> Rendering:
+def render_page(root: Path = ROOT) -> RenderedPage:
     """Compute the page below a root folder.
 
     Raises InputError, ExpressionError, FitError or OSError if the page or one of its sources can't be used.
     """
     table = read_capacity(root / CAPACITY_TABLE)
     tables = page_tables(table, load_target(root / TARGET_FILE), root / RESULTS_FOLDER)
-    kept = (root / CAPACITY_PAGE).read_text()
-    return Rendering(kept, replace_tables(kept, tables, str(CAPACITY_PAGE)))
+    current = (root / CAPACITY_PAGE).read_text()
+    return RenderedPage(current, replace_tables(current, tables, str(CAPACITY_PAGE)))
 
 
-def describe_first_difference(page: Rendering) -> str:
+def describe_first_difference(page: RenderedPage) -> str:
     """Describe the first line in which the kept page differs from the expected one."""
-    pairs = zip_longest(page.kept.splitlines(), page.expected.splitlines(), fillvalue=END_OF_PAGE)
-    for number, (kept, expected) in enumerate(pairs, 1):
-        if kept != expected:
-            return f"{CAPACITY_PAGE}:{number}: the page has {kept!r}, the results give {expected!r}"
+    pairs = zip_longest(page.current.splitlines(), page.expected.splitlines(), fillvalue=END_OF_PAGE)
+    for number, (current, expected) in enumerate(pairs, 1):
+        if current != expected:
+            return f"{CAPACITY_PAGE}:{number}: the page has {current!r}, the results give {expected!r}"
     return f"{CAPACITY_PAGE}: the page and the results differ in the ends of lines"
 
 
 def main(check: bool, root: Path = ROOT) -> ExitStatus:
     """Write the tables, or only compare them if `check` is set; returns the exit status."""
     try:
-        page = render(root)
+        page = render_page(root)
     except (ExpressionError, FitError) as e:
         print(f"{CAPACITY_TABLE}: {e}", file=sys.stderr)
         return ExitStatus.BAD_INPUT
@@ -67,7 +67,7 @@
     if not check:
         (root / CAPACITY_PAGE).write_text(page.expected)
         return ExitStatus.SUCCESS
-    if page.kept == page.expected:
+    if page.current == page.expected:
         return ExitStatus.SUCCESS
     print(f"scale_experiments report: {describe_first_difference(page)}", file=sys.stderr)
     return ExitStatus.CHECK_FAILED
