--- a/scale_experiments/fitting/interpolation.py
+++ b/scale_experiments/fitting/interpolation.py
@@ -32,8 +32,8 @@
     @property
     def slopes(self) -> dict[str, Estimate]:
         """The exponent between the last two sizes; its standard error is not known (NaN)."""
-        (last_size, top_size), (last_mean, top_mean) = self.sizes[-2:], self.means[-2:]
-        exponent = math.log(top_mean / last_mean) / math.log(top_size / last_size)
+        (previous_size, last_size), (previous_mean, last_mean) = self.sizes[-2:], self.means[-2:]
+        exponent = math.log(last_mean / previous_mean) / math.log(last_size / previous_size)
         return {self.columns[0]: Estimate(exponent, math.nan)}
 
     def predict(self, size: Size) -> Estimate:
@@ -50,8 +50,8 @@
 def interpolate(sizes: Sequence[float], means: Array, x: float) -> float:
     """The value at x on the power function through the sizes on both sides of x, or the two nearest ones."""
     i = min(max(bisect.bisect_right(sizes, x), 1), len(sizes) - 1)
-    share = math.log(x / sizes[i - 1]) / math.log(sizes[i] / sizes[i - 1])
-    return float(means[i - 1] * (means[i] / means[i - 1]) ** share)
+    fraction = math.log(x / sizes[i - 1]) / math.log(sizes[i] / sizes[i - 1])
+    return float(means[i - 1] * (means[i] / means[i - 1]) ** fraction)
 
 
 def fit_interpolated(metric: str, observations: Sequence[Observation], column: str) -> InterpolatedFit:
@@ -73,12 +73,12 @@
         value - float(mean) for x, mean in zip(sizes, means, strict=True) for value in values_by_size[x]
     ]
     degrees_of_freedom = len(observations) - len(sizes)
-    squares = math.fsum(x * x for x in residuals)
+    sum_of_squares = math.fsum(x * x for x in residuals)
     return InterpolatedFit(
         metric=metric,
         form=Form.INTERPOLATED,
         columns=(column,),
-        residual=math.sqrt(squares / degrees_of_freedom) if degrees_of_freedom else 0.0,
+        residual=math.sqrt(sum_of_squares / degrees_of_freedom) if degrees_of_freedom else 0.0,
         cross_validation_error=_cross_validation_error(sizes, means),
         size_count=len(sizes),
         largest={column: sizes[-1]},
--- a/scale_experiments/fitting/regression.py
+++ b/scale_experiments/fitting/regression.py
@@ -63,14 +63,14 @@
 
 def design_matrix(form: Form, columns: Sequence[str], sizes: Sequence[Size]) -> Array:
     """The n x k matrix of the regression: one row a size, 1 and then the terms of the form."""
-    table = np.array([[float(size[c]) for c in columns] for size in sizes], dtype=np.float64)
-    table = table.reshape(len(sizes), len(columns))
-    ones = np.ones((len(sizes), 1))
+    values = np.array([[float(size[c]) for c in columns] for size in sizes], dtype=np.float64)
+    values = values.reshape(len(sizes), len(columns))
+    intercept = np.ones((len(sizes), 1))
     if form is Form.CONSTANT:
-        return ones
+        return intercept
     if form is Form.PRODUCT:
-        return np.hstack([ones, table.prod(axis=1, keepdims=True)])
-    return np.hstack([ones, np.log(table) if form is Form.POWER else table])
+        return np.hstack([intercept, values.prod(axis=1, keepdims=True)])
+    return np.hstack([intercept, np.log(values) if form is Form.POWER else values])
 
 
 def fit_regression(
@@ -142,10 +142,10 @@
 def _solve(metric: str, form: Form, rows: Array, values: Array) -> Array:
     """The coefficients; raises FitError if the columns are collinear."""
     centred = rows[:, 1:] - rows[:, 1:].mean(axis=0)
-    lengths = np.linalg.norm(centred, axis=0)
-    collinear = not lengths.all()
+    norms = np.linalg.norm(centred, axis=0)
+    collinear = not norms.all()
     if not collinear and centred.shape[1] > 1:
-        collinear = float(np.linalg.cond(centred / lengths)) > MAX_CONDITION_NUMBER
+        collinear = float(np.linalg.cond(centred / norms)) > MAX_CONDITION_NUMBER
     if collinear:
         raise FitError(f"{metric}: form {form.value}: its columns must not grow together")
     scales = _column_scales(rows)
@@ -183,13 +183,13 @@
     mean_magnitude = float(np.abs(values).mean())
     errors = []
     for group in range(max(groups) + 1):
-        kept = labels != group
+        training = labels != group
         try:
-            coefficients = _solve(metric, form, rows[kept], values[kept])
+            coefficients = _solve(metric, form, rows[training], values[training])
         except FitError:
             return math.nan
         # if the mean is 0, errors are shares of the mean magnitude over all sizes
-        scale = abs(float(values[~kept].mean())) or mean_magnitude or 1.0
-        shares = (_predict(form, rows[~kept], coefficients) - values[~kept]) / scale
-        errors.append(float(np.mean(shares**2)))
+        scale = abs(float(values[~training].mean())) or mean_magnitude or 1.0
+        relative_errors = (_predict(form, rows[~training], coefficients) - values[~training]) / scale
+        errors.append(float(np.mean(relative_errors**2)))
     return math.sqrt(sum(errors) / len(errors))
--- a/scale_experiments/fitting/selection.py
+++ b/scale_experiments/fitting/selection.py
@@ -16,7 +16,7 @@
 from scale_experiments.fitting.regression import fit_regression
 from scale_experiments.measurement.estimate import ROUNDING_TOLERANCE
 
-SIGNIFICANT_ERRORS = 2.0  # a slope is significant above this number of standard errors
+SIGNIFICANCE_THRESHOLD = 2.0  # a slope is significant above this number of standard errors
 
 
 def fit_form(
@@ -92,6 +92,9 @@
     """Whether any slope of a linear fit exceeds its standard error and rounding errors significantly."""
     return any(
         abs(slope.value)
-        > max(SIGNIFICANT_ERRORS * slope.standard_error, ROUNDING_TOLERANCE * magnitude / fit.largest[column])
+        > max(
+            SIGNIFICANCE_THRESHOLD * slope.standard_error,
+            ROUNDING_TOLERANCE * magnitude / fit.largest[column],
+        )
         for column, slope in fit.slopes.items()
     )
