--- a/tests/scale_experiments/test_capacity.py
+++ b/tests/scale_experiments/test_capacity.py
@@ -29,7 +29,7 @@
 from scale_experiments.target import load_target
 
 
-def write_linear_result(path: Path, slope: float, noise: float = 0.0, most: int = 800) -> Path:
+def write_linear_result(path: Path, slope: float, noise: float = 0.0, max_caches: int = 800) -> Path:
     """A result whose `cost_s` is 0.5 + slope x caches and some noise."""
     generator = random.Random(1)
     samples = [
@@ -40,7 +40,7 @@
             "metrics": {"cost_s": 0.5 + slope * caches + generator.gauss(0, noise), "same_count": 7.0},
             "histograms": {},
         }
-        for caches in range(most // 8, most + 1, most // 8)
+        for caches in range(max_caches // 8, max_caches + 1, max_caches // 8)
         for repeat in range(25)
     ]
     path.write_text(
@@ -90,12 +90,12 @@
 
 def test_a_fit_interpolates_along_one_column_and_beyond_its_end() -> None:
     observations = [Observation({"routers": x}, 2 * x**0.5) for x in (10.0, 40.0, 160.0)]
-    between = fit_form("x", Form.INTERPOLATED, observations)
-    assert between.predict({"routers": 20.0}).value == pytest.approx(2 * 20**0.5)
-    assert between.predict({"routers": 640.0}).value == pytest.approx(2 * 640**0.5)
-    assert between.slopes["routers"].value == pytest.approx(0.5)
-    assert between.cross_validation_error == pytest.approx(0.0, abs=1e-12)
-    assert between.describe() == "between sizes, at the largest exponent 0.5 over routers"
+    interpolated = fit_form("x", Form.INTERPOLATED, observations)
+    assert interpolated.predict({"routers": 20.0}).value == pytest.approx(2 * 20**0.5)
+    assert interpolated.predict({"routers": 640.0}).value == pytest.approx(2 * 640**0.5)
+    assert interpolated.slopes["routers"].value == pytest.approx(0.5)
+    assert interpolated.cross_validation_error == pytest.approx(0.0, abs=1e-12)
+    assert interpolated.describe() == "between sizes, at the largest exponent 0.5 over routers"
     with pytest.raises(FitError, match="3 sizes of routers"):
         fit_form("x", Form.INTERPOLATED, observations[:2])
 
@@ -164,7 +164,7 @@
 
 
 def test_the_breaking_point_is_where_a_demand_first_exceeds_its_budget(tmp_path: Path) -> None:
-    write_linear_result(tmp_path / "cost.json", 0.002, most=400)
+    write_linear_result(tmp_path / "cost.json", 0.002, max_caches=400)
     model = CapacityModel(read_entries(tmp_path), load_target(), tmp_path)
     path = model.growth_path
     cost, peers, missing = model.table.demands
@@ -202,7 +202,7 @@
     assert from_zero.ratio_by_reference(means) is None
 
 
-def copy_of_the_page(tmp_path: Path) -> Path:
+def copy_page_and_sources(tmp_path: Path) -> Path:
     for part in (CAPACITY_TABLE, CAPACITY_PAGE, TARGET_FILE):
         (tmp_path / part).parent.mkdir(parents=True, exist_ok=True)
         shutil.copy(ROOT / part, tmp_path / part)
@@ -217,17 +217,17 @@
 def test_a_page_that_differs_fails_the_check_and_is_regenerated(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    root = copy_of_the_page(tmp_path)
+    root = copy_page_and_sources(tmp_path)
     page = root / CAPACITY_PAGE
-    kept = page.read_text()
-    lines = kept.splitlines()
-    at = next(i for i, line in enumerate(lines) if line.startswith("| 1 |"))
-    lines[at] += " altered"
+    original = page.read_text()
+    lines = original.splitlines()
+    index = next(i for i, line in enumerate(lines) if line.startswith("| 1 |"))
+    lines[index] += " altered"
     page.write_text("\n".join(lines) + "\n")
     assert report.main(check=True, root=root) == 1
-    assert f"docs/CAPACITY.md:{at + 1}:" in capsys.readouterr().err
+    assert f"docs/CAPACITY.md:{index + 1}:" in capsys.readouterr().err
     assert report.main(check=False, root=root) == 0
-    assert page.read_text() == kept
+    assert page.read_text() == original
 
 
 @pytest.mark.parametrize(
@@ -251,7 +251,7 @@
 def test_a_bad_capacity_table_exits_with_2_and_names_the_field(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], old: str, new: str, expected: str
 ) -> None:
-    root = copy_of_the_page(tmp_path)
+    root = copy_page_and_sources(tmp_path)
     table = root / CAPACITY_TABLE
     good = table.read_text()
     assert old in good
