--- a/scale_experiments/capacity/breaking_point.py
+++ b/scale_experiments/capacity/breaking_point.py
@@ -1,18 +1,19 @@
-"""The first point of a growth path at which a budget is exceeded."""
+"""The search for a breaking point: the first point of the growth path at which a budget is exceeded."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 MAX_PROGRESS = 10.0  # the search ends at this multiple of the path from today to the target
-SCAN_STEPS = 80  # points of the scan: half of them up to the target, half beyond it
-BISECTION_STEPS = 60
+SCAN_STEPS = 80  # half of the scanned points are up to the target, half beyond it
+BISECTION_STEPS = 60  # more than the 53 significant bits of a float
 
 
 def find_breaking_point(excess: Callable[[float], float]) -> float | None:
-    """The first progress from 0 to MAX_PROGRESS at which an excess is above 0; None if there is none.
+    """Find the first progress from 0 to MAX_PROGRESS at which the excess is above 0; None if there is none.
 
-    An excess that starts and ends between two neighbouring points of the scan is not found.
+    The excess at a progress is above 0 if the demand exceeds its budget there. An excess that starts and ends
+    between two neighbouring points of the scan is not found.
     """
     if excess(0.0) > 0:
         return 0.0
@@ -26,13 +27,13 @@
 
 
 def _progress_of_step(step: int) -> float:
-    """The progress of a step: linear spacing up to the target (progress 1), geometric spacing beyond it."""
+    """Return the progress of a step: linear spacing up to the target (progress 1), geometric beyond it."""
     half = SCAN_STEPS / 2
     return step / half if step <= half else MAX_PROGRESS ** ((step - half) / half)
 
 
 def _bisect(excess: Callable[[float], float], below: float, above: float) -> float:
-    """The crossing between a point without an excess and a point with an excess."""
+    """Return the crossing between a progress without an excess and a progress with an excess."""
     for _ in range(BISECTION_STEPS):
         middle = (below + above) / 2
         if excess(middle) > 0:
--- a/scale_experiments/capacity/comparison_table.py
+++ b/scale_experiments/capacity/comparison_table.py
@@ -1,4 +1,4 @@
-"""The table of a comparison: metrics before a mechanism was built, and after."""
+"""The table of a comparison: metrics from before and from after a mechanism was built."""
 
 from __future__ import annotations
 
@@ -25,26 +25,26 @@
 NOT_MEASURED_ROW = ("not measured", *[""] * (len(HEADER) - 1))
 NO_VALUE = "-"
 FITTED_SIZES_LABEL = "fit up to the largest size shown"
-# metrics in these units depend on the speed and the load of the machine
+# metrics in these units depend on the speed and the load of the measuring machine
 MACHINE_DEPENDENT_UNITS = ("s", "cores")
 
-SizeKey = tuple[tuple[str, float], ...]  # the columns of a size and their values, sorted by column
+SizeKey = tuple[tuple[str, float], ...]  # the columns of a size with their values, sorted by column
 
 
 @dataclass(slots=True, frozen=True)
 class ComparedMeans:
-    """The means of a metric at one size, in both results."""
+    """The means of a metric at one size in the two results of a comparison."""
 
     before: float
     after: float
 
     @property
     def ratio(self) -> float | None:
-        """After / before; None if the mean before is 0."""
+        """The mean after, divided by the mean before; None if the mean before is 0."""
         return self.after / self.before if self.before else None
 
     def ratio_by_reference(self, reference: ComparedMeans | None) -> float | None:
-        """The ratio, corrected for the time of the reference task; None without a ratio or a reference."""
+        """Return the ratio, corrected for the machine's speed; None without a ratio or a reference."""
         ratio = self.ratio
         if ratio is None or reference is None:
             return None
@@ -53,26 +53,26 @@
 
 @dataclass(slots=True, frozen=True)
 class ComparedResults:
-    """The result made before a mechanism was built, and the one made after."""
+    """The result from before a mechanism was built, and the result from after it."""
 
     before: Result
     after: Result
 
     def means(self, metric: str) -> dict[SizeKey, ComparedMeans]:
-        """The means of a metric at each size that both results have."""
+        """Return the means of a metric, by size, at the sizes that both results have."""
         before, after = _means(self.before, metric), _means(self.after, metric)
         return {
             size: ComparedMeans(before[size], after[size]) for size in sorted(before.keys() & after.keys())
         }
 
     def shown_columns(self, metric: str) -> tuple[str, ...]:
-        """The columns that describe a size: routers and caches, or all that vary if neither of them does."""
+        """Return the columns that describe a size: routers and caches, or all that vary if neither does."""
         varying = varying_columns([o.size for o in observations_of(self.before, metric)])
         return tuple(column for column in varying if column in PRODUCT_COLUMNS) or varying
 
 
 def comparison_table(baseline: CapacityModel, current: CapacityModel, comparison: Comparison) -> list[str]:
-    """The means at the sizes that both results have, and the growth of each metric."""
+    """Return the table of the means at the sizes that both results have, and of each metric's growth."""
     try:
         before = baseline.results.load(comparison.result)
         after = current.results.load(comparison.result)
@@ -90,7 +90,7 @@
 def _rows_of_means(
     comparison: Comparison, metric: str, unit: Unit, results: ComparedResults
 ) -> Iterator[list[str]]:
-    """One row for each size that both results have and that the comparison shows."""
+    """Yield one row for each size that both results have and that the comparison shows."""
     columns = results.shown_columns(metric)
     references = _reference_means(comparison, metric, unit, results)
     for size, means in results.means(metric).items():
@@ -109,7 +109,7 @@
 def _reference_means(
     comparison: Comparison, metric: str, unit: Unit, results: ComparedResults
 ) -> dict[SizeKey, ComparedMeans]:
-    """The means of the reference metric at each size; empty if the metric needs no reference."""
+    """Return the means of the reference metric, by size; empty if the metric needs no correction."""
     reference = comparison.reference_metric
     if reference is None or metric == reference or unit not in MACHINE_DEPENDENT_UNITS:
         return {}
@@ -125,7 +125,7 @@
 
 
 def _rows_of_growth(comparison: Comparison, metric: str, results: ComparedResults) -> Iterator[list[str]]:
-    """One row with the fits to all sizes up to the largest that is shown, if both results have any."""
+    """Yield one row with the fits up to the largest size shown, if both results have observations there."""
     observations = [
         _up_to_largest_shown(comparison, observations_of(result, metric))
         for result in (results.before, results.after)
@@ -141,7 +141,7 @@
 
 
 def _fit_growth(metric: str, observations: Sequence[Observation]) -> Fit:
-    """A power, so that the exponents of both results can be compared, or else the best form."""
+    """Fit a power, whose exponents can be compared between results, or else the best form."""
     try:
         return fit_form(metric, Form.POWER, observations)
     except FitError:
@@ -149,7 +149,7 @@
 
 
 def _means(result: Result, metric: str) -> dict[SizeKey, float]:
-    """The mean of a metric at each size."""
+    """Return the mean of a metric, by size."""
     values_by_size: dict[SizeKey, list[float]] = {}
     for observation in observations_of(result, metric):
         key = tuple(sorted((column, float(value)) for column, value in observation.size.items()))
--- a/scale_experiments/capacity/failure_table.py
+++ b/scale_experiments/capacity/failure_table.py
@@ -13,7 +13,7 @@
 
 
 def failure_table(model: CapacityModel, event: str) -> list[str]:
-    """The cost of an event to each role at the target, and the recovery time."""
+    """Return the table of an event: its cost to each role at the target, and the recovery time."""
     return markdown_table(HEADER, [_row(model, f) for f in model.table.failures if f.event == event])
 
 
@@ -27,7 +27,7 @@
 
 
 def _measured_cells(model: CapacityModel, failure: FailureImpact) -> list[str]:
-    """Cost, recovery time, sources and basis."""
+    """Return the cells of cost, recovery time, sources and basis."""
     target = model.growth_path.at_target()
     cost = format_estimate(model.estimate(failure, target), failure.unit)
     recovery = "-"
--- a/scale_experiments/capacity/formatting.py
+++ b/scale_experiments/capacity/formatting.py
@@ -1,4 +1,4 @@
-"""Formats quantities, sizes and tables for the page."""
+"""Formatting of quantities, sizes and tables for the page."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Scale:
-    """A multiple of a unit, and the suffix of numbers in that multiple."""
+    """A multiple of a unit, and the suffix of numbers that are written in it."""
 
     factor: float
     suffix: str
 
 
-# the largest first; a number uses the first scale whose factor it reaches
+# largest factor first; a number is written in the first scale whose factor it reaches
 SCALES: dict[Unit, tuple[Scale, ...]] = {
     "bytes": (Scale(1e12, " TB"), Scale(1e9, " GB"), Scale(1e6, " MB"), Scale(1e3, " KB"), Scale(1.0, " B")),
     "bytes_per_s": (
@@ -47,13 +47,13 @@
 
 
 def format_quantity(value: float, unit: Unit, digits: int = SIGNIFICANT_DIGITS) -> str:
-    """A number with its unit, in the largest multiple that does not make it smaller than 1."""
+    """Format a number with its unit, in the largest multiple in which it is at least 1."""
     scale = _scale_for(value, unit)
     return _with_suffix(format_number(value / scale.factor, digits), scale)
 
 
 def format_estimate(estimate: Estimate, unit: Unit) -> str:
-    """A number with its unit, and with its standard error if it has one."""
+    """Format a number with its unit, and with its standard error if it has one."""
     if not estimate.has_error:
         return format_quantity(estimate.value, unit)
     scale = _scale_for(estimate.value, unit)
@@ -72,7 +72,7 @@
 
 
 def format_progress(growth_path: GrowthPath, progress: float | None) -> str:
-    """A point of the growth path, as routers and caches; None means beyond MAX_PROGRESS."""
+    """Format a point of the growth path as routers and caches; a progress of None is beyond MAX_PROGRESS."""
     if progress is None:
         return f"not within {MAX_PROGRESS:g} times the growth path"
     if progress == 0:
@@ -82,13 +82,13 @@
 
 
 def format_mechanism(mechanism: str) -> str:
-    """The code that carries a demand, as the page shows it."""
+    """Format the reference to the code that carries a demand, or mark the mechanism as missing."""
     if mechanism == MISSING_MECHANISM:
         return f"**{MISSING_MECHANISM}**"
     return f"`{mechanism.replace(':', ', ')}`"
 
 
 def markdown_table(header: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
-    """The lines of a Markdown table; bars in its cells are escaped."""
+    """Return the lines of a Markdown table; vertical bars in its cells are escaped."""
     lines = ["| " + " | ".join(header) + " |", "| " + " | ".join("---" for _ in header) + " |"]
     return lines + ["| " + " | ".join(cell.replace("|", "\\|") for cell in row) + " |" for row in rows]
--- a/scale_experiments/capacity/growth_path.py
+++ b/scale_experiments/capacity/growth_path.py
@@ -1,4 +1,4 @@
-"""The path along which the fleet grows."""
+"""The growth path: the fleet sizes from today's fleet to the target and beyond."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from scale_experiments.target import HEADROOM_FACTOR, Target
 
-TODAY_PROGRESS = 0.0  # progress along the path
-TARGET_PROGRESS = 1.0
+TODAY_PROGRESS = 0.0  # progress along the path at today's fleet
+TARGET_PROGRESS = 1.0  # progress along the path at the target
 
 
 @dataclass(slots=True, frozen=True)
 class FleetSize:
-    """The numbers of routers and caches."""
+    """The numbers of routers and caches of a fleet."""
 
     routers: float
     caches: float
@@ -20,13 +20,13 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetPoint:
-    """A fleet size, and the progress from today's size to the target at which the fleet has it."""
+    """A fleet size, and the progress from today's fleet to the target at which the fleet has that size."""
 
     progress: float
     size: FleetSize
 
     def variable(self, name: str) -> float | None:
-        """The value of a name that formulas use: `t`, `routers` or `caches`; None for any other name."""
+        """Return the value of a variable of formulas: `t`, `routers` or `caches`; None for any other name."""
         match name:
             case "t":
                 return self.progress
@@ -47,14 +47,14 @@
 
     @classmethod
     def to_target(cls, target: Target) -> GrowthPath:
-        """The path between the two sizes of target.toml."""
+        """Create the path through today's size and the target size of target.toml."""
         return cls(
             FleetSize(float(target.today.routers), float(target.today.caches)),
             FleetSize(float(target.target.routers), float(target.target.caches)),
         )
 
     def at(self, progress: float) -> FleetPoint:
-        """The point of the path at a progress."""
+        """Return the point of the path at a progress."""
         size = FleetSize(
             routers=self.today.routers + (self.target.routers - self.today.routers) * progress,
             caches=self.today.caches + (self.target.caches - self.today.caches) * progress,
@@ -62,14 +62,14 @@
         return FleetPoint(progress, size)
 
     def at_today(self) -> FleetPoint:
-        """The point of today's fleet."""
+        """Return the point of today's fleet."""
         return self.at(TODAY_PROGRESS)
 
     def at_target(self) -> FleetPoint:
-        """The point of the target."""
+        """Return the point of the target."""
         return self.at(TARGET_PROGRESS)
 
     def with_headroom(self) -> FleetPoint:
-        """HEADROOM_FACTOR times the target in both routers and caches, which is slightly off the path."""
+        """Return HEADROOM_FACTOR times the target in routers and caches, which is slightly off the path."""
         size = FleetSize(HEADROOM_FACTOR * self.target.routers, HEADROOM_FACTOR * self.target.caches)
         return FleetPoint(HEADROOM_FACTOR, size)
--- a/scale_experiments/capacity/kept_results.py
+++ b/scale_experiments/capacity/kept_results.py
@@ -1,4 +1,4 @@
-"""The kept results, and the fits of their metrics."""
+"""The kept results, which are files of the repository, and the fits of their metrics."""
 
 from __future__ import annotations
 
@@ -10,29 +10,30 @@
 from scale_experiments.fitting.selection import best_fit, fit_form
 from scale_experiments.runs.results import Result, load_result
 
-BASELINE_SUFFIX = ".before"  # in the file name of a result made before a mechanism was built
+BASELINE_SUFFIX = ".before"  # precedes .json in the file name of a baseline
 
 
 class NotMeasuredError(Exception):
-    """A result that an entry requires is not kept, or has no sample of its metric."""
+    """A result that an entry requires is not kept, or has no sample of the metric; the message names it."""
 
 
 class KeptResults:
-    """The results of a folder; each is loaded and fitted once.
+    """The results in a folder; each is loaded once, and each term is fitted once.
 
-    A result may have a baseline, made before a mechanism was built. `baseline` selects the baselines.
+    A result may have a baseline: a result from before a mechanism was built. With `baseline`, the baseline is
+    used in place of the result wherever there is one.
     """
 
     def __init__(self, folder: Path, baseline: bool) -> None:
-        """Use the results in a folder, which are read when they are first needed."""
+        """Use the results in a folder; each is read when it is first needed."""
         self.folder = folder
         self.baseline = baseline
-        # by file name
+        # results that were loaded, by file name
         self.loaded: dict[str, Result] = {}
         self._fits: dict[str, Fit] = {}
 
     def path(self, name: str) -> Path:
-        """The file of a result; raises NotMeasuredError if there is none."""
+        """Return the file of a result; raises NotMeasuredError if there is none."""
         candidates = (f"{name}.json", f"{name}{BASELINE_SUFFIX}.json")
         existing = [file for file in candidates if (self.folder / file).exists()]
         if not existing:
@@ -40,18 +41,18 @@
         return self.folder / existing[-1 if self.baseline else 0]
 
     def is_only_baseline(self, name: str) -> bool:
-        """Whether the baseline replaces a later result that is not kept."""
+        """Return whether the baseline is used because the later result is not kept."""
         return not self.baseline and self.path(name).stem.endswith(BASELINE_SUFFIX)
 
     def load(self, name: str) -> Result:
-        """A kept result; raises NotMeasuredError if there is none, InputError if it can't be used."""
+        """Return a kept result; raises NotMeasuredError if there is none, InputError if it can't be used."""
         path = self.path(name)
         if path.name not in self.loaded:
             self.loaded[path.name] = load_result(path)
         return self.loaded[path.name]
 
     def observations(self, term: MeasuredTerm) -> list[Observation]:
-        """The observations to which a term is fitted; raises NotMeasuredError if there are none."""
+        """Return the observations to which a term is fitted; raises NotMeasuredError if there are none."""
         observations = [
             observation
             for observation in observations_of(self.load(term.result), term.metric)
@@ -62,7 +63,10 @@
         return at_largest_size(observations) if term.at_largest_size else observations
 
     def fit(self, term: MeasuredTerm) -> Fit:
-        """The fit of a term; raises NotMeasuredError without observations, FitError if it can't be fitted."""
+        """Return the fit of a term.
+
+        Raises: NotMeasuredError without observations, FitError if the form can't be fitted.
+        """
         key = term.model_dump_json(exclude={"column_formulas"})
         if key not in self._fits:
             observations = self.observations(term)
--- a/scale_experiments/capacity/markers.py
+++ b/scale_experiments/capacity/markers.py
@@ -1,4 +1,4 @@
-"""Replaces the tables of a page between markers in comments."""
+"""Replacement of the tables of a Markdown page between markers, which are comments."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def replace_tables(page: str, tables: Mapping[str, Sequence[str]], page_name: str) -> str:
-    """The page with new lines between the markers of each table.
+    """Return the page with the lines of each table between its markers.
 
-    Raises: InputError, with the page's name and the line, if a table is missing, unknown or duplicated, or
-    has no end marker.
+    Raises: InputError, with the page's name and the line, if a table is missing, unknown or duplicated, or if
+    a start or an end marker is missing.
     """
     lines: list[str] = []
     open_table: str | None = None
@@ -40,7 +40,7 @@
 
 
 def _start_marker_table(line: str) -> str | None:
-    """The name of the table that a line starts; None if it starts none."""
+    """Return the name of the table if a line is a start marker; None for any other line."""
     text = line.strip()
     if text.startswith(START_MARKER_PREFIX) and text.endswith(START_MARKER_SUFFIX):
         return text.removeprefix(START_MARKER_PREFIX).removesuffix(START_MARKER_SUFFIX)
@@ -50,13 +50,13 @@
 def _start_marker_error(
     table: str, open_table: str | None, started: Collection[str], tables: Collection[str]
 ) -> str | None:
-    """Why a table can't start here; None if it can."""
+    """Return the error of a start marker; None if the table can start there."""
     if open_table is not None:
         return f"table {table!r} must start after the end of table {open_table!r}"
     if table not in tables:
         return f"table {table!r} is not known; must be one of {', '.join(sorted(tables))}"
     if table in started:
-        return f"table {table!r} must start once, and has started before"
+        return f"table {table!r} must start once, but starts again here"
     return None
 
 
--- a/scale_experiments/capacity/model.py
+++ b/scale_experiments/capacity/model.py
@@ -1,4 +1,4 @@
-"""Evaluates the entries of the capacity table at a fleet size, from the kept results."""
+"""The evaluation of the entries of the capacity table at a fleet size, from the kept results."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from scale_experiments.runs.input_files import InputError
 from scale_experiments.target import Target
 
-# finds the value of a name in a formula
+# returns the value of a name in a formula
 Lookup = Callable[[str], float]
 
 
 class UnknownNameError(ValueError):
-    """A name in a formula that is no variable, parameter or measured term."""
+    """A name in a formula that is neither a variable, a parameter nor a measured term."""
 
 
 class CapacityModel:
-    """Evaluates demands, budgets and breaking points.
+    """The demands, budgets and breaking points of a capacity table.
 
-    With `baseline`, it uses the results that were made before a mechanism was built, if such results exist.
+    With `baseline`, results from before a mechanism was built are used wherever they exist.
 
     Raises: all methods that evaluate a formula raise NotMeasuredError if a required result is not kept, and
     InputError if the formula or one of its terms can't be used.
@@ -40,7 +40,7 @@
     def __init__(
         self, table: CapacityTable, target: Target, results_folder: Path, baseline: bool = False
     ) -> None:
-        """Evaluate a table from the results in a folder, which are read when they are first needed."""
+        """Evaluate a table from the results in a folder; each is read when it is first needed."""
         self.table = table
         self.target = target
         self.growth_path = GrowthPath.to_target(target)
@@ -49,7 +49,7 @@
         self._breaking_points: dict[tuple[str, float], float | None] = {}
 
     def parameter(self, name: str, point: FleetPoint) -> float:
-        """A variable of a point, or a parameter.
+        """Return the value of a variable or a parameter at a point.
 
         Raises: UnknownNameError if the name is neither, InputError if the parameter can't be evaluated.
         """
@@ -74,22 +74,22 @@
             raise InputError(f"{location}.value: {e}") from e
 
     def _evaluate(self, formula: Expression, point: FleetPoint) -> float:
-        """A formula of parameters and variables, without terms."""
+        """Evaluate a formula of parameters and variables, without terms."""
         return formula.value(lambda name: self.parameter(name, point))
 
     def estimate(
         self, entry: CapacityEntry, point: FleetPoint, formula: Expression | None = None
     ) -> Estimate:
-        """Evaluate a formula at a point, by default the entry's own formula; in the entry's unit."""
+        """Evaluate a formula of an entry's terms at a point, by default the entry's own; in its unit."""
         formula = formula or entry.formula
         return self._propagate_errors(entry, point, formula.names, formula.value)
 
     def budget(self, demand: Demand, point: FleetPoint) -> float | None:
-        """The budget of a demand at a point, in its unit; None if it has none."""
+        """Return the budget of a demand at a point, in the demand's unit; None if it has no budget."""
         return None if demand.budget is None else self.estimate(demand, point, demand.budget).value
 
     def utilization(self, demand: Demand, point: FleetPoint, standard_errors: float = 0.0) -> float:
-        """The ratio of a demand to its budget, plus a number of standard errors; 0 without a budget."""
+        """Return the ratio of demand to budget, plus a number of standard errors; 0 without a budget."""
         formula, budget = demand.formula, demand.budget
         if budget is None:
             return 0.0
@@ -102,10 +102,10 @@
     def _propagate_errors(
         self, entry: CapacityEntry, point: FleetPoint, names: set[str], evaluate: Callable[[Lookup], float]
     ) -> Estimate:
-        """The value of an evaluation that uses the given names, and its standard error.
+        """Return the value of an evaluation that uses the given names, and its standard error.
 
-        The error is the root of the sum of squares of the changes that each term causes when only that term
-        is moved by its standard error.
+        Each term in turn is shifted by its standard error, while the others stay. The standard error of the
+        value is the root of the sum of squares of the changes that this causes.
         """
         with self._locating_errors(entry):
             terms = {
@@ -128,14 +128,14 @@
 
     @contextlib.contextmanager
     def _locating_errors(self, entry: CapacityEntry) -> Iterator[None]:
-        """Name the file and the entry in errors of its formulas and terms."""
+        """Add the file and the location of an entry to errors of its formulas and terms."""
         try:
             yield
         except (ExpressionError, FitError, UnknownNameError) as e:
             raise InputError(f"{CAPACITY_TABLE}: {self.table.location(entry)}: {e}") from e
 
     def breaking_point(self, demand: Demand, standard_errors: float = 0.0) -> float | None:
-        """The first progress along the growth path at which a demand exceeds its budget; None without one.
+        """Return the first progress at which a demand exceeds its budget; None if it stays within its budget.
 
         The utilization is increased by a number of its standard errors.
         """
@@ -149,7 +149,7 @@
         return self._breaking_points[key]
 
     def measured_value(self, entry: CapacityEntry, point: FleetPoint) -> float | None:
-        """An entry from the means measured at a point itself; None if any term was not measured there."""
+        """Evaluate an entry from means measured at a point; None if a term was not measured there."""
         with self._locating_errors(entry):
             means: dict[str, float] = {}
             for name in entry.formula.names & entry.terms.keys():
@@ -164,17 +164,17 @@
             )
 
     def is_measured_at_one_size(self, entry: CapacityEntry) -> bool:
-        """Whether any term of an entry was measured at one size only, so that its slopes are unknown."""
+        """Return whether any term of an entry was measured at one size only, which gives no slope."""
         return any(self.results.fit(term).size_count == 1 for term in entry.terms.values())
 
     def extrapolation_factor(self, entry: CapacityEntry, point: FleetPoint) -> float:
-        """The largest ratio of a point's columns to the largest that were measured; 1 without terms."""
+        """Return the largest ratio of a column at a point to its largest measured value; 1 without terms."""
         used = [term for name, term in entry.terms.items() if name in entry.formula.names]
         factors = (self.results.fit(t).extrapolation_factor(self._columns_of_term(t, point)) for t in used)
         return max(factors, default=1.0)
 
     def _columns_of_term(self, term: MeasuredTerm, point: FleetPoint) -> Size:
-        """The columns that a term's fit needs."""
+        """Return the columns of a size that a term's fit needs, with their values at a point."""
         return {column: self._column(term, column, point) for column in self.results.fit(term).columns}
 
     def _column(self, term: MeasuredTerm, column: str, point: FleetPoint) -> float:
@@ -183,7 +183,7 @@
         return self.parameter(column, point)
 
     def _mean_of_term(self, term: MeasuredTerm, point: FleetPoint) -> float | None:
-        """The mean of a term's observations at a point; None if there are none."""
+        """Return the mean of a term's observations at a point; None if there are none."""
         observations = self.results.observations(term)
         columns = varying_columns([o.size for o in observations])
         if not columns:
--- a/scale_experiments/capacity/page.py
+++ b/scale_experiments/capacity/page.py
@@ -1,4 +1,4 @@
-"""All tables of the capacity page."""
+"""The tables of the capacity page."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 def page_tables(table: CapacityTable, target: Target, results_folder: Path) -> dict[str, list[str]]:
-    """The lines of each table, by the name in its markers on the page.
+    """Return the lines of all tables, by the name in the start marker of each table.
 
-    Raises: InputError, ExpressionError or FitError if the table or a result can't be used.
+    Raises: InputError, ExpressionError or FitError if the capacity table or a result can't be used.
     """
     current = CapacityModel(table, target, results_folder)
     baseline = CapacityModel(table, target, results_folder, baseline=True)
--- a/scale_experiments/capacity/paths.py
+++ b/scale_experiments/capacity/paths.py
@@ -1,4 +1,4 @@
-"""Files of the capacity page, relative to the root of the repository."""
+"""Paths of the capacity page and its sources, relative to the root of the repository."""
 
 from __future__ import annotations
 
--- a/scale_experiments/capacity/provenance.py
+++ b/scale_experiments/capacity/provenance.py
@@ -1,4 +1,4 @@
-"""The provenance of an entry of the capacity table: its sources, and whether it was measured."""
+"""The provenance of an entry of the capacity table: its sources, and whether it is measured."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def describe_basis(model: CapacityModel, entry: CapacityEntry) -> str:
-    """Whether an entry is measured, extrapolated or given, and the parameters that are assumed for it."""
+    """Describe whether an entry is measured, extrapolated or given, and the parameters that it assumes."""
     terms = [term for name, term in entry.terms.items() if name in entry.formula.names]
     fits = [model.results.fit(term) for term in terms]
     parts = [*_describe_extrapolation(model, entry, fits), *_describe_single_sizes(fits)]
@@ -37,7 +37,7 @@
 
 
 def _describe_single_sizes(fits: Sequence[Fit]) -> Iterator[str]:
-    """The size of each term that was measured at a single size; equal sizes are stated once."""
+    """Describe the size of each term that was measured at a single size; equal sizes are stated once."""
     single_sizes = {json.dumps(fit.fixed): fit.fixed for fit in fits if fit.size_count == 1}
     for size in single_sizes.values():
         columns = (f"{column} {format_number(x, SIZE_DIGITS)}" for column, x in size.items())
@@ -47,7 +47,7 @@
 def _assumed_parameters(
     model: CapacityModel, formula: Expression, terms: Sequence[MeasuredTerm]
 ) -> list[str]:
-    """The assumed parameters that a formula uses, directly or through the sizes of its terms."""
+    """Return the names of the assumed parameters of a formula, used directly or in the sizes of its terms."""
     names = _all_names(model, formula)
     for term in terms:
         for column in model.results.fit(term).columns:
@@ -57,7 +57,7 @@
 
 
 def _all_names(model: CapacityModel, formula: Expression) -> set[str]:
-    """All names that a formula uses, directly or through the formulas of parameters."""
+    """Return all names that a formula uses, directly or through the formulas of parameters."""
     names, pending = set(formula.names), list(formula.names)
     while pending:
         parameter = model.parameters.get(pending.pop())
@@ -69,13 +69,13 @@
 
 
 def describe_sources(model: CapacityModel, entry: CapacityEntry) -> str:
-    """The sources of an entry, each with its fit and a link to its result, and the entry's formula."""
+    """Describe the sources of an entry, each with its fit and a link to its result, and its formula."""
     sources = [_describe_source(model, term) for term in entry.terms.values()]
     return "; ".join([*sources, f"`{entry.formula.text}`"])
 
 
 def _describe_source(model: CapacityModel, term: MeasuredTerm) -> str:
-    """The metric, its fit, the sizes to which the fit is limited, its error, and the result."""
+    """Describe the metric, its fit, the sizes to which the fit is limited, its error, and the result."""
     fit = model.results.fit(term)
     file = model.results.path(term.result).name
     incomplete = "" if model.results.load(term.result).complete else ", incomplete"
@@ -91,11 +91,11 @@
 
 
 def _describe_error(fit: Fit) -> Iterator[str]:
-    """The cross-validation error, if the fit has one."""
+    """Yield the cross-validation error, if the fit has one."""
     if not math.isnan(fit.cross_validation_error):
         yield f"cross-validation error {fit.cross_validation_error:.1%}"
 
 
 def link_to_result(file: str) -> str:
-    """A link from the page to the file of a kept result."""
+    """Return a link from the page to the file of a kept result."""
     return f"[{file.removesuffix('.json')}](../{RESULTS_FOLDER}/{file})"
--- a/scale_experiments/capacity/ranking_table.py
+++ b/scale_experiments/capacity/ranking_table.py
@@ -26,7 +26,7 @@
     "basis",
     "mechanism",
 )
-# breaking point, utilization at three sizes, and basis of a demand that no mechanism carries
+# cells of a demand that no mechanism carries: breaking point, utilization at three sizes, and basis
 WITHOUT_MECHANISM_CELLS = ("at any size", "-", "-", "-", "not measured")
 EXCEEDED_WHERE_MEASURED = "exceeded where measured"
 NOT_EXCEEDED_WHERE_MEASURED = "not exceeded where measured"
@@ -44,7 +44,7 @@
     utilization_with_headroom: float
 
     def sort_key(self) -> tuple[float, float]:
-        """The smallest breaking point first; for equal breaking points, the highest utilization first."""
+        """Return a key by which the smallest breaking point comes first, and then the highest utilization."""
         if self.breaking_point is None:
             return math.inf, -self.utilization_at_target
         return (
@@ -54,9 +54,10 @@
 
 
 def ranking_table(model: CapacityModel, contradictions: bool = False) -> list[str]:
-    """The demands that have a budget, starting with those that exceed it at any size.
+    """Return the table of the demands with a budget, starting with those that exceed it at any size.
 
-    With `contradictions`, only the demands whose given figures contradict each other; without it, all others.
+    With `contradictions`, the table has only the demands whose given figures contradict each other; without
+    it, all others.
     """
     demands = [
         d for d in model.table.demands if d.budget is not None and d.is_contradiction == contradictions
@@ -74,7 +75,7 @@
 
 
 def _row(model: CapacityModel, demand: Demand, cells: Sequence[str]) -> list[str]:
-    """A row without its rank."""
+    """Return a row without its rank."""
     role_title = model.table.role_titles()[demand.role]
     return [role_title, demand.title, *cells, format_mechanism(demand.mechanism)]
 
@@ -101,7 +102,7 @@
 
 
 def format_breaking_point(model: CapacityModel, demand: Demand, progress: float | None) -> str:
-    """The size at which a demand exceeds its budget, and its ratio to the largest size measured."""
+    """Format the size at which a demand exceeds its budget, and its ratio to the largest size measured."""
     if model.is_measured_at_one_size(demand):
         return EXCEEDED_WHERE_MEASURED if progress == 0 else NOT_EXCEEDED_WHERE_MEASURED
     text = format_progress(model.growth_path, progress)
--- a/scale_experiments/capacity/reader.py
+++ b/scale_experiments/capacity/reader.py
@@ -1,4 +1,4 @@
-"""Reads capacity.toml, and checks what its schema can't: that each name refers to exactly one thing."""
+"""The reader of capacity.toml, which also checks that each name refers to exactly one thing."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from scale_experiments.expression import Expression
 from scale_experiments.runs.input_files import InputError, describe_validation_error, read_toml
 
-# parameters that may be a column of a result's size, and need not occur in a formula
+# parameters that may be a column of a result's size, and that no formula has to use
 COLUMN_PARAMETERS = {"changes_per_s", "requests_per_s"}
 
 
 def read_capacity(path: Path) -> CapacityTable:
-    """Read and check a capacity table; raises InputError that names the file and the field."""
+    """Read and check a capacity table; raises InputError with the file and the field at fault."""
     try:
         table = CapacityTable.model_validate(read_toml(path))
     except ValidationError as e:
@@ -54,7 +54,7 @@
 
 
 def _formulas(table: CapacityTable) -> Iterator[Expression]:
-    """All formulas of the table."""
+    """Yield all formulas of the table."""
     optional_formulas = [parameter.formula for parameter in table.parameters]
     optional_formulas += [demand.budget for demand in table.demands]
     optional_formulas += [failure.recovery for failure in table.failures]
--- a/scale_experiments/capacity/references.py
+++ b/scale_experiments/capacity/references.py
@@ -1,4 +1,4 @@
-"""Names in capacity.toml that refer to the router's code and to target.toml."""
+"""References of capacity.toml to the router's code and to numbers of target.toml."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def resolve_in_code(reference: str, location: str) -> Any:
-    """The object at module:name.
+    """Return the object of the code that module:name refers to.
 
     The page names the code that carries a demand, and that code must exist.
 
@@ -23,12 +23,12 @@
         for name in path.split("."):
             resolved = getattr(resolved, name)
     except (ImportError, AttributeError, ValueError) as e:
-        raise InputError(f"{location}: must be module:name of the code, not {reference!r}: {e}") from e
+        raise InputError(f"{location}: must be module:name of existing code, not {reference!r}: {e}") from e
     return resolved
 
 
 def resolve_in_target(target: Target, reference: str, location: str) -> float:
-    """The number of target.toml at table.name or table.name.index; raises InputError if there is none."""
+    """Return the number of target.toml at table.name or table.name.index; raises InputError without one."""
     resolved: Any = target
     for name in reference.split("."):
         resolved = _element(resolved, name)
--- a/scale_experiments/capacity/role_table.py
+++ b/scale_experiments/capacity/role_table.py
@@ -1,4 +1,4 @@
-"""The table of a role: all demands on it at the target."""
+"""The table of a role: all demands on the role at the target."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def role_table(model: CapacityModel, role: str) -> list[str]:
-    """All demands on a role."""
+    """Return the table of all demands on a role."""
     return markdown_table(HEADER, [_row(model, d) for d in model.table.demands if d.role == role])
 
 
@@ -52,7 +52,7 @@
 
 
 def _format_demand(model: CapacityModel, demand: Demand) -> str:
-    """A demand at the target, and the value that was measured there, if there is one."""
+    """Format a demand at the target, and the value that was measured there, if there is one."""
     target = model.growth_path.at_target()
     text = format_estimate(model.estimate(demand, target), demand.unit)
     measured = model.measured_value(demand, target)
@@ -62,7 +62,7 @@
 
 
 def _measured_cells(model: CapacityModel, demand: Demand) -> list[str]:
-    """Utilization of the budget, breaking point, sources and basis."""
+    """Return the cells of utilization, breaking point, sources and basis."""
     utilization = breaking_point = "-"
     if demand.budget is not None:
         utilization = format_number(model.utilization(demand, model.growth_path.at_target()))
@@ -71,7 +71,7 @@
 
 
 def _format_breaking_point_range(model: CapacityModel, demand: Demand) -> str:
-    """The breaking point of a demand, and its range for one standard error in either direction."""
+    """Format the breaking point of a demand, and its range for one standard error in either direction."""
     progress = model.breaking_point(demand)
     text = format_breaking_point(model, demand, progress)
     if model.is_measured_at_one_size(demand):
--- a/scale_experiments/capacity/schema.py
+++ b/scale_experiments/capacity/schema.py
@@ -1,6 +1,6 @@
 """The schema of capacity.toml.
 
-If a key of the file differs from the term in the code, the field's alias is the key. Errors name the key.
+Where a key of the file differs from the name in the code, the key is the field's alias. Errors name the key.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def _parse_formula(value: Any) -> Any:
-    """An expression from a string or a number; anything else is left for the schema to reject."""
+    """Parse a string or a number as an expression; any other value is left for the schema to reject."""
     if isinstance(value, (int, float)) and not isinstance(value, bool):
         return Expression(repr(value))
     return Expression(value) if isinstance(value, str) else value
@@ -29,7 +29,7 @@
 
 
 class StrictModel(BaseModel):
-    """A part of capacity.toml; unknown keys are errors."""
+    """A table of capacity.toml; unknown keys are rejected."""
 
     model_config = ConfigDict(extra="forbid", arbitrary_types_allowed=True, frozen=True)
 
@@ -47,7 +47,7 @@
     formula: Formula | None = Field(default=None, alias="value")
     origin: ParameterOrigin = Field(alias="kind")
     unit: Unit
-    # the origin of a given number, or the reason for an assumption
+    # source of a given number, or reason for an assumption
     source: str = ""
 
     @model_validator(mode="after")
@@ -62,17 +62,17 @@
 
     result: str
     metric: str
-    # None for the best of all forms
+    # form of the fit; None for the best of all forms
     form: Form | None = None
-    # the columns of `form`; None for all that vary
+    # columns over which `form` is fitted; None for all that vary
     columns: list[str] | None = Field(default=None, alias="over")
-    # columns of the size that are neither `routers`, `caches` nor a parameter of the same name
+    # formulas of the columns that are neither `routers`, `caches` nor a parameter of the same name
     column_formulas: dict[str, Formula] = Field(default={}, alias="at")
-    # whether to use the mean at the largest measured size, without a fit
+    # use the mean at the largest measured size, without a fit
     at_largest_size: bool = Field(default=False, alias="largest_only")
-    # the smallest sizes that are fitted, by column: today's, if the slope differs below it
+    # smallest sizes that are fitted, by column: today's size, where smaller fleets have another slope
     min_sizes: dict[str, float] = Field(default={}, alias="least")
-    # the largest sizes that are fitted, by column: beyond them, the measuring machine was overloaded
+    # largest sizes that are fitted, by column; beyond them, the measuring machine was overloaded
     max_sizes: dict[str, float] = Field(default={}, alias="most")
     # the only sizes that are fitted, by column
     only_sizes: dict[str, float] = Field(default={}, alias="where")
@@ -80,12 +80,12 @@
     @model_validator(mode="after")
     def _columns_need_a_form(self) -> MeasuredTerm:
         if self.columns is not None and self.form is None:
-            raise ValueError("over must come with a form")
+            raise ValueError("over must be used together with form")
         return self
 
 
 class CapacityEntry(StrictModel):
-    """The fields that steady demands and failure impacts have in common."""
+    """An entry of the capacity table: the fields that demands and failure impacts share."""
 
     role: str
     description: str = Field(alias="what")
@@ -100,14 +100,14 @@
 
     resource: Resource = Field(alias="kind")
     budget: Formula | None = None
-    # module:name of the code that carries it, or MISSING_MECHANISM
+    # module:name of the code that carries the demand, or MISSING_MECHANISM
     mechanism: str
-    # whether the given figures contradict each other, so that no mechanism can keep within the budget
+    # the given figures contradict each other, so that no mechanism can keep the demand within its budget
     is_contradiction: bool = Field(default=False, alias="contradiction")
 
     @property
     def title(self) -> str:
-        """The resource and the description, as the page shows them."""
+        """The title of the demand on the page: its resource and its description."""
         return f"{self.resource}: {self.description}"
 
 
@@ -119,20 +119,20 @@
 
 
 class Comparison(StrictModel):
-    """Metrics of a baseline result, made before a mechanism was built, and of the later result."""
+    """A comparison of metrics between a baseline, made before a mechanism was built, and the later result."""
 
     result: str
     metrics: list[str] = Field(min_length=1)
     units: list[Unit] = Field(min_length=1)
-    # a metric of a fixed task, which corrects for the different load of the machine in the two runs
+    # metric of a fixed task, which corrects for the different loads of the machine in the two runs
     reference_metric: str | None = Field(default=None, alias="reference")
-    # the sizes that are shown, by column; empty for all sizes
+    # sizes that are shown, by column; empty for all sizes
     sizes: dict[str, list[float]] = Field(default={}, alias="at")
 
     @model_validator(mode="after")
     def _has_a_unit_for_each_metric(self) -> Comparison:
         if len(self.metrics) != len(self.units):
-            raise ValueError("units must be as many as metrics")
+            raise ValueError("units must have one element for each of metrics")
         return self
 
 
@@ -144,7 +144,7 @@
 
 
 class CapacityTable(StrictModel):
-    """The whole of capacity.toml."""
+    """The contents of capacity.toml."""
 
     roles: list[Heading]
     events: list[Heading]
@@ -154,13 +154,13 @@
     comparisons: list[Comparison] = []
 
     def location(self, entry: CapacityEntry) -> str:
-        """The location of an entry in the file, such as `lines[3]`."""
+        """Return the location of an entry in the file, such as `lines[3]`."""
         for key, entries in (("lines", self.demands), ("failures", self.failures)):
             for index, candidate in enumerate(entries):
                 if candidate is entry:
                     return f"{key}[{index}]"
-        raise LookupError(f"no entry of the table: {entry.description}")
+        raise LookupError(f"entry is not in the capacity table: {entry.description}")
 
     def role_titles(self) -> dict[str, str]:
-        """The title of each role, by name."""
+        """Return the titles of the roles, by name."""
         return {role.name: role.title for role in self.roles}
--- a/scale_experiments/capacity/source_tables.py
+++ b/scale_experiments/capacity/source_tables.py
@@ -1,4 +1,4 @@
-"""The tables of the sources of the page: parameters and kept results."""
+"""The tables of the page's sources: parameters and kept results."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from scale_experiments.runs.results import Result
 
 PARAMETER_HEADER = ("parameter", "at the target", "basis", "definition", "source")
-PARAMETER_DIGITS = 5  # significant digits
+PARAMETER_DIGITS = 5  # significant digits of a parameter's value
 RESULT_HEADER = ("result", "started", "version", "samples", "sizes", "complete")
 REVISION_LENGTH = 40  # characters of a git revision; a suffix after them marks changed files
-SHORT_REVISION_LENGTH = 7
+SHORT_REVISION_LENGTH = 7  # characters
 
 
 def parameter_table(model: CapacityModel) -> list[str]:
-    """The parameters that were given, are constants of the code, or are assumed."""
+    """Return the table of all parameters: given, defined in the code, or assumed."""
     return markdown_table(PARAMETER_HEADER, [_parameter_row(model, p) for p in model.table.parameters])
 
 
@@ -37,7 +37,7 @@
 
 
 def result_table(results: Mapping[str, Result]) -> list[str]:
-    """The kept results that the page uses, by file, and the version that each measured."""
+    """Return the table of the kept results that the page uses, with the revision that each measured."""
     return markdown_table(RESULT_HEADER, [_result_row(file, r) for file, r in sorted(results.items())])
 
 
@@ -54,7 +54,7 @@
 
 
 def _ranges(result: Result) -> list[str]:
-    """The smallest and the largest value of each column that varies."""
+    """Return the smallest and the largest value of each column that varies."""
     ranges = []
     for column in varying_columns([sample.size for sample in result.samples]):
         values = [sample.size[column] for sample in result.samples]
