--- a/scale_experiments/fitting/__init__.py
+++ b/scale_experiments/fitting/__init__.py
@@ -1,1 +1,1 @@
-"""Least-squares fits of measured metrics over the sizes at which they were measured."""
+"""Fits of measured metrics against the fleet sizes at which they were measured."""
--- a/scale_experiments/fitting/forms.py
+++ b/scale_experiments/fitting/forms.py
@@ -16,16 +16,16 @@
 
 
 class FitError(ValueError):
-    """A form can't be fitted to the observations; the message names the metric and what is missing."""
+    """A form can't be fitted to the observations; the message names the metric and the requirement."""
 
 
 class Form(Enum):
-    """How a metric depends on the columns of a size. The values are keys of capacity.toml."""
+    """The form in which a metric depends on the columns of a size. The values are those of capacity.toml."""
 
     CONSTANT = "constant"  # a
-    LINEAR = "linear"  # a + the sum of b x over the columns x
+    LINEAR = "linear"  # a plus the sum of b * x over the columns x
     PRODUCT = "product"  # a + b times the product of the columns
-    POWER = "power"  # a times the product of x ** b; fitted to the logarithms
+    POWER = "power"  # a times the product of x ** b over the columns x; fitted to the logarithms
     INTERPOLATED = "between"  # between neighbouring sizes along one column; only if capacity.toml asks for it
 
 
@@ -36,31 +36,31 @@
     metric: str
     form: Form
     columns: tuple[str, ...]
-    # root of the sum of squared residuals per degree of freedom, in the metric's unit
+    # residual standard error in the metric's unit: root of the sum of squared residuals per degree of freedom
     residual: float
-    # root mean square error at sizes left out of the fit, as a share of the mean at them; NaN if that is
-    # impossible
+    # root mean square error at sizes left out of the fit, as a share of the mean at them; NaN if no size can
+    # be left out
     cross_validation_error: float
     size_count: int
-    # the largest measured value of each column of the fit
+    # largest measured value of each column of the fit
     largest: dict[str, float]
-    # the columns that did not vary, with their values
+    # columns that did not vary, with their values
     fixed: dict[str, float]
 
     @property
     @abstractmethod
     def slopes(self) -> dict[str, Estimate]:
-        """The slope of each term, or its exponent where the form is a power."""
+        """The slope of each term by name; its exponent if the form is a power or interpolated."""
 
     @abstractmethod
     def predict(self, size: Size) -> Estimate:
-        """The fitted value at a size, in the metric's unit."""
+        """Return the fitted value at a size, in the metric's unit."""
 
     @abstractmethod
     def describe(self) -> str:
-        """The slopes with their standard errors, in words."""
+        """Describe the slopes and their standard errors."""
 
     def extrapolation_factor(self, size: Size) -> float:
-        """The largest ratio, over the columns, of a size to the largest measured one; 1 without columns."""
+        """Return the largest ratio of a column to its largest measured value; 1 without columns."""
         ratios = (size[c] / self.largest[c] for c in self.columns if self.largest[c] > 0)
         return max(ratios, default=1.0)
--- a/scale_experiments/fitting/interpolation.py
+++ b/scale_experiments/fitting/interpolation.py
@@ -21,9 +21,9 @@
 class InterpolatedFit(Fit):
     """The means at the measured sizes of one column, in ascending order.
 
-    A value between two sizes is on the power function through both; a value beyond the last size is on that
-    through the last two. Its standard error is the share `cross_validation_error` of it, which overestimates
-    the error, because cross-validation leaves out the nearest size.
+    A value between two sizes is on the power function through both means. A value beyond the last size is on
+    the power function through the last two. The standard error is the value times `cross_validation_error`,
+    which overestimates the error, because cross-validation leaves out the nearest size.
     """
 
     sizes: tuple[float, ...]
@@ -37,18 +37,18 @@
         return {self.columns[0]: Estimate(exponent, math.nan)}
 
     def predict(self, size: Size) -> Estimate:
-        """The interpolated value at a size, in the metric's unit."""
+        """Return the interpolated value at a size, in the metric's unit."""
         value = interpolate(self.sizes, self.means, float(size[self.columns[0]]))
         return Estimate(value, value * self.cross_validation_error)
 
     def describe(self) -> str:
-        """The exponent between the last two sizes, in words."""
+        """Describe the exponent between the last two sizes."""
         ((column, exponent),) = self.slopes.items()
         return f"between sizes, at the largest exponent {format_number(exponent.value)} over {column}"
 
 
 def interpolate(sizes: Sequence[float], means: Array, x: float) -> float:
-    """The value at x on the power function through the sizes on both sides of x, or the two nearest ones."""
+    """Return the value at x on the power function through the sizes around x, or the two nearest sizes."""
     i = min(max(bisect.bisect_right(sizes, x), 1), len(sizes) - 1)
     fraction = math.log(x / sizes[i - 1]) / math.log(sizes[i] / sizes[i - 1])
     return float(means[i - 1] * (means[i] / means[i - 1]) ** fraction)
@@ -57,7 +57,7 @@
 def fit_interpolated(metric: str, observations: Sequence[Observation], column: str) -> InterpolatedFit:
     """Interpolate a metric along a column.
 
-    Raises FitError for fewer than `MIN_SIZES` sizes, or if a size or a mean is not above 0.
+    Raises: FitError if there are fewer than MIN_SIZES sizes, or if a size or a mean is not above 0.
     """
     values_by_size: dict[float, list[float]] = {}
     for observation in observations:
@@ -89,7 +89,10 @@
 
 
 def _cross_validation_error(sizes: tuple[float, ...], means: Array) -> float:
-    """Root mean square error at each inner size, interpolated from the others, as a share of its mean."""
+    """Return the root mean square error at the inner sizes, as a share of the mean at each size.
+
+    Each inner size is interpolated from the other sizes.
+    """
     errors = [
         interpolate((*sizes[:i], *sizes[i + 1 :]), np.delete(means, i), sizes[i]) / float(means[i]) - 1
         for i in range(1, len(sizes) - 1)
--- a/scale_experiments/fitting/observations.py
+++ b/scale_experiments/fitting/observations.py
@@ -8,29 +8,29 @@
 
 from scale_experiments.runs.results import Result
 
-Size = Mapping[str, float]  # by column, such as `routers` or `caches`
+Size = Mapping[str, float]  # values of a fleet size by column, such as `routers` or `caches`
 
-PRODUCT_COLUMNS = ("routers", "caches")  # some metrics grow with their product, such as connections
-# columns that grow with the fleet or that set a duration: metrics do not depend on them directly
+PRODUCT_COLUMNS = ("routers", "caches")  # some metrics, such as connections, grow with their product
+# columns that grow with the fleet, or that set a duration; metrics do not depend on them directly
 CONFOUNDED_COLUMNS = ("regions", "sites", "warm_s", "zones")
-SAME_SIZE_TOLERANCE = 0.01  # sizes that differ by a smaller share than this count as the same
+SAME_SIZE_TOLERANCE = 0.01  # relative difference up to which two sizes count as the same
 
 
 @dataclass(slots=True, frozen=True)
 class Observation:
-    """One value of a metric, in the metric's unit."""
+    """A value of a metric, in the metric's unit, and the size at which it was measured."""
 
     size: Size
     value: float
 
 
 def observations_of(result: Result, metric: str) -> list[Observation]:
-    """The observations of a metric: one for each sample of a result that has it."""
+    """Return the observations of a metric: one for each sample that has the metric."""
     return [Observation(s.size, s.metrics[metric]) for s in result.samples if metric in s.metrics]
 
 
 def varying_columns(sizes: Sequence[Size]) -> tuple[str, ...]:
-    """The columns that all sizes have and whose values differ, in alphabetical order."""
+    """Return the columns that all sizes have and whose values differ, in alphabetical order."""
     if not sizes:
         return ()
     shared = sorted(set.intersection(*map(set, sizes)))
@@ -38,7 +38,7 @@
 
 
 def at_largest_size(observations: Sequence[Observation]) -> list[Observation]:
-    """The observations at the largest size, by the product of its varying columns."""
+    """Return the observations at the largest size, which has the largest product of the varying columns."""
     columns = varying_columns([o.size for o in observations])
     products = [math.prod(float(o.size[c]) for c in columns) for o in observations]
     largest = max(products)
@@ -46,7 +46,7 @@
 
 
 def mean_at(observations: Sequence[Observation], size: Size) -> float | None:
-    """The mean of the observations at a size, within SAME_SIZE_TOLERANCE; None if there are none."""
+    """Return the mean of the observations at a size, within SAME_SIZE_TOLERANCE; None if there are none."""
     values = [o.value for o in observations if _is_same_size(o.size, size)]
     return math.fsum(values) / len(values) if values else None
 
--- a/scale_experiments/fitting/regression.py
+++ b/scale_experiments/fitting/regression.py
@@ -13,7 +13,7 @@
 from scale_experiments.measurement.estimate import Estimate
 from scale_experiments.number_format import format_with_error
 
-# of the design matrix: above it, columns grow together, and their slopes can't be distinguished
+# limit for the design matrix; above it, columns are collinear, and their slopes can't be distinguished
 MAX_CONDITION_NUMBER = 20.0
 
 
@@ -21,7 +21,7 @@
 class RegressionFit(Fit):
     """A form fitted by least squares, to the logarithms if the form is a power.
 
-    `coefficients` (k) and `covariance` (k x k) are of the constant term and then of `terms`.
+    `coefficients` (length k) and `covariance` (k x k) are in the order of the constant term and then `terms`.
     """
 
     coefficients: Array
@@ -29,20 +29,20 @@
 
     @property
     def terms(self) -> tuple[str, ...]:
-        """The name of each term but the constant one."""
+        """The names of the terms, without the constant term."""
         if self.form is Form.CONSTANT:
             return ()
         return (" x ".join(self.columns),) if self.form is Form.PRODUCT else self.columns
 
     @property
     def slopes(self) -> dict[str, Estimate]:
-        """The slope of each term, or its exponent where the form is a power."""
+        """The slope of each term by name; its exponent if the form is a power."""
         errors = np.sqrt(np.maximum(np.diag(self.covariance), 0.0))
         slopes = zip(self.terms, self.coefficients[1:], errors[1:], strict=True)
         return {term: Estimate(float(slope), float(error)) for term, slope, error in slopes}
 
     def predict(self, size: Size) -> Estimate:
-        """The fitted value at a size, in the metric's unit."""
+        """Return the fitted value at a size, in the metric's unit."""
         row = design_matrix(self.form, self.columns, [size])[0]
         value = float(row @ self.coefficients)
         error = math.sqrt(max(0.0, float(row @ self.covariance @ row)))
@@ -51,7 +51,7 @@
         return Estimate(value, error)
 
     def describe(self) -> str:
-        """The slopes with their standard errors, in words."""
+        """Describe the slopes and their standard errors."""
         if self.form is Form.CONSTANT:
             value = self.predict({c: self.largest[c] for c in self.columns})
             return f"constant {format_with_error(value)}"
@@ -62,7 +62,7 @@
 
 
 def design_matrix(form: Form, columns: Sequence[str], sizes: Sequence[Size]) -> Array:
-    """The n x k matrix of the regression: one row a size, 1 and then the terms of the form."""
+    """Return the n x k design matrix: for each size a row of 1 and the terms of the form."""
     values = np.array([[float(size[c]) for c in columns] for size in sizes], dtype=np.float64)
     values = values.reshape(len(sizes), len(columns))
     intercept = np.ones((len(sizes), 1))
@@ -78,8 +78,8 @@
 ) -> RegressionFit:
     """Fit one form over columns.
 
-    Raises FitError if it needs more sizes, if its columns are collinear, or if the form is a power and a size
-    or a value is not above 0.
+    Raises: FitError if the form needs more sizes, if its columns are collinear, or if the form is a power and
+    a size or a value is not above 0.
     """
     values = np.array([o.value for o in observations], dtype=np.float64)
     sizes = [o.size for o in observations]
@@ -110,7 +110,7 @@
 def _check_applicable(
     metric: str, form: Form, columns: Sequence[str], sizes: Sequence[Size], values: Array
 ) -> None:
-    """Raise FitError for a form without its columns, or a power of numbers that are not above 0."""
+    """Raise FitError if a form lacks columns, or if it is a power and a size or a value is not above 0."""
     if form is not Form.CONSTANT and not columns:
         raise FitError(f"{metric}: form {form.value}: must be measured at more than one size")
     if form is Form.POWER and (values.min() <= 0 or any(size[c] <= 0 for size in sizes for c in columns)):
@@ -118,7 +118,7 @@
 
 
 def _group_by_size(form: Form, columns: Sequence[str], sizes: Sequence[Size]) -> list[int]:
-    """The index of each size's group: sizes that are equal for the form are in the same group."""
+    """Return the index of each size's group; sizes that are equal for the form are in the same group."""
     keys: list[tuple[float, ...]]
     if form is Form.PRODUCT:
         keys = [(math.prod(float(size[c]) for c in columns),) for size in sizes]
@@ -129,10 +129,10 @@
 
 
 def _column_scales(rows: Array) -> Array:
-    """The largest absolute value of each column.
+    """Return the largest absolute value of each column, by which the columns are divided.
 
-    Columns are divided by it, because values such as 1 and routers x caches differ by a factor of millions,
-    which would cost the solution digits.
+    Without the division, columns such as 1 and routers x caches would differ by a factor of millions, and the
+    solution would lose digits.
     """
     scales = np.asarray(np.abs(rows).max(axis=0), dtype=np.float64)
     scales[scales == 0] = 1.0
@@ -140,14 +140,14 @@
 
 
 def _solve(metric: str, form: Form, rows: Array, values: Array) -> Array:
-    """The coefficients; raises FitError if the columns are collinear."""
+    """Return the coefficients; raises FitError if the columns are collinear."""
     centred = rows[:, 1:] - rows[:, 1:].mean(axis=0)
     norms = np.linalg.norm(centred, axis=0)
     collinear = not norms.all()
     if not collinear and centred.shape[1] > 1:
         collinear = float(np.linalg.cond(centred / norms)) > MAX_CONDITION_NUMBER
     if collinear:
-        raise FitError(f"{metric}: form {form.value}: its columns must not grow together")
+        raise FitError(f"{metric}: form {form.value}: its columns must not be collinear")
     scales = _column_scales(rows)
     targets = np.log(values) if form is Form.POWER else values
     solution = np.linalg.lstsq(rows / scales, targets, rcond=None)[0]
@@ -173,9 +173,10 @@
 def _cross_validation_error(
     metric: str, form: Form, rows: Array, values: Array, groups: Sequence[int]
 ) -> float:
-    """Root mean square error at each size, fitted to all others, as a share of the mean at that size.
+    """Return the root mean square error at all sizes, as a share of the mean at each size.
 
-    NaN if there is only one size, or if the form can't be fitted without one of the sizes.
+    For each size, the form is fitted to all others. NaN if there is only one size, or if the form can't be
+    fitted without one of the sizes.
     """
     labels = np.array(groups)
     if not labels.any():
@@ -188,7 +189,7 @@
             coefficients = _solve(metric, form, rows[training], values[training])
         except FitError:
             return math.nan
-        # if the mean is 0, errors are shares of the mean magnitude over all sizes
+        # if the mean is 0, errors are relative to the mean magnitude over all sizes
         scale = abs(float(values[~training].mean())) or mean_magnitude or 1.0
         relative_errors = (_predict(form, rows[~training], coefficients) - values[~training]) / scale
         errors.append(float(np.mean(relative_errors**2)))
--- a/scale_experiments/fitting/selection.py
+++ b/scale_experiments/fitting/selection.py
@@ -1,4 +1,4 @@
-"""The selection of a form: fitting all forms to a metric, and choosing the best fit."""
+"""The selection of the form with the best fit to a metric."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from scale_experiments.fitting.regression import fit_regression
 from scale_experiments.measurement.estimate import ROUNDING_TOLERANCE
 
-SIGNIFICANCE_THRESHOLD = 2.0  # a slope is significant above this number of standard errors
+SIGNIFICANCE_THRESHOLD = 2.0  # standard errors above which a slope is significant
 
 
 def fit_form(
     metric: str, form: Form, observations: Sequence[Observation], columns: Sequence[str] | None = None
 ) -> Fit:
-    """Fit one form over columns, by default over all that vary; raises FitError if it can't be fitted."""
+    """Fit one form over columns, by default all that vary; raises FitError if it can't be fitted."""
     if not observations:
         raise FitError(f"{metric}: no samples")
     if columns is None:
@@ -35,10 +35,11 @@
 
 
 def fit_all_forms(metric: str, observations: Sequence[Observation]) -> list[Fit]:
-    """All forms that can be fitted, the best first; raises FitError without observations.
+    """Return the fits of all forms that can be fitted, the best first; raises FitError without observations.
 
-    The best has the smallest cross-validation error, which is a share of the measured values, so that all
-    sizes have the same weight. The constant is the best if no slope of a linear form is significant.
+    The best fit has the smallest cross-validation error. This error is relative to the measured values, so
+    that all sizes have the same weight. The constant is the best fit if no slope of a linear form is
+    significant.
     """
     fits = []
     for form, columns in _candidates(observations):
@@ -58,12 +59,12 @@
 
 
 def best_fit(metric: str, observations: Sequence[Observation]) -> Fit:
-    """The best form for a metric; raises FitError without observations."""
+    """Return the best fit to a metric; raises FitError without observations."""
     return fit_all_forms(metric, observations)[0]
 
 
 def _candidates(observations: Sequence[Observation]) -> Iterator[tuple[Form, tuple[str, ...]]]:
-    """The forms to fit and the columns of each, the simplest first."""
+    """Yield the forms to fit with the columns of each, the simplest first."""
     columns = varying_columns([o.size for o in observations])
     yield Form.CONSTANT, columns
     independent = sorted(
@@ -79,9 +80,9 @@
 
 
 def _selection_error(fit: Fit) -> float:
-    """The cross-validation error by which fits are sorted.
+    """Return the cross-validation error by which fits are sorted, rounded to four digits.
 
-    It is rounded to four digits, so that of equivalent forms the simplest comes first on every machine.
+    Rounding makes equivalent forms equal on every machine, so that the simplest of them comes first.
     """
     if math.isnan(fit.cross_validation_error):
         return math.inf
@@ -89,7 +90,7 @@
 
 
 def _has_significant_slope(fit: Fit, magnitude: float) -> bool:
-    """Whether any slope of a linear fit exceeds its standard error and rounding errors significantly."""
+    """Return whether any slope of a linear fit is large compared with its standard and rounding errors."""
     return any(
         abs(slope.value)
         > max(
--- a/tests/scale_experiments/test_capacity.py
+++ b/tests/scale_experiments/test_capacity.py
@@ -1,4 +1,4 @@
-"""The fits, the breaking points of demands, and the capacity page against the kept results."""
+"""Tests of the fits, of the breaking points of demands, and of the capacity page."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def write_linear_result(path: Path, slope: float, noise: float = 0.0, max_caches: int = 800) -> Path:
-    """A result whose `cost_s` is 0.5 + slope x caches and some noise."""
+    """Write a result whose `cost_s` is 0.5 + slope * caches, with Gaussian noise."""
     generator = random.Random(1)
     samples = [
         {
@@ -67,7 +67,7 @@
     best = best_fit("cost_s", observations_of(result, "cost_s"))
     assert best.form is Form.LINEAR
     slope = best.slopes["caches"]
-    # of a line through n points: the noise over the root of the sum of squares about the mean size
+    # standard error of a slope: the noise over the root of the sum of squares about the mean size
     expected = 0.05 / (25 * sum((100.0 * i - 450.0) ** 2 for i in range(1, 9))) ** 0.5
     assert slope.standard_error == pytest.approx(expected, rel=0.15)
     assert abs(slope.value - 0.002) < 3 * slope.standard_error
@@ -100,9 +100,9 @@
         fit_form("x", Form.INTERPOLATED, observations[:2])
 
 
-def test_columns_that_grow_together_are_rejected() -> None:
+def test_collinear_columns_are_rejected() -> None:
     observations = [Observation({"routers": x, "caches": 3 * x}, x) for x in (1.0, 2.0, 3.0, 4.0)]
-    with pytest.raises(FitError, match="grow together"):
+    with pytest.raises(FitError, match="must not be collinear"):
         fit_form("x", Form.LINEAR, observations)
 
 
--- a/tests/scale_experiments/test_kept_results.py
+++ b/tests/scale_experiments/test_kept_results.py
@@ -1,4 +1,4 @@
-"""Kept results stay readable: each can be loaded, and is written again with the same bytes."""
+"""Tests that each kept result can be loaded, and that it is written again with the same bytes."""
 
 from __future__ import annotations
 
