--- a/scale_experiments/commands/__init__.py
+++ b/scale_experiments/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands `fit` and `report`, which read results."""
+"""The commands `fit` and `report`, which evaluate results."""
--- a/scale_experiments/commands/exit_status.py
+++ b/scale_experiments/commands/exit_status.py
@@ -6,7 +6,7 @@
 
 
 class ExitStatus(IntEnum):
-    """How a command ended."""
+    """The exit status of a command."""
 
     SUCCESS = 0
     CHECK_FAILED = 1  # a budget is exceeded, a result is incomplete, or the page differs from the results
--- a/scale_experiments/commands/fit.py
+++ b/scale_experiments/commands/fit.py
@@ -1,6 +1,6 @@
 """The command `fit`: prints least-squares fits of a result's metrics against the sizes of its samples.
 
-Several forms are fitted to each metric, over all columns of the size that vary together and over each alone.
+Several forms are fitted to each metric: over each varying column of the size alone, and over all of them.
 The best fit has the smallest cross-validation error. A value at another size is printed with its standard
 error and with the extrapolation factor: its ratio to the largest measured size.
 """
@@ -20,17 +20,17 @@
 from scale_experiments.runs.results import Result, load_result
 from scale_experiments.target import HEADROOM_FACTOR, Target, load_target
 
-METRIC_WIDTH = 28  # characters
+METRIC_WIDTH = 28  # width of the column of metric names, in characters
 
 
 def target_columns(target: Target) -> dict[str, float]:
-    """The values of the columns of a size at the target."""
+    """Return the values of the columns of a size at the target."""
     return {**target.target.model_dump(), "changes_per_s": target.list_changes_per_s()}
 
 
 def describe_result(result: Result, target: Size) -> list[str]:
-    """The lines that the command prints for one result: each metric with all its fits, the best first."""
-    incomplete = "" if result.complete else ", not complete"
+    """Return the lines that are printed for a result: each metric with all its fits, the best first."""
+    incomplete = "" if result.complete else ", incomplete"
     lines = [f"{result.experiment}: {len(result.samples)} samples{incomplete}"]
     for metric in sorted({metric for sample in result.samples for metric in sample.metrics}):
         best, *others = fit_all_forms(metric, observations_of(result, metric))
@@ -43,12 +43,12 @@
 def _describe_fit(fit: Fit) -> str:
     return (
         f"{fit.form.value:<9} {fit.describe()}; residual {format_number(fit.residual)},"
-        f" left out {fit.cross_validation_error:.1%}"
+        f" cross-validation error {fit.cross_validation_error:.1%}"
     )
 
 
 def _describe_predictions(fit: Fit, target: Size) -> Iterator[str]:
-    """The values at the target and beyond it; a column without a target has its largest measured value."""
+    """Yield the values at the target and beyond it; a column without a target keeps its largest value."""
     for name, factor in (("target", 1.0), (f"{HEADROOM_FACTOR:g} x target", HEADROOM_FACTOR)):
         size = {c: target[c] * factor if c in target else fit.largest[c] for c in fit.columns}
         estimate = fit.predict(size)
@@ -56,7 +56,7 @@
         yield (
             f"  {'':<{METRIC_WIDTH}}   at {name} ({size_text}): {format_number(estimate.value)}"
             f" ± {format_number(estimate.standard_error, ERROR_DIGITS)},"
-            f" {format_number(fit.extrapolation_factor(size))} times the largest measured"
+            f" {format_number(fit.extrapolation_factor(size))} times the largest measured size"
         )
 
 
