--- a/scale_experiments/capacity/ranking_table.py
+++ b/scale_experiments/capacity/ranking_table.py
@@ -26,10 +26,10 @@
     "basis",
     "mechanism",
 )
-# breaking point, utilization at three sizes, and basis of a demand that no mechanism carries
+# cells of a demand that no mechanism carries: breaking point, utilization at three sizes, and basis
 WITHOUT_MECHANISM_CELLS = ("at any size", "-", "-", "-", "not measured")
 EXCEEDED_WHERE_MEASURED = "exceeded where measured"
-KEPT_WHERE_MEASURED = "not exceeded where measured"
+NOT_EXCEEDED_WHERE_MEASURED = "not exceeded where measured"
 
 
 @dataclass(slots=True, frozen=True)
@@ -39,21 +39,25 @@
     demand: Demand
     # progress along the growth path; None if the budget is not exceeded on it
     breaking_point: float | None
-    today: float
-    target: float
-    with_headroom: float
+    utilization_today: float
+    utilization_at_target: float
+    utilization_with_headroom: float
 
     def sort_key(self) -> tuple[float, float]:
-        """The smallest breaking point first; for equal breaking points, the highest utilization first."""
+        """Return a key by which the smallest breaking point comes first, and then the highest utilization."""
         if self.breaking_point is None:
-            return math.inf, -self.target
-        return self.breaking_point, -self.today if self.breaking_point == 0 else -self.target
+            return math.inf, -self.utilization_at_target
+        return (
+            self.breaking_point,
+            -self.utilization_today if self.breaking_point == 0 else -self.utilization_at_target,
+        )
 
 
 def ranking_table(model: CapacityModel, contradictions: bool = False) -> list[str]:
-    """The demands that have a budget, starting with those that exceed it at any size.
+    """Return the table of the demands with a budget, starting with those that exceed it at any size.
 
-    With `contradictions`, only the demands whose given figures contradict each other; without it, all others.
+    With `contradictions`, the table has only the demands whose given figures contradict each other; without
+    it, all others.
     """
     demands = [
         d for d in model.table.demands if d.budget is not None and d.is_contradiction == contradictions
@@ -71,7 +75,7 @@
 
 
 def _row(model: CapacityModel, demand: Demand, cells: Sequence[str]) -> list[str]:
-    """A row without its rank."""
+    """Return a row without its rank."""
     role_title = model.table.role_titles()[demand.role]
     return [role_title, demand.title, *cells, format_mechanism(demand.mechanism)]
 
@@ -81,26 +85,26 @@
     return RankedDemand(
         demand,
         breaking_point=model.breaking_point(demand),
-        today=model.utilization(demand, path.at_today()),
-        target=model.utilization(demand, path.at_target()),
-        with_headroom=model.utilization(demand, path.with_headroom()),
+        utilization_today=model.utilization(demand, path.at_today()),
+        utilization_at_target=model.utilization(demand, path.at_target()),
+        utilization_with_headroom=model.utilization(demand, path.with_headroom()),
     )
 
 
 def _cells(model: CapacityModel, ranked: RankedDemand) -> list[str]:
     return [
         format_breaking_point(model, ranked.demand, ranked.breaking_point),
-        format_number(ranked.today),
-        format_number(ranked.target),
-        format_number(ranked.with_headroom),
+        format_number(ranked.utilization_today),
+        format_number(ranked.utilization_at_target),
+        format_number(ranked.utilization_with_headroom),
         describe_basis(model, ranked.demand),
     ]
 
 
 def format_breaking_point(model: CapacityModel, demand: Demand, progress: float | None) -> str:
-    """The size at which a demand exceeds its budget, and its ratio to the largest size measured."""
+    """Format the size at which a demand exceeds its budget, and its ratio to the largest size measured."""
     if model.is_measured_at_one_size(demand):
-        return EXCEEDED_WHERE_MEASURED if progress == 0 else KEPT_WHERE_MEASURED
+        return EXCEEDED_WHERE_MEASURED if progress == 0 else NOT_EXCEEDED_WHERE_MEASURED
     text = format_progress(model.growth_path, progress)
     if progress is None:
         return text
