--- a/scale_experiments/routers/__init__.py
+++ b/scale_experiments/routers/__init__.py
@@ -1,1 +1,1 @@
-"""Routers under test: real processes, and hollow routers that only watch discovery."""
+"""Routers under test: complete router processes, and hollow routers, which only watch discovery."""
--- a/scale_experiments/routers/router_process.py
+++ b/scale_experiments/routers/router_process.py
@@ -1,4 +1,4 @@
-"""Builds and starts real routers as `deploy/balancer.toml` says."""
+"""Builds the router and starts processes of it, with the commands of `deploy/balancer.toml`."""
 
 from __future__ import annotations
 
@@ -23,27 +23,27 @@
 BUILD_TIMEOUT_S = 300.0
 CONNECT_TIMEOUT_S = 1.0
 READY_POLL_INTERVAL_S = 0.05
-LOG_EXCERPT_LENGTH = 300  # characters of a log's end in an error
+LOG_EXCERPT_LENGTH = 300  # characters from the end of a log that an error text includes
 
 
 class RouterStartError(RuntimeError):
-    """A router could not be built, or was not ready in time."""
+    """The router could not be built, or a router process did not become ready in time."""
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class RouterConfiguration:
-    """The content of a router's configuration file, without the address at which the router listens."""
+    """Content of a router's configuration file, without the address on which the router listens."""
 
     name: str
-    discovery: str  # host:port
+    discovery: str  # address of discovery, as host:port
     seed: int
     memory_mb: int
-    descriptors: int  # limit of open descriptors, in the file and of the process
+    descriptors: int  # limit of open descriptors, in the configuration file and in the process (ulimit -n)
     cached_list: EndpointList
-    settings: dict[str, Any]  # as the file has them
+    settings: dict[str, Any]  # settings in the form of the configuration file
 
     def encoded(self, listen: str) -> bytes:
-        """The content of the file for a router that listens at `listen` (host:port)."""
+        """Return the content of the file for a router that listens on `listen` (host:port)."""
         return orjson.dumps(
             {
                 "name": self.name,
@@ -59,27 +59,28 @@
 
 @dataclass(slots=True, frozen=True)
 class RouterProcess:
-    """A router that was started."""
+    """A started router process."""
 
     process: subprocess.Popen[bytes]
-    address: str  # host:port
+    address: str  # address on which the router listens, as host:port
     log: Path
 
 
 @dataclass(slots=True, frozen=True)
 class RouterBuild:
-    """A copy of the program that was built as for a deployment, and the shell command that runs it there."""
+    """A copy of the program, built as for a deployment, and the shell command that runs it in its folder."""
 
     folder: Path
     run_command: str
 
 
 def build_router(context: ExperimentContext) -> RouterBuild:
-    """Copy the program to the run's folder and build it; a run builds it only once.
+    """Copy the program to the folder of the run and build it there, once in each run.
 
     Raises:
-        RouterStartError: The build has failed.
-        subprocess.TimeoutExpired: The build has not ended within `BUILD_TIMEOUT_S`.
+        RouterStartError: The build exited with a status other than 0.
+        subprocess.TimeoutExpired: The build did not finish within `BUILD_TIMEOUT_S`, or before the time limit
+            of the run.
     """
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     folder = context.folder / "router"
@@ -105,13 +106,16 @@
         process = context.spawn(["/bin/sh", "-c", command], cwd=folder, stdout=output, stderr=output)
         status = process.wait(min(BUILD_TIMEOUT_S, context.remaining_s()))
     if status:
-        raise RouterStartError(f"build ended with {status}: {log.read_text()[-LOG_EXCERPT_LENGTH:]}")
+        raise RouterStartError(
+            f"router build exited with status {status}: {log.read_text()[-LOG_EXCERPT_LENGTH:]}"
+        )
 
 
 def start_router(context: ExperimentContext, configuration: RouterConfiguration, host: str) -> RouterProcess:
-    """Start a router at a free port of `host`, with the limit of descriptors of its configuration.
+    """Build the router if necessary, and start it on a free port of `host`.
 
-    Raises as `build_router`, and OSError where the process cannot be started.
+    The process gets the descriptor limit of its configuration. Raises what `build_router` raises, and OSError
+    if the process cannot be started.
     """
     build = build_router(context)
     listen = _free_address(host)
@@ -142,10 +146,10 @@
 
 
 def wait_until_ready(router: RouterProcess, timeout_s: float) -> None:
-    """Wait until a router answers a PING.
+    """Wait until a router replies to a PING.
 
     Raises:
-        RouterStartError: The router has ended, or does not answer within `timeout_s`.
+        RouterStartError: The process exited, or did not reply within `timeout_s`.
     """
     host, port = parse_address(router.address)
     deadline = time.monotonic() + timeout_s
@@ -154,7 +158,9 @@
             return
         time.sleep(READY_POLL_INTERVAL_S)
     excerpt = router.log.read_text(errors="replace")[-LOG_EXCERPT_LENGTH:]
-    raise RouterStartError(f"router at {router.address} is not ready after {timeout_s:g} s: {excerpt}")
+    raise RouterStartError(
+        f"router at {router.address} exited or did not reply within {timeout_s:g} s: {excerpt}"
+    )
 
 
 def _answers_ping(host: str, port: int) -> bool:
--- a/scale_experiments/routers/watch_fleet.py
+++ b/scale_experiments/routers/watch_fleet.py
@@ -1,4 +1,4 @@
-"""Starts discovery and the hollow routers that watch it, changes the list, and reads what they have used."""
+"""Starts discovery and hollow routers that watch it, changes the endpoint list, and reads resource usage."""
 
 from __future__ import annotations
 
@@ -34,44 +34,44 @@
 from scale_experiments.runs.context import ExperimentContext
 
 POLL_INTERVAL_S = 0.25
-REPLY_TIMEOUT_S = 90.0  # of a process that is busy with several thousand routers
-SETTLING_S = 1.0  # after the start of the last router
+REPLY_TIMEOUT_S = 90.0  # a process that runs several thousand routers is slow to reply
+SETTLING_S = 1.0  # wait after the start of the last router
 CACHE_NETWORK = "127.1"
 DISCOVERY_NETWORK = "127.0.1"
 SEEDS_PER_SAMPLE = 1_000_000
 SEEDS_PER_PROCESS = 100_000
 
-# whether routers have to subscribe to the list, or it is pushed to them
+# "asked": routers have to subscribe to the endpoint list; "pushed": it is pushed to them
 SubscriptionMode = Literal["asked", "pushed"]
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class WatchFleetOptions:
-    """The size of a fleet, and how its routers start.
+    """Size of a fleet, and the manner in which its routers start.
 
-    Real routers are hollow routers that have the program's own watch. The others are light: they only send
-    the same polls.
+    Real routers are hollow routers that run the program's own watch. All other hollow routers are light: they
+    send the same polls, but store only the index of the list.
     """
 
-    routers: int  # real and light ones
-    real_routers: int  # at most; all in one process
-    hollow_processes: int  # of light routers
-    discoveries: int  # processes, an address each
-    caches: int  # entries of the list
-    zones: int  # of the caches
-    real_mode: HollowMode  # of the real routers
-    spread_s: float  # within which all routers start
+    routers: int  # number of routers, real and light
+    real_routers: int  # maximum number of real routers, which share one process
+    hollow_processes: int  # number of processes that run the light routers
+    discoveries: int  # number of discovery processes, each with its own address
+    caches: int  # number of entries in the endpoint list
+    zones: int  # number of zones over which the caches are spread
+    real_mode: HollowMode  # what the real routers build from the endpoint list
+    spread_s: float  # period over which the starts of the routers are spread
     seed: int
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class FleetUsage:
-    """What each role has used until a moment: counts, CPU seconds and bytes, in sum over its processes.
+    """Resource usage of discovery and of the routers since their start, summed over their processes.
 
-    Fields without a prefix are discovery's; `real_` and `light_` are those of the routers.
+    Fields without a prefix are of discovery. The prefixes `real_` and `light_` name the kind of router.
     """
 
-    at: float  # of the monotonic clock; in a difference, the seconds between both moments
+    at: float  # time of the monotonic clock; in a difference, the seconds between the two readings
     polls: float
     connections: float
     bytes_in: float
@@ -84,14 +84,17 @@
     light_cpu_s: float
 
     def since(self, earlier: FleetUsage) -> FleetUsage:
-        """What was used from an earlier moment to this one."""
+        """Return the usage between an earlier reading and this one.
+
+        The resident memory and the descriptors of the result are differences too.
+        """
         return FleetUsage(
             **{each.name: getattr(self, each.name) - getattr(earlier, each.name) for each in fields(self)}
         )
 
 
 def build_settings(mode: SubscriptionMode, routers: int) -> dict[str, Any]:
-    """The settings of a site, as a configuration file has them; times are those of the deployed sites."""
+    """Build router settings in the form of a configuration file, with the times of the deployed sites."""
     return {
         "classes": [{"name": "read", "aim": 0.5, "giveUp": 2.0, "effect": "free"}],
         "membershipMode": "subscribe" if mode == "asked" else "automatic",
@@ -102,16 +105,16 @@
 
 @dataclass(slots=True, frozen=True)
 class NotificationDelays:
-    """How long it took until routers had an index."""
+    """Delays until the routers of a fleet received the list of an index."""
 
-    delays_s: list[float]  # of the routers that had it, sorted
-    missing: int  # routers that did not have it
+    delays_s: list[float]  # delays of the routers that received it, sorted
+    missing: int  # number of routers that did not receive it
 
 
 class WatchFleet:
-    """Discovery, and the routers that watch it.
+    """Discovery, and the hollow routers that watch it.
 
-    All methods raise ControlError where a process has ended or sends no reply in time.
+    All methods raise ControlError if a process has exited or does not reply in time.
     """
 
     def __init__(self, options: WatchFleetOptions, context: ExperimentContext) -> None:
@@ -120,7 +123,8 @@
         zones = [f"z{zone}" for zone in range(options.zones)]
         self._entries = build_loopback_entries(options.caches, CACHE_NETWORK, zones, "m2")
         self.index = 1
-        self.changed_at: dict[int, float] = {}  # of each index, at the process of discovery that had it first
+        # time at which the first discovery process applied the change, by index
+        self.changed_at: dict[int, float] = {}
         self._processes: list[subprocess.Popen[bytes]] = []
         self.discoveries: list[ControlClient] = []
         self._real: list[ControlClient] = []
@@ -128,16 +132,19 @@
 
     @property
     def real_routers(self) -> int:
-        """How many routers have the program's own watch."""
+        """Number of routers that run the program's own watch."""
         return min(self.options.real_routers, self.options.routers)
 
     @property
     def light_routers(self) -> int:
-        """How many routers only send the same polls."""
+        """Number of routers that send the same polls and store only the index of the list."""
         return self.options.routers - self.real_routers
 
     def start(self, mode: SubscriptionMode) -> None:
-        """Start discovery and the routers, spread over `spread_s` so that their polls are not in step."""
+        """Start discovery and the routers.
+
+        The starts of the routers are spread over `spread_s`, so that their polls are not synchronized.
+        """
         self.discoveries = [
             self._start_emulator("discovery", DISCOVERY_MODULE, f"{DISCOVERY_NETWORK}.{number + 1}:0")
             for number in range(self.options.discoveries)
@@ -159,7 +166,7 @@
         return client
 
     def _routers_per_process(self) -> list[int]:
-        """The number of real routers, and those of light routers, spread evenly over their processes."""
+        """Return the number of routers in each process: the real routers first, then the light ones."""
         processes = self.options.hollow_processes if self.light_routers else 0
         light = [
             self.light_routers // processes + (number < self.light_routers % processes)
@@ -182,13 +189,13 @@
         )
 
     def stop(self) -> None:
-        """End all processes."""
+        """Stop all processes."""
         for process in self._processes:
             self.context.stop(process)
         self._processes.clear()
 
     def change(self) -> None:
-        """Change one entry to terminating, or back to in service, under the next index."""
+        """Set one entry to terminating, or back to in service, under the next index."""
         self.index += 1
         entry = self._entries[self.index // 2 % len(self._entries)]
         entry["status"] = TERMINATING if self.index % 2 else IN_SERVICE
@@ -196,7 +203,10 @@
         self.changed_at[self.index] = min(reply.at for reply in changed)
 
     def wait_until_notified(self, timeout_s: float) -> None:
-        """Wait until all routers have the latest change, but not longer than `timeout_s`."""
+        """Wait until all routers have received the latest change.
+
+        Returns early after `timeout_s`, or once the time limit of the run has passed.
+        """
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline and not self.context.expired():
             if min(stats.lowest_index for stats in self._router_stats()) >= self.index:
@@ -204,14 +214,18 @@
             time.sleep(POLL_INTERVAL_S)
 
     def notification_delays(self, index: int, since: float) -> NotificationDelays:
-        """The delays from `since`, a time of the monotonic clock, until routers had an index."""
+        """Return the delays from `since`, a time of the monotonic clock, until routers received an index."""
         replies = request_all([*self._real, *self._light], GetUpdateTimes(index))
         times = [each for reply in replies for each in reply.times]
         delays_s = sorted(max(0.0, each - since) for each in times if each is not None)
         return NotificationDelays(delays_s, missing=len(times) - len(delays_s))
 
     def polls_since(self, started_at: float) -> dict[float, float]:
-        """Polls at discovery since a time of the monotonic clock, by the number of their interval."""
+        """Return the polls that discovery received since a time of the monotonic clock.
+
+        They are counted by time bucket, whose number is the key. The bucket that contains `started_at` is
+        included as a whole.
+        """
         counts: dict[float, float] = {}
         for stats in self.discovery_stats():
             for bucket, polls in stats.polls_over_time:
@@ -220,11 +234,11 @@
         return counts
 
     def notification_s(self) -> float:
-        """Seconds from the latest change until discovery had sent it to all routers whose polls waited."""
+        """Return the seconds that discovery took to answer all waiting polls with the latest change."""
         return max(stats.notification_s for stats in self.discovery_stats())
 
     def usage(self) -> FleetUsage:
-        """What discovery and the routers have used until now."""
+        """Read the resource usage of discovery and of the routers."""
         discovery = self.discovery_stats()
         real = request_all(self._real, GetRoutersStats())
         light = request_all(self._light, GetRoutersStats())
@@ -243,7 +257,7 @@
         )
 
     def discovery_stats(self) -> list[DiscoveryStats]:
-        """The counts of each process of discovery, in the order of their start."""
+        """Read the counts of each discovery process, in the order of their start."""
         return request_all(self.discoveries, GetDiscoveryStats())
 
     def _router_stats(self) -> Sequence[RoutersStats]:
