--- a/scale_experiments/scenarios/list_change.py
+++ b/scale_experiments/scenarios/list_change.py
@@ -1,7 +1,7 @@
-"""What a change of the endpoint list, and a complete list, cost one router, in this process without sockets.
+"""CPU time and memory that one router needs for endpoint list changes and complete lists, without sockets.
 
-Only what the program itself uses is called: `Router.handle`, `read_endpoint_list` and
-`Dispatcher.on_endpoint_update`, with connection pools that stay empty.
+The router's code runs in this process through the functions that the program itself calls: `Router.handle`,
+`read_endpoint_list` and `Dispatcher.on_endpoint_update`. The connection pools stay empty.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 from scale_experiments.scenarios.list_costs.router import RouterCosts, measure_router
 from scale_experiments.scenarios.list_costs.workload import ListWorkload, build_settings
 
-MAX_LATENCY_US = 60_000_000  # the largest value of the histograms
+MAX_LATENCY_US = 60_000_000  # highest value that the histograms can record
 
 
 class Parameters(BaseModel):
-    """What all sizes of an experiment have in common."""
+    """Parameters that all sizes of an experiment share."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -47,37 +47,46 @@
         default=DEFAULT_ZONES, ge=1, le=10_000, description="zones over which the caches are spread"
     )
     weight: float = Field(
-        default=DEFAULT_WEIGHT, gt=0, le=1000, description="of each cache; a change of weight halves it"
+        default=DEFAULT_WEIGHT,
+        gt=0,
+        le=1000,
+        description="weight of each cache; a change of weight halves it",
     )
 
 
 class Size(ListChangeSize):
-    """The columns of a size."""
+    """One size of an experiment."""
 
 
 class ListChangeMetrics(Metrics):
-    """Costs of endpoint lists. A sample without changes of a kind omits its metric."""
+    """Costs of endpoint lists. A sample without changes of a kind omits the metric of that kind."""
 
-    drain_cpu_s: Seconds | None = Field(None, description="CPU seconds of Router.handle for one drain, mean")
-    gone_cpu_s: Seconds | None = Field(None, description="CPU seconds of Router.handle for one gone, mean")
-    join_cpu_s: Seconds | None = Field(None, description="CPU seconds of Router.handle for one join, mean")
+    drain_cpu_s: Seconds | None = Field(
+        None, description="CPU seconds of Router.handle for an entry that starts to drain, mean"
+    )
+    gone_cpu_s: Seconds | None = Field(
+        None, description="CPU seconds of Router.handle for a removed entry, mean"
+    )
+    join_cpu_s: Seconds | None = Field(
+        None, description="CPU seconds of Router.handle for an added entry, mean"
+    )
     restart_cpu_s: Seconds | None = Field(
-        None, description="CPU seconds of Router.handle for one restart, mean"
+        None, description="CPU seconds of Router.handle for an entry with a new start time, mean"
     )
     weight_cpu_s: Seconds | None = Field(
-        None, description="CPU seconds of Router.handle for one weight, mean"
+        None, description="CPU seconds of Router.handle for an entry with a new weight, mean"
     )
     change_cpu_s: Seconds = Field(
-        description="CPU seconds of Router.handle for a change of one entry, mean over the five kinds"
+        description="CPU seconds of Router.handle for a change of one entry, mean over the kinds of change"
     )
     change_max_cpu_s: Seconds = Field(
-        description="CPU seconds of Router.handle for a change of one entry, the longest measured"
+        description="CPU seconds of Router.handle for a change of one entry, maximum"
     )
     request_cpu_s: Seconds = Field(
         description="CPU seconds of Router.handle for the first request after a change, mean"
     )
     zone_cpu_s: Seconds = Field(
-        description="CPU seconds of Router.handle for one message that drains all caches of a zone, mean"
+        description="CPU seconds of Router.handle for one update that drains all caches of a zone, mean"
     )
     first_list_cpu_s: Seconds = Field(
         description="CPU seconds of Router.handle for a new router's first complete list, mean"
@@ -86,36 +95,38 @@
         description="CPU seconds of Router.handle for a complete list in which nothing changed, mean"
     )
     path_change_cpu_s: Seconds = Field(
-        description="CPU seconds from a change's JSON text through read_list and the dispatcher, mean"
+        description="CPU seconds to parse the JSON text of a change and apply it in the dispatcher, mean"
     )
     path_first_list_cpu_s: Seconds = Field(
-        description="CPU seconds from a first complete list's JSON text through the dispatcher, mean"
+        description="CPU seconds to parse a first complete list and apply it in the dispatcher, mean"
     )
     path_same_list_cpu_s: Seconds = Field(
-        description="CPU seconds from an unchanged list's JSON text through the dispatcher, mean"
+        description="CPU seconds to parse an unchanged complete list and apply it in the dispatcher, mean"
     )
-    change_bytes: Bytes = Field(description="bytes of a change of one entry as JSON, without headers, mean")
-    whole_list_bytes: Bytes = Field(description="bytes of a complete list as JSON, without headers")
+    change_bytes: Bytes = Field(
+        description="bytes of a change of one entry as JSON, without HTTP headers, mean"
+    )
+    whole_list_bytes: Bytes = Field(description="bytes of a complete list as JSON, without HTTP headers")
     router_bytes: Bytes = Field(
-        description="memory of a Router for the list, without the entries, in bytes (tracemalloc)"
+        description="bytes that a Router allocates for the list, without the endpoints (tracemalloc)"
     )
     host_bytes: Bytes = Field(
-        description="memory of a Dispatcher for the list, with router and entries, in bytes (tracemalloc)"
+        description="bytes that a Dispatcher allocates for the list, with Router and endpoints (tracemalloc)"
     )
     change_peak_bytes: Bytes = Field(
-        description="temporary bytes above that while it applies one change (tracemalloc)"
+        description="peak of the additional bytes while a Dispatcher applies one change (tracemalloc)"
     )
     reference_cpu_s: Seconds = Field(description=REFERENCE_METRIC["reference_cpu_s"])
     core_share: Share = Field(
-        description="share of one core that changes take at changes_per_s, from JSON text to decisions"
+        description="share of one core to parse and apply changes at a rate of changes_per_s"
     )
     change_bytes_per_s: BytesPerSecond = Field(
-        description="bytes a second that changes bring at changes_per_s, without headers"
+        description="bytes a second of JSON at a rate of changes_per_s, without HTTP headers"
     )
 
 
 def cost_histogram(costs: Sequence[float]) -> HdrHistogram:
-    """A histogram of CPU seconds, in microseconds."""
+    """Build a histogram in microseconds from CPU times in seconds."""
     histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
     for cost in costs:
         histogram.record_value(min(MAX_LATENCY_US, max(1, round(cost * 1e6))))
@@ -123,14 +134,17 @@
 
 
 def mean_change_costs(router: RouterCosts) -> dict[ChangeKind, float]:
-    """The mean CPU seconds of each kind of change that there was."""
+    """Return the mean CPU seconds by kind of change, without the kinds that did not occur."""
     return {kind: statistics.fmean(costs) for kind, costs in router.changes.items() if costs}
 
 
 def compute_metrics(
     router: RouterCosts, path: PathCosts, memory: ListMemory, reference_cpu_s: float, changes_per_s: float
 ) -> ListChangeMetrics:
-    """The metrics of a sample; `reference_cpu_s` is the mean of the reference work during the sample."""
+    """Compute the metrics of a sample.
+
+    `reference_cpu_s` is the mean CPU time of the reference work during the sample.
+    """
     by_kind = mean_change_costs(router)
     path_change_cpu_s = statistics.fmean(path.changes)
     change_bytes = statistics.fmean(path.change_bytes)
@@ -161,18 +175,18 @@
 
 
 def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
-    """One sample; CPU seconds are of this thread alone, so that a busy machine adds little to them."""
+    """Yield one sample. CPU time is that of this thread alone, so that a busy machine adds little to it."""
     rng = np.random.default_rng(seed)
     entries = build_entries(size.caches, parameters.zones, parameters.weight, rng)
     settings = build_settings(size.routers)
     workload = ListWorkload(settings, entries, parameters.changes, parameters.whole_lists, seed)
     gc.collect()
-    gc.freeze()  # the collector skips the objects of the experiment, which are not the router's
+    gc.freeze()  # excludes the objects of the experiment from garbage collections, whose CPU time is measured
     try:
         references = [measure_reference_cpu_s()]
         context.progress("decision module")
         router = measure_router(workload)
-        context.progress("complete path")
+        context.progress("JSON text to decisions")
         path = measure_path(workload)
         references.append(measure_reference_cpu_s())
         context.progress("memory")
--- a/scale_experiments/scenarios/list_change_process.py
+++ b/scale_experiments/scenarios/list_change_process.py
@@ -1,7 +1,8 @@
-"""What a change of the endpoint list costs a real router, a process of its own that watches a discovery.
+"""CPU time, memory and traffic that a router process needs for changes of the endpoint list.
 
-The router is started by `run` of deploy/balancer.toml, after its `build` in a folder of the run. It has no
-clients, and no process serves the caches of its list, so that its only work is the list and the watch.
+The router is built and started with the commands `build` and `run` of deploy/balancer.toml, in a folder of
+the run, and watches an emulated discovery. It has no clients, and no process listens at the addresses of the
+listed caches. Its only work is therefore the endpoint list and the watch.
 """
 
 from __future__ import annotations
@@ -47,63 +48,66 @@
 from scale_experiments.runs.scenario import Scenario
 
 READY_TIMEOUT_S = 60.0
-POLL_TIMEOUT_S = 30.0  # for a router to apply a change and poll for the next
-POLL_INTERVAL_S = 0.005
-FIRST_INDEX = 2  # of discovery's list; the list in the router's configuration has the index before it
+POLL_TIMEOUT_S = 30.0  # timeout for a router to apply a change and poll for the next one
+POLL_INTERVAL_S = 0.005  # interval at which discovery's counts are read while waiting for the router's poll
+FIRST_INDEX = 2  # first index of discovery's list; the list in the router's configuration has the one before
 
 
 class Parameters(BaseModel):
-    """What all sizes of an experiment have in common; aliases are the keys."""
+    """Parameters that all sizes of an experiment share; aliases are the keys."""
 
     model_config = ConfigDict(extra="forbid")
 
     changes: int = Field(default=8, ge=1, le=1000, description="changes of each of the five kinds")
     quiet_s: float = Field(
-        default=12.0, gt=0, le=600, description="measured without a change; a poll takes 3 s"
+        default=12.0,
+        gt=0,
+        le=600,
+        description="duration of the phase without changes; a poll without a change takes 3 s",
     )
     memory_mb: int = Field(default=192, ge=64, description="memory limit in the router's configuration")
     descriptors: int = Field(
-        default=1024, alias="sockets", ge=64, description="file descriptors of the router"
+        default=1024, alias="sockets", ge=64, description="limit of open file descriptors of the router"
     )
 
 
 class Size(ListChangeSize):
-    """The columns of a size."""
+    """One size of an experiment."""
 
     routers: int = Field(
-        default=1, ge=1, strict=True, description="siblings, as the settings say; one is run"
+        default=1, ge=1, strict=True, description="router count in the settings; one router is run"
     )
 
 
 class ListChangeProcessMetrics(Metrics):
-    """What the process of a router uses, and its traffic with discovery."""
+    """Resource usage of a router process, and its traffic with discovery."""
 
     start_cpu_s: Seconds = Field(
         description="CPU seconds of the router until it watches: program start, cached list and first update"
     )
     process_change_cpu_s: Seconds = Field(
-        description="CPU seconds of the router for a change of one entry, with its call"
+        description="CPU seconds of the router for a change of one entry, including the poll"
     )
-    quiet_core_share: Share = Field(description="share of one core that the watch takes without any change")
+    quiet_core_share: Share = Field(description="share of one core that the watch takes without changes")
     core_share: Share = Field(
-        description="share of one core that the watch and changes_per_s changes take, at most"
+        description="upper bound of the share of one core that the watch and changes_per_s changes take"
     )
-    resident_bytes: Bytes = Field(description="resident memory of the router after the first list")
+    resident_bytes: Bytes = Field(description="resident memory of the router after the first endpoint list")
     most_resident_bytes: Bytes = Field(description="resident memory of the router after the changes")
     change_in_bytes: Bytes = Field(
-        description="bytes to the router for a change of one entry, headers counted, TCP's not"
+        description="bytes to the router for a change of one entry, with HTTP headers, without TCP's"
     )
     change_out_bytes: Bytes = Field(
-        description="bytes from the router for a change of one entry, headers counted, TCP's not"
+        description="bytes from the router for a change of one entry, with HTTP headers, without TCP's"
     )
     quiet_bytes_per_s: BytesPerSecond = Field(
-        description="bytes in both directions without any change, headers counted, TCP's not"
+        description="bytes a second in both directions without changes, with HTTP headers, without TCP's"
     )
     bytes_per_s: BytesPerSecond = Field(
-        description="bytes in both directions at changes_per_s, headers counted, TCP's not"
+        description="bytes a second in both directions at changes_per_s, with HTTP headers, without TCP's"
     )
     first_list_bytes: Bytes = Field(
-        description="bytes to the router until it is ready, headers counted, TCP's not"
+        description="bytes to the router until it waits for a change, with HTTP headers, without TCP's"
     )
     reference_cpu_s: Seconds = Field(description=REFERENCE_METRIC["reference_cpu_s"])
 
@@ -118,9 +122,10 @@
 
 
 def wait_until_polled(discovery: ControlClient) -> DiscoveryStats:
-    """Wait until the router has the latest change and polls for the next; returns discovery's counts then.
+    """Wait until the router has the latest change and polls for the next; returns discovery's counts.
 
-    Raises RuntimeError after `POLL_TIMEOUT_S`.
+    Raises:
+        RuntimeError: The router did not poll again within `POLL_TIMEOUT_S`.
     """
     deadline = time.monotonic() + POLL_TIMEOUT_S
     while time.monotonic() < deadline:
@@ -128,12 +133,12 @@
         if stats.waiting == 1 and stats.open == 1:
             return stats
         time.sleep(POLL_INTERVAL_S)
-    raise RuntimeError(f"the router has not polled again within {POLL_TIMEOUT_S:g} s: {stats}")
+    raise RuntimeError(f"router did not poll again within {POLL_TIMEOUT_S:g} s; counts of discovery: {stats}")
 
 
 @dataclass(slots=True, frozen=True)
 class RouterUsage:
-    """CPU seconds and bytes of HTTP that a router has used from its start until a time."""
+    """CPU seconds and HTTP bytes of a router from its start until the time `at` of the monotonic clock."""
 
     at: float
     cpu_s: float
@@ -142,25 +147,25 @@
 
 
 class WatchingRouter:
-    """One router, and the discovery that it watches."""
+    """A router process, and the discovery that it watches."""
 
     def __init__(self, discovery: ControlClient, router: RouterProcess) -> None:
         self.discovery = discovery
         self.router = router
 
     def usage(self) -> RouterUsage:
-        """What the router has used once it has the latest change and polls for the next."""
+        """Wait until the router polls for the next change, then read its resource usage."""
         stats = wait_until_polled(self.discovery)
         cpu_s = process_cpu_s(self.router.process.pid)
-        # what discovery has received, the router has sent
+        # the bytes that discovery received are those that the router sent
         return RouterUsage(stats.at, cpu_s, bytes_in=stats.bytes_out, bytes_out=stats.bytes_in)
 
     def resident_bytes(self) -> float:
-        """Resident memory of the router now."""
+        """Return the current resident memory of the router, in bytes."""
         return float(psutil.Process(self.router.process.pid).memory_info().rss)
 
     def apply(self, change: EndpointChange) -> None:
-        """Change the list, and wait until the router polls for the next change."""
+        """Apply a change to discovery's list, and wait until the router polls for the next one."""
         self.discovery.request(ChangeList(change.index, [change.entry]))
         wait_until_polled(self.discovery)
 
@@ -172,9 +177,9 @@
     entries: Sequence[EndpointEntry],
     context: ExperimentContext,
 ) -> WatchingRouter:
-    """Start discovery and a router with these entries.
+    """Start discovery with these entries, and a router that watches it.
 
-    Raises ControlError, OSError or RouterStartError where one of them does not start.
+    Raises ControlError, OSError, RouterStartError or subprocess.TimeoutExpired if one of them does not start.
     """
     discovery = start_emulator(context, "discovery", DISCOVERY_MODULE, "127.0.0.1:0")
     address = discovery.receive(Listening).address
@@ -194,9 +199,9 @@
 
 
 def apply_changes(watching: WatchingRouter, changes: ChangeSequence) -> int:
-    """Apply all changes; returns how many there were, with those that only undo one.
+    """Apply all changes one after the other; returns their number, including those that only undo another.
 
-    Each is made while the router waits in a poll, so that no poll ends without a change in this phase.
+    Each change is made while a poll of the router waits, so that no poll ends without a change in this phase.
     """
     count = 0
     for change in changes:
@@ -207,7 +212,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Phases:
-    """The usage of a router after its start, after a time without changes, and after changes."""
+    """Resource usage of a router at the end of each phase: start, quiet (without changes), and changes.
+
+    `changes` is the number of changes in the last phase.
+    """
 
     started: RouterUsage
     quiet: RouterUsage
@@ -217,7 +225,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResidentBytes:
-    """Resident memory of a router."""
+    """Resident memory of a router in bytes, after two of the phases."""
 
     after_start: float
     after_changes: float
@@ -226,7 +234,10 @@
 def compute_metrics(
     phases: Phases, resident: ResidentBytes, reference_cpu_s: float, changes_per_s: float
 ) -> ListChangeProcessMetrics:
-    """The metrics of a sample; `reference_cpu_s` is the mean of the reference work during the sample."""
+    """Compute the metrics of a sample.
+
+    `reference_cpu_s` is the mean CPU time of the reference work during the sample.
+    """
     started, quiet, changed = phases.started, phases.quiet, phases.changed
     seconds = quiet.at - started.at
     quiet_core_share = (quiet.cpu_s - started.cpu_s) / seconds
@@ -251,9 +262,9 @@
 
 
 def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
-    """One sample; CPU seconds are the router's alone.
+    """Yield one sample, whose CPU time is that of the router process alone.
 
-    Raises what `start` raises, and RuntimeError where the router does not apply a change in time.
+    Raises what `start` raises, and RuntimeError if the router does not poll again in time after a change.
     """
     rng = np.random.default_rng(seed)
     entries = build_entries(size.caches, DEFAULT_ZONES, DEFAULT_WEIGHT, rng)
--- a/scale_experiments/scenarios/list_costs/__init__.py
+++ b/scale_experiments/scenarios/list_costs/__init__.py
@@ -1,1 +1,1 @@
-"""What endpoint lists cost one router: processor time and memory, in this process."""
+"""CPU time and memory that one router needs for endpoint lists, measured in this process."""
--- a/scale_experiments/scenarios/list_costs/memory.py
+++ b/scale_experiments/scenarios/list_costs/memory.py
@@ -1,4 +1,4 @@
-"""Memory that a list takes in a router."""
+"""Memory that a router allocates for an endpoint list."""
 
 from __future__ import annotations
 
@@ -14,21 +14,24 @@
 
 @dataclass(slots=True, frozen=True)
 class ListMemory:
-    """Bytes that a list takes, as `tracemalloc` counts them."""
+    """Bytes that a router allocates for an endpoint list, as `tracemalloc` counts them."""
 
-    router_bytes: int  # a Router, without the endpoints
-    dispatcher_bytes: int  # a Dispatcher, with its router and the endpoints
-    change_peak_bytes: int  # above that, for a moment, while it applies one change
+    router_bytes: int  # bytes of a Router, without the endpoints
+    dispatcher_bytes: int  # bytes of a Dispatcher, with its Router and the endpoints
+    change_peak_bytes: int  # peak of the additional bytes while the Dispatcher applies one change
 
 
 def traced_bytes() -> int:
-    """Bytes that are allocated, after a collection of garbage."""
+    """Collect garbage, and return the number of bytes that are then allocated."""
     gc.collect()
     return tracemalloc.get_traced_memory()[0]
 
 
 def measure_memory(workload: ListWorkload) -> ListMemory:
-    """Measure what the interpreter allocates; tracing slows it down, so that nothing is timed here."""
+    """Measure the memory that the interpreter allocates.
+
+    Tracing slows the interpreter down, so that CPU time is measured elsewhere.
+    """
     settings, seed = workload.settings, workload.seed
     snapshot = workload.snapshot()
     endpoints = read_endpoints(snapshot)
--- a/scale_experiments/scenarios/list_costs/path.py
+++ b/scale_experiments/scenarios/list_costs/path.py
@@ -1,4 +1,4 @@
-"""Processor time of a list from its JSON text through the dispatcher."""
+"""CPU time to parse an endpoint list and apply it in the dispatcher."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from scale_experiments.measurement.reference_work import thread_cpu_s
 from scale_experiments.scenarios.list_costs.workload import ListWorkload
 
-CONNECTION_LIMIT = 8  # of each pool, which stays empty
+CONNECTION_LIMIT = 8  # limit of each connection pool, which stays empty
 
 
 @dataclass(slots=True, frozen=True)
 class PathCosts:
-    """CPU seconds of single deliveries, by what was delivered, and the bytes of their JSON."""
+    """CPU seconds to parse and apply single changes and snapshots, and the sizes of their JSON."""
 
     changes: Sequence[float]
     first_snapshots: Sequence[float]
@@ -31,7 +31,7 @@
 
 
 def build_dispatcher(settings: Settings, seed: int) -> Dispatcher:
-    """A router's dispatcher, with pools that hold no connection."""
+    """Build a dispatcher with empty connection pools."""
     servers = ConnectionPool(
         CacheConnection, CONNECTION_LIMIT, settings.connect_timeout, settings.connection_idle_timeout
     )
@@ -42,13 +42,13 @@
 
 
 def deliver(dispatcher: Dispatcher, text: bytes) -> None:
-    """Read a list and pass it to the dispatcher, as the program's watch does with a response."""
+    """Parse an endpoint list and apply it in the dispatcher, as the program's watch does with a response."""
     update = read_endpoint_list(orjson.loads(text))
     dispatcher.on_endpoint_update(update.update_kind, update.endpoints)
 
 
 def measure_path(workload: ListWorkload) -> PathCosts:
-    """Measure what a list costs once its bytes have arrived: JSON, endpoints, table, decision module."""
+    """Measure the CPU time of lists after their receipt: JSON, endpoints, endpoint table, decision module."""
     snapshot = workload.snapshot()
     first, unchanged, changes, sizes = [], [], [], []
     for _ in range(workload.snapshots):
--- a/scale_experiments/scenarios/list_costs/router.py
+++ b/scale_experiments/scenarios/list_costs/router.py
@@ -1,4 +1,4 @@
-"""Processor time of the decision module alone, which receives decoded endpoints."""
+"""CPU time of the decision module alone, which receives parsed endpoints."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 from scale_experiments.measurement.reference_work import thread_cpu_s
 from scale_experiments.scenarios.list_costs.workload import START_TIME, ListWorkload, read_endpoints
 
-RESPONSE_TIME_S = 0.01  # of the server that answers a request
+RESPONSE_TIME_S = 0.01  # response time of the server that answers a request
 
 
 @dataclass(slots=True, frozen=True)
 class RouterCosts:
-    """CPU seconds of single calls of `Router.handle`, by what was handled."""
+    """CPU seconds of single calls of `Router.handle`, by the event that it handled."""
 
     changes: Mapping[ChangeKind, Sequence[float]]
-    requests: Sequence[float]  # the first after each change
-    zone_drains: Sequence[float]  # one update that drains all caches of a zone
+    requests: Sequence[float]  # CPU seconds of the first request after each change
+    zone_drains: Sequence[float]  # CPU seconds of one update that drains all caches of a zone
     first_snapshots: Sequence[float]
     unchanged_snapshots: Sequence[float]
 
     def all_changes(self) -> list[float]:
-        """The costs of the changes of all kinds."""
+        """Return the CPU seconds of the changes of all kinds."""
         return [cost for costs in self.changes.values() for cost in costs]
 
 
 @dataclass(slots=True, frozen=True)
 class SnapshotCosts:
-    """A router that has the list, and the CPU seconds of the snapshots that were measured."""
+    """CPU seconds of first and unchanged snapshots, and a router that has received the list."""
 
     router: Router
     first: Sequence[float]
@@ -50,14 +50,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangeCosts:
-    """CPU seconds of changes, by kind, and of the first request after each."""
+    """CPU seconds of changes by kind, and of the first request after each change."""
 
     changes: Mapping[ChangeKind, Sequence[float]]
     requests: Sequence[float]
 
 
 class SteppingClock:
-    """The time that is passed to a router, in seconds; it only advances."""
+    """Clock of the time that is passed to a router, in seconds. Each reading advances it."""
 
     def __init__(self) -> None:
         self.time = START_TIME
@@ -69,7 +69,10 @@
 
 
 def first_request_cpu_s(router: Router, now: float, number: int) -> float:
-    """CPU seconds of a request, which include the work that a change has deferred; it is then answered."""
+    """Return the CPU seconds to handle a request, including work that an endpoint change has deferred.
+
+    The request is then completed, outside the measured time.
+    """
     name = f"r{number}"
     request = Request(name, "page-read", 1.2, f"page:{number}")
     started_at = time.thread_time()
@@ -83,7 +86,7 @@
 
 
 def measure_router(workload: ListWorkload) -> RouterCosts:
-    """Measure snapshots, changes and the drain of a zone, in this order, on one router."""
+    """Measure snapshots, then changes and the drains of a zone on the router of the last snapshot."""
     endpoints = read_endpoints(workload.snapshot())
     clock = SteppingClock()
     snapshots = measure_snapshots(workload, endpoints, clock)
@@ -102,7 +105,7 @@
 def measure_snapshots(
     workload: ListWorkload, endpoints: tuple[Endpoint, ...], clock: SteppingClock
 ) -> SnapshotCosts:
-    """Measure the first snapshot of new routers, and an unchanged one after each; returns the last router."""
+    """Measure a first and an unchanged snapshot on each of several new routers; the last router is kept."""
     snapshot = EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints)
     first, unchanged = [], []
     router = Router(workload.settings, workload.seed, clock.advance())
@@ -129,7 +132,7 @@
 def measure_zone_drains(
     workload: ListWorkload, endpoints: tuple[Endpoint, ...], router: Router, clock: SteppingClock
 ) -> list[float]:
-    """Measure an update that drains all caches of the first zone; each is undone."""
+    """Measure repeated updates that drain all caches of the first zone; each is undone, unmeasured."""
     entries = workload.entries
     zone: list[EndpointEntry] = [
         {**entry, "status": TERMINATING} for entry in entries[:-1] if entry["zone"] == entries[0]["zone"]
--- a/scale_experiments/scenarios/list_costs/workload.py
+++ b/scale_experiments/scenarios/list_costs/workload.py
@@ -15,11 +15,11 @@
 from scale_experiments.endpoint_lists.endpoint_changes import ChangeSequence
 from scale_experiments.endpoint_lists.endpoint_entries import EndpointEntry, build_snapshot, encode_list
 
-START_TIME = 1e9  # seconds; the time at which a router is made
+START_TIME = 1e9  # seconds; the time at which a router is constructed
 
 
 def build_settings(routers: int) -> Settings:
-    """Settings of a site as far as lists depend on them: with an origin in the list, and nominal weights."""
+    """Build the settings that affect endpoint lists: an origin among the entries, and nominal weights."""
     return read_settings(
         {
             "classes": [{"name": "page-read", "aim": 0.3, "giveUp": 1.2, "effect": "free"}],
@@ -32,13 +32,16 @@
 
 
 def read_endpoints(text: bytes) -> tuple[Endpoint, ...]:
-    """The endpoints of a list in discovery's JSON."""
+    """Parse the endpoints of a list in discovery's JSON format."""
     return tuple(each.entry for each in read_endpoint_list(orjson.loads(text)).endpoints)
 
 
 @dataclass(slots=True, frozen=True)
 class ListWorkload:
-    """The input of a router in one sample: its settings, its list, and how often both are repeated."""
+    """Input of a router in one sample.
+
+    `changes_per_kind` and `snapshots` are the numbers of repetitions of each measurement.
+    """
 
     settings: Settings
     entries: Sequence[EndpointEntry]
@@ -47,15 +50,15 @@
     seed: int
 
     def changes(self) -> ChangeSequence:
-        """The changes of the sample; each call returns the same."""
+        """Return the changes of the sample, which are the same in each call."""
         return self._changes(self.changes_per_kind)
 
     def first_change(self) -> bytes:
-        """The first change, as discovery's JSON."""
+        """Return the first change in discovery's JSON format."""
         return next(iter(self._changes(1))).encoded()
 
     def snapshot(self) -> bytes:
-        """The complete list, as discovery's JSON."""
+        """Return the complete list in discovery's JSON format."""
         return encode_list(build_snapshot(1, self.entries))
 
     def _changes(self, rounds: int) -> ChangeSequence:
