--- a/scale_experiments/scenarios/watch.py
+++ b/scale_experiments/scenarios/watch.py
@@ -1,9 +1,9 @@
-"""Watches of the endpoint list: their standing cost, the spread of a change, and the return of discovery.
+"""Endpoint list watches: cost without changes, propagation of a change, and the return of discovery.
 
-Discovery and the routers are processes of their own on loopback. Some routers are real except for their
-clients: they have the program's own watch, and the dispatcher that stores the list. The others send the same
-polls at the same times with less work, so that one machine can run thousands of them. CPU is of processes.
-Times are wall-clock times, and include waits for the cores of this machine, which all routers share.
+Discovery and the routers run in separate processes on loopback. Real routers have no clients, but run the
+program's own watch and the dispatcher that stores the list. Light routers send the same polls at the same
+times with less work, so that one machine can run thousands of them. CPU time is measured per process. Delays
+are wall-clock times, and include waits for the cores of this machine, which all routers share.
 """
 
 from __future__ import annotations
@@ -36,62 +36,68 @@
 
 
 class Parameters(BaseModel):
-    """What all sizes of an experiment have in common; aliases are the keys."""
+    """Parameters that all sizes of an experiment share; aliases are the keys."""
 
     model_config = ConfigDict(extra="forbid")
 
-    discoveries: int = Field(2, ge=1, le=16, description="processes of discovery, each with its own address")
+    discoveries: int = Field(
+        2, ge=1, le=16, description="number of discovery processes, each with its own address"
+    )
     real_routers: int = Field(
         200,
         alias="real",
         ge=1,
         le=2000,
-        description="routers with the program's own watch, all in one process",
+        description="maximum number of real routers, which run the program's own watch in one process",
     )
     hollow_processes: int = Field(
-        3, alias="hollows", ge=1, le=32, description="processes of the other routers"
+        3, alias="hollows", ge=1, le=32, description="number of processes that run the light routers"
     )
     real_mode: Literal["list", "router"] = Field(
         "list",
         alias="held",
-        description="what a real router builds from the list: only the list, or its ring too",
+        description="list: a real router only stores the endpoint list; router: it builds the hash ring too",
     )
     zones: int = Field(51, ge=1, le=10_000, description="zones over which the caches are spread")
     spread_s: float = Field(
         3.0, ge=0, le=60, description="time over which the starts of the routers are spread"
     )
-    quiet_s: float = Field(12.0, gt=0, le=600, description="measured without a change")
-    changes: int = Field(6, ge=1, le=200, description="changes of one entry")
+    quiet_s: float = Field(12.0, gt=0, le=600, description="duration of the phase without changes")
+    changes: int = Field(6, ge=1, le=200, description="number of changes, each of one entry")
     change_interval_s: float = Field(
-        2.5, alias="change_every_s", gt=0, le=60, description="from one change to the next"
+        2.5, alias="change_every_s", gt=0, le=60, description="time from one change to the next"
     )
     outage_s: float = Field(
         10.0, gt=0, le=600, description="duration of an outage, with a change in the middle"
     )
     return_timeout_s: float = Field(
-        40.0, alias="return_most_s", gt=0, le=600, description="wait until all routers have received a change"
+        40.0,
+        alias="return_most_s",
+        gt=0,
+        le=600,
+        description="longest wait until all routers have received a change",
     )
     modes: list[SubscriptionMode] = Field(
         list(MODES),
         min_length=1,
-        description="asked: routers poll for the list; pushed: it is pushed to them",
+        description="asked: routers have to subscribe to the list; pushed: it is pushed to them",
     )
     outages: list[Outage] = Field(
         ["silent", "reset"],
-        description="silent: polls during it are never answered; reset: they are also reset at its end; "
-        "refuse: connections are refused; busy: 503 after 2 s",
+        description="silent: polls are never answered; reset: like silent, and connections are reset at the "
+        "end; refuse: connections are refused; busy: polls are answered by 503 after 2 s",
     )
 
 
 class Size(BaseModel):
-    """The columns of a size."""
+    """One size of an experiment."""
 
-    routers: WholeNumber = Field(description="routers that watch, with those of the program's own watch")
-    caches: WholeNumber = Field(description="entries of the list")
+    routers: WholeNumber = Field(description="number of routers that watch discovery, real and light")
+    caches: WholeNumber = Field(description="number of entries in the endpoint list")
 
 
 def describe_metrics() -> dict[str, str]:
-    """The metrics of a sample; those of a return are named after the mode and the outage."""
+    """Describe the metrics of a sample; names of return metrics include the mode and the outage."""
     descriptions = {
         **QuietMetrics.descriptions(),
         **ChangeMetrics.descriptions(),
@@ -106,12 +112,12 @@
 
 
 def return_prefix(mode: SubscriptionMode, outage: Outage) -> str:
-    """The start of the names of the metrics of a return, and the name of its histogram."""
+    """Return the prefix of the names of a return's metrics, which is also the name of its histogram."""
     return f"return_{mode}_{outage}"
 
 
 def build_fleet(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> WatchFleet:
-    """The fleet of a size, before any process is started."""
+    """Build the fleet of a size without starting its processes."""
     options = WatchFleetOptions(
         routers=size.routers,
         real_routers=parameters.real_routers,
@@ -127,7 +133,7 @@
 
 
 class WatchRun:
-    """One sample: all modes, one after the other."""
+    """The measurement of one sample, in all modes one after the other."""
 
     def __init__(self, parameters: Parameters, context: ExperimentContext) -> None:
         self.parameters = parameters
@@ -136,7 +142,7 @@
         self.histograms: dict[str, HdrHistogram] = {}
 
     def measure_mode(self, mode: SubscriptionMode, fleet: WatchFleet) -> None:
-        """Measure the outages of a mode and, in the first mode, also the quiet time and changes."""
+        """Measure the outages of a mode and, in the first mode, also the quiet phase and the changes."""
         self.context.progress(f"list {mode}: start")
         fleet.start(mode)
         if mode == self.parameters.modes[0]:
@@ -149,7 +155,7 @@
             self._measure_return(mode, outage, fleet)
 
     def measure_machine(self, references: Sequence[float]) -> None:
-        """Measure the machine; `references` are the CPU seconds of the reference work during the sample."""
+        """Add the metrics of the machine; `references` are the CPU seconds of the reference work."""
         self.metrics |= measure_machine(references).values()
 
     def _measure_quiet_and_changes(self, fleet: WatchFleet) -> None:
@@ -171,7 +177,10 @@
 
 
 def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
-    """One sample: quiet time and changes in the first mode, the outages in each mode; raises ControlError."""
+    """Yield one sample: the quiet phase and changes in the first mode, and the outages in each mode.
+
+    Raises what the methods of `WatchFleet` raise.
+    """
     run = WatchRun(parameters, context)
     references = [measure_reference_cpu_s()]
     for mode in parameters.modes:
--- a/scale_experiments/scenarios/watch_phases/__init__.py
+++ b/scale_experiments/scenarios/watch_phases/__init__.py
@@ -1,1 +1,1 @@
-"""The phases of a watch sample: quiet time, changes, and the return of discovery after an outage."""
+"""Phases of a sample of watches: quiet (no changes), changes, and the return of discovery after an outage."""
--- a/scale_experiments/scenarios/watch_phases/changes.py
+++ b/scale_experiments/scenarios/watch_phases/changes.py
@@ -1,4 +1,4 @@
-"""The cost of changes of the list, and how they spread to the routers."""
+"""Cost of endpoint list changes, and the propagation of these changes to the routers."""
 
 from __future__ import annotations
 
@@ -14,26 +14,29 @@
 
 
 class ChangeMetrics(Metrics):
-    """Discovery and routers for changes of the list."""
+    """Resource usage of discovery and of the routers for changes of the endpoint list."""
 
     change_discovery_cpu_s: Seconds = Field(
-        description="CPU seconds of discovery for a change and the calls that it ends"
+        description="CPU seconds of discovery for a change, including the polls that it answers"
     )
-    change_discovery_cpu_per_router_s: Seconds = Field(description="the same for each router")
-    change_out_per_router_bytes: Bytes = Field(description="bytes of HTTP to each router for a change")
-    change_calls_per_router: Ratio = Field(description="calls of each router for a change")
+    change_discovery_cpu_per_router_s: Seconds = Field(
+        description="CPU seconds of discovery for a change, per router"
+    )
+    change_out_per_router_bytes: Bytes = Field(
+        description="HTTP bytes from discovery for a change, per router"
+    )
+    change_calls_per_router: Ratio = Field(description="polls for a change, per router")
     change_peak_calls_per_100ms: Count = Field(
-        description="calls at discovery in the busiest tenth of a second, with changes"
+        description="polls at discovery in the busiest tenth of a second of the phase with changes"
     )
     change_real_cpu_s: Seconds = Field(description="CPU seconds of one real router for a change")
     written_s: Seconds = Field(
-        description="seconds from a change until discovery had written it to all waiting routers,"
-        " median of changes"
+        description="seconds from a change until discovery had answered all waiting polls with it, median"
     )
 
 
 class SpreadMetrics(Metrics):
-    """How soon changes reach the routers."""
+    """Delays from changes until the routers receive them."""
 
     spread_p50_s: Seconds = Field(description="seconds from a change until 50% of all routers had it")
     spread_p99_s: Seconds = Field(description="seconds from a change until 99% of all routers had it")
@@ -47,16 +50,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Spread:
-    """How changes have reached the routers."""
+    """Propagation of changes to the routers."""
 
-    delays: Sequence[float]  # seconds, of all routers and changes, sorted
-    slowest_s: float  # the longest delay of any change
-    unnotified: int  # times that a router did not receive a change
+    delays: Sequence[float]  # delays of all routers and changes in seconds, sorted
+    slowest_s: float  # longest delay of any change
+    unnotified: int  # number of notifications that did not reach their router
 
 
 @dataclass(slots=True, frozen=True)
 class ChangeSchedule:
-    """How many changes are made, the seconds between them, and the wait for all routers after the last."""
+    """Number and interval of changes, and the longest wait until all routers have received the last one."""
 
     changes: int
     interval_s: float
@@ -65,15 +68,15 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangePhase:
-    """The cost of changes, and their spread."""
+    """Results of the phase with changes: their cost, and their propagation."""
 
     costs: ChangeMetrics
     spread: Spread
 
 
 def measure_changes(fleet: WatchFleet, schedule: ChangeSchedule) -> ChangePhase:
-    """Measure changes that are more frequent than the end of polls without a change."""
-    fleet.change()  # after it the polls of all routers start together, as wherever changes are frequent
+    """Measure changes whose interval is shorter than a long poll, so that changes end all polls."""
+    fleet.change()  # synchronizes the polls of all routers, as frequent changes do
     fleet.wait_until_notified(schedule.timeout_s)
     before = fleet.usage()
     first_index = fleet.index + 1
@@ -97,7 +100,7 @@
 def make_changes(fleet: WatchFleet, schedule: ChangeSchedule) -> list[float]:
     """Make the changes of a schedule.
 
-    Returns, for each change, the seconds until discovery had written it to all waiting routers.
+    Returns, for each change, the seconds until discovery had answered all waiting polls with it.
     """
     written = []
     for _ in range(schedule.changes):
@@ -109,7 +112,7 @@
 
 
 def measure_spread(fleet: WatchFleet, first_index: int) -> Spread:
-    """How the changes from an index to the latest have reached the routers."""
+    """Read the delays with which the routers received the changes from `first_index` to the latest."""
     spread: list[float] = []
     slowest, unnotified = 0.0, 0
     for index in range(first_index, fleet.index + 1):
@@ -121,7 +124,7 @@
 
 
 def spread_metrics(spread: Spread) -> SpreadMetrics:
-    """The metrics of a spread."""
+    """Compute the metrics of the propagation of changes."""
     return SpreadMetrics(
         spread_p50_s=quantile(spread.delays, 0.5),
         spread_p99_s=quantile(spread.delays, 0.99),
--- a/scale_experiments/scenarios/watch_phases/outage.py
+++ b/scale_experiments/scenarios/watch_phases/outage.py
@@ -1,4 +1,4 @@
-"""Outages of discovery, and its return."""
+"""Outages of discovery, and its return to service."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from scale_experiments.runs.metrics import Count, Metrics, PerSecond, Ratio, Seconds
 from scale_experiments.scenarios.watch_phases.distribution import peak_polls, quantile
 
-BUCKETS_PER_SECOND = 10  # of discovery's count of polls over time
+BUCKETS_PER_SECOND = 10  # number of time buckets per second in which discovery counts polls
 Outage = Literal["silent", "reset", "refuse", "busy"]
 OUTAGES: tuple[Outage, ...] = ("silent", "reset", "refuse", "busy")
 
 
 class ReturnMetrics(Metrics):
-    """The return of discovery after an outage. Delays are omitted if no router has received the list."""
+    """Load and delays after the return of discovery. Delays are omitted if no router received the list."""
 
     peak_calls_per_s: PerSecond = Field(
-        description="calls at discovery in the busiest second after its return"
+        description="polls at discovery in the busiest second after its return"
     )
     peak_calls_per_100ms: Count = Field(
-        description="calls at discovery in the busiest tenth of a second after its return"
+        description="polls at discovery in the busiest tenth of a second after its return"
     )
     calls_per_router: Ratio = Field(
-        description="calls of each router from the return until the last had the list"
+        description="polls per router from the return until the last router had the list"
     )
     p50_s: Seconds | None = Field(
         None, description="seconds from the return until half of the routers had the list"
@@ -39,21 +39,23 @@
         None, description="seconds from the return until 99% of the routers had the list"
     )
     all_s: Seconds | None = Field(None, description="seconds from the return until all routers had the list")
-    unheard: Count = Field(description="routers that did not have it within the time allowed")
-    cpu_s: Seconds = Field(description="CPU seconds of discovery from the return until the last had the list")
+    unheard: Count = Field(description="routers that did not receive the list before the timeout")
+    cpu_s: Seconds = Field(
+        description="CPU seconds of discovery from the return until the last router had the list"
+    )
 
 
 @dataclass(slots=True, frozen=True)
 class Return:
-    """The return of discovery after an outage."""
+    """Measurements from the return of discovery until all routers had the list, or until the timeout."""
 
-    polls: Mapping[float, float]  # at discovery, by bucket of time
+    polls: Mapping[float, float]  # polls at discovery, by the number of the time bucket
     polls_per_router: float
-    cpu_s: float  # of discovery
-    notification: NotificationDelays  # of the routers, from the return
+    cpu_s: float  # CPU seconds of discovery
+    notification: NotificationDelays  # delays of the routers since the return
 
     def metrics(self) -> ReturnMetrics:
-        """The metrics of the return."""
+        """Compute the metrics of the return."""
         delays = self.notification.delays_s
         return ReturnMetrics(
             peak_calls_per_s=peak_polls(self.polls, BUCKETS_PER_SECOND),
@@ -68,9 +70,10 @@
 
 
 def measure_outage(fleet: WatchFleet, outage: Outage, outage_s: float, timeout_s: float) -> Return:
-    """Stop discovery, change the list, restart discovery, and measure how the routers receive the list.
+    """Let discovery fail for `outage_s`, and measure its return.
 
-    The change is made in the middle of the outage. The wait for all routers ends after `timeout_s`.
+    The list changes in the middle of the outage, so that each router has to receive it after the return. The
+    wait for all routers ends after `timeout_s`.
     """
     request_all(fleet.discoveries, SetDiscoveryMode("silent" if outage == "reset" else outage))
     time.sleep(outage_s / 2)
--- a/scale_experiments/scenarios/watch_phases/quiet.py
+++ b/scale_experiments/scenarios/watch_phases/quiet.py
@@ -1,4 +1,4 @@
-"""Watches while the list does not change."""
+"""Cost of watches in the quiet phase, in which the endpoint list does not change."""
 
 from __future__ import annotations
 
@@ -12,36 +12,42 @@
 
 
 class QuietMetrics(Metrics):
-    """Discovery and routers while the list does not change."""
+    """Resource usage of discovery and of the routers in the quiet phase."""
 
-    calls_per_s: PerSecond = Field(description="calls at discovery, quiet")
-    connections_per_s: PerSecond = Field(description="connections opened to discovery, quiet")
+    calls_per_s: PerSecond = Field(description="polls at discovery, quiet phase")
+    connections_per_s: PerSecond = Field(description="connections opened to discovery, quiet phase")
     peak_calls_per_100ms: Count = Field(
-        description="calls at discovery in the busiest tenth of a second, quiet"
+        description="polls at discovery in the busiest tenth of a second of the quiet phase"
+    )
+    calls_per_router_per_s: PerSecond = Field(description="polls per router, quiet phase")
+    discovery_cpu_share: Share = Field(
+        description="cores that all discovery processes use together, quiet phase"
     )
-    calls_per_router_per_s: PerSecond = Field(description="calls of each router, quiet")
-    discovery_cpu_share: Share = Field(description="cores that discovery uses in all, quiet")
     discovery_cpu_per_router_share: Share = Field(
-        description="cores that discovery uses for each router, quiet"
+        description="cores that discovery uses per router, quiet phase"
     )
-    discovery_cpu_per_call_s: Seconds = Field(description="CPU seconds of discovery for a call, quiet")
+    discovery_cpu_per_call_s: Seconds = Field(description="CPU seconds of discovery per poll, quiet phase")
     discovery_in_per_router_bytes_per_s: BytesPerSecond = Field(
-        description="bytes of HTTP from each router to discovery, quiet"
+        description="HTTP bytes to discovery per router, quiet phase"
     )
     discovery_out_per_router_bytes_per_s: BytesPerSecond = Field(
-        description="bytes of HTTP from discovery to each router, quiet"
+        description="HTTP bytes from discovery per router, quiet phase"
     )
     discovery_resident_bytes: Bytes = Field(
-        description="resident memory of discovery's processes with all watching"
+        description="resident memory of all discovery processes while all routers watch"
+    )
+    discovery_descriptors: Count = Field(
+        description="open descriptors of all discovery processes while all routers watch"
+    )
+    real_cpu_share: Share = Field(description="cores that one real router uses, quiet phase")
+    real_resident_bytes: Bytes = Field(
+        description="resident memory of the process of the real routers, per router"
     )
-    discovery_descriptors: Count = Field(description="descriptors of discovery's processes with all watching")
-    real_cpu_share: Share = Field(description="cores that one real router uses, quiet")
-    real_resident_bytes: Bytes = Field(description="resident memory of the process of real routers, for each")
-    light_cpu_share: Share | None = Field(None, description="cores that one other router uses, quiet")
+    light_cpu_share: Share | None = Field(None, description="cores that one light router uses, quiet phase")
 
 
 def measure_quiet(fleet: WatchFleet, quiet_s: float) -> QuietMetrics:
-    """Measure watches for some seconds without a change."""
+    """Measure the watches for `quiet_s` seconds without a change."""
     before = fleet.usage()
     time.sleep(quiet_s)
     after = fleet.usage()
--- a/tests/scale_experiments/scenarios/test_watch_phases.py
+++ b/tests/scale_experiments/scenarios/test_watch_phases.py
@@ -11,7 +11,8 @@
 from scale_experiments.scenarios.watch_phases.distribution import delay_histogram, peak_polls, quantile
 from scale_experiments.scenarios.watch_phases.outage import OUTAGES, Return, ReturnMetrics
 
-POLLS: dict[float, float] = {10: 4.0, 11: 2.0, 15: 1.0, 20: 3.0}  # by bucket of a tenth of a second
+# number of polls, by the number of the bucket of a tenth of a second
+POLLS: dict[float, float] = {10: 4.0, 11: 2.0, 15: 1.0, 20: 3.0}
 
 
 @pytest.mark.parametrize(("share", "value"), [(0.0, 1.0), (0.5, 3.0), (0.99, 4.0), (1.0, 4.0)])
