--- a/scale_experiments/scenarios/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -1,10 +1,10 @@
-"""A rack, a zone or a region of page caches is lost and returns, or the routers of a region are cut off.
+"""A rack, a zone or a region of page caches is lost and returns, or a region is isolated for a time.
 
-Lost caches do not answer: connections to them stay open, new connections are never established, and routers
-are notified late. The caches return empty. A region that is cut off keeps its routers and caches, which reach
-only each other. All routers of the fleet are run, and each cache receives the same rate of requests at all
-sizes. A size may set the router count of the settings above the number of routers that are run, to measure
-what depends on that count alone.
+Lost caches do not answer: connections to them stay open, new ones are never established, and routers are
+notified late. The caches return empty. The routers and caches of an isolated region reach only each other.
+All routers of the fleet are run, and each cache receives the same rate of requests at all sizes. A size may
+set the router count of the settings above the number of routers that are run, to measure the effects of that
+count alone.
 """
 
 from __future__ import annotations
@@ -33,54 +33,64 @@
 
 
 class Parameters(BaseModel):
-    """What all sizes of an experiment have in common. Times are in seconds; aliases are the keys."""
+    """Parameters that all sizes of an experiment share. Times are in seconds; aliases are the keys."""
 
     model_config = ConfigDict(extra="forbid")
 
     lost: Literal["rack", "zone", "region", "cut"] = Field(
-        description="what is lost; cut: a region is cut off"
+        description="the failed part of the fleet; cut: a region is isolated"
     )
-    zones: int = Field(50, ge=1, description="zones of the fleet")
-    regions: int = Field(25, ge=1, description="regions over which the zones are spread")
-    rack: int = Field(1, ge=1, description="caches of a rack")
-    use_share: float = Field(0.6, gt=0, le=2, description="share of the caches' cores in use")
+    zones: int = Field(50, ge=1, description="number of zones in the fleet")
+    regions: int = Field(25, ge=1, description="number of regions over which the zones are spread")
+    rack: int = Field(1, ge=1, description="number of caches in a rack")
+    use_share: float = Field(0.6, gt=0, le=2, description="utilization of the caches' cores")
     zipf_exponent: float = Field(
         0.95, alias="skew", ge=0, description="exponent of the popularity of keys (Zipf's law)"
     )
-    cached_objects: int = Field(200, alias="kept", ge=1, description="objects that a cache holds")
-    objects_per_cache: int = Field(400, ge=1, description="distinct objects for each cache of the fleet")
-    origin_everywhere: bool = Field(False, description="a region that is cut off still reaches the origin")
+    cached_objects: int = Field(
+        200, alias="kept", ge=1, description="number of objects that a cache can store"
+    )
+    objects_per_cache: int = Field(
+        400, ge=1, description="distinct objects that clients request, per cache of the fleet"
+    )
+    origin_everywhere: bool = Field(False, description="whether an isolated region still reaches the origin")
     origin_headroom: float = Field(
-        2.0, gt=0, description="capacity of the origin, over its load at a hit share of 0.9"
+        2.0, gt=0, description="ratio of the origin's capacity to its load at a hit share of 0.9"
     )
     client_attempts: int = Field(
-        3, alias="tries", ge=1, le=10, description="requests that a client makes at most for one object"
+        3,
+        alias="tries",
+        ge=1,
+        le=10,
+        description="maximum number of requests that a client makes for one object",
+    )
+    warm_s: float = Field(8.0, gt=0, description="duration of the load before the first measurement")
+    before_s: float = Field(
+        6.0, gt=SETTLING_SECONDS, description="duration of the measurement before the loss"
     )
-    warm_s: float = Field(8.0, gt=0, description="of load before it is measured")
-    before_s: float = Field(6.0, gt=SETTLING_SECONDS, description="measured before the loss")
-    lost_s: float = Field(15.0, gt=SETTLING_SECONDS, description="how long the loss lasts")
+    lost_s: float = Field(15.0, gt=SETTLING_SECONDS, description="duration of the loss")
     notice_s: tuple[float, float] = Field(
         (5.3, 1.0),
-        description="from the loss until the first router is notified, and until the last after it",
+        description="time from the loss until the first router is notified, and from then until the last is",
+    )
+    back_notice_s: tuple[float, float] = Field(
+        (1.5, 0.6), description="like notice_s, with times from the return"
     )
-    back_notice_s: tuple[float, float] = Field((1.5, 0.6), description="the same from the return")
 
 
 class Size(BaseModel):
-    """The columns of a size; aliases are the keys."""
+    """One size of an experiment; aliases are the keys."""
 
-    routers: WholeNumber = Field(description="routers that are run")
-    caches: WholeNumber = Field(description="page caches")
-    cores: WholeNumber = Field(description="cores of each page cache")
+    routers: WholeNumber = Field(description="number of routers that are run")
+    caches: WholeNumber = Field(description="number of page caches")
+    cores: WholeNumber = Field(description="number of cores of each page cache")
     configured_routers: WholeNumber | None = Field(
-        None,
-        alias="told",
-        description="routers of the fleet, as the settings of each router say; by default `routers`",
+        None, alias="told", description="router count in the settings of each router; by default `routers`"
     )
 
 
 def build_fleet(parameters: Parameters, size: Size, seed: int) -> Fleet:
-    """The fleet of a size, before its first request."""
+    """Build the fleet of a size, in its state before the first request."""
     routers, caches, cores = size.routers, size.caches, size.cores
     unloaded = FleetModel(routers, caches, 1.0)
     rate = unloaded.rate_at_utilization(parameters.use_share, cores)
@@ -103,7 +113,10 @@
 
 
 def lost_caches(fleet: Fleet, parameters: Parameters) -> list[str]:
-    """The caches that are lost: all of one place that is not the origin's."""
+    """Return the names of the caches in the lost rack, zone or region, or in the isolated region.
+
+    The place differs from that of the origin, unless there is only one.
+    """
     zone = 1 % parameters.zones
     region = zone % parameters.regions
     if parameters.lost in ("region", "cut"):
@@ -113,7 +126,7 @@
 
 
 class LossRun:
-    """One sample: the fleet, and the caches of it that are lost."""
+    """The measurement of one sample, on one fleet."""
 
     def __init__(self, parameters: Parameters, fleet: Fleet, context: ExperimentContext) -> None:
         self.parameters = parameters
@@ -135,7 +148,7 @@
         return Sample(self.metrics(before, lost, back).values())
 
     def measure_before(self) -> BeforeLoss:
-        """Run the fleet before the loss; raises TimeLimitReachedError."""
+        """Measure the fleet before the loss; raises TimeLimitReachedError."""
         fleet, seconds = self.fleet, self.parameters.before_s
         fleet.reset()
         run_fleet(fleet, seconds, self.context)
@@ -147,7 +160,7 @@
         )
 
     def measure_loss(self, origin_rate_before: float) -> DuringLoss:
-        """Run the fleet while the loss lasts; raises TimeLimitReachedError."""
+        """Measure the fleet during the loss; raises TimeLimitReachedError."""
         fleet = self.fleet
         fleet.reset()
         if self.is_isolation:
@@ -168,7 +181,7 @@
         )
 
     def measure_return(self, origin_rate_before: float) -> AfterReturn:
-        """Run the fleet until the slow start after the return is over; raises TimeLimitReachedError."""
+        """Measure the fleet from the return to the end of the slow start; raises TimeLimitReachedError."""
         fleet = self.fleet
         fleet.reset()
         if self.is_isolation:
@@ -185,11 +198,11 @@
         return AfterReturn(requests, budget_slack_share=max(use.with_tolerance for use in uses))
 
     def unreachable_caches(self) -> int:
-        """The caches that are lost, or that the routers of a region that is cut off do not reach."""
+        """Return the number of lost caches, or of caches out of reach of the isolated region's routers."""
         return len(self.fleet.caches) - len(self.names) if self.is_isolation else len(self.names)
 
     def metrics(self, before: BeforeLoss, lost: DuringLoss, back: AfterReturn) -> ZoneLossMetrics:
-        """The metrics of all phases."""
+        """Combine the measurements of all phases into the metrics of the sample."""
         return ZoneLossMetrics(
             requests_per_s=self.fleet.model.requests_per_s * self.fleet.model.routers_run,
             caches_lost=self.unreachable_caches(),
@@ -217,7 +230,7 @@
 
 
 def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
-    """One sample; none if the time limit passes first."""
+    """Yield one sample, or none if the time limit of the run passes first."""
     fleet = build_fleet(parameters, size, seed)
     yield from complete_sample(LossRun(parameters, fleet, context).measure)
 
--- a/scale_experiments/scenarios/zone_loss_metrics.py
+++ b/scale_experiments/scenarios/zone_loss_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of the zone_loss scenario, and what is measured in its phases."""
+"""Metrics of the zone_loss scenario, and the measurements of its phases."""
 
 from __future__ import annotations
 
@@ -11,84 +11,96 @@
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.statistics import CountedEvent
 
-NO_ORIGIN_RATE = 1e-9  # in place of 0 attempts at the origin a second, as a divisor
+NO_ORIGIN_RATE = 1e-9  # attempts per second; replaces 0 in a divisor
 
 
 class ZoneLossMetrics(Metrics):
-    """The fleet before the loss, while it lasts (lost) and after the return (back)."""
+    """Metrics of the fleet before the loss (before), during the loss (lost) and after the return (back)."""
 
-    requests_per_s: PerSecond = Field(description="first attempts of clients in the complete fleet")
+    requests_per_s: PerSecond = Field(
+        description="first requests of clients for an object, in the whole fleet"
+    )
     caches_lost: Count = Field(
-        description="page caches that are lost, or are out of reach of the routers that are cut off"
+        description="page caches that are lost, or that the routers of the isolated region do not reach"
     )
     before_served_share: Share = Field(
-        description="requests of clients served before the loss, retries included"
+        description="share of the client requests before the loss that were served, by retries too"
+    )
+    lost_served_share: Share = Field(
+        description="share of the client requests during the loss that were served"
+    )
+    lost_worst_served_share: Share = Field(
+        description="lowest share of a second's client requests during the loss that were served"
     )
-    lost_served_share: Share = Field(description="of those made while it lasts")
-    lost_worst_served_share: Share = Field(description="of those made in the worst second while it lasts")
     lost_recovery_s: Seconds = Field(
-        description="from the loss until 95 % of each second's requests are served while it lasts"
+        description="time from the loss until 95 % of each second's requests are served, during the loss"
+    )
+    back_served_share: Share = Field(
+        description="share of the client requests in the slow start after the return that were served"
+    )
+    back_worst_served_share: Share = Field(
+        description="lowest share of a second's client requests in that slow start that were served"
     )
-    back_served_share: Share = Field(description="of those made in the slow start that follows the return")
-    back_worst_served_share: Share = Field(description="of those made in the worst second of that")
     back_recovery_s: Seconds = Field(
-        description="from the return until 95 % of each second's requests are served"
+        description="time from the return until 95 % of each second's requests are served"
     )
     apart_served_share: Share = Field(
-        description="of those made at routers of the region that is cut off, while it lasts"
+        description="share of the client requests at routers of the isolated region that were served"
     )
     apart_refused_per_request: Ratio = Field(
-        description="rejections by these routers for each request accepted there while it lasts"
+        description="rejections by routers of the isolated region per request accepted there"
     )
     lost_dials_per_request: Ratio = Field(
-        description="connection attempts for each request accepted, while it lasts"
+        description="attempts to connect per accepted request, during the loss"
+    )
+    lost_dials_failed_per_request: Ratio = Field(
+        description="failed attempts to connect per accepted request, during the loss"
     )
-    lost_dials_failed_per_request: Ratio = Field(description="of these, those that failed")
     before_dials_per_request: Ratio = Field(
-        description="connection attempts for each request accepted, before the loss"
+        description="attempts to connect per accepted request, before the loss"
     )
     back_dials_per_request: Ratio = Field(
-        description="connection attempts for each request accepted, after the return"
+        description="attempts to connect per accepted request, after the return"
     )
     before_attempts_per_request: Ratio = Field(
-        description="attempts at page caches for each request accepted, before the loss"
+        description="attempts at page caches per accepted request, before the loss"
     )
     lost_attempts_per_request: Ratio = Field(
-        description="attempts at page caches for each request accepted, while it lasts"
+        description="attempts at page caches per accepted request, during the loss"
     )
     back_attempts_per_request: Ratio = Field(
-        description="attempts at page caches for each request accepted, after the return"
+        description="attempts at page caches per accepted request, after the return"
     )
     lost_tries_per_wish: Ratio = Field(
-        description="requests of clients for each object that they needed, while it lasts"
+        description="accepted requests per object that a client needed, during the loss"
     )
     lost_origin_ratio: Ratio = Field(
-        description="attempts at the origin a second while it lasts, over those before"
+        description="ratio of the rate of attempts at the origin during the loss to the rate before it"
     )
     back_origin_ratio: Ratio = Field(
-        description="attempts at the origin a second after the return, over those before"
+        description="ratio of the rate of attempts at the origin after the return to the rate before the loss"
     )
     back_budget_slack_share: Share = Field(
-        description="highest ratio, over warming caches and windows, of attempts received to the budget with"
-        " its statistical tolerance"
+        description="highest ratio of the attempts that a warming cache received in a window to its budget"
+        " for the window, which includes a statistical tolerance"
     )
 
 
 @dataclass(slots=True, frozen=True)
 class PhaseRequests:
-    """The requests of a phase, during the loss or after the return."""
+    """Measurements of the requests in a phase, during the loss or after the return."""
 
     served_share: float
-    worst_served_share: float  # of the worst second
+    worst_served_share: float  # share served in the worst second
     recovery_s: float
     dials_per_request: float
     attempts_per_request: float
-    origin_ratio: float  # attempts at the origin a second, over those before the loss
+    origin_ratio: float  # ratio of the rate of attempts at the origin to the rate before the loss
 
 
 @dataclass(slots=True, frozen=True)
 class BeforeLoss:
-    """The fleet before the loss."""
+    """Measurements before the loss."""
 
     served_share: float
     dials_per_request: float
@@ -98,7 +110,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DuringLoss:
-    """The fleet while the loss lasts; the isolated routers are those of a region that is cut off."""
+    """Measurements during the loss. The prefix `isolated_` is for the routers of the isolated region."""
 
     requests: PhaseRequests
     failed_dials_per_request: float
@@ -109,19 +121,19 @@
 
 @dataclass(slots=True, frozen=True)
 class AfterReturn:
-    """The fleet from the return until the end of the slow start."""
+    """Measurements from the return until the end of the slow start."""
 
     requests: PhaseRequests
     budget_slack_share: float
 
 
 def per_accepted_request(fleet: Fleet, event: CountedEvent) -> float:
-    """How often an event was counted for each request accepted, since the last reset."""
+    """Return the number of events per accepted request, since the last reset."""
     return fleet.statistics.counts[event] / max(1, fleet.statistics.counts[CountedEvent.REQUEST])
 
 
 def phase_requests(fleet: Fleet, origin_rate_before: float) -> PhaseRequests:
-    """What has become of the requests since the last reset."""
+    """Compute the measurements of the requests since the last reset."""
     statistics = fleet.statistics
     shares = statistics.served_by_second()
     seconds = fleet.events.now - statistics.counted_from
