--- a/scale_experiments/scenarios/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -112,7 +112,7 @@
     return Fleet(site_settings(), model, seed)
 
 
-def lost_caches(fleet: Fleet, parameters: Parameters) -> list[str]:
+def select_affected_caches(fleet: Fleet, parameters: Parameters) -> list[str]:
     """Return the names of the caches in the lost rack, zone or region, or in the isolated region.
 
     The place differs from that of the origin, unless there is only one.
@@ -132,9 +132,9 @@
         self.parameters = parameters
         self.fleet = fleet
         self.context = context
-        self.names = lost_caches(fleet, parameters)
+        self.affected_caches = select_affected_caches(fleet, parameters)
         self.is_isolation = parameters.lost == "cut"
-        self.region = fleet.caches[self.names[0]].location.region
+        self.region = fleet.caches[self.affected_caches[0]].location.region
         fleet.statistics.watch_region(self.region)
 
     def measure(self) -> Sample:
@@ -154,7 +154,7 @@
         run_fleet(fleet, seconds, self.context)
         return BeforeLoss(
             served_share=fleet.statistics.served_share(),
-            dials_per_request=per_accepted_request(fleet, CountedEvent.CONNECT),
+            connects_per_request=per_accepted_request(fleet, CountedEvent.CONNECT),
             attempts_per_request=per_accepted_request(fleet, CountedEvent.ATTEMPT),
             origin_attempts_per_s=fleet.statistics.counts[CountedEvent.ORIGIN_ATTEMPT] / seconds,
         )
@@ -166,15 +166,15 @@
         if self.is_isolation:
             fleet.network.isolate_region(self.region)
         else:
-            fleet.fail_servers(self.names)
-            fleet.notify_all(self.names, EndpointState.REMOVED, *self.parameters.notice_s)
+            fleet.fail_servers(self.affected_caches)
+            fleet.notify_all(self.affected_caches, EndpointState.REMOVED, *self.parameters.notice_s)
         run_fleet(fleet, self.parameters.lost_s, self.context)
         counts, isolated = fleet.statistics.counts, fleet.statistics.watched.totals
         client_requests = max(1, counts[CountedEvent.CLIENT_REQUEST])
         isolated_requests = max(1, isolated[CountedEvent.REQUEST])
         return DuringLoss(
             requests=phase_requests(fleet, origin_rate_before),
-            failed_dials_per_request=per_accepted_request(fleet, CountedEvent.CONNECT_FAILED),
+            failed_connects_per_request=per_accepted_request(fleet, CountedEvent.CONNECT_FAILED),
             requests_per_client_request=counts[CountedEvent.REQUEST] / client_requests,
             isolated_served_share=fleet.statistics.watched_served_share(),
             isolated_rejections_per_request=isolated[CountedEvent.REJECTED] / isolated_requests,
@@ -187,42 +187,46 @@
         if self.is_isolation:
             fleet.network.reconnect_regions()
         else:
-            fleet.restore_servers(self.names)
-            for name in self.names:
+            fleet.restore_servers(self.affected_caches)
+            for name in self.affected_caches:
                 fleet.caches[name].record_arrivals()
-            fleet.notify_all(self.names, EndpointState.READY, *self.parameters.back_notice_s)
+            fleet.notify_all(self.affected_caches, EndpointState.READY, *self.parameters.back_notice_s)
         notice_s = sum(self.parameters.back_notice_s)
         run_fleet(fleet, fleet.settings.slow_start_duration + notice_s + SETTLING_SECONDS, self.context)
         requests = phase_requests(fleet, origin_rate_before)
-        uses = [fleet.budget_use(fleet.caches[name]) for name in self.names]
+        uses = [fleet.budget_use(fleet.caches[name]) for name in self.affected_caches]
         return AfterReturn(requests, budget_slack_share=max(use.with_tolerance for use in uses))
 
-    def unreachable_caches(self) -> int:
+    def unreachable_cache_count(self) -> int:
         """Return the number of lost caches, or of caches out of reach of the isolated region's routers."""
-        return len(self.fleet.caches) - len(self.names) if self.is_isolation else len(self.names)
+        return (
+            len(self.fleet.caches) - len(self.affected_caches)
+            if self.is_isolation
+            else len(self.affected_caches)
+        )
 
     def metrics(self, before: BeforeLoss, lost: DuringLoss, back: AfterReturn) -> ZoneLossMetrics:
         """Combine the measurements of all phases into the metrics of the sample."""
         return ZoneLossMetrics(
             requests_per_s=self.fleet.model.requests_per_s * self.fleet.model.routers_run,
-            caches_lost=self.unreachable_caches(),
+            caches_lost=self.unreachable_cache_count(),
             before_served_share=before.served_share,
-            before_dials_per_request=before.dials_per_request,
+            before_dials_per_request=before.connects_per_request,
             before_attempts_per_request=before.attempts_per_request,
             lost_served_share=lost.requests.served_share,
             lost_worst_served_share=lost.requests.worst_served_share,
             lost_recovery_s=lost.requests.recovery_s,
-            lost_dials_per_request=lost.requests.dials_per_request,
+            lost_dials_per_request=lost.requests.connects_per_request,
             lost_attempts_per_request=lost.requests.attempts_per_request,
             lost_origin_ratio=lost.requests.origin_ratio,
-            lost_dials_failed_per_request=lost.failed_dials_per_request,
+            lost_dials_failed_per_request=lost.failed_connects_per_request,
             lost_tries_per_wish=lost.requests_per_client_request,
             apart_served_share=lost.isolated_served_share,
             apart_refused_per_request=lost.isolated_rejections_per_request,
             back_served_share=back.requests.served_share,
             back_worst_served_share=back.requests.worst_served_share,
             back_recovery_s=back.requests.recovery_s,
-            back_dials_per_request=back.requests.dials_per_request,
+            back_dials_per_request=back.requests.connects_per_request,
             back_attempts_per_request=back.requests.attempts_per_request,
             back_origin_ratio=back.requests.origin_ratio,
             back_budget_slack_share=back.budget_slack_share,
--- a/scale_experiments/scenarios/zone_loss_metrics.py
+++ b/scale_experiments/scenarios/zone_loss_metrics.py
@@ -11,7 +11,7 @@
 from scale_experiments.simulation.fleet import Fleet
 from scale_experiments.simulation.statistics import CountedEvent
 
-NO_ORIGIN_RATE = 1e-9  # attempts per second; replaces 0 in a divisor
+MIN_ORIGIN_RATE = 1e-9  # attempts per second; avoids a division by zero
 
 
 class ZoneLossMetrics(Metrics):
@@ -93,7 +93,7 @@
     served_share: float
     worst_served_share: float  # share served in the worst second
     recovery_s: float
-    dials_per_request: float
+    connects_per_request: float
     attempts_per_request: float
     origin_ratio: float  # ratio of the rate of attempts at the origin to the rate before the loss
 
@@ -103,7 +103,7 @@
     """Measurements before the loss."""
 
     served_share: float
-    dials_per_request: float
+    connects_per_request: float
     attempts_per_request: float
     origin_attempts_per_s: float
 
@@ -113,7 +113,7 @@
     """Measurements during the loss. The prefix `isolated_` is for the routers of the isolated region."""
 
     requests: PhaseRequests
-    failed_dials_per_request: float
+    failed_connects_per_request: float
     requests_per_client_request: float
     isolated_served_share: float
     isolated_rejections_per_request: float
@@ -142,7 +142,7 @@
         served_share=statistics.served_share(),
         worst_served_share=min(shares, default=1.0),
         recovery_s=recovery_seconds(shares),
-        dials_per_request=per_accepted_request(fleet, CountedEvent.CONNECT),
+        connects_per_request=per_accepted_request(fleet, CountedEvent.CONNECT),
         attempts_per_request=per_accepted_request(fleet, CountedEvent.ATTEMPT),
-        origin_ratio=origin_rate / max(NO_ORIGIN_RATE, origin_rate_before),
+        origin_ratio=origin_rate / max(MIN_ORIGIN_RATE, origin_rate_before),
     )
