--- a/scale_experiments/scenarios/watch.py
+++ b/scale_experiments/scenarios/watch.py
@@ -24,9 +24,9 @@
 from scale_experiments.scenarios.watch_phases.changes import (
     ChangeMetrics,
     ChangeSchedule,
-    SpreadMetrics,
+    PropagationMetrics,
     measure_changes,
-    spread_metrics,
+    propagation_metrics,
 )
 from scale_experiments.scenarios.watch_phases.distribution import delay_histogram
 from scale_experiments.scenarios.watch_phases.outage import OUTAGES, Outage, ReturnMetrics, measure_outage
@@ -101,7 +101,7 @@
     descriptions = {
         **QuietMetrics.descriptions(),
         **ChangeMetrics.descriptions(),
-        **SpreadMetrics.descriptions(),
+        **PropagationMetrics.descriptions(),
         **MachineMetrics.descriptions(),
     }
     for mode, outage in itertools.product(MODES, OUTAGES):
@@ -165,8 +165,8 @@
         p = self.parameters
         schedule = ChangeSchedule(p.changes, p.change_interval_s, p.return_timeout_s)
         changes = measure_changes(fleet, schedule)
-        self.metrics |= changes.costs.values() | spread_metrics(changes.spread).values()
-        self.histograms["spread"] = delay_histogram(changes.spread.delays)
+        self.metrics |= changes.costs.values() | propagation_metrics(changes.propagation).values()
+        self.histograms["spread"] = delay_histogram(changes.propagation.delays)
 
     def _measure_return(self, mode: SubscriptionMode, outage: Outage, fleet: WatchFleet) -> None:
         prefix = return_prefix(mode, outage)
--- a/scale_experiments/scenarios/watch_phases/changes.py
+++ b/scale_experiments/scenarios/watch_phases/changes.py
@@ -35,7 +35,7 @@
     )
 
 
-class SpreadMetrics(Metrics):
+class PropagationMetrics(Metrics):
     """Delays from changes until the routers receive them."""
 
     spread_p50_s: Seconds = Field(description="seconds from a change until 50% of all routers had it")
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Spread:
+class ChangePropagation:
     """Propagation of changes to the routers."""
 
     delays: Sequence[float]  # delays of all routers and changes in seconds, sorted
@@ -71,7 +71,7 @@
     """Results of the phase with changes: their cost, and their propagation."""
 
     costs: ChangeMetrics
-    spread: Spread
+    propagation: ChangePropagation
 
 
 def measure_changes(fleet: WatchFleet, schedule: ChangeSchedule) -> ChangePhase:
@@ -80,11 +80,11 @@
     fleet.wait_until_notified(schedule.timeout_s)
     before = fleet.usage()
     first_index = fleet.index + 1
-    written = make_changes(fleet, schedule)
+    answer_times_s = make_changes(fleet, schedule)
     fleet.wait_until_notified(schedule.timeout_s)
     used = fleet.usage().since(before)
     changes, routers = schedule.changes, fleet.options.routers
-    spread = measure_spread(fleet, first_index)
+    propagation = measure_propagation(fleet, first_index)
     costs = ChangeMetrics(
         change_discovery_cpu_s=used.cpu_s / changes,
         change_discovery_cpu_per_router_s=used.cpu_s / changes / routers,
@@ -92,9 +92,9 @@
         change_calls_per_router=used.polls / changes / routers,
         change_peak_calls_per_100ms=peak_polls(fleet.polls_since(before.at), 1),
         change_real_cpu_s=used.real_cpu_s / changes / fleet.real_routers,
-        written_s=sorted(written)[len(written) // 2],
+        written_s=sorted(answer_times_s)[len(answer_times_s) // 2],
     )
-    return ChangePhase(costs, spread)
+    return ChangePhase(costs, propagation)
 
 
 def make_changes(fleet: WatchFleet, schedule: ChangeSchedule) -> list[float]:
@@ -102,32 +102,32 @@
 
     Returns, for each change, the seconds until discovery had answered all waiting polls with it.
     """
-    written = []
+    answer_times_s = []
     for _ in range(schedule.changes):
         started_at = time.monotonic()
         fleet.change()
-        written.append(fleet.notification_s())
+        answer_times_s.append(fleet.notification_s())
         time.sleep(max(0.0, schedule.interval_s - (time.monotonic() - started_at)))
-    return written
+    return answer_times_s
 
 
-def measure_spread(fleet: WatchFleet, first_index: int) -> Spread:
+def measure_propagation(fleet: WatchFleet, first_index: int) -> ChangePropagation:
     """Read the delays with which the routers received the changes from `first_index` to the latest."""
-    spread: list[float] = []
+    delays: list[float] = []
     slowest, unnotified = 0.0, 0
     for index in range(first_index, fleet.index + 1):
         notification = fleet.notification_delays(index, fleet.changed_at[index])
-        spread += notification.delays_s
+        delays += notification.delays_s
         slowest = max(slowest, notification.delays_s[-1] if notification.delays_s else 0.0)
         unnotified += notification.missing
-    return Spread(sorted(spread), slowest, unnotified)
+    return ChangePropagation(sorted(delays), slowest, unnotified)
 
 
-def spread_metrics(spread: Spread) -> SpreadMetrics:
+def propagation_metrics(propagation: ChangePropagation) -> PropagationMetrics:
     """Compute the metrics of the propagation of changes."""
-    return SpreadMetrics(
-        spread_p50_s=quantile(spread.delays, 0.5),
-        spread_p99_s=quantile(spread.delays, 0.99),
-        spread_all_s=spread.slowest_s,
-        spread_unheard=spread.unnotified,
+    return PropagationMetrics(
+        spread_p50_s=quantile(propagation.delays, 0.5),
+        spread_p99_s=quantile(propagation.delays, 0.99),
+        spread_all_s=propagation.slowest_s,
+        spread_unheard=propagation.unnotified,
     )
--- a/scale_experiments/scenarios/watch_phases/outage.py
+++ b/scale_experiments/scenarios/watch_phases/outage.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Return:
+class DiscoveryReturn:
     """Measurements from the return of discovery until all routers had the list, or until the timeout."""
 
     polls: Mapping[float, float]  # polls at discovery, by the number of the time bucket
@@ -69,7 +69,7 @@
         )
 
 
-def measure_outage(fleet: WatchFleet, outage: Outage, outage_s: float, timeout_s: float) -> Return:
+def measure_outage(fleet: WatchFleet, outage: Outage, outage_s: float, timeout_s: float) -> DiscoveryReturn:
     """Let discovery fail for `outage_s`, and measure its return.
 
     The list changes in the middle of the outage, so that each router has to receive it after the return. The
@@ -87,4 +87,4 @@
     used = fleet.usage().since(before)
     polls = fleet.polls_since(returned_at)
     notification = fleet.notification_delays(fleet.index, returned_at)
-    return Return(polls, used.polls / fleet.options.routers, used.cpu_s, notification)
+    return DiscoveryReturn(polls, used.polls / fleet.options.routers, used.cpu_s, notification)
--- a/tests/scale_experiments/scenarios/test_watch_phases.py
+++ b/tests/scale_experiments/scenarios/test_watch_phases.py
@@ -7,9 +7,9 @@
 from scale_experiments.routers.watch_fleet import NotificationDelays
 from scale_experiments.scenarios.registry import SCENARIOS
 from scale_experiments.scenarios.watch import MODES, return_prefix
-from scale_experiments.scenarios.watch_phases.changes import Spread, spread_metrics
+from scale_experiments.scenarios.watch_phases.changes import ChangePropagation, propagation_metrics
 from scale_experiments.scenarios.watch_phases.distribution import delay_histogram, peak_polls, quantile
-from scale_experiments.scenarios.watch_phases.outage import OUTAGES, Return, ReturnMetrics
+from scale_experiments.scenarios.watch_phases.outage import OUTAGES, DiscoveryReturn, ReturnMetrics
 
 # number of polls, by the number of the bucket of a tenth of a second
 POLLS: dict[float, float] = {10: 4.0, 11: 2.0, 15: 1.0, 20: 3.0}
@@ -36,13 +36,17 @@
     assert histogram.get_max_value() == pytest.approx(1000, rel=0.01)
 
 
-def test_spread_metrics_have_the_slowest_change_and_routers_that_were_not_notified() -> None:
-    metrics = spread_metrics(Spread(delays=[0.1, 0.2, 0.4], slowest_s=0.4, unnotified=2)).values()
+def test_propagation_metrics_have_the_slowest_change_and_routers_that_were_not_notified() -> None:
+    metrics = propagation_metrics(
+        ChangePropagation(delays=[0.1, 0.2, 0.4], slowest_s=0.4, unnotified=2)
+    ).values()
     assert metrics == {"spread_p50_s": 0.2, "spread_p99_s": 0.4, "spread_all_s": 0.4, "spread_unheard": 2.0}
 
 
 def test_return_metrics_have_the_peaks_and_delays() -> None:
-    outcome = Return(POLLS, polls_per_router=2.5, cpu_s=0.25, notification=NotificationDelays([0.5, 1.5], 1))
+    outcome = DiscoveryReturn(
+        POLLS, polls_per_router=2.5, cpu_s=0.25, notification=NotificationDelays([0.5, 1.5], 1)
+    )
     assert outcome.metrics().values() == {
         "peak_calls_per_s": 7.0,
         "peak_calls_per_100ms": 4.0,
@@ -56,7 +60,7 @@
 
 
 def test_return_metrics_without_notified_routers_have_no_delays() -> None:
-    metrics = Return({}, 0.0, 0.0, NotificationDelays([], 3)).metrics().values()
+    metrics = DiscoveryReturn({}, 0.0, 0.0, NotificationDelays([], 3)).metrics().values()
     assert metrics["unheard"] == 3.0
     assert not {"p50_s", "p99_s", "all_s"} & set(metrics)
 
