--- a/scale_experiments/routers/watch_fleet.py
+++ b/scale_experiments/routers/watch_fleet.py
@@ -33,13 +33,13 @@
 )
 from scale_experiments.runs.context import ExperimentContext
 
-POLL_INTERVAL_S = 0.25
+POLL_INTERVAL_S = 0.25  # interval at which the counts of the routers are read
 REPLY_TIMEOUT_S = 90.0  # a process that runs several thousand routers is slow to reply
 SETTLING_S = 1.0  # wait after the start of the last router
-CACHE_NETWORK = "127.1"
-DISCOVERY_NETWORK = "127.0.1"
-SEEDS_PER_SAMPLE = 1_000_000
-SEEDS_PER_PROCESS = 100_000
+CACHE_NETWORK = "127.1"  # first octets of the addresses of the listed caches; nothing listens there
+DISCOVERY_NETWORK = "127.0.1"  # first octets of the addresses of the discovery processes
+SEEDS_PER_SAMPLE = 1_000_000  # distance between the seeds of successive samples
+SEEDS_PER_PROCESS = 100_000  # distance between the seeds of the processes of a sample
 
 # "asked": routers have to subscribe to the endpoint list; "pushed": it is pushed to them
 SubscriptionMode = Literal["asked", "pushed"]
