--- a/scale_experiments/scenarios/list_change_process.py
+++ b/scale_experiments/scenarios/list_change_process.py
@@ -170,7 +170,7 @@
         wait_until_polled(self.discovery)
 
 
-def start(
+def start_watching_router(
     parameters: Parameters,
     size: Size,
     seed: int,
@@ -198,20 +198,20 @@
     return WatchingRouter(discovery, router)
 
 
-def apply_changes(watching: WatchingRouter, changes: ChangeSequence) -> int:
+def apply_changes(watching_router: WatchingRouter, changes: ChangeSequence) -> int:
     """Apply all changes one after the other; returns their number, including those that only undo another.
 
     Each change is made while a poll of the router waits, so that no poll ends without a change in this phase.
     """
     count = 0
     for change in changes:
-        watching.apply(change)
+        watching_router.apply(change)
         count += 1
     return count
 
 
 @dataclass(slots=True, frozen=True)
-class Phases:
+class PhaseUsages:
     """Resource usage of a router at the end of each phase: start, quiet (without changes), and changes.
 
     `changes` is the number of changes in the last phase.
@@ -232,7 +232,7 @@
 
 
 def compute_metrics(
-    phases: Phases, resident: ResidentBytes, reference_cpu_s: float, changes_per_s: float
+    phases: PhaseUsages, resident: ResidentBytes, reference_cpu_s: float, changes_per_s: float
 ) -> ListChangeProcessMetrics:
     """Compute the metrics of a sample.
 
@@ -264,26 +264,27 @@
 def measure(parameters: Parameters, size: Size, seed: int, context: ExperimentContext) -> Iterator[Sample]:
     """Yield one sample, whose CPU time is that of the router process alone.
 
-    Raises what `start` raises, and RuntimeError if the router does not poll again in time after a change.
+    Raises what `start_watching_router` raises, and RuntimeError if the router does not poll again in time
+    after a change.
     """
     rng = np.random.default_rng(seed)
     entries = build_entries(size.caches, DEFAULT_ZONES, DEFAULT_WEIGHT, rng)
     references = [measure_reference_cpu_s()]
     context.progress("start")
-    watching = start(parameters, size, seed, entries, context)
-    started = watching.usage()
-    resident_after_start = watching.resident_bytes()
+    watching_router = start_watching_router(parameters, size, seed, entries, context)
+    started = watching_router.usage()
+    resident_after_start = watching_router.resident_bytes()
     context.progress("quiet")
     time.sleep(parameters.quiet_s)
-    quiet = watching.usage()
+    quiet = watching_router.usage()
     context.progress("changes")
     changes = ChangeSequence(entries, rng, parameters.changes, first_index=FIRST_INDEX + 1)
-    count = apply_changes(watching, changes)
-    phases = Phases(started, quiet, watching.usage(), count)
-    resident = ResidentBytes(resident_after_start, watching.resident_bytes())
+    count = apply_changes(watching_router, changes)
+    phases = PhaseUsages(started, quiet, watching_router.usage(), count)
+    resident = ResidentBytes(resident_after_start, watching_router.resident_bytes())
     references.append(measure_reference_cpu_s())
-    context.stop(watching.router.process)
-    context.stop(watching.discovery.process)
+    context.stop(watching_router.router.process)
+    context.stop(watching_router.discovery.process)
     metrics = compute_metrics(phases, resident, statistics.fmean(references), size.changes_per_s)
     yield Sample(metrics.values())
 
--- a/scale_experiments/scenarios/list_costs/memory.py
+++ b/scale_experiments/scenarios/list_costs/memory.py
@@ -8,7 +8,7 @@
 
 from cache_router.decisions.events import EndpointUpdate, EndpointUpdateKind
 from cache_router.decisions.router import Router
-from scale_experiments.scenarios.list_costs.path import build_dispatcher, deliver
+from scale_experiments.scenarios.list_costs.path import apply_list, build_dispatcher
 from scale_experiments.scenarios.list_costs.workload import START_TIME, ListWorkload, read_endpoints
 
 
@@ -45,11 +45,11 @@
         del router
         before = traced_bytes()
         dispatcher = build_dispatcher(settings, seed)
-        deliver(dispatcher, snapshot)
+        apply_list(dispatcher, snapshot)
         dispatcher_bytes = traced_bytes() - before
         before = traced_bytes()
         tracemalloc.reset_peak()
-        deliver(dispatcher, change)
+        apply_list(dispatcher, change)
         peak = tracemalloc.get_traced_memory()[1] - before
     finally:
         tracemalloc.stop()
--- a/scale_experiments/scenarios/list_costs/path.py
+++ b/scale_experiments/scenarios/list_costs/path.py
@@ -41,7 +41,7 @@
     return Dispatcher(settings, seed, servers, origin, lambda: None)
 
 
-def deliver(dispatcher: Dispatcher, text: bytes) -> None:
+def apply_list(dispatcher: Dispatcher, text: bytes) -> None:
     """Parse an endpoint list and apply it in the dispatcher, as the program's watch does with a response."""
     update = read_endpoint_list(orjson.loads(text))
     dispatcher.on_endpoint_update(update.update_kind, update.endpoints)
@@ -51,13 +51,13 @@
     """Measure the CPU time of lists after their receipt: JSON, endpoints, endpoint table, decision module."""
     snapshot = workload.snapshot()
     first, unchanged, changes, sizes = [], [], [], []
-    for _ in range(workload.snapshots):
+    for _ in range(workload.repetitions):
         dispatcher = build_dispatcher(workload.settings, workload.seed)
-        first.append(thread_cpu_s(deliver, dispatcher, snapshot))
-        unchanged.append(thread_cpu_s(deliver, dispatcher, snapshot))
+        first.append(thread_cpu_s(apply_list, dispatcher, snapshot))
+        unchanged.append(thread_cpu_s(apply_list, dispatcher, snapshot))
     for change in workload.changes():
         text = change.encoded()
-        cost = thread_cpu_s(deliver, dispatcher, text)
+        cost = thread_cpu_s(apply_list, dispatcher, text)
         if change.kind is not None:
             changes.append(cost)
             sizes.append(len(text))
--- a/scale_experiments/scenarios/list_costs/router.py
+++ b/scale_experiments/scenarios/list_costs/router.py
@@ -109,7 +109,7 @@
     snapshot = EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints)
     first, unchanged = [], []
     router = Router(workload.settings, workload.seed, clock.advance())
-    for _ in range(workload.snapshots):
+    for _ in range(workload.repetitions):
         router = Router(workload.settings, workload.seed, clock.advance())
         first.append(thread_cpu_s(router.handle, clock.advance(), snapshot))
         unchanged.append(thread_cpu_s(router.handle, clock.advance(), snapshot))
@@ -140,7 +140,7 @@
     draining = read_endpoints(encode_list({"index": 1, "snapshot": False, "endpoints": zone}))
     ready = tuple(endpoint for endpoint in endpoints if endpoint.zone == endpoints[0].zone)
     costs = []
-    for _ in range(workload.snapshots):
+    for _ in range(workload.repetitions):
         update = EndpointUpdate(EndpointUpdateKind.DELTA, draining)
         costs.append(thread_cpu_s(router.handle, clock.advance(), update))
         router.handle(clock.advance(), EndpointUpdate(EndpointUpdateKind.DELTA, ready))
--- a/scale_experiments/scenarios/list_costs/workload.py
+++ b/scale_experiments/scenarios/list_costs/workload.py
@@ -38,15 +38,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ListWorkload:
-    """Input of a router in one sample.
-
-    `changes_per_kind` and `snapshots` are the numbers of repetitions of each measurement.
-    """
+    """Input of a router in one sample, and the numbers of measurements."""
 
     settings: Settings
     entries: Sequence[EndpointEntry]
-    changes_per_kind: int
-    snapshots: int
+    changes_per_kind: int  # number of measurements of each kind of change
+    repetitions: int  # number of measurements of a complete list and of a zone drain
     seed: int
 
     def changes(self) -> ChangeSequence:
