--- a/scale_experiments/scenarios/list_change.py
+++ b/scale_experiments/scenarios/list_change.py
@@ -39,12 +39,12 @@
 
     model_config = ConfigDict(extra="forbid")
 
-    changes: int = Field(default=8, ge=1, le=1000, description="changes of each kind that a sample measures")
+    changes: int = Field(default=8, ge=1, le=1000, description="number of changes of each kind in a sample")
     whole_lists: int = Field(
-        default=3, ge=1, le=100, description="complete lists of each kind that a sample measures"
+        default=3, ge=1, le=100, description="number of complete lists of each kind in a sample"
     )
     zones: int = Field(
-        default=DEFAULT_ZONES, ge=1, le=10_000, description="zones over which the caches are spread"
+        default=DEFAULT_ZONES, ge=1, le=10_000, description="number of zones over which the caches are spread"
     )
     weight: float = Field(
         default=DEFAULT_WEIGHT,
@@ -181,7 +181,7 @@
     settings = build_settings(size.routers)
     workload = ListWorkload(settings, entries, parameters.changes, parameters.whole_lists, seed)
     gc.collect()
-    gc.freeze()  # excludes the objects of the experiment from garbage collections, whose CPU time is measured
+    gc.freeze()  # measured garbage collections skip the objects of the experiment, which are not the router's
     try:
         references = [measure_reference_cpu_s()]
         context.progress("decision module")
--- a/scale_experiments/scenarios/list_change_process.py
+++ b/scale_experiments/scenarios/list_change_process.py
@@ -50,7 +50,7 @@
 READY_TIMEOUT_S = 60.0
 POLL_TIMEOUT_S = 30.0  # timeout for a router to apply a change and poll for the next one
 POLL_INTERVAL_S = 0.005  # interval at which discovery's counts are read while waiting for the router's poll
-FIRST_INDEX = 2  # first index of discovery's list; the list in the router's configuration has the one before
+FIRST_INDEX = 2  # first index of discovery's list; the router's configuration has the list of FIRST_INDEX - 1
 
 
 class Parameters(BaseModel):
@@ -58,7 +58,7 @@
 
     model_config = ConfigDict(extra="forbid")
 
-    changes: int = Field(default=8, ge=1, le=1000, description="changes of each of the five kinds")
+    changes: int = Field(default=8, ge=1, le=1000, description="number of changes of each of the five kinds")
     quiet_s: float = Field(
         default=12.0,
         gt=0,
@@ -95,19 +95,19 @@
     resident_bytes: Bytes = Field(description="resident memory of the router after the first endpoint list")
     most_resident_bytes: Bytes = Field(description="resident memory of the router after the changes")
     change_in_bytes: Bytes = Field(
-        description="bytes to the router for a change of one entry, with HTTP headers, without TCP's"
+        description="bytes to the router for a change of one entry, with HTTP but not TCP headers"
     )
     change_out_bytes: Bytes = Field(
-        description="bytes from the router for a change of one entry, with HTTP headers, without TCP's"
+        description="bytes from the router for a change of one entry, with HTTP but not TCP headers"
     )
     quiet_bytes_per_s: BytesPerSecond = Field(
-        description="bytes a second in both directions without changes, with HTTP headers, without TCP's"
+        description="bytes a second in both directions without changes, with HTTP but not TCP headers"
     )
     bytes_per_s: BytesPerSecond = Field(
-        description="bytes a second in both directions at changes_per_s, with HTTP headers, without TCP's"
+        description="bytes a second in both directions at changes_per_s, with HTTP but not TCP headers"
     )
     first_list_bytes: Bytes = Field(
-        description="bytes to the router until it waits for a change, with HTTP headers, without TCP's"
+        description="bytes to the router until it waits for a change, with HTTP but not TCP headers"
     )
     reference_cpu_s: Seconds = Field(description=REFERENCE_METRIC["reference_cpu_s"])
 
--- a/scale_experiments/scenarios/list_costs/router.py
+++ b/scale_experiments/scenarios/list_costs/router.py
@@ -57,7 +57,7 @@
 
 
 class SteppingClock:
-    """Clock of the time that is passed to a router, in seconds. Each reading advances it."""
+    """Clock for the times that are passed to a router, in seconds; it only advances."""
 
     def __init__(self) -> None:
         self.time = START_TIME
--- a/scale_experiments/scenarios/watch.py
+++ b/scale_experiments/scenarios/watch.py
@@ -58,7 +58,7 @@
         alias="held",
         description="list: a real router only stores the endpoint list; router: it builds the hash ring too",
     )
-    zones: int = Field(51, ge=1, le=10_000, description="zones over which the caches are spread")
+    zones: int = Field(51, ge=1, le=10_000, description="number of zones over which the caches are spread")
     spread_s: float = Field(
         3.0, ge=0, le=60, description="time over which the starts of the routers are spread"
     )
@@ -133,7 +133,7 @@
 
 
 class WatchRun:
-    """The measurement of one sample, in all modes one after the other."""
+    """Measures one sample, one mode after the other."""
 
     def __init__(self, parameters: Parameters, context: ExperimentContext) -> None:
         self.parameters = parameters
--- a/scale_experiments/scenarios/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -126,7 +126,7 @@
 
 
 class LossRun:
-    """The measurement of one sample, on one fleet."""
+    """Measures one sample, on one fleet."""
 
     def __init__(self, parameters: Parameters, fleet: Fleet, context: ExperimentContext) -> None:
         self.parameters = parameters
--- a/scale_experiments/scenarios/zone_loss_metrics.py
+++ b/scale_experiments/scenarios/zone_loss_metrics.py
@@ -24,31 +24,29 @@
         description="page caches that are lost, or that the routers of the isolated region do not reach"
     )
     before_served_share: Share = Field(
-        description="share of the client requests before the loss that were served, by retries too"
-    )
-    lost_served_share: Share = Field(
-        description="share of the client requests during the loss that were served"
+        description="share served of the client requests made before the loss, retries included"
     )
+    lost_served_share: Share = Field(description="share served of the client requests made during the loss")
     lost_worst_served_share: Share = Field(
-        description="lowest share of a second's client requests during the loss that were served"
+        description="lowest share served of a second's client requests, during the loss"
     )
     lost_recovery_s: Seconds = Field(
         description="time from the loss until 95 % of each second's requests are served, during the loss"
     )
     back_served_share: Share = Field(
-        description="share of the client requests in the slow start after the return that were served"
+        description="share served of the client requests made in the slow start after the return"
     )
     back_worst_served_share: Share = Field(
-        description="lowest share of a second's client requests in that slow start that were served"
+        description="lowest share served of a second's client requests, in the slow start after the return"
     )
     back_recovery_s: Seconds = Field(
         description="time from the return until 95 % of each second's requests are served"
     )
     apart_served_share: Share = Field(
-        description="share of the client requests at routers of the isolated region that were served"
+        description="share served of the client requests at routers of the isolated region, during the loss"
     )
     apart_refused_per_request: Ratio = Field(
-        description="rejections by routers of the isolated region per request accepted there"
+        description="rejections by routers of the isolated region per request accepted there, during the loss"
     )
     lost_dials_per_request: Ratio = Field(
         description="attempts to connect per accepted request, during the loss"
