--- a/scale_experiments/__init__.py
+++ b/scale_experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Scale experiments: emulators of what surrounds a router, and runs of them at growing sizes."""
+"""Scale experiments: the cost of routers and of the services around them, measured at growing fleet sizes."""
--- a/scale_experiments/endpoint_lists/__init__.py
+++ b/scale_experiments/endpoint_lists/__init__.py
@@ -1,1 +1,1 @@
-"""Generated endpoint lists of any size, and sequences of changes."""
+"""Generated endpoint lists of any size, and sequences of changes to them."""
--- a/scale_experiments/endpoint_lists/endpoint_changes.py
+++ b/scale_experiments/endpoint_lists/endpoint_changes.py
@@ -1,4 +1,4 @@
-"""Random endpoint lists, and sequences of changes of one entry each."""
+"""Random endpoint lists, and sequences of changes that affect one entry each."""
 
 from __future__ import annotations
 
@@ -24,44 +24,48 @@
 
 
 class ListChangeSize(BaseModel):
-    """The size of an experiment that changes lists."""
+    """The columns of a size in scenarios that change the endpoint list."""
 
     model_config = ConfigDict(extra="forbid")
 
     routers: int = Field(
-        default=1, ge=1, le=1_000_000, strict=True, description="siblings, as the settings say"
+        default=1,
+        ge=1,
+        le=1_000_000,
+        strict=True,
+        description="routers of the fleet, as configured in the settings",
     )
     caches: int = Field(
-        ge=1, le=100_000, strict=True, description="page caches in the list, beside the origin"
+        ge=1, le=100_000, strict=True, description="caches in the endpoint list, without the origin"
     )
-    changes_per_s: float = Field(ge=0, description="changes of the list a second")
+    changes_per_s: float = Field(ge=0, description="changes of the endpoint list per second")
 
 
 class ChangeKind(StrEnum):
-    """How an entry changes; the values are parts of the names of metrics."""
+    """The kind of a change; the values are parts of metric names."""
 
     DRAIN = "drain"
-    GONE = "gone"  # is removed
-    JOIN = "join"  # the entry that was removed last is back
+    GONE = "gone"  # the entry is removed
+    JOIN = "join"  # the entry that was removed last is added again
     RESTART = "restart"
-    WEIGHT = "weight"  # is halved
+    WEIGHT = "weight"  # the weight is halved
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointChange:
-    """One changed entry; `kind` is None where the change only undoes the previous one."""
+    """One changed entry; `kind` is None if the change only undoes the previous one."""
 
     kind: ChangeKind | None
     index: int
     entry: EndpointEntry
 
     def encoded(self) -> bytes:
-        """The change in discovery's JSON form."""
+        """Encode the change in discovery's JSON format."""
         return encode_list({"index": self.index, "snapshot": False, "endpoints": [self.entry]})
 
 
 def build_entries(caches: int, zones: int, weight: float, rng: np.random.Generator) -> list[EndpointEntry]:
-    """Page caches with random names, spread over `zones` zones, and an origin as the last entry."""
+    """Build entries of caches with random names, spread over `zones` zones, and of an origin as the last."""
     names = rng.choice(2**32, size=caches + 1, replace=False)
     return [
         build_entry(
@@ -77,23 +81,26 @@
 
 
 class ChangeSequence:
-    """Changes of random entries: in each round one of each kind, after which the list is as it was before."""
+    """Rounds of changes, one of each kind to random entries.
+
+    At the end of a round all changes have been undone, except the start time of a restarted entry.
+    """
 
     def __init__(
         self, entries: Sequence[EndpointEntry], rng: np.random.Generator, rounds: int, first_index: int = 2
     ) -> None:
         self.rng = rng
-        self.entries = entries[:-1]  # never the origin
+        self.entries = entries[:-1]  # all but the origin, which never changes
         self.rounds = rounds
         self.next_index = first_index
         self.restarts = 0
 
     def __iter__(self) -> Iterator[EndpointChange]:
-        """The changes in order, each with an index of its own."""
+        """Yield the changes in order, each with an index of its own."""
         removed = None
         for _ in range(self.rounds):
             for kind in ChangeKind:
-                # a join draws as well, so that the entries of a seed stay the same
+                # JOIN draws an entry too, without using it: otherwise a seed would select other entries
                 entry = self.entries[int(self.rng.integers(len(self.entries)))]
                 if kind is ChangeKind.GONE:
                     removed = entry
@@ -102,7 +109,7 @@
                 yield from self._change(kind, entry)
 
     def _change(self, kind: ChangeKind, entry: EndpointEntry) -> Iterator[EndpointChange]:
-        """A change of an entry and, where no later change undoes it, the one that does."""
+        """Yield a change of an entry; after a drain or a change of weight, also the change that undoes it."""
         match kind:
             case ChangeKind.DRAIN:
                 yield self._indexed(kind, {**entry, "status": TERMINATING})
--- a/scale_experiments/endpoint_lists/endpoint_entries.py
+++ b/scale_experiments/endpoint_lists/endpoint_entries.py
@@ -1,4 +1,4 @@
-"""Endpoint lists and their entries, in discovery's JSON form."""
+"""Endpoint lists and their entries, in discovery's JSON format."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 TERMINATING = "terminating"
 TERMINATED = "terminated"
 CACHE_PORT = 6379
-GROUP_SIZE = 8  # caches of one group
-HOSTS_PER_NETWORK = 250  # addresses used of each /24
+GROUP_SIZE = 8  # caches in each group
+HOSTS_PER_NETWORK = 250  # addresses used in each /24 network
 
 
 class EndpointEntry(TypedDict):
-    """One server of a list; `since_ms` is when it started."""
+    """The entry of one server; `since_ms` is its start time."""
 
     name: str
     address: str  # host:port
@@ -29,7 +29,7 @@
 
 
 class EndpointList(TypedDict):
-    """A list, or changed entries of it, as discovery sends them."""
+    """A complete endpoint list, or its changed entries if `snapshot` is false, as discovery sends them."""
 
     index: int
     snapshot: bool
@@ -39,7 +39,7 @@
 def build_entry(
     name: str, address: str, *, zone: str, server_type: str, group: int, weight: float = 1.0
 ) -> EndpointEntry:
-    """The entry of a server in service."""
+    """Build the entry of a server in service."""
     return {
         "name": name,
         "address": address,
@@ -55,7 +55,10 @@
 def build_loopback_entries(
     count: int, network: str, zones: Sequence[str], server_type: str
 ) -> list[EndpointEntry]:
-    """Page caches with a loopback address each, in `network`, whose form is that of "127.2"."""
+    """Build entries of servers, each with a loopback address of its own.
+
+    `network` is the first two octets of the addresses, such as "127.2".
+    """
     return [
         build_entry(
             f"s-{i:08x}",
@@ -69,10 +72,10 @@
 
 
 def build_snapshot(index: int, entries: Sequence[EndpointEntry]) -> EndpointList:
-    """A complete list."""
+    """Build a complete endpoint list."""
     return {"index": index, "snapshot": True, "endpoints": entries}
 
 
 def encode_list(endpoint_list: EndpointList) -> bytes:
-    """A list as discovery's JSON."""
+    """Encode an endpoint list in discovery's JSON format."""
     return orjson.dumps(endpoint_list)
--- a/scale_experiments/expression.py
+++ b/scale_experiments/expression.py
@@ -7,7 +7,7 @@
 import operator
 from collections.abc import Callable
 
-MAX_LENGTH = 400  # characters
+MAX_LENGTH = 400  # maximum length of an expression in characters
 OPERATORS: dict[type[ast.operator], Callable[[float, float], float]] = {
     ast.Add: operator.add,
     ast.Sub: operator.sub,
@@ -22,21 +22,21 @@
     "exp": math.exp,
     "log": math.log,
 }
-ALLOWED = f"numbers, names, + - * / **, brackets and the functions {', '.join(FUNCTIONS)}"
+ALLOWED = f"numbers, names, + - * / **, parentheses and the functions {', '.join(FUNCTIONS)}"
 
 
 class ExpressionError(ValueError):
-    """An expression that can't be parsed or evaluated; the message says why."""
+    """Raised for an expression that can't be parsed or evaluated; the message gives the reason."""
 
 
 class Expression:
-    """An expression of numbers, names, + - * / **, brackets and the functions min, max, sqrt, exp and log.
+    """An expression of numbers, names, + - * / **, parentheses and the functions min, max, sqrt, exp and log.
 
     `text` is the source, and `names` are the names whose values the expression needs.
     """
 
     def __init__(self, text: str) -> None:
-        """Parse an expression; raises ExpressionError if it is too long or contains anything else."""
+        """Parse an expression; raises ExpressionError if it is too long or contains any other syntax."""
         self.text = text
         if len(text) > MAX_LENGTH:
             raise ExpressionError(f"must have at most {MAX_LENGTH} characters")
@@ -55,7 +55,7 @@
         return self._evaluate(self._tree, lookup)
 
     def _check(self, node: ast.AST) -> None:
-        """Collect the names below a node; raises ExpressionError for nodes that are not allowed."""
+        """Collect the names in a subtree; raises ExpressionError for nodes that are not allowed."""
         match node:
             case ast.Constant(value=int() | float() as number) if not isinstance(number, bool):
                 return
--- a/scale_experiments/measurement/__init__.py
+++ b/scale_experiments/measurement/__init__.py
@@ -1,1 +1,1 @@
-"""Measuring: CPU time, reference work, histograms, standard errors, and metrics of real routers."""
+"""Measurement of CPU time and reference work, encoding of histograms, and values with standard errors."""
--- a/scale_experiments/measurement/cpu.py
+++ b/scale_experiments/measurement/cpu.py
@@ -10,9 +10,9 @@
 
 
 def process_cpu_s(process_id: int) -> float:
-    """CPU seconds of a process: all its threads, user and system.
+    """Return the CPU time of a process in seconds: user and system time of all its threads.
 
-    The source is the clock of POSIX `clock_getcpuclockid`, whose resolution is below a microsecond.
+    The source is the clock that POSIX `clock_getcpuclockid` returns; its resolution is below a microsecond.
 
     Raises:
         OSError: There is no such process.
--- a/scale_experiments/measurement/estimate.py
+++ b/scale_experiments/measurement/estimate.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-# relative to a value: smaller errors come from rounding, and vary from machine to machine
+# as a fraction of the value: smaller standard errors are rounding errors, which differ between machines
 ROUNDING_TOLERANCE = 1e-9
 
 
@@ -21,5 +21,5 @@
         return self.standard_error > ROUNDING_TOLERANCE * abs(self.value)
 
     def scaled(self, divisor: float) -> Estimate:
-        """The estimate and its standard error in a unit that is `divisor` times as large."""
+        """Return the estimate and its standard error in a unit that is `divisor` times as large."""
         return Estimate(self.value / divisor, self.standard_error / divisor)
--- a/scale_experiments/measurement/histograms.py
+++ b/scale_experiments/measurement/histograms.py
@@ -1,4 +1,4 @@
-"""The text form of HDR histograms, which kept results and the emulators' control channel use."""
+"""Text encoding of HDR histograms, used in result files and on the control channel of the emulators."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def encode_histogram(histogram: HdrHistogram) -> str:
-    """A histogram in the encoding of HdrHistogram (version 2, compressed), as base64."""
+    """Return a histogram in the encoding of HdrHistogram (version 2, compressed), as base64."""
     return bytes(histogram.encode()).decode("ascii")
 
 
 def decode_histogram(text: str) -> HdrHistogram:
-    """The histogram of a text that `encode_histogram` returned."""
+    """Decode a text that `encode_histogram` returned."""
     return HdrHistogram.decode(text)
