--- a/scale_experiments/__main__.py
+++ b/scale_experiments/__main__.py
@@ -25,7 +25,7 @@
 Exit status:
   0    every size was measured, and no budget is exceeded
   1    a budget is exceeded, or the time limit passed before every size was measured
-  2    bad input: one line on standard error names the file and the field
+  2    invalid input: one line on standard error names the file and the field
   3    a measurement failed: the log has the error
   130  Ctrl-C or SIGTERM: the samples measured before it are kept
 """
@@ -37,13 +37,13 @@
 FIT_STATUSES = """\b
 Exit status:
   0  all fits were printed
-  2  bad input: one line on standard error names the file and the field
+  2  invalid input: one line on standard error names the file and the field
 """
 REPORT_STATUSES = """\b
 Exit status:
   0  the tables were written, or --check found no difference
   1  --check found a difference: one line on standard error describes the first
-  2  bad input: one line on standard error names the file and the field
+  2  invalid input: one line on standard error names the file and the field
 """
 
 
@@ -93,24 +93,24 @@
     """Run EXPERIMENT, a TOML file, and write its result to OUT/NAME.json.
 
     \b
-    name = "list-change"      # the name of the file, without .toml
-    kind = "list_change"      # the scenario: see `python -m scale_experiments kinds`
-    seed = 1                  # of the first repeat; each further one adds 1
-    repeats = 3               # how often each size is measured; 1 by default
-    time_limit_s = 600        # of the complete run
-    [parameters]              # of the scenario: see `python -m scale_experiments kinds list_change`
+    name = "list-change"      # name of the file, without .toml
+    kind = "list_change"      # scenario: see `python -m scale_experiments kinds`
+    seed = 1                  # seed of the first repeat; each further repeat adds 1
+    repeats = 3               # number of measurements of each size; 1 by default
+    time_limit_s = 600        # time limit of the complete run, in seconds
+    [parameters]              # its parameters: see `python -m scale_experiments kinds list_change`
     changes = 8
-    [[sizes]]                 # one or more; the scenario defines their columns
+    [[sizes]]                 # one or more sizes; the scenario defines their columns
     caches = 200
     changes_per_s = 0.4
-    [[budgets]]               # none or more: limits of the median over repeats
+    [[budgets]]               # optional limits of the median of a metric over the repeats
     metric = "core_share"
     most = 0.002
-    at = { caches = 200 }     # the sizes to which it applies; all by default
+    at = { caches = 200 }     # sizes to which the budget applies; all by default
 
-    The result is written after each sample. Ctrl-C ends the run and all processes that it has started. The
-    result of a run that was ended by Ctrl-C or by the time limit has the samples measured before, and
-    "complete": false.
+    The result is written after each sample. Ctrl-C ends the run and terminates all processes that it has
+    started. The result of a run that was ended by Ctrl-C or by the time limit has the samples measured
+    before, and "complete": false.
     """
     checked = load_experiment(experiment, SCENARIOS)
     name = checked.experiment.name
@@ -123,7 +123,7 @@
     path = out / f"{name}{'.' if label else ''}{label}.json"
     try:
         outcome = run_experiment(checked, path)
-    except InputError:  # bad input that is only found while measuring
+    except InputError:  # invalid input that only the measurement detects
         raise
     except Exception:
         structlog.get_logger().exception("measurement failed", experiment=name)
@@ -132,7 +132,7 @@
 
 
 def _report_outcome(outcome: RunOutcome, path: Path) -> ExitStatus:
-    """Print the number of samples and the exceeded budgets; returns the exit status."""
+    """Print the number of samples and the exceeded budgets, and return the exit status."""
     result = outcome.result
     click.echo(f"{path}: {len(result.samples)} samples, {'complete' if result.complete else 'not complete'}")
     if outcome.interrupted:
@@ -148,8 +148,8 @@
 def kinds(kind: str | None) -> None:
     """List the scenarios, or describe the scenario KIND.
 
-    The description of a scenario has its parameters and the columns of its sizes, with their defaults, and
-    its metrics.
+    The description of a scenario lists its parameters and the columns of its sizes, with their defaults,
+    and its metrics.
     """
     if kind is None:
         _print_columns(
@@ -169,7 +169,7 @@
 
 
 def _describe_keys(table: type[BaseModel]) -> list[tuple[str, str]]:
-    """The keys of a table, with their meanings and defaults."""
+    """Return the keys of a table, each with its description and default."""
     keys = []
     for name, field in table.model_fields.items():
         default = "required"
@@ -180,7 +180,7 @@
 
 
 def _print_columns(rows: Sequence[tuple[str, str]]) -> None:
-    """Print names and their meanings in two columns."""
+    """Print names and their descriptions in two columns."""
     width = max((len(name) for name, _ in rows), default=0)
     for name, meaning in rows:
         click.echo(f"  {name:{width}}  {meaning}")
@@ -192,8 +192,8 @@
     """Print how each metric of RESULTS, files that `run` has written, grows with the fleet.
 
     Several forms (constant, linear, product, power) are fitted to each metric by least squares, and printed
-    with their standard errors. The best is marked with * and followed by its values at the size of
-    target.toml and beyond it.
+    with their standard errors. The best is marked with * and followed by its predictions for
+    the fleet of target.toml and for larger fleets.
     """
     # imported here, because numpy takes long to import and the other commands don't need it
     sys.exit(import_module("scale_experiments.commands.fit").main(list(results)))
@@ -206,14 +206,14 @@
 def report(check: bool) -> None:
     """Write the tables of docs/CAPACITY.md.
 
-    They follow from the results in scale_experiments/results and from scale_experiments/capacity.toml.
+    They are computed from the results in scale_experiments/results and from scale_experiments/capacity.toml.
     """
     # imported here for the same reason as in `fit`
     sys.exit(import_module("scale_experiments.commands.report").main(check))
 
 
 def main() -> None:
-    """Run the command line; bad input is reported in one line on standard error."""
+    """Run the command line, and report invalid input in one line on standard error."""
     try:
         status = cli.main(standalone_mode=False)
     except click.ClickException as e:
--- a/scale_experiments/runs/__init__.py
+++ b/scale_experiments/runs/__init__.py
@@ -1,1 +1,1 @@
-"""Running an experiment: its file, its context, its log and its results."""
+"""Runs of experiments: experiment files, the context of a run, its log and its results."""
--- a/scale_experiments/runs/context.py
+++ b/scale_experiments/runs/context.py
@@ -14,20 +14,21 @@
 from types import TracebackType
 from typing import Any, Self
 
-TERMINATION_GRACE_S = 5.0  # from SIGTERM to SIGKILL, for all processes of a run together
+TERMINATION_GRACE_S = 5.0  # time from SIGTERM to SIGKILL, shared by all processes of a run
 
 
 class TimeLimit(KeyboardInterrupt):
-    """The run has reached its time limit.
+    """Raised when the run has reached its time limit.
 
-    It is a KeyboardInterrupt, so that it passes through event loops and broad handlers as Ctrl-C does.
+    It derives from KeyboardInterrupt, so that event loops and broad exception handlers let it pass, as they
+    let Ctrl-C pass.
     """
 
 
 class ExperimentContext:
     """The folder, the processes and the time limit of one run.
 
-    On exit, all processes that the run has started are ended, by id, and its folder is removed.
+    On exit, all processes that the run has started are terminated by process id, and its folder is removed.
     """
 
     def __init__(self, time_limit_s: float, report_progress: Callable[[str], None] = lambda _: None) -> None:
@@ -35,14 +36,14 @@
         self.report_progress = report_progress
         self.folder = Path(tempfile.mkdtemp(prefix="scale_experiments-"))
         self.processes: list[subprocess.Popen[bytes]] = []
-        self.shield_depth = 0  # of nested `shielded` blocks; an interruption waits until it is 0
+        self.shield_depth = 0  # number of nested `shielded` blocks; an interruption is deferred until it is 0
         self.interruption: KeyboardInterrupt | None = None
 
     def interrupt(self, error: KeyboardInterrupt) -> None:
         """Interrupt the run, from a signal handler.
 
-        Only the first call has an effect. Raises `error`; within a `shielded` block it is raised at the end
-        of the block instead, so that a process that is being started is registered first.
+        Only the first call has an effect. Raises `error`, or defers it to the end of a `shielded` block: a
+        process that is being started is registered first, so that it is terminated with the run.
         """
         if self.interruption is None:
             self.interruption = error
@@ -51,7 +52,7 @@
 
     @contextlib.contextmanager
     def shielded(self) -> Iterator[None]:
-        """Defer an interruption to the end of the block; raises it there."""
+        """Defer an interruption to the end of the block, where it is raised."""
         before = self.interruption
         self.shield_depth += 1
         try:
@@ -70,21 +71,22 @@
         self.close()
 
     def progress(self, text: str) -> None:
-        """Show the user the current activity of the run."""
+        """Report the current activity of the run to the user."""
         self.report_progress(text)
 
     def remaining_s(self) -> float:
-        """Seconds until the run's time limit; 0 after it."""
+        """Return the seconds until the run's time limit, or 0 after it."""
         return max(0.0, self.deadline - time.monotonic())
 
     def expired(self) -> bool:
-        """Whether the time limit of the run has passed."""
+        """Return whether the time limit of the run has passed."""
         return self.remaining_s() <= 0
 
     def spawn(self, args: Sequence[str], **popen: Any) -> subprocess.Popen[bytes]:
-        """Start a process in a group of its own, so that Ctrl-C reaches it only through this run's end.
+        """Start a process in a session and process group of its own.
 
-        Keywords are those of `subprocess.Popen`. Raises OSError if the process can't be started.
+        Ctrl-C therefore doesn't signal it: the run terminates it on exit. Keyword arguments are passed to
+        `subprocess.Popen`. Raises OSError if the process can't be started.
         """
         popen.setdefault("stdin", subprocess.DEVNULL)
         with self.shielded():
@@ -93,16 +95,16 @@
         return process
 
     def stop(self, process: subprocess.Popen[bytes], grace_s: float = TERMINATION_GRACE_S) -> None:
-        """End a process and its group, and reap it, unless it has ended already.
+        """Terminate a process and its process group, and reap it, unless it has exited already.
 
         It receives SIGTERM, and SIGKILL if it still runs after `grace_s` seconds.
         """
         self._stop([process], grace_s)
 
     def close(self) -> None:
-        """End all processes and remove the folder; an interruption has no effect from here.
+        """Terminate all processes and remove the folder; later interruptions are ignored.
 
-        All processes together have `TERMINATION_GRACE_S` seconds before they are killed.
+        The processes have `TERMINATION_GRACE_S` seconds together before those that still run are killed.
         """
         self.shield_depth += 1
         self._stop(self.processes, TERMINATION_GRACE_S)
@@ -128,7 +130,7 @@
 
 
 def _signal_group(process: subprocess.Popen[bytes], number: signal.Signals) -> None:
-    """Signal a process group, unless its leader is reaped: another process might have its id by then."""
+    """Signal a process group, unless its leader has been reaped: its id may have been reused since."""
     if process.returncode is None:
         with contextlib.suppress(ProcessLookupError):
             os.killpg(process.pid, number)
--- a/scale_experiments/runs/experiment.py
+++ b/scale_experiments/runs/experiment.py
@@ -1,4 +1,4 @@
-"""Experiment files: their schema, and how they are read and checked.
+"""Experiment files: their schema, reading and validation.
 
 An experiment is a TOML file. It states what to measure (`kind`, `[parameters]`), at which sizes of the fleet
 (`[[sizes]]`), how often, and the limits that the metrics must not exceed (`[[budgets]]`).
@@ -26,21 +26,21 @@
 from scale_experiments.runs.input_files import InputError, describe_validation_error, read_toml
 from scale_experiments.runs.scenario import AnyScenario
 
-MAX_TIME_LIMIT_S = 7200.0  # the longest time limit of a run
-MAX_SIZES = 100
+MAX_TIME_LIMIT_S = 7200.0  # maximum of an experiment's `time_limit_s`
+MAX_SIZES = 100  # maximum number of `[[sizes]]` in an experiment
 
 Model = TypeVar("Model", bound=BaseModel)
 
 
 def check_finite(value: object) -> object:
-    """Check a value of TOML: a finite integer or float, which is returned unchanged. Raises ValueError."""
+    """Return a value of TOML unchanged; raises ValueError unless it is a finite integer or float."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
         raise ValueError("must be a finite number")
     return value
 
 
 def check_not_negative(value: object) -> object:
-    """Check that a number is at least 0; raises ValueError."""
+    """Return a number unchanged; raises ValueError if it is negative."""
     if isinstance(value, int | float) and value < 0:
         raise ValueError("must be at least 0")
     return value
@@ -52,7 +52,7 @@
 
 
 class Budget(BaseModel):
-    """A limit of the median of a metric, at the sizes whose columns have the values of `at`."""
+    """An upper limit of the median of a metric, for the sizes whose columns have the values in `at`."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -61,12 +61,12 @@
     at: dict[str, Number] = Field(default_factory=dict)
 
     def applies_to(self, size: Mapping[str, float]) -> bool:
-        """Whether the budget limits the metric at this size."""
+        """Return whether the budget limits the metric at this size."""
         return all(column in size and size[column] == value for column, value in self.at.items())
 
 
 class Experiment(BaseModel):
-    """One experiment file. `seed` is that of the first repeat; each further repeat adds 1."""
+    """One experiment file. `seed` is the seed of the first repeat; each further repeat adds 1."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckedExperiment:
-    """An experiment, its scenario, and its parameters as that scenario's schema reads them."""
+    """A valid experiment, its scenario, and its parameters as an instance of the scenario's schema."""
 
     experiment: Experiment
     scenario: AnyScenario
@@ -90,9 +90,9 @@
 
 
 def load_experiment(file: Path, scenarios: Mapping[str, AnyScenario]) -> CheckedExperiment:
-    """Read and check an experiment of one of these scenarios.
+    """Read and check an experiment file, whose kind has to be one of `scenarios`.
 
-    Raises InputError, which names the file and the field.
+    Raises InputError, whose message names the file and the field.
     """
     experiment = _validate(file, Experiment, read_toml(file))
     if experiment.name != file.stem:
@@ -112,7 +112,7 @@
 def _validate(
     file: Path, model: type[Model], table: Mapping[str, Any], within: tuple[int | str, ...] = ()
 ) -> Model:
-    """Validate a table, which is at the path `within` of the file; raises InputError."""
+    """Validate a table, whose path in the file is `within`; raises InputError."""
     try:
         return model.model_validate(table)
     except ValidationError as e:
@@ -120,7 +120,7 @@
 
 
 def _check_budgets(file: Path, experiment: Experiment, scenario: AnyScenario) -> None:
-    """Raise InputError for a budget whose metric is not measured, or that applies to no size."""
+    """Raise InputError for a budget whose metric the scenario doesn't measure, or that applies to no size."""
     for number, budget in enumerate(experiment.budgets):
         place = f"{file}: budgets[{number}]"
         if budget.metric not in scenario.metric_descriptions:
--- a/scale_experiments/runs/fleet_run.py
+++ b/scale_experiments/runs/fleet_run.py
@@ -10,13 +10,13 @@
 
 
 class TimeLimitReachedError(Exception):
-    """The time limit of the experiment passed before a sample was complete."""
+    """Raised when the time limit of the experiment passes before a sample is complete."""
 
 
 def run_fleet(fleet: Fleet, seconds: float, context: ExperimentContext) -> None:
-    """Run a fleet for some simulated seconds.
+    """Run a fleet for a number of simulated seconds.
 
-    Raises TimeLimitReachedError if the time limit of the experiment passes before they have been simulated.
+    Raises TimeLimitReachedError if the time limit of the experiment passes before the end.
     """
     if not fleet.run(seconds, context.expired):
         raise TimeLimitReachedError
--- a/scale_experiments/runs/input_files.py
+++ b/scale_experiments/runs/input_files.py
@@ -1,4 +1,4 @@
-"""Reading input files, and one-line messages for what is wrong with them."""
+"""Reading of input files, and one-line error messages for invalid ones."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class InputError(ValueError):
-    """Input that can't be used; the message is one line that names the file and the field."""
+    """Raised for invalid input; the message is one line that names the file and the field."""
 
 
 def field_path(path: tuple[int | str, ...]) -> str:
-    """The path of a field as text, such as `sizes[0].caches`."""
+    """Format the path of a field, such as `sizes[0].caches`."""
     spelled = ""
     for part in path:
         spelled += f"[{part}]" if isinstance(part, int) else f".{part}" if spelled else part
@@ -27,12 +27,12 @@
     within: tuple[int | str, ...] = (),
     known: type[BaseModel] | None = None,
 ) -> str:
-    """Describe the first error of a validation, in one line.
+    """Describe the first error of a validation in one line.
 
-    `within` is the path of the validated table in the file. `known` is its schema, whose keys are listed if
-    the error is an unknown key.
+    `within` is the path of the validated table in the file. `known` is the schema of the table, whose keys
+    are listed if the error is an unknown key.
     """
-    # an unknown field comes first: most often it is a misspelling of a field that is missing
+    # an unknown key is reported before a missing one, as it is often a misspelling of that
     first = min(error.errors(include_url=False), key=lambda e: e["type"] != "extra_forbidden")
     path = first["loc"]
     field = field_path((*within, *path)) or "file"
@@ -47,7 +47,7 @@
 
 
 def read_toml(file: Path) -> dict[str, Any]:
-    """Read a TOML file; raises InputError."""
+    """Read a TOML file; raises InputError if it can't be read or is malformed."""
     try:
         return tomllib.loads(file.read_text(encoding="utf-8"))
     except OSError as e:
--- a/scale_experiments/runs/log.py
+++ b/scale_experiments/runs/log.py
@@ -1,4 +1,4 @@
-"""The log of runs, as lines of JSON on standard error, and the display of their progress."""
+"""The log of runs, written as lines of JSON to standard error, and the display of their progress."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 SECONDS_BETWEEN_LOG_LINES = 5.0
 SECONDS_BETWEEN_REDRAWS = 0.1
-TERMINAL_WIDTH = 118  # characters
-ERASE_LINE = "\r\033[K"
+TERMINAL_WIDTH = 118  # maximum length of the progress line in characters
+ERASE_LINE = "\r\033[K"  # carriage return, and the ANSI sequence that clears to the end of the line
 
 
 def configure() -> None:
-    """Write the log as one JSON object per line, with time and level."""
+    """Configure structlog to write one JSON object per line, with time and level."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -26,7 +26,7 @@
 
 
 class Progress:
-    """The progress of a run: a line that is redrawn on a terminal, otherwise a log line every few seconds."""
+    """Progress display of a run: a line that is redrawn on a terminal, periodic log lines otherwise."""
 
     def __init__(self, steps: int, time_limit_s: float) -> None:
         """Start the clock of a run with `steps` measurements."""
@@ -41,12 +41,12 @@
         self._log = structlog.get_logger()
 
     def start_step(self, step: int, description: str) -> None:
-        """Start the next measurement, counted from 1."""
+        """Show the start of a measurement; `step` counts from 1."""
         self._step, self._description = step, description
         self.update("")
 
     def update(self, activity: str) -> None:
-        """Show the current activity, unless the last update was shown within the interval."""
+        """Show the current activity, unless another update was shown within the interval."""
         now = time.monotonic()
         if now - self._shown_at < self._interval_s:
             return
@@ -70,6 +70,6 @@
         )
 
     def clear(self) -> None:
-        """Clear the line of the terminal."""
+        """Erase the progress line from the terminal."""
         if self._is_terminal:
             print(ERASE_LINE, end="", file=sys.stderr, flush=True)
--- a/scale_experiments/runs/metrics.py
+++ b/scale_experiments/runs/metrics.py
@@ -1,8 +1,8 @@
-"""The metrics of a scenario as a typed class, from which their descriptions follow.
+"""The metrics of a scenario as a typed class, which also provides their descriptions.
 
-A metric is a field: its annotation gives the unit, and `Field(description=...)` the meaning. A scenario can
-therefore neither measure a metric that it has not declared, nor declare one and not measure it. The name of
-a field is the key in result files.
+A metric is a field: its annotation states the unit, and `Field(description=...)` the meaning. The name of the
+field is the key in result files. Validation rejects samples with a metric that is not declared, and samples
+that lack a required metric.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 Cores = Annotated[float, Unit.CORES]
 Count = Annotated[float, Unit.COUNT]
 PerSecond = Annotated[float, Unit.PER_SECOND]
-Ratio = Annotated[float, Unit.RATIO]  # of two amounts; may exceed 1
+Ratio = Annotated[float, Unit.RATIO]  # ratio of two amounts; may exceed 1
 Seconds = Annotated[float, Unit.SECONDS]
-Share = Annotated[float, Unit.SHARE]  # of a total, or of a limit that it may exceed
+Share = Annotated[float, Unit.SHARE]  # fraction of a total, or of a limit that may be exceeded
 
 
 class Metrics(BaseModel):
-    """What a sample measures. A field with the default None is omitted from samples that can't measure it."""
+    """The metrics of a sample. A field with the default None is omitted if the sample can't measure it."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -49,13 +49,13 @@
 
     @classmethod
     def descriptions(cls) -> dict[str, str]:
-        """The meaning of each metric by name, in the order in which they are declared."""
+        """Return the description of each metric by name, in the order of declaration."""
         return {name: field.description or "" for name, field in cls.model_fields.items()}
 
     def values(self) -> dict[str, float]:
-        """The measured values by name, in the order of the constructor's arguments.
+        """Return the measured values by name, in the order of the constructor's arguments.
 
-        Result files keep that order.
+        Result files list the metrics in this order.
         """
         values = {name: getattr(self, name) for name in self._names}
         return {name: value for name, value in values.items() if value is not None}
--- a/scale_experiments/runs/results.py
+++ b/scale_experiments/runs/results.py
@@ -1,6 +1,6 @@
 """Results of runs, which are stored as JSON and rewritten after each sample.
 
-Where a key of the file differs from the code's term, the alias of the field is the key.
+The alias of a field is its key in the file, if that differs from the field's name.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 
 ROOT = Path(__file__).parents[2]
 CPU_INFO = Path("/proc/cpuinfo")
-# a result states the versions of these packages
+# packages whose versions are stored in a result
 PACKAGES = ("click", "h11", "hdrhistogram", "numpy", "orjson", "psutil", "pydantic", "structlog")
-# files whose changes since the last commit make a result's revision inexact
+# uncommitted changes to these files make the revision of a result inexact, and are marked in it
 MEASURED_FILES = ("cache_router", "scale_experiments/*.py")
-CHANGES_SUFFIX = "+changes"  # of a revision with uncommitted changes
+CHANGES_SUFFIX = "+changes"  # suffix of a revision with uncommitted changes
 GIT_TIMEOUT_S = 10.0
 STORED_DIGITS = 6  # significant digits of stored metrics
 
 
 class StoredSample(BaseModel):
-    """One sample, with the size, the seed and the repeat (from 0) at which it was measured."""
+    """One sample, with its size, its seed and the number of its repeat, which counts from 0."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -43,15 +43,15 @@
     seed: int
     repeat: int
     metrics: dict[str, float]
-    # HDR histograms of microseconds, as base64
+    # HDR histograms of values in microseconds, as base64
     histograms: dict[str, str] = Field(default_factory=dict)
 
 
 class Versions(BaseModel):
-    """The versions of the measured program and its packages, and the processor of the machine."""
+    """The versions of the measured program, of Python and of its packages, and the machine's processor."""
 
     python: str
-    # of git, with CHANGES_SUFFIX if MEASURED_FILES differed from it
+    # revision in git, with CHANGES_SUFFIX if MEASURED_FILES differed from it
     revision: str = Field(alias="project")
     packages: dict[str, str]
     processor: str = ""
@@ -67,11 +67,11 @@
     seed: int
     # ISO 8601, UTC
     started_at: str = Field(alias="started")
-    # whether every repeat of every size was measured
+    # true once every repeat of every size has been measured
     complete: bool
     versions: Versions
     parameters: dict[str, Any]
-    # the meaning of each metric, with its unit
+    # description of each metric by name
     metric_descriptions: dict[str, str] = Field(alias="metrics")
     budgets: list[Budget]
     samples: list[StoredSample]
@@ -85,7 +85,7 @@
         self.complete = True
 
     def exceeded_budgets(self) -> list[str]:
-        """A line of text for each budget that the median exceeds, or whose sizes were not measured."""
+        """Describe, one line each, the budgets that the median exceeds or whose sizes were not measured."""
         lines = (self._describe_excess(budget) for budget in self.budgets)
         return [line for line in lines if line is not None]
 
@@ -106,7 +106,7 @@
 def new_result(
     experiment: Experiment, parameters: BaseModel, metric_descriptions: Mapping[str, str]
 ) -> Result:
-    """A result without samples."""
+    """Create a result without samples."""
     return Result(
         experiment=experiment.name,
         kind=experiment.kind,
@@ -122,7 +122,7 @@
 
 
 def current_versions() -> Versions:
-    """The versions of this program, its interpreter and packages, and the machine's processor."""
+    """Return the versions of this program, of Python and of the packages, and the machine's processor."""
     revision = _git("rev-parse", "HEAD") or "unknown"
     if _git("status", "--porcelain", "--untracked-files=no", "--", *MEASURED_FILES):
         revision += CHANGES_SUFFIX
@@ -135,7 +135,7 @@
 
 
 def _git(*args: str) -> str:
-    """The output of git in the repository; empty if git fails or there is none."""
+    """Return the output of a git command in the repository; empty if it fails or git is not installed."""
     try:
         done = subprocess.run(
             ["git", *args], cwd=ROOT, capture_output=True, text=True, timeout=GIT_TIMEOUT_S, check=True
@@ -146,7 +146,10 @@
 
 
 def _processor() -> str:
-    """The processor's name and number of cores: CPU seconds are comparable on the same processor only."""
+    """Return the number of cores and the processor's name.
+
+    CPU seconds are comparable only between runs on the same processor.
+    """
     names = [
         line.partition(":")[2].strip()
         for line in CPU_INFO.read_text().splitlines()
@@ -156,7 +159,7 @@
 
 
 def stored_sample(sample: Sample, size: Mapping[str, float | int], seed: int, repeat: int) -> StoredSample:
-    """A sample in its stored form, with metrics rounded to STORED_DIGITS."""
+    """Convert a sample to its stored form, with metrics rounded to STORED_DIGITS."""
     return StoredSample(
         size=dict(size),
         seed=seed,
@@ -167,7 +170,7 @@
 
 
 def write_result(result: Result, path: Path) -> None:
-    """Replace the file atomically, so that readers never see part of it; raises OSError."""
+    """Replace the file atomically, so that no reader sees a partial result; raises OSError."""
     text = orjson.dumps(
         result.model_dump(mode="json", by_alias=True), option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE
     )
@@ -181,7 +184,7 @@
 
 
 def load_result(path: Path) -> Result:
-    """Read and check a result file; raises InputError with file and field."""
+    """Read and check a result file; raises InputError, which names the file and the field."""
     try:
         return Result.model_validate(orjson.loads(path.read_bytes()))
     except OSError as e:
--- a/scale_experiments/runs/runner.py
+++ b/scale_experiments/runs/runner.py
@@ -1,4 +1,4 @@
-"""Running an experiment: every repeat of every size, within the time limit."""
+"""Execution of an experiment: every repeat of every size, within the time limit."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 from scale_experiments.runs.sample import Sample
 from scale_experiments.runs.scenario import AnyScenario
 
-# after the time limit a scenario has this long to return before it is interrupted
+# time that a scenario has to return after the time limit, before it is interrupted
 TIME_LIMIT_GRACE_S = 1.0
 
 
 @dataclass(slots=True, frozen=True)
 class RunOutcome:
-    """A result, and whether Ctrl-C or SIGTERM ended its run before it was complete."""
+    """A result, and whether Ctrl-C or SIGTERM ended the run before the result was complete."""
 
     result: Result
     interrupted: bool
 
 
 def run(checked: CheckedExperiment, path: Path) -> RunOutcome:
-    """Measure, and rewrite the result at `path` after each sample.
+    """Run an experiment, and rewrite the result at `path` after each sample.
 
-    Raises what the scenario raises; the result then has the samples before it. Raises ValueError for a metric
-    that the scenario doesn't declare or that is not finite.
+    Exceptions of the scenario propagate; the result then has the samples measured before. Raises ValueError
+    for a metric that the scenario doesn't declare or that is not finite.
     """
     return _Run(checked, path).execute()
 
@@ -87,7 +87,7 @@
             write_result(self.result, self.path)
 
     def _steps(self) -> Iterator[tuple[int, Mapping[str, float | int]]]:
-        """The repeats and sizes in order.
+        """Yield the repeats and sizes in order.
 
         All sizes are measured once before any is repeated, so that a change of the machine's load during the
         run affects all sizes alike.
@@ -111,7 +111,7 @@
 
 @contextlib.contextmanager
 def interruptible(context: ExperimentContext, time_limit_s: float) -> Iterator[None]:
-    """Let Ctrl-C, SIGTERM and the time limit interrupt the run; previous handlers are restored on exit."""
+    """Interrupt the run on Ctrl-C, SIGTERM or the time limit; restore the previous handlers on exit."""
 
     def interrupt(number: int, _: FrameType | None) -> None:
         context.interrupt(TimeLimit() if number == signal.SIGALRM else KeyboardInterrupt())
--- a/scale_experiments/runs/sample.py
+++ b/scale_experiments/runs/sample.py
@@ -1,4 +1,4 @@
-"""A sample, which is the outcome of one measurement."""
+"""Samples, which are the outcomes of measurements."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 class Sample:
     """The metrics and histograms of one measurement."""
 
-    # by name, whose suffix is the unit
+    # values by metric name, whose suffix is the unit
     metrics: Mapping[str, float]
-    # by name, in microseconds
+    # histograms by name, of values in microseconds
     histograms: Mapping[str, HdrHistogram] = field(default_factory=dict)
--- a/scale_experiments/runs/scenario.py
+++ b/scale_experiments/runs/scenario.py
@@ -1,4 +1,4 @@
-"""The definition of a scenario, which is a kind of measurement that an experiment can name."""
+"""Scenarios, which are the kinds of measurement that an experiment can name."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 ParametersT = TypeVar("ParametersT", bound=BaseModel)
 SizeT = TypeVar("SizeT", bound=BaseModel)
 
-WholeNumber = Annotated[int, BeforeValidator(int)]  # a column of a size; fractions are cut off
+WholeNumber = Annotated[int, BeforeValidator(int)]  # integer column of a size; fractions are truncated
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class Scenario(Generic[ParametersT, SizeT]):
-    """One kind of measurement: the schemas of its input, what it measures, and the function that measures.
+    """One kind of measurement: the schemas of its input, its metrics, and the function that measures them.
 
     `measure` takes the parameters, a size, a seed and the context of the run. It returns early, without a
     sample, once the time limit of the context has passed.
     """
 
-    # for people: a summary line, and details after an empty line
+    # text for users: a summary line, an empty line, and details
     description: str
-    # the schema of `[parameters]`
+    # schema of `[parameters]`
     parameters: type[ParametersT]
-    # the schema of each of `[[sizes]]`
+    # schema of each entry of `[[sizes]]`
     size: type[SizeT]
-    # by name, whose suffix is the unit
+    # descriptions by metric name, whose suffix is the unit
     metric_descriptions: Mapping[str, str]
     measure: Callable[[ParametersT, SizeT, int, ExperimentContext], Iterator[Sample]]
 
 
-# a scenario together with parameters and sizes that its own schemas have checked
+# a scenario of any schemas, by which its parameters and sizes have been validated
 AnyScenario: TypeAlias = Scenario[Any, Any]
--- a/scale_experiments/target.py
+++ b/scale_experiments/target.py
@@ -1,6 +1,6 @@
-"""The size of today's fleet and that of the planned fleet, from target.toml.
+"""The sizes of today's fleet and of the planned fleet, from target.toml.
 
-Fields are named after the keys of the file, by which capacity.toml refers to them.
+The fields have the names of the file's keys, as capacity.toml refers to them by these names.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from scale_experiments.runs.input_files import InputError, describe_validation_error, read_toml
 
 TARGET = Path(__file__).parent / "experiments" / "target.toml"
-LIST_CHANGES_PER_REPLACEMENT = 4  # assumption: a cache drains, leaves, joins, and changes its weight
+LIST_CHANGES_PER_REPLACEMENT = 4  # assumes that a cache drains, leaves, joins and changes its weight
 SECONDS_PER_DAY = 86_400
-HEADROOM_FACTOR = 1.5  # a mechanism must work up to this multiple of the target
+HEADROOM_FACTOR = 1.5  # multiple of the target's fleet size up to which a mechanism has to work
 
 Count = Annotated[StrictInt, Field(ge=1)]
 Amount = Annotated[float, Field(gt=0, strict=True, allow_inf_nan=False)]
 
 
 class StrictTable(BaseModel):
-    """A table of the file, in which every key is required and unknown keys are errors."""
+    """A table of the file that requires every key and rejects unknown keys."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class TodaysFleet(StrictTable):
-    """The fleet of the standing test."""
+    """Today's fleet, which the standing test runs."""
 
     routers: Count
     caches: Count
@@ -47,13 +47,13 @@
     objects: Count
     purges_per_s: Amount
     purge_done_everywhere_s: Amount
-    # of configuration
+    # changes of the configuration
     changes_per_day: Amount
     change_in_force_everywhere_s: Amount
 
 
 class ControlBudget(StrictTable):
-    """The resources of each router that control may use, and the machines that control has for itself."""
+    """The resources of each router that the control plane may use, and the number of its own machines."""
 
     router_core_share: Annotated[Amount, Field(le=1)]
     router_memory_mb: Amount
@@ -62,12 +62,12 @@
 
 
 class FailureRates(StrictTable):
-    """How often each part of the fleet fails."""
+    """Failure rates of the parts of the fleet."""
 
     machines_failing_per_day: Amount
     machines_restarted_or_replaced_per_day: Amount
     rack_or_switch_per_week: Amount
-    # the fewest and the most
+    # minimum and maximum
     zones_per_year: tuple[Count, Count]
     regions_cut_off: str
 
@@ -80,7 +80,7 @@
 
 
 class Target(StrictTable):
-    """The complete file."""
+    """The contents of target.toml."""
 
     today: TodaysFleet
     target: PlannedFleet
@@ -89,13 +89,13 @@
     rig: MachineLimits
 
     def list_changes_per_s(self) -> float:
-        """Changes of the endpoint list per second, by configuration and by replacements of machines."""
+        """Return the changes of the endpoint list per second, by configuration and replaced machines."""
         restarts = self.failures.machines_restarted_or_replaced_per_day
         return (self.target.changes_per_day + LIST_CHANGES_PER_REPLACEMENT * restarts) / SECONDS_PER_DAY
 
 
 def load_target(file: Path = TARGET) -> Target:
-    """Read and check the file; raises InputError with file and field."""
+    """Read and check the file; raises InputError, which names the file and the field."""
     try:
         return Target.model_validate(read_toml(file))
     except ValidationError as e:
--- a/tests/scale_experiments/conftest.py
+++ b/tests/scale_experiments/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the simulated fleet's tests."""
+"""Fixtures of the tests of the simulated fleet."""
 
 from __future__ import annotations
 
@@ -11,5 +11,5 @@
 
 @pytest.fixture(params=[play_on_real_pool, play_on_simulated_pool], ids=["real", "simulated"])
 def play(request: pytest.FixtureRequest) -> Play:
-    """Plays a scenario on one of the pools, with a budget of descriptors."""
+    """Return a function that plays a scenario on one of the pools, with a budget of descriptors."""
     return cast(Play, request.param)
--- a/tests/scale_experiments/runs/__init__.py
+++ b/tests/scale_experiments/runs/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of running experiments."""
+"""Tests of runs of experiments."""
--- a/tests/scale_experiments/runs/test_metrics.py
+++ b/tests/scale_experiments/runs/test_metrics.py
@@ -1,4 +1,4 @@
-"""Typed metrics: descriptions follow from the fields, and values are exactly the declared ones."""
+"""Typed metrics: their descriptions are those of the fields, and only declared values are accepted."""
 
 from __future__ import annotations
 
--- a/tests/scale_experiments/test_expression.py
+++ b/tests/scale_experiments/test_expression.py
@@ -1,4 +1,4 @@
-"""Expressions: their values, and what they may not contain."""
+"""Expressions: their values, the syntax that is rejected, and arithmetic errors."""
 
 from __future__ import annotations
 
--- a/tests/scale_experiments/test_scale_experiments.py
+++ b/tests/scale_experiments/test_scale_experiments.py
@@ -1,4 +1,4 @@
-"""The command line: rejected input, exit statuses, and samples that are kept however a run ends."""
+"""The command line: rejected input, exit statuses, and the samples that an interrupted run keeps."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def write_experiment(folder: Path, old: str = "", new: str = "") -> Path:
-    """Write the small experiment with one piece of its text replaced."""
+    """Write the small experiment, with one part of its text replaced."""
     assert old in SMALL
     file = folder / "small.toml"
     file.write_text(SMALL.replace(old, new, 1))
@@ -150,7 +150,7 @@
 
 
 def test_ctrl_c_keeps_what_was_measured(tmp_path: Path) -> None:
-    """The second size takes longer than this test."""
+    """Interrupts the second size, which takes longer to measure than this test runs."""
     file = write_experiment(tmp_path, "whole_lists = 1\n", "whole_lists = 100\n")
     file.write_text(file.read_text().replace("caches = 20", "caches = 2000"))
     path = tmp_path / "small.json"
@@ -173,7 +173,7 @@
 
 
 class NoParameters(BaseModel):
-    """None are needed."""
+    """An empty table of parameters."""
 
 
 class StubSize(BaseModel):
@@ -183,7 +183,7 @@
 
 
 class Stub:
-    """Measures one sample, starts a process, and waits in an event loop."""
+    """A scenario that yields one sample, starts a process, and waits in an event loop to be interrupted."""
 
     def __init__(self, number: signal.Signals | None) -> None:
         self.number = number
@@ -206,7 +206,7 @@
 
 
 def run_stub(stub: Stub, path: Path, time_limit_s: float, metric: str = "waits_count") -> RunOutcome:
-    """Run the stub as a scenario that declares one metric."""
+    """Run an experiment whose scenario is the stub and declares one metric."""
     experiment = Experiment(
         name="stub", kind="stub", seed=1, time_limit_s=time_limit_s, sizes=[{"routers": 1}]
     )
