--- a/scale_experiments/__main__.py
+++ b/scale_experiments/__main__.py
@@ -82,12 +82,12 @@
     "--out",
     type=click.Path(path_type=Path, file_okay=False),
     default=RESULTS,
-    help="Folder of the result, created if absent; by default scale_experiments/results.",
+    help="Folder of the result file, created if absent; by default scale_experiments/results.",
 )
 @click.option(
     "--label",
     default="",
-    help="Write the result to NAME.LABEL.json, to keep a trial apart; by default NAME.json.",
+    help="Write the result to NAME.LABEL.json instead of NAME.json, for example for a trial.",
 )
 def run(experiment: Path, out: Path, label: str) -> None:
     """Run EXPERIMENT, a TOML file, and write its result to OUT/NAME.json.
@@ -115,11 +115,11 @@
     checked = load_experiment(experiment, SCENARIOS)
     name = checked.experiment.name
     if label and not label.replace("-", "").isalnum():
-        raise InputError(f"{experiment}: --label: must be of letters, digits and -, not {label!r}")
+        raise InputError(f"{experiment}: --label: must consist of letters, digits and -, not {label!r}")
     try:
         out.mkdir(parents=True, exist_ok=True)
     except OSError as e:
-        raise InputError(f"{out}: --out: must be a folder that can be made: {e.strerror or e}") from e
+        raise InputError(f"{out}: --out: must be a folder that can be created: {e.strerror or e}") from e
     path = out / f"{name}{'.' if label else ''}{label}.json"
     try:
         outcome = run_experiment(checked, path)
@@ -139,7 +139,7 @@
         return ExitStatus.INTERRUPTED
     exceeded = result.exceeded_budgets()
     for line in exceeded:
-        click.echo(f"budget broken: {line}")
+        click.echo(f"budget exceeded: {line}")
     return ExitStatus.SUCCESS if result.complete and not exceeded else ExitStatus.CHECK_FAILED
 
 
--- a/scale_experiments/expression.py
+++ b/scale_experiments/expression.py
@@ -74,7 +74,7 @@
                     self._check(arg)
                 return
         source = ast.unparse(node) if isinstance(node, ast.expr) else repr(node)
-        raise ExpressionError(f"{source} is not allowed; must be of {ALLOWED}")
+        raise ExpressionError(f"{source} is not allowed; must consist of {ALLOWED}")
 
     def _evaluate(self, node: ast.AST, lookup: Callable[[str], float]) -> float:
         match node:
--- a/scale_experiments/runs/experiment.py
+++ b/scale_experiments/runs/experiment.py
@@ -96,7 +96,7 @@
     """
     experiment = _validate(file, Experiment, read_toml(file))
     if experiment.name != file.stem:
-        raise InputError(f"{file}: name: must be the file's, {file.stem!r}, not {experiment.name!r}")
+        raise InputError(f"{file}: name: must be the file's name, {file.stem!r}, not {experiment.name!r}")
     try:
         scenario = scenarios[experiment.kind]
     except KeyError:
@@ -124,6 +124,6 @@
     for number, budget in enumerate(experiment.budgets):
         place = f"{file}: budgets[{number}]"
         if budget.metric not in scenario.metric_descriptions:
-            raise InputError(f"{place}.metric: is not measured by {experiment.kind}: {budget.metric!r}")
+            raise InputError(f"{place}.metric: must be a metric of {experiment.kind}, not {budget.metric!r}")
         if not any(budget.applies_to(size) for size in experiment.sizes):
-            raise InputError(f"{place}.at: is none of the sizes")
+            raise InputError(f"{place}.at: must match one of the sizes, not {budget.at}")
--- a/scale_experiments/runs/input_files.py
+++ b/scale_experiments/runs/input_files.py
@@ -39,10 +39,10 @@
     given = "" if first["type"] == "missing" else f", not {first['input']!r}"[:60]
     reason = first["msg"].removeprefix("Value error, ")
     if first["type"] == "extra_forbidden":
-        given, reason = "", "is not known"
+        given, reason = "", "is not a known key"
         if known is not None and len(path) == 1:
             keys = (field.alias or name for name, field in known.model_fields.items())
-            reason += f"; known are {', '.join(keys)}"
+            reason += f"; known keys are {', '.join(keys)}"
     return f"{file}: {field}: {reason}{given}".replace("\n", " ")
 
 
@@ -53,4 +53,4 @@
     except OSError as e:
         raise InputError(f"{file}: file: {e.strerror or e}") from e
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as e:
-        raise InputError(f"{file}: file: is not TOML: {e}".replace("\n", " ")) from e
+        raise InputError(f"{file}: file: must be TOML: {e}".replace("\n", " ")) from e
--- a/scale_experiments/runs/runner.py
+++ b/scale_experiments/runs/runner.py
@@ -65,7 +65,7 @@
                 with self.context:
                     self._measure_all()
             except TimeLimit:
-                self._log_warning("time limit")
+                self._log_warning("time limit reached")
             except KeyboardInterrupt:
                 interrupted = not self.result.complete
                 self._log_warning("interrupted")
--- a/tests/scale_experiments/test_scale_experiments.py
+++ b/tests/scale_experiments/test_scale_experiments.py
@@ -97,7 +97,9 @@
 
 def test_an_unknown_parameter_is_answered_with_the_keys_of_the_file(tmp_path: Path) -> None:
     file = write_experiment(tmp_path, '"list_change"', '"zone_loss"')
-    with pytest.raises(InputError, match=r"parameters\.changes: is not known; known are lost, .*, tries, "):
+    with pytest.raises(
+        InputError, match=r"parameters\.changes: is not a known key; known keys are lost, .*, tries, "
+    ):
         load_experiment(file, SCENARIOS)
 
 
