--- a/scale_experiments/runs/context.py
+++ b/scale_experiments/runs/context.py
@@ -17,7 +17,7 @@
 TERMINATION_GRACE_S = 5.0  # time from SIGTERM to SIGKILL, shared by all processes of a run
 
 
-class TimeLimit(KeyboardInterrupt):
+class TimeLimitInterrupt(KeyboardInterrupt):
     """Raised when the run has reached its time limit.
 
     It derives from KeyboardInterrupt, so that event loops and broad exception handlers let it pass, as they
@@ -53,13 +53,13 @@
     @contextlib.contextmanager
     def shielded(self) -> Iterator[None]:
         """Defer an interruption to the end of the block, where it is raised."""
-        before = self.interruption
+        interruption_on_entry = self.interruption
         self.shield_depth += 1
         try:
             yield
         finally:
             self.shield_depth -= 1
-        if not self.shield_depth and self.interruption is not None and before is None:
+        if not self.shield_depth and self.interruption is not None and interruption_on_entry is None:
             raise self.interruption
 
     def __enter__(self) -> Self:
@@ -70,9 +70,9 @@
     ) -> None:
         self.close()
 
-    def progress(self, text: str) -> None:
+    def progress(self, activity: str) -> None:
         """Report the current activity of the run to the user."""
-        self.report_progress(text)
+        self.report_progress(activity)
 
     def remaining_s(self) -> float:
         """Return the seconds until the run's time limit, or 0 after it."""
@@ -82,15 +82,15 @@
         """Return whether the time limit of the run has passed."""
         return self.remaining_s() <= 0
 
-    def spawn(self, args: Sequence[str], **popen: Any) -> subprocess.Popen[bytes]:
+    def spawn(self, args: Sequence[str], **popen_options: Any) -> subprocess.Popen[bytes]:
         """Start a process in a session and process group of its own.
 
         Ctrl-C therefore doesn't signal it: the run terminates it on exit. Keyword arguments are passed to
         `subprocess.Popen`. Raises OSError if the process can't be started.
         """
-        popen.setdefault("stdin", subprocess.DEVNULL)
+        popen_options.setdefault("stdin", subprocess.DEVNULL)
         with self.shielded():
-            process: subprocess.Popen[bytes] = subprocess.Popen(args, start_new_session=True, **popen)
+            process: subprocess.Popen[bytes] = subprocess.Popen(args, start_new_session=True, **popen_options)
             self.processes.append(process)
         return process
 
@@ -125,12 +125,12 @@
             for stream in (process.stdin, process.stdout, process.stderr):
                 if stream is not None:
                     stream.close()
-        ended = set(map(id, processes))
-        self.processes = [p for p in self.processes if id(p) not in ended]
+        stopped_ids = set(map(id, processes))
+        self.processes = [p for p in self.processes if id(p) not in stopped_ids]
 
 
-def _signal_group(process: subprocess.Popen[bytes], number: signal.Signals) -> None:
+def _signal_group(process: subprocess.Popen[bytes], signal_number: signal.Signals) -> None:
     """Signal a process group, unless its leader has been reaped: its id may have been reused since."""
     if process.returncode is None:
         with contextlib.suppress(ProcessLookupError):
-            os.killpg(process.pid, number)
+            os.killpg(process.pid, signal_number)
--- a/scale_experiments/runs/log.py
+++ b/scale_experiments/runs/log.py
@@ -9,7 +9,7 @@
 
 SECONDS_BETWEEN_LOG_LINES = 5.0
 SECONDS_BETWEEN_REDRAWS = 0.1
-TERMINAL_WIDTH = 118  # maximum length of the progress line in characters
+MAX_PROGRESS_LINE_LENGTH = 118  # in characters, so that the line fits a terminal
 ERASE_LINE = "\r\033[K"  # carriage return, and the ANSI sequence that clears to the end of the line
 
 
@@ -57,7 +57,7 @@
                 f"{self._step}/{self.steps}  {self._description}  {activity}"
                 f"  {elapsed_s} s of {limit_s} s at most"
             )
-            print(f"{ERASE_LINE}{line[:TERMINAL_WIDTH]}", end="", file=sys.stderr, flush=True)
+            print(f"{ERASE_LINE}{line[:MAX_PROGRESS_LINE_LENGTH]}", end="", file=sys.stderr, flush=True)
             return
         self._log.info(
             "progress",
--- a/scale_experiments/runs/runner.py
+++ b/scale_experiments/runs/runner.py
@@ -12,7 +12,7 @@
 
 import structlog
 
-from scale_experiments.runs.context import ExperimentContext, TimeLimit
+from scale_experiments.runs.context import ExperimentContext, TimeLimitInterrupt
 from scale_experiments.runs.experiment import CheckedExperiment
 from scale_experiments.runs.log import Progress
 from scale_experiments.runs.results import Result, new_result, stored_sample, write_result
@@ -64,7 +64,7 @@
             try:
                 with self.context:
                     self._measure_all()
-            except TimeLimit:
+            except TimeLimitInterrupt:
                 self._log_warning("time limit reached")
             except KeyboardInterrupt:
                 interrupted = not self.result.complete
@@ -75,13 +75,13 @@
         return RunOutcome(self.result, interrupted)
 
     def _measure_all(self) -> None:
-        """Measure every repeat of every size; raises TimeLimit if the limit passes before the last step."""
+        """Measure every repeat of every size; raises TimeLimitInterrupt if time runs out before the last step."""
         for step, (repeat, size) in enumerate(self._steps(), 1):
             columns = " ".join(f"{column}={value:g}" for column, value in size.items())
             self.progress.start_step(step, f"{columns} repeat={repeat}")
             self._measure(repeat, size)
             if self.context.expired() and step < self.steps:
-                raise TimeLimit
+                raise TimeLimitInterrupt
         with self.context.shielded():
             self.result.mark_complete()
             write_result(self.result, self.path)
@@ -113,18 +113,18 @@
 def interruptible(context: ExperimentContext, time_limit_s: float) -> Iterator[None]:
     """Interrupt the run on Ctrl-C, SIGTERM or the time limit; restore the previous handlers on exit."""
 
-    def interrupt(number: int, _: FrameType | None) -> None:
-        context.interrupt(TimeLimit() if number == signal.SIGALRM else KeyboardInterrupt())
+    def interrupt(signal_number: int, _: FrameType | None) -> None:
+        context.interrupt(TimeLimitInterrupt() if signal_number == signal.SIGALRM else KeyboardInterrupt())
 
     signals = (signal.SIGINT, signal.SIGTERM, signal.SIGALRM)
-    previous_handlers = {each: signal.signal(each, interrupt) for each in signals}
+    previous_handlers = {number: signal.signal(number, interrupt) for number in signals}
     signal.setitimer(signal.ITIMER_REAL, time_limit_s + TIME_LIMIT_GRACE_S)
     try:
         yield
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0)
-        for each, handler in previous_handlers.items():
-            signal.signal(each, handler)
+        for number, handler in previous_handlers.items():
+            signal.signal(number, handler)
 
 
 def check_metrics(sample: Sample, scenario: AnyScenario) -> None:
