--- a/scale_experiments/runs/runner.py
+++ b/scale_experiments/runs/runner.py
@@ -75,7 +75,10 @@
         return RunOutcome(self.result, interrupted)
 
     def _measure_all(self) -> None:
-        """Measure every repeat of every size; raises TimeLimitInterrupt if time runs out before the last step."""
+        """Measure every repeat of every size.
+
+        Raises TimeLimitInterrupt if the time limit passes before the last step.
+        """
         for step, (repeat, size) in enumerate(self._steps(), 1):
             columns = " ".join(f"{column}={value:g}" for column, value in size.items())
             self.progress.start_step(step, f"{columns} repeat={repeat}")
