--- a/scale_experiments/__main__.py
+++ b/scale_experiments/__main__.py
@@ -182,8 +182,8 @@
 def _print_columns(rows: Sequence[tuple[str, str]]) -> None:
     """Print names and their descriptions in two columns."""
     width = max((len(name) for name, _ in rows), default=0)
-    for name, meaning in rows:
-        click.echo(f"  {name:{width}}  {meaning}")
+    for name, description in rows:
+        click.echo(f"  {name:{width}}  {description}")
 
 
 @cli.command(epilog=FIT_STATUSES, short_help="Print how the metrics of results grow with the fleet.")
--- a/scale_experiments/runs/experiment.py
+++ b/scale_experiments/runs/experiment.py
@@ -103,27 +103,29 @@
         known = ", ".join(scenarios)
         raise InputError(f"{file}: kind: must be one of {known}, not {experiment.kind!r}") from None
     parameters = _validate(file, scenario.parameters, experiment.parameters, ("parameters",))
-    for number, size in enumerate(experiment.sizes):
-        _validate(file, scenario.size, size, ("sizes", number))
+    for index, size in enumerate(experiment.sizes):
+        _validate(file, scenario.size, size, ("sizes", index))
     _check_budgets(file, experiment, scenario)
     return CheckedExperiment(experiment, scenario, parameters)
 
 
 def _validate(
-    file: Path, model: type[Model], table: Mapping[str, Any], within: tuple[int | str, ...] = ()
+    file: Path, model: type[Model], table: Mapping[str, Any], table_path: tuple[int | str, ...] = ()
 ) -> Model:
-    """Validate a table, whose path in the file is `within`; raises InputError."""
+    """Validate a table, whose path in the file is `table_path`; raises InputError."""
     try:
         return model.model_validate(table)
     except ValidationError as e:
-        raise InputError(describe_validation_error(file, e, within, model)) from e
+        raise InputError(describe_validation_error(file, e, table_path, model)) from e
 
 
 def _check_budgets(file: Path, experiment: Experiment, scenario: AnyScenario) -> None:
     """Raise InputError for a budget whose metric the scenario doesn't measure, or that applies to no size."""
-    for number, budget in enumerate(experiment.budgets):
-        place = f"{file}: budgets[{number}]"
+    for index, budget in enumerate(experiment.budgets):
+        location = f"{file}: budgets[{index}]"
         if budget.metric not in scenario.metric_descriptions:
-            raise InputError(f"{place}.metric: must be a metric of {experiment.kind}, not {budget.metric!r}")
+            raise InputError(
+                f"{location}.metric: must be a metric of {experiment.kind}, not {budget.metric!r}"
+            )
         if not any(budget.applies_to(size) for size in experiment.sizes):
-            raise InputError(f"{place}.at: must match one of the sizes, not {budget.at}")
+            raise InputError(f"{location}.at: must match one of the sizes, not {budget.at}")
--- a/scale_experiments/runs/input_files.py
+++ b/scale_experiments/runs/input_files.py
@@ -15,33 +15,33 @@
 
 def field_path(path: tuple[int | str, ...]) -> str:
     """Format the path of a field, such as `sizes[0].caches`."""
-    spelled = ""
+    text = ""
     for part in path:
-        spelled += f"[{part}]" if isinstance(part, int) else f".{part}" if spelled else part
-    return spelled
+        text += f"[{part}]" if isinstance(part, int) else f".{part}" if text else part
+    return text
 
 
 def describe_validation_error(
     file: Path,
     error: ValidationError,
-    within: tuple[int | str, ...] = (),
-    known: type[BaseModel] | None = None,
+    table_path: tuple[int | str, ...] = (),
+    schema: type[BaseModel] | None = None,
 ) -> str:
     """Describe the first error of a validation in one line.
 
-    `within` is the path of the validated table in the file. `known` is the schema of the table, whose keys
-    are listed if the error is an unknown key.
+    `table_path` is the path of the validated table in the file. `schema` is that of the table; its keys are
+    listed if the error is an unknown key.
     """
     # an unknown key is reported before a missing one, as it is often a misspelling of that
     first = min(error.errors(include_url=False), key=lambda e: e["type"] != "extra_forbidden")
     path = first["loc"]
-    field = field_path((*within, *path)) or "file"
+    field = field_path((*table_path, *path)) or "file"
     given = "" if first["type"] == "missing" else f", not {first['input']!r}"[:60]
     reason = first["msg"].removeprefix("Value error, ")
     if first["type"] == "extra_forbidden":
         given, reason = "", "is not a known key"
-        if known is not None and len(path) == 1:
-            keys = (field.alias or name for name, field in known.model_fields.items())
+        if schema is not None and len(path) == 1:
+            keys = (field.alias or name for name, field in schema.model_fields.items())
             reason += f"; known keys are {', '.join(keys)}"
     return f"{file}: {field}: {reason}{given}".replace("\n", " ")
 
--- a/scale_experiments/runs/results.py
+++ b/scale_experiments/runs/results.py
@@ -123,29 +123,29 @@
 
 def current_versions() -> Versions:
     """Return the versions of this program, of Python and of the packages, and the machine's processor."""
-    revision = _git("rev-parse", "HEAD") or "unknown"
-    if _git("status", "--porcelain", "--untracked-files=no", "--", *MEASURED_FILES):
+    revision = _run_git("rev-parse", "HEAD") or "unknown"
+    if _run_git("status", "--porcelain", "--untracked-files=no", "--", *MEASURED_FILES):
         revision += CHANGES_SUFFIX
     return Versions(
         python=platform.python_version(),
         project=revision,
         packages={name: importlib.metadata.version(name) for name in PACKAGES},
-        processor=_processor(),
+        processor=_describe_processor(),
     )
 
 
-def _git(*args: str) -> str:
+def _run_git(*args: str) -> str:
     """Return the output of a git command in the repository; empty if it fails or git is not installed."""
     try:
-        done = subprocess.run(
+        completed = subprocess.run(
             ["git", *args], cwd=ROOT, capture_output=True, text=True, timeout=GIT_TIMEOUT_S, check=True
         )
     except (OSError, subprocess.SubprocessError):
         return ""
-    return done.stdout.strip()
+    return completed.stdout.strip()
 
 
-def _processor() -> str:
+def _describe_processor() -> str:
     """Return the number of cores and the processor's name.
 
     CPU seconds are comparable only between runs on the same processor.
@@ -175,12 +175,12 @@
         result.model_dump(mode="json", by_alias=True), option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE
     )
     path.parent.mkdir(parents=True, exist_ok=True)
-    temporary = path.with_name(path.name + ".tmp")
+    temporary_path = path.with_name(path.name + ".tmp")
     try:
-        temporary.write_bytes(text)
-        temporary.replace(path)
+        temporary_path.write_bytes(text)
+        temporary_path.replace(path)
     finally:
-        temporary.unlink(missing_ok=True)
+        temporary_path.unlink(missing_ok=True)
 
 
 def load_result(path: Path) -> Result:
