--- a/scale_experiments/endpoint_lists/endpoint_changes.py
+++ b/scale_experiments/endpoint_lists/endpoint_changes.py
@@ -20,7 +20,7 @@
 
 DEFAULT_ZONES = 51
 DEFAULT_WEIGHT = 1.0
-GROUPS = 4
+GROUP_COUNT = 4
 
 
 class ListChangeSize(BaseModel):
@@ -73,7 +73,7 @@
             f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}:{CACHE_PORT}",
             zone=f"z{i % zones}",
             server_type="std-1c" if i < caches else "origin",
-            group=i % GROUPS,
+            group=i % GROUP_COUNT,
             weight=weight,
         )
         for i, name in enumerate(names.tolist())
@@ -112,20 +112,20 @@
         """Yield a change of an entry; after a drain or a change of weight, also the change that undoes it."""
         match kind:
             case ChangeKind.DRAIN:
-                yield self._indexed(kind, {**entry, "status": TERMINATING})
-                yield self._indexed(None, entry)
+                yield self._next_change(kind, {**entry, "status": TERMINATING})
+                yield self._next_change(None, entry)
             case ChangeKind.GONE:
-                yield self._indexed(kind, {**entry, "status": TERMINATED})
+                yield self._next_change(kind, {**entry, "status": TERMINATED})
             case ChangeKind.JOIN:
-                yield self._indexed(kind, entry)
+                yield self._next_change(kind, entry)
             case ChangeKind.RESTART:
                 self.restarts += 1
-                yield self._indexed(kind, {**entry, "since_ms": self.restarts})
+                yield self._next_change(kind, {**entry, "since_ms": self.restarts})
             case ChangeKind.WEIGHT:
-                yield self._indexed(kind, {**entry, "weight": entry["weight"] / 2})
-                yield self._indexed(None, entry)
+                yield self._next_change(kind, {**entry, "weight": entry["weight"] / 2})
+                yield self._next_change(None, entry)
 
-    def _indexed(self, kind: ChangeKind | None, entry: EndpointEntry) -> EndpointChange:
+    def _next_change(self, kind: ChangeKind | None, entry: EndpointEntry) -> EndpointChange:
         index = self.next_index
         self.next_index += 1
         return EndpointChange(kind, index, entry)
--- a/scale_experiments/expression.py
+++ b/scale_experiments/expression.py
@@ -22,7 +22,7 @@
     "exp": math.exp,
     "log": math.log,
 }
-ALLOWED = f"numbers, names, + - * / **, parentheses and the functions {', '.join(FUNCTIONS)}"
+ALLOWED_SYNTAX = f"numbers, names, + - * / **, parentheses and the functions {', '.join(FUNCTIONS)}"
 
 
 class ExpressionError(ValueError):
@@ -74,7 +74,7 @@
                     self._check(arg)
                 return
         source = ast.unparse(node) if isinstance(node, ast.expr) else repr(node)
-        raise ExpressionError(f"{source} is not allowed; must consist of {ALLOWED}")
+        raise ExpressionError(f"{source} is not allowed; must consist of {ALLOWED_SYNTAX}")
 
     def _evaluate(self, node: ast.AST, lookup: Callable[[str], float]) -> float:
         match node:
