--- a/tests/scale_experiments/test_expression.py
+++ b/tests/scale_experiments/test_expression.py
@@ -7,7 +7,7 @@
 from scale_experiments.expression import MAX_LENGTH, Expression, ExpressionError
 
 
-def test_an_expression_is_worked_out_by_the_values_of_its_names() -> None:
+def test_an_expression_is_evaluated_with_the_values_of_its_names() -> None:
     expression = Expression("-min(a, b) ** 2 + max(1, 2.5) * (a - b) / 2")
     assert expression.names == {"a", "b"}
     assert expression.value({"a": 3.0, "b": 4.0}.__getitem__) == -9 + 2.5 * (3 - 4) / 2
@@ -30,7 +30,7 @@
         "f()",
     ],
 )
-def test_all_else_is_rejected(text: str) -> None:
+def test_other_python_syntax_is_rejected(text: str) -> None:
     with pytest.raises(ExpressionError):
         Expression(text)
 
--- a/tests/scale_experiments/test_scale_experiments.py
+++ b/tests/scale_experiments/test_scale_experiments.py
@@ -27,8 +27,8 @@
 from scale_experiments.target import TARGET, load_target
 
 ROOT = Path(__file__).parents[2]
-PATIENCE_S = 120.0
-SMALL = """
+TIMEOUT_S = 120.0
+SMALL_EXPERIMENT = """
 name = "small"
 kind = "list_change"
 seed = 3
@@ -51,9 +51,9 @@
 
 def write_experiment(folder: Path, old: str = "", new: str = "") -> Path:
     """Write the small experiment, with one part of its text replaced."""
-    assert old in SMALL
+    assert old in SMALL_EXPERIMENT
     file = folder / "small.toml"
-    file.write_text(SMALL.replace(old, new, 1))
+    file.write_text(SMALL_EXPERIMENT.replace(old, new, 1))
     return file
 
 
@@ -63,7 +63,7 @@
 
 def run_command(*args: str | Path) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        command(*args), cwd=ROOT, capture_output=True, text=True, timeout=PATIENCE_S, check=False
+        command(*args), cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S, check=False
     )
 
 
@@ -87,7 +87,7 @@
         ("{ caches = 20 }", "{ caches = 21 }", "budgets[0].at"),
     ],
 )
-def test_a_fault_is_named_by_file_and_field(tmp_path: Path, old: str, new: str, field: str) -> None:
+def test_an_input_error_names_file_and_field(tmp_path: Path, old: str, new: str, field: str) -> None:
     file = write_experiment(tmp_path, old, new)
     with pytest.raises(InputError) as rejected:
         load_experiment(file, SCENARIOS)
@@ -95,7 +95,7 @@
     assert "\n" not in str(rejected.value)
 
 
-def test_an_unknown_parameter_is_answered_with_the_keys_of_the_file(tmp_path: Path) -> None:
+def test_the_error_for_an_unknown_parameter_lists_the_keys_of_the_file(tmp_path: Path) -> None:
     file = write_experiment(tmp_path, '"list_change"', '"zone_loss"')
     with pytest.raises(
         InputError, match=r"parameters\.changes: is not a known key; known keys are lost, .*, tries, "
@@ -110,7 +110,7 @@
         load_experiment(file, SCENARIOS)
 
 
-def test_the_target_is_read_and_its_faults_are_named(tmp_path: Path) -> None:
+def test_the_target_is_read_and_its_errors_name_the_field(tmp_path: Path) -> None:
     assert load_target().target.caches > load_target().today.caches
     file = tmp_path / "target.toml"
     file.write_text(TARGET.read_text().replace("caches = 840", "caches = 0"))
@@ -119,8 +119,8 @@
 
 
 def test_a_small_run_measures_both_sizes(tmp_path: Path) -> None:
-    done = run_command("run", write_experiment(tmp_path), "--out", tmp_path)
-    assert done.returncode == 0, done.stderr
+    completed = run_command("run", write_experiment(tmp_path), "--out", tmp_path)
+    assert completed.returncode == 0, completed.stderr
     result = load_result(tmp_path / "small.json")
     assert result.complete
     assert [s.size["caches"] for s in result.samples] == [5, 20]
@@ -133,25 +133,25 @@
     assert decode_histogram(result.samples[0].histograms["change_us"]).get_total_count() == 5
 
 
-def test_a_broken_budget_is_status_1_and_the_result_stays(tmp_path: Path) -> None:
-    done = run_command(
+def test_an_exceeded_budget_is_status_1_and_the_result_is_kept(tmp_path: Path) -> None:
+    completed = run_command(
         "run", write_experiment(tmp_path, "most = 1e6", "most = 1"), "--out", tmp_path, "--label", "trial"
     )
-    assert done.returncode == 1
-    assert "whole_list_bytes at caches 20" in done.stdout
+    assert completed.returncode == 1
+    assert "whole_list_bytes at caches 20" in completed.stdout
     assert load_result(tmp_path / "small.trial.json").complete
 
 
 def test_bad_input_is_status_2_and_one_line(tmp_path: Path) -> None:
     for name in ("small.toml", "absent.toml"):
         write_experiment(tmp_path, "seed = 3", "seed = 0.5")
-        done = run_command("run", tmp_path / name)
-        assert done.returncode == 2
-        assert len(done.stderr.splitlines()) == 1
-        assert name in done.stderr
+        completed = run_command("run", tmp_path / name)
+        assert completed.returncode == 2
+        assert len(completed.stderr.splitlines()) == 1
+        assert name in completed.stderr
 
 
-def test_ctrl_c_keeps_what_was_measured(tmp_path: Path) -> None:
+def test_ctrl_c_keeps_the_measured_samples(tmp_path: Path) -> None:
     """Interrupts the second size, which takes longer to measure than this test runs."""
     file = write_experiment(tmp_path, "whole_lists = 1\n", "whole_lists = 100\n")
     file.write_text(file.read_text().replace("caches = 20", "caches = 2000"))
@@ -160,11 +160,11 @@
         command("run", file, "--out", tmp_path), cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE
     ) as process:
         try:
-            deadline = time.monotonic() + PATIENCE_S
+            deadline = time.monotonic() + TIMEOUT_S
             while not path.exists() and time.monotonic() < deadline:
                 time.sleep(0.02)
             process.send_signal(signal.SIGINT)
-            process.communicate(timeout=PATIENCE_S)
+            process.communicate(timeout=TIMEOUT_S)
         finally:
             process.kill()
     assert process.returncode == 130
@@ -187,8 +187,8 @@
 class Stub:
     """A scenario that yields one sample, starts a process, and waits in an event loop to be interrupted."""
 
-    def __init__(self, number: signal.Signals | None) -> None:
-        self.number = number
+    def __init__(self, signal_number: signal.Signals | None) -> None:
+        self.signal_number = signal_number
         self.process: subprocess.Popen[bytes] | None = None
 
     def measure(
@@ -202,8 +202,8 @@
         asyncio.run(self._wait())
 
     async def _wait(self) -> None:
-        if self.number is not None:
-            asyncio.get_running_loop().call_soon(os.kill, os.getpid(), self.number)
+        if self.signal_number is not None:
+            asyncio.get_running_loop().call_soon(os.kill, os.getpid(), self.signal_number)
         await asyncio.sleep(600)
 
 
@@ -223,14 +223,14 @@
 
 
 @pytest.mark.parametrize(
-    ("number", "time_limit_s", "by_signal"),
+    ("signal_number", "time_limit_s", "by_signal"),
     [(signal.SIGINT, 60.0, True), (signal.SIGTERM, 60.0, True), (None, 0.1, False)],
 )
-def test_however_a_run_ends_its_processes_end_and_its_samples_stay(
-    tmp_path: Path, number: signal.Signals | None, time_limit_s: float, by_signal: bool
+def test_an_interrupted_run_ends_its_processes_and_keeps_its_samples(
+    tmp_path: Path, signal_number: signal.Signals | None, time_limit_s: float, by_signal: bool
 ) -> None:
-    stub = Stub(number)
-    before = signal.getsignal(signal.SIGINT)
+    stub = Stub(signal_number)
+    previous_handler = signal.getsignal(signal.SIGINT)
     outcome = run_stub(stub, tmp_path / "stub.json", time_limit_s)
     result = outcome.result
     assert outcome.interrupted is by_signal
@@ -239,10 +239,10 @@
     assert decode_histogram(result.samples[0].histograms["wait_us"]).get_max_value() == 7
     assert stub.process is not None
     assert stub.process.returncode is not None
-    assert signal.getsignal(signal.SIGINT) is before
+    assert signal.getsignal(signal.SIGINT) is previous_handler
 
 
-def test_a_metric_that_the_scenario_does_not_know_is_a_fault(tmp_path: Path) -> None:
+def test_a_metric_that_the_scenario_does_not_declare_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(ValueError, match="waits_count"):
         run_stub(Stub(None), tmp_path / "stub.json", 60.0, metric="other_count")
     assert not (tmp_path / "stub.json").exists()
