--- a/scale_experiments/endpoint_lists/endpoint_changes.py
+++ b/scale_experiments/endpoint_lists/endpoint_changes.py
@@ -18,9 +18,9 @@
     encode_list,
 )
 
-DEFAULT_ZONES = 51
+DEFAULT_ZONES = 51  # zones of the planned fleet in target.toml
 DEFAULT_WEIGHT = 1.0
-GROUP_COUNT = 4
+GROUP_COUNT = 4  # groups over which the servers of a list are spread
 
 
 class ListChangeSize(BaseModel):
--- a/scale_experiments/measurement/estimate.py
+++ b/scale_experiments/measurement/estimate.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-# as a fraction of the value: smaller standard errors are rounding errors, which differ between machines
+# fraction of a value: smaller standard errors are rounding errors, which differ between machines
 ROUNDING_TOLERANCE = 1e-9
 
 
--- a/scale_experiments/runs/log.py
+++ b/scale_experiments/runs/log.py
@@ -9,7 +9,7 @@
 
 SECONDS_BETWEEN_LOG_LINES = 5.0
 SECONDS_BETWEEN_REDRAWS = 0.1
-MAX_PROGRESS_LINE_LENGTH = 118  # in characters, so that the line fits a terminal
+MAX_PROGRESS_LINE_LENGTH = 118  # length in characters; a longer line would wrap
 ERASE_LINE = "\r\033[K"  # carriage return, and the ANSI sequence that clears to the end of the line
 
 
--- a/scale_experiments/target.py
+++ b/scale_experiments/target.py
@@ -47,13 +47,13 @@
     objects: Count
     purges_per_s: Amount
     purge_done_everywhere_s: Amount
-    # changes of the configuration
+    # configuration changes: their number, and the time within which each has to be in force
     changes_per_day: Amount
     change_in_force_everywhere_s: Amount
 
 
 class ControlBudget(StrictTable):
-    """The resources of each router that the control plane may use, and the number of its own machines."""
+    """The resources of each router that the control plane may use, and the control plane's machines."""
 
     router_core_share: Annotated[Amount, Field(le=1)]
     router_memory_mb: Amount
