--- a/scale_experiments/runs/runner.py
+++ b/scale_experiments/runs/runner.py
@@ -1,4 +1,4 @@
-"""Running an experiment: every repeat of every size, within the time limit."""
+"""Execution of an experiment: every repeat of every size, within the time limit."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 
 import structlog
 
-from scale_experiments.runs.context import ExperimentContext, TimeLimit
+from scale_experiments.runs.context import ExperimentContext, TimeLimitInterrupt
 from scale_experiments.runs.experiment import CheckedExperiment
 from scale_experiments.runs.log import Progress
 from scale_experiments.runs.results import Result, new_result, stored_sample, write_result
 from scale_experiments.runs.sample import Sample
 from scale_experiments.runs.scenario import AnyScenario
 
-# after the time limit a scenario has this long to return before it is interrupted
+# time that a scenario has to return after the time limit, before it is interrupted
 TIME_LIMIT_GRACE_S = 1.0
 
 
 @dataclass(slots=True, frozen=True)
 class RunOutcome:
-    """A result, and whether Ctrl-C or SIGTERM ended its run before it was complete."""
+    """A result, and whether Ctrl-C or SIGTERM ended the run before the result was complete."""
 
     result: Result
     interrupted: bool
 
 
 def run(checked: CheckedExperiment, path: Path) -> RunOutcome:
-    """Measure, and rewrite the result at `path` after each sample.
+    """Run an experiment, and rewrite the result at `path` after each sample.
 
-    Raises what the scenario raises; the result then has the samples before it. Raises ValueError for a metric
-    that the scenario doesn't declare or that is not finite.
+    Exceptions of the scenario propagate; the result then has the samples measured before. Raises ValueError
+    for a metric that the scenario doesn't declare or that is not finite.
     """
     return _Run(checked, path).execute()
 
@@ -64,8 +64,8 @@
             try:
                 with self.context:
                     self._measure_all()
-            except TimeLimit:
-                self._log_warning("time limit")
+            except TimeLimitInterrupt:
+                self._log_warning("time limit reached")
             except KeyboardInterrupt:
                 interrupted = not self.result.complete
                 self._log_warning("interrupted")
@@ -75,19 +75,22 @@
         return RunOutcome(self.result, interrupted)
 
     def _measure_all(self) -> None:
-        """Measure every repeat of every size; raises TimeLimit if the limit passes before the last step."""
+        """Measure every repeat of every size.
+
+        Raises TimeLimitInterrupt if the time limit passes before the last step.
+        """
         for step, (repeat, size) in enumerate(self._steps(), 1):
             columns = " ".join(f"{column}={value:g}" for column, value in size.items())
             self.progress.start_step(step, f"{columns} repeat={repeat}")
             self._measure(repeat, size)
             if self.context.expired() and step < self.steps:
-                raise TimeLimit
+                raise TimeLimitInterrupt
         with self.context.shielded():
             self.result.mark_complete()
             write_result(self.result, self.path)
 
     def _steps(self) -> Iterator[tuple[int, Mapping[str, float | int]]]:
-        """The repeats and sizes in order.
+        """Yield the repeats and sizes in order.
 
         All sizes are measured once before any is repeated, so that a change of the machine's load during the
         run affects all sizes alike.
@@ -111,20 +114,20 @@
 
 @contextlib.contextmanager
 def interruptible(context: ExperimentContext, time_limit_s: float) -> Iterator[None]:
-    """Let Ctrl-C, SIGTERM and the time limit interrupt the run; previous handlers are restored on exit."""
+    """Interrupt the run on Ctrl-C, SIGTERM or the time limit; restore the previous handlers on exit."""
 
-    def interrupt(number: int, _: FrameType | None) -> None:
-        context.interrupt(TimeLimit() if number == signal.SIGALRM else KeyboardInterrupt())
+    def interrupt(signal_number: int, _: FrameType | None) -> None:
+        context.interrupt(TimeLimitInterrupt() if signal_number == signal.SIGALRM else KeyboardInterrupt())
 
     signals = (signal.SIGINT, signal.SIGTERM, signal.SIGALRM)
-    previous_handlers = {each: signal.signal(each, interrupt) for each in signals}
+    previous_handlers = {number: signal.signal(number, interrupt) for number in signals}
     signal.setitimer(signal.ITIMER_REAL, time_limit_s + TIME_LIMIT_GRACE_S)
     try:
         yield
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0)
-        for each, handler in previous_handlers.items():
-            signal.signal(each, handler)
+        for number, handler in previous_handlers.items():
+            signal.signal(number, handler)
 
 
 def check_metrics(sample: Sample, scenario: AnyScenario) -> None:
