--- a/scale_experiments/routers/hollow/router.py
+++ b/scale_experiments/routers/hollow/router.py
@@ -83,7 +83,7 @@
     def _on_update(self, kind: EndpointUpdateKind, endpoints: list[NetworkEndpoint]) -> None:
         self._dispatcher.on_endpoint_update(kind, endpoints)
         self._statistics.on_update()
-        # the watch records the index once the update has been applied
+        # the watch stores the new index only after this method has returned
         asyncio.get_running_loop().call_soon(self._record_index)
 
     def _record_index(self) -> None:
--- a/scale_experiments/routers/watch_fleet.py
+++ b/scale_experiments/routers/watch_fleet.py
@@ -59,7 +59,7 @@
     discoveries: int  # number of discovery processes, each with its own address
     caches: int  # number of entries in the endpoint list
     zones: int  # number of zones over which the caches are spread
-    real_mode: HollowMode  # what the real routers build from the endpoint list
+    real_mode: HollowMode  # mode in which the real routers handle the endpoint list
     spread_s: float  # period over which the starts of the routers are spread
     seed: int
 
--- a/scale_experiments/scenarios/cold_start.py
+++ b/scale_experiments/scenarios/cold_start.py
@@ -1,4 +1,4 @@
-"""One page cache restarts empty and warms up; a budget limits the load that all routers together send it.
+"""One cache server restarts empty and warms up; a budget limits the load that all routers together send it.
 
 The cache is shut down, other caches take over its keys, and it restarts empty. Each router is notified of
 both changes at a random time. The attempts that the cache receives in each window of
@@ -41,7 +41,7 @@
         description="highest ratio, in any window, of attempts at the warming cache to its budget N"
     )
     budget_slack_share: Share = Field(
-        description="the same over N + 2 x sqrt(N) + 2, a budget with a statistical tolerance"
+        description="budget_share relative to N + 2 x sqrt(N) + 2, a budget with a statistical tolerance"
     )
     budget_first_count: Count = Field(
         description="budget N, in attempts, of the window that begins as the cache starts"
@@ -57,7 +57,7 @@
         description="share of clients' requests during the slow start that were served, retries included"
     )
     attempts_per_request: Ratio = Field(
-        description="attempts at page caches for each request that routers accepted, during the slow start"
+        description="attempts at cache servers for each request that routers accepted, during the slow start"
     )
     tries_per_wish: Ratio = Field(
         description="requests accepted by routers for each object that a client needs, in the slow start"
@@ -117,8 +117,8 @@
     """The columns of one size of an experiment."""
 
     routers: WholeNumber = Field(description="routers of the fleet, all of which are simulated")
-    caches: WholeNumber = Field(description="page caches")
-    cores: WholeNumber = Field(description="cores of each page cache")
+    caches: WholeNumber = Field(description="cache servers")
+    cores: WholeNumber = Field(description="cores of each cache server")
 
 
 def build_fleet(parameters: Parameters, size: Size, seed: int) -> Fleet:
--- a/scale_experiments/scenarios/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -1,9 +1,10 @@
-"""Connections and handshakes between routers and page caches, in a simulated fleet.
+"""Connections and handshakes between routers and cache servers, in a simulated fleet.
 
-No cache joins or leaves the fleet, and all have enough capacity. Only a sample of the routers is simulated.
-Metrics of a page cache are scaled up to the whole fleet, by the ratio of `routers` to `routers_run`, and are
-described as scaled. Metrics of routers are measured on the sample and described as measured. A metric of the
-worst cache tends to be too high, because the sampling error adds to the differences between caches.
+The endpoint list does not change, and the capacity of the caches is unlimited. Only a sample of the routers
+is simulated. Metrics of a cache server are scaled up to the whole fleet, by the ratio of `routers` to
+`routers_run`, and are described as scaled. Metrics of routers are measured on the sample and described as
+measured. A metric of the worst cache tends to be too high, because the sampling error adds to the differences
+between caches.
 """
 
 from __future__ import annotations
@@ -33,47 +34,52 @@
 
 
 class ConnectionsMetrics(Metrics):
-    """Metrics of page caches (`cache_`), of routers (`router_`) and of requests."""
+    """Metrics of cache servers (`cache_`), of routers (`router_`) and of requests."""
 
     routers_run: Count = Field(
         description="routers that were simulated; metrics of a cache are scaled up from them"
     )
     cache_connections_mean: Count = Field(
-        description="open connections at a page cache, mean over time and caches (scaled)"
+        description="open connections at a cache server, mean over time and caches (scaled)"
     )
     cache_connections_p99: Count = Field(
-        description="the same at the 99th percentile over caches, mean over time (scaled)"
+        description="open connections at the 99th percentile over caches, mean over time (scaled)"
+    )
+    cache_connections_worst: Count = Field(
+        description="open connections at the worst cache, mean over time (scaled)"
     )
-    cache_connections_worst: Count = Field(description="the same at the worst cache, mean over time (scaled)")
     cache_connections_worst_high: Count = Field(
-        description="99th percentile over time at the worst cache (scaled, assuming a normal distribution)"
+        description="open connections at the worst cache, 99th percentile over time (scaled, assuming a"
+        " normal distribution)"
     )
     cache_connections_per_core: Ratio = Field(description="cache_connections_worst over cache_cores")
     cache_cores: Cores = Field(
-        description="cores that a page cache needs for its mean rate at a utilization of `use_share`"
+        description="cores that a cache server needs for its mean rate at a utilization of `use_share`"
     )
-    cache_requests_per_s: PerSecond = Field(description="attempts received by a page cache, mean (scaled)")
+    cache_requests_per_s: PerSecond = Field(description="attempts received by a cache server, mean (scaled)")
     cache_requests_worst_ratio: Ratio = Field(
         description="attempts received by the busiest cache over the mean of all caches"
     )
-    cache_handshakes_per_s: PerSecond = Field(description="new connections at a page cache, mean (scaled)")
+    cache_handshakes_per_s: PerSecond = Field(description="new connections at a cache server, mean (scaled)")
     cache_handshake_cores: Cores = Field(
-        description="cores that a page cache spends on handshakes, mean (scaled)"
+        description="cores that a cache server spends on handshakes, mean (scaled)"
     )
     handshakes_per_request: Ratio = Field(description="new connections for each request accepted (measured)")
     attempts_per_request: Ratio = Field(
-        description="attempts at page caches for each request accepted (measured)"
+        description="attempts at cache servers for each request accepted (measured)"
     )
     router_connections_mean: Count = Field(
-        description="open connections of a router to page caches, mean over time (measured)"
+        description="open connections of a router to cache servers, mean over time (measured)"
+    )
+    router_connections_most: Count = Field(
+        description="largest number of connections to caches that any router had open at once (measured)"
     )
-    router_connections_most: Count = Field(description="the most that any router had open at once (measured)")
     router_idle_share: Share = Field(
         description="share of the routers' open connections that were idle at the end (measured)"
     )
     router_dials_per_s: PerSecond = Field(description="connection attempts of a router (measured)")
     caches_met_10s: Count = Field(
-        description="distinct page caches that a router uses within 10 s, mean (measured)"
+        description="distinct cache servers that a router uses within 10 s, mean (measured)"
     )
     handle_cpu_s: Seconds = Field(
         description="processor time of one call of Router.handle, mean of every 16th call (measured)"
@@ -126,7 +132,7 @@
     """The columns of one size of an experiment."""
 
     routers: WholeNumber = Field(description="routers of the fleet, of which a sample is simulated")
-    caches: WholeNumber = Field(description="page caches")
+    caches: WholeNumber = Field(description="cache servers")
     requests_per_s: float = Field(description="requests of clients in the whole fleet, without retries")
     zones: WholeNumber = Field(1, description="zones over which routers and caches are spread")
     regions: WholeNumber = Field(1, description="regions over which the zones are spread")
@@ -134,7 +140,7 @@
 
 
 def build_model(parameters: Parameters, size: Size, warm_s: float) -> FleetModel:
-    """Return the fleet of a size, with so many sampled routers that about `max_requests` are simulated."""
+    """Return the model of a fleet, with a sample of routers that handles about `max_requests` requests."""
     routers = size.routers
     rate = size.requests_per_s / routers
     duration_s = warm_s + parameters.measured_s
@@ -172,7 +178,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CacheLoad:
-    """The load of page caches, scaled up to the whole fleet."""
+    """The load of cache servers, scaled up to the whole fleet."""
 
     mean_connections: float  # open connections of a cache, mean over time and caches
     p99_connections: float  # mean over time, at HIGH_PERCENTILE over caches
@@ -208,7 +214,7 @@
 
 
 def cache_load(fleet: Fleet, use_share: float) -> CacheLoad:
-    """Return the load of page caches since the last reset, with cores for a utilization of `use_share`."""
+    """Return the load of cache servers since the last reset, with cores for a utilization of `use_share`."""
     model, now = fleet.model, fleet.events.now
     seconds = now - fleet.statistics.counted_from
     caches = list(fleet.caches.values())
@@ -260,7 +266,7 @@
 
 
 def compute_metrics(fleet: Fleet, parameters: Parameters) -> ConnectionsMetrics:
-    """Return the metrics of a fleet since its last reset."""
+    """Return the metrics of a fleet since its last reset, and its decision cost since the timer's reset."""
     counts = fleet.statistics.counts
     caches = cache_load(fleet, parameters.use_share)
     routers = router_load(fleet)
--- a/scale_experiments/scenarios/list_costs/path.py
+++ b/scale_experiments/scenarios/list_costs/path.py
@@ -48,7 +48,7 @@
 
 
 def measure_path(workload: ListWorkload) -> PathCosts:
-    """Measure the CPU time of lists after their receipt: JSON, endpoints, endpoint table, decision module."""
+    """Measure the CPU time to parse received lists and update the endpoint table and the decision module."""
     snapshot = workload.snapshot()
     first, unchanged, changes, sizes = [], [], [], []
     for _ in range(workload.repetitions):
--- a/scale_experiments/scenarios/list_costs/router.py
+++ b/scale_experiments/scenarios/list_costs/router.py
@@ -132,8 +132,9 @@
 def measure_zone_drains(
     workload: ListWorkload, endpoints: tuple[Endpoint, ...], router: Router, clock: SteppingClock
 ) -> list[float]:
-    """Measure repeated updates that drain all caches of the first zone; each is undone, unmeasured."""
+    """Measure repeated updates that drain all caches of the first zone; undoing them is not measured."""
     entries = workload.entries
+    # the last entry is the origin, which stays in service
     zone: list[EndpointEntry] = [
         {**entry, "status": TERMINATING} for entry in entries[:-1] if entry["zone"] == entries[0]["zone"]
     ]
--- a/scale_experiments/scenarios/placement.py
+++ b/scale_experiments/scenarios/placement.py
@@ -1,7 +1,7 @@
-"""Hash rings by group of zones, compared with one ring for all page caches.
+"""Hash rings by group of zones, compared with one ring for all cache servers.
 
-The routers of a group use only the page caches of their group. Fewer routers then connect to each cache, but
-each group fetches and caches its own copies of objects. Caches evict the least recently used object. Keys are
+The routers of a group use only the caches of their group. Fewer routers then connect to each cache, but each
+group fetches and caches its own copies of objects. Caches evict the least recently used object. Keys are
 assigned to caches by the hash ring of the decision module. The fleet is small, because only the ratio to one
 ring for all caches is of interest.
 """
@@ -28,8 +28,8 @@
         description="distinct objects; as many as give one ring for all the hit share of the parameters"
     )
     groups_run: Count = Field(description="groups that were simulated; they differ only by random variation")
-    hit_share: Share = Field(description="share of reads that find their object at a page cache")
-    pooled_hit_share: Share = Field(description="the same with one ring for all and the same objects")
+    hit_share: Share = Field(description="share of reads that find their object at a cache server")
+    pooled_hit_share: Share = Field(description="hit share with one ring for all caches and the same objects")
     origin_fetch_ratio: Ratio = Field(description="fetches from the origin, over those with one ring for all")
     origin_load_ratio: Ratio = Field(
         description="fetches and writes at the origin, over those with one ring for all"
@@ -38,10 +38,10 @@
         description="reads at the busiest cache of a group over the mean (hot keys are not spread here)"
     )
     target_routers_per_cache: Count = Field(
-        description="routers that connect to a page cache at the target size (calculated)"
+        description="routers that connect to a cache server at the target size (calculated)"
     )
     target_kept_connections: Count = Field(
-        description="open connections at a page cache at that size, limited by descriptors (calculated)"
+        description="open connections at a cache server at that size, limited by descriptors (calculated)"
     )
 
 
@@ -50,7 +50,7 @@
 
     model_config = ConfigDict(extra="forbid")
 
-    caches: int = Field(100, ge=1, description="page caches of all groups together")
+    caches: int = Field(100, ge=1, description="cache servers of all groups together")
     cached_objects: int = Field(200, alias="kept", ge=1, description="objects that a cache can hold")
     pooled_hit_share: float = Field(0.9, gt=0.1, lt=1, description="hit share of one ring for all")
     rank_offset: float = Field(
@@ -63,7 +63,7 @@
     rounds: float = Field(8.0, gt=0, description="reads of a group over the objects that its caches can hold")
     groups_run: int = Field(4, ge=1, description="maximum number of groups that are simulated")
     target_routers: int = Field(7100, ge=1, description="routers of the planned fleet")
-    target_caches: int = Field(840, ge=1, description="page caches of the planned fleet")
+    target_caches: int = Field(840, ge=1, description="cache servers of the planned fleet")
     descriptors: int = Field(
         372, ge=1, description="descriptors of a router of the planned fleet for connections to caches"
     )
--- a/scale_experiments/scenarios/recovery.py
+++ b/scale_experiments/scenarios/recovery.py
@@ -8,8 +8,9 @@
 
 
 def recovery_seconds(seconds: Sequence[float]) -> float:
-    """Return the seconds until the share reaches `RECOVERED_SHARE` for good; all seconds if it never does.
+    """Return the seconds until the share reaches `RECOVERED_SHARE` and stays there.
 
-    `seconds` has the share of requests served in each second.
+    `seconds` has the share of requests served in each second. If the last share is too low, the result is the
+    number of all seconds.
     """
     return float(max((i + 1 for i, share in enumerate(seconds) if share < RECOVERED_SHARE), default=0))
--- a/scale_experiments/scenarios/socket_metrics.py
+++ b/scale_experiments/scenarios/socket_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of real routers, clients and page caches, from their counts at two points in time."""
+"""Metrics of real routers, clients and cache servers, from their counts at two points in time."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class SocketsMetrics(Metrics):
-    """Metrics of clients, page caches and routers while the load is measured."""
+    """Metrics of clients, cache servers and routers while the load is measured."""
 
     requests_per_s: PerSecond = Field(description="requests that clients sent to all routers")
     served_share: Share = Field(description="share of the ended requests that were served")
@@ -52,7 +52,9 @@
     )
     handshakes_per_cache_per_s: PerSecond = Field(description="new connections at a cache")
     open_per_cache: Count = Field(description="open connections at a cache, mean over time and caches")
-    open_per_cache_per_router: Count = Field(description="the same from each router")
+    open_per_cache_per_router: Count = Field(
+        description="open connections at a cache from each router, mean over time and caches"
+    )
     most_open_at_a_cache: Count = Field(
         description="largest number of connections that any cache had open at once since the start"
     )
@@ -98,7 +100,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CacheMetrics:
-    """Attempts and connections at page caches, as described in `SocketsMetrics`."""
+    """Attempts and connections at cache servers, as described in `SocketsMetrics`."""
 
     attempts_per_request: float
     handshakes_per_request: float
@@ -127,7 +129,7 @@
 def compute_metrics(
     before: UsageSnapshot, after: UsageSnapshot, routers: list[psutil.Process]
 ) -> SocketsMetrics:
-    """Return the metrics of the time between two points in time."""
+    """Return the metrics of the time between two snapshots."""
     seconds = after.caches.at - before.caches.at
     counts = {
         name: count - before.clients.counts.get(name, 0) for name, count in after.clients.counts.items()
@@ -168,7 +170,7 @@
 
 
 def cache_metrics(before: CachesStats, after: CachesStats, requests: int, routers: int) -> CacheMetrics:
-    """Return metrics of page caches while clients sent `requests` requests to `routers` routers."""
+    """Return metrics of cache servers while clients sent `requests` requests to `routers` routers."""
     seconds = after.at - before.at
     pairs = [(before.caches[name], counters) for name, counters in after.caches.items()]
     received = [now.requests - then.requests for then, now in pairs]
--- a/scale_experiments/scenarios/sockets.py
+++ b/scale_experiments/scenarios/sockets.py
@@ -1,7 +1,7 @@
-"""Connections and handshakes between real routers and emulated page caches, and their cost for a router.
+"""Connections and handshakes between real routers and emulated cache servers, and their cost for a router.
 
 The `build` command of deploy/balancer.toml builds the router in a folder of the run. The `run` command starts
-each router process with the limits of a deployment. Each page cache has an address of its own, and emulated
+each router process with the limits of a deployment. Each cache server has an address of its own, and emulated
 clients generate the load. CPU metrics are of the router processes only. `siblings` is the router count in the
 settings, which determines how long routers keep idle connections.
 """
@@ -109,14 +109,14 @@
     """The columns of one size of an experiment."""
 
     routers: WholeNumber = Field(description="router processes")
-    caches: WholeNumber = Field(description="page caches")
+    caches: WholeNumber = Field(description="cache servers")
     requests_per_s: float = Field(description="requests of clients at each router")
     siblings: WholeNumber = Field(description="router count in the settings of each router")
-    faulty: WholeNumber = Field(0, description="page caches that have the fault")
+    faulty: WholeNumber = Field(0, description="cache servers that have the fault")
 
 
 def build_cache_entries(count: int) -> list[EndpointEntry]:
-    """Return entries for page caches, each with an address of its own."""
+    """Return entries for cache servers, each with an address of its own."""
     return build_loopback_entries(count, CACHE_NETWORK, ["a"], "std")
 
 
--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -1,4 +1,4 @@
-"""Recovery after a surge: for some seconds, clients send more requests than the page caches can serve.
+"""Recovery after a surge: for some seconds, clients send more requests than the cache servers can serve.
 
 The router count in the settings may be much larger than the number of routers that are simulated. The page
 caches have cores only for the simulated routers. Each router thus experiences the load of a large fleet,
@@ -40,14 +40,14 @@
         description="share of the requests made after the surge that were served"
     )
     recovery_s: Seconds = Field(
-        description="time from the end of the surge until 95 % of each second's requests are served; at most"
+        description="time from the end of the surge until 95% of each second's requests are served; at most"
         " the time measured"
     )
     refused_per_request: Ratio = Field(
         description="requests rejected for each request that routers accepted, after the surge"
     )
     attempts_per_request: Ratio = Field(
-        description="attempts at page caches for each request that routers accepted, after the surge"
+        description="attempts at cache servers for each request that routers accepted, after the surge"
     )
     cache_use_share: Share = Field(
         description="attempts that the caches received after the surge, over those that they can serve"
@@ -77,8 +77,8 @@
 
     routers: WholeNumber = Field(description="router count in the settings of each router")
     routers_run: WholeNumber = Field(description="routers that are simulated")
-    caches: WholeNumber = Field(description="page caches")
-    cores: WholeNumber = Field(description="cores of each page cache")
+    caches: WholeNumber = Field(description="cache servers")
+    cores: WholeNumber = Field(description="cores of each cache server")
 
 
 def requests_per_s(parameters: Parameters, size: Size) -> float:
--- a/scale_experiments/scenarios/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -1,4 +1,4 @@
-"""A rack, a zone or a region of page caches is lost and returns, or a region is isolated for a time.
+"""A rack, a zone or a region of cache servers is lost and returns, or a region is isolated for a time.
 
 Lost caches do not answer: connections to them stay open, new ones are never established, and routers are
 notified late. The caches return empty. The routers and caches of an isolated region reach only each other.
@@ -82,8 +82,8 @@
     """One size of an experiment; aliases are the keys."""
 
     routers: WholeNumber = Field(description="number of routers that are run")
-    caches: WholeNumber = Field(description="number of page caches")
-    cores: WholeNumber = Field(description="number of cores of each page cache")
+    caches: WholeNumber = Field(description="number of cache servers")
+    cores: WholeNumber = Field(description="number of cores of each cache server")
     configured_routers: WholeNumber | None = Field(
         None, alias="told", description="router count in the settings of each router; by default `routers`"
     )
@@ -115,7 +115,7 @@
 def select_affected_caches(fleet: Fleet, parameters: Parameters) -> list[str]:
     """Return the names of the caches in the lost rack, zone or region, or in the isolated region.
 
-    The place differs from that of the origin, unless there is only one.
+    Their zone and region differ from those of the origin, unless the fleet has only one zone or region.
     """
     zone = 1 % parameters.zones
     region = zone % parameters.regions
--- a/scale_experiments/scenarios/zone_loss_metrics.py
+++ b/scale_experiments/scenarios/zone_loss_metrics.py
@@ -17,11 +17,9 @@
 class ZoneLossMetrics(Metrics):
     """Metrics of the fleet before the loss (before), during the loss (lost) and after the return (back)."""
 
-    requests_per_s: PerSecond = Field(
-        description="first requests of clients for an object, in the whole fleet"
-    )
+    requests_per_s: PerSecond = Field(description="requests of clients in the whole fleet, without retries")
     caches_lost: Count = Field(
-        description="page caches that are lost, or that the routers of the isolated region do not reach"
+        description="cache servers that are lost, or that the routers of the isolated region do not reach"
     )
     before_served_share: Share = Field(
         description="share served of the client requests made before the loss, retries included"
@@ -31,7 +29,7 @@
         description="lowest share served of a second's client requests, during the loss"
     )
     lost_recovery_s: Seconds = Field(
-        description="time from the loss until 95 % of each second's requests are served, during the loss"
+        description="time from the loss until 95% of each second's requests are served, during the loss"
     )
     back_served_share: Share = Field(
         description="share served of the client requests made in the slow start after the return"
@@ -40,7 +38,7 @@
         description="lowest share served of a second's client requests, in the slow start after the return"
     )
     back_recovery_s: Seconds = Field(
-        description="time from the return until 95 % of each second's requests are served"
+        description="time from the return until 95% of each second's requests are served"
     )
     apart_served_share: Share = Field(
         description="share served of the client requests at routers of the isolated region, during the loss"
@@ -61,13 +59,13 @@
         description="attempts to connect per accepted request, after the return"
     )
     before_attempts_per_request: Ratio = Field(
-        description="attempts at page caches per accepted request, before the loss"
+        description="attempts at cache servers per accepted request, before the loss"
     )
     lost_attempts_per_request: Ratio = Field(
-        description="attempts at page caches per accepted request, during the loss"
+        description="attempts at cache servers per accepted request, during the loss"
     )
     back_attempts_per_request: Ratio = Field(
-        description="attempts at page caches per accepted request, after the return"
+        description="attempts at cache servers per accepted request, after the return"
     )
     lost_tries_per_wish: Ratio = Field(
         description="accepted requests per object that a client needed, during the loss"
--- a/scale_experiments/simulation/attempt_runner.py
+++ b/scale_experiments/simulation/attempt_runner.py
@@ -51,7 +51,7 @@
         self._on_finished = on_finished
         self.location = location
         self.pool = SimulatedConnectionPool(context, location, self)
-        self._servers_used: set[str] = set()  # names of cache servers since the last clear_servers_used()
+        self._servers_used: set[str] = set()  # names; cleared by clear_servers_used()
 
     @property
     def servers_used_count(self) -> int:
--- a/scale_experiments/simulation/cache_server.py
+++ b/scale_experiments/simulation/cache_server.py
@@ -46,7 +46,8 @@
         # Applies while the server is down. If only the process has failed, its machine refuses connections;
         # if the machine has failed, connecting to it times out.
         self.refuses_connections = False
-        # Start time of the process; 0 means long ago. Connections to an earlier process are reset.
+        # Start time of the process, or failure time if it has failed; 0 means long ago. Connections to an
+        # earlier process are reset.
         self.started_at = 0.0
         self.cached_keys = KeyCache(model.cached_objects)
         self.arrivals: list[float] | None = None  # arrival times of attempts; None until record_arrivals()
--- a/scale_experiments/simulation/connection_pool.py
+++ b/scale_experiments/simulation/connection_pool.py
@@ -15,7 +15,7 @@
 from scale_experiments.simulation.requests import Attempt
 from scale_experiments.simulation.statistics import CountedEvent
 
-CLOCK_TOLERANCE = 1e-6  # seconds by which rounding errors may advance the check of the idle timeout
+CLOCK_TOLERANCE = 1e-6  # seconds by which rounding may make the check of the idle timeout too early
 
 
 class AttemptOwner(Protocol):
@@ -52,7 +52,10 @@
             self._owner.finish(attempt, AttemptStatus.NOT_SENT)
 
     def receive_response(self, attempt: Attempt, status: AttemptStatus, load_report: LoadReport) -> None:
-        """Keep the attempt's connection for reuse, and finish the attempt."""
+        """Keep the attempt's connection for reuse, and finish the attempt.
+
+        A response to a finished attempt, on a closed connection or from an unreachable server is ignored.
+        """
         connection = attempt.connection
         if attempt.is_finished or connection is None or not connection.is_open:
             return
--- a/scale_experiments/simulation/decision_loop.py
+++ b/scale_experiments/simulation/decision_loop.py
@@ -26,7 +26,7 @@
         self._is_handling = False
 
     def handle(self, event: Event) -> None:
-        """Handle an event at once, or after the current event if an action of the current one caused it."""
+        """Handle an event at once or, if another event is being handled, directly after that event."""
         self._events.append(event)
         if self._is_handling:
             return
--- a/scale_experiments/simulation/decision_timer.py
+++ b/scale_experiments/simulation/decision_timer.py
@@ -23,7 +23,8 @@
     def reset(self) -> None:
         """Restart the measurement.
 
-        The first calls process complete endpoint lists, which would distort the mean.
+        A reset after the start of the fleet excludes the calls with complete endpoint lists, which would
+        distort the mean.
         """
         self.calls = self.timed_calls = 0
         self.timed_seconds = 0.0
--- a/scale_experiments/simulation/fleet.py
+++ b/scale_experiments/simulation/fleet.py
@@ -5,9 +5,9 @@
 
 A large fleet is simulated by a sample of its routers. Each decision module is configured for a fleet of
 `FleetModel.routers`, but only `FleetModel.routers_sampled` of them are run. The cores and connection limits
-of the cache servers are scaled to the sample. The counts at a cache server are those of the sample, too:
-for the whole fleet they are `FleetModel.scale` times as high. A mean scales linearly; a percentile does not,
-see `ConnectionCount.percentile_99`.
+of the cache servers have to be set for the load of the sample. The counts at a cache server are those of the
+sample, too: for the whole fleet they are `FleetModel.scale` times as high. A mean scales linearly; a
+percentile does not, see `ConnectionCount.percentile_99`.
 """
 
 from __future__ import annotations
@@ -95,7 +95,7 @@
         return self.events.run(seconds, should_stop)
 
     def reset(self) -> None:
-        """Restart all statistics."""
+        """Restart all statistics except those of the decision timer."""
         self.statistics.reset()
         for cache in self.caches.values():
             cache.reset_statistics()
@@ -113,7 +113,7 @@
         self.watch_servers_used(span)
 
     def budget_use(self, cache: CacheServer) -> BudgetUse:
-        """Return the share of its slow start budget that a cache server received since the last reset.
+        """Return the largest use of a cache server's slow start budget in any window since the last reset.
 
         The server must have started at the time of that reset and must record its arrivals since then.
         """
--- a/scale_experiments/simulation/model.py
+++ b/scale_experiments/simulation/model.py
@@ -55,7 +55,8 @@
     """Model of the routers, cache servers, origin, clients and network around the decision modules.
 
     Times are in seconds. A pair holds the bounds of uniformly distributed random values. Cores and
-    connection limits are scaled to the routers that are run, unless a comment says otherwise.
+    connection limits of servers are used as given, and have to be set for the load of the routers that are
+    run.
     """
 
     routers: int  # routers of the whole fleet; each decision module is configured with this count
@@ -86,7 +87,7 @@
     load_report_interval: float = 0.25  # maximum age of a load report
     router_descriptors: int = ROUTER_DESCRIPTORS  # descriptors of a router for connections to caches
     reuse_delay: float = REUSE_DELAY  # time from a response until its connection may be reused
-    client_attempts: int = 3  # maximum requests for one client request, including the first
+    client_attempts: int = 3  # maximum number of requests for one client request, including the first
     client_backoff: tuple[float, float] = (0.012, 0.1)  # first backoff of a client; doubles with each retry
     # timeout of one request: 50 to 80% of the client timeout of reads
     client_timeout: tuple[float, float] = (0.6, 0.96)
--- a/scale_experiments/simulation/network.py
+++ b/scale_experiments/simulation/network.py
@@ -41,7 +41,7 @@
 class Network:
     """The network between the routers and the servers.
 
-    Messages don't pass between an isolated region and other regions, except to servers that are always
+    Messages do not pass between an isolated region and other regions, except to servers that are always
     reachable.
     """
 
--- a/scale_experiments/simulation/network_rules.py
+++ b/scale_experiments/simulation/network_rules.py
@@ -25,7 +25,7 @@
 `cache_router.net.dispatcher`, modelled in `simulation.clients`, `simulation.router` and
 `simulation.attempt_runner`:
 
-- The deadline of a request is `DEADLINE_MARGIN` seconds before the one of its client.
+- The deadline of a request is `DEADLINE_MARGIN` seconds before that of its client.
 - Idle connections to a server that is draining, removed or restarted are closed.
 - An attempt numbered `Settings.max_attempts` or higher is not sent.
 """
--- a/scale_experiments/simulation/origin.py
+++ b/scale_experiments/simulation/origin.py
@@ -18,7 +18,7 @@
 from scale_experiments.simulation.server import SimulatedServer
 from scale_experiments.simulation.statistics import CountedEvent
 
-MAX_FILLED_CACHES = 2  # cache servers in which a router stores a key after a miss
+MAX_FILLED_CACHES = 2  # maximum number of cache servers in which a router stores a key after misses
 
 
 class Origin(SimulatedServer):
@@ -42,7 +42,7 @@
         self._caches = caches
 
     def start(self, attempt: Attempt) -> None:
-        """Serve, queue or reject an attempt."""
+        """Serve, queue or reject an attempt; connecting to an unreachable origin times out."""
         context = self._context
         context.statistics.count(CountedEvent.ORIGIN_ATTEMPT)
         if not self._is_reachable_from(attempt):
--- a/scale_experiments/simulation/slow_start.py
+++ b/scale_experiments/simulation/slow_start.py
@@ -35,7 +35,7 @@
 
 
 def capacity_within(settings: Settings, model: FleetModel, age: float, window: float) -> float:
-    """Return the requests that a cache server can serve in `window` seconds, from the given age on.
+    """Return the number of requests that a cache server can serve in `window` seconds, from an age on.
 
     `age` is the time in seconds since the start of the server.
     """
--- a/tests/scale_experiments/scenarios/test_socket_metrics.py
+++ b/tests/scale_experiments/scenarios/test_socket_metrics.py
@@ -111,7 +111,7 @@
 
 
 def test_metrics_of_a_run_have_counts_per_request_and_the_use_of_router_processes() -> None:
-    """The process of the test stands for the router process."""
+    """The process of the test is measured as the router process."""
     routers = [psutil.Process(os.getpid())]
     before = UsageSnapshot(
         caches_stats(10.0, 1, 4, a=ZERO_COUNTERS), clients_stats({REQUESTS: 100, CONNECTIONS_OPENED: 5}), 1.0
