--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -15,7 +15,7 @@
 from tests.soak.run import SoakRun
 from tests.soak.upstreams import value_of
 
-ANSWER_GRACE = 0.5  # seconds after its time in which an answer only earns nothing
+LATE_REPLY_GRACE = 0.5  # seconds after its time in which an answer only earns nothing
 TIME_LIMIT_TOLERANCE = 0.05  # seconds that each time limit is longer on sockets
 HELD_UP = 0.15  # seconds for which a router may be held up between reading its clock and writing
 AFTER_LEAVING = 0.1  # seconds after a client left in which an attempt may still begin
@@ -41,7 +41,7 @@
     for request in seen.requests.values():
         if with_timing:
             found += _check_lateness(request, seen)
-        found += _check_answer(request, attempts[request.request_id], plan, seen)
+        found += _check_reply(request, attempts[request.request_id], plan, seen)
         found += _check_attempts(request, attempts[request.request_id], plan, run)
     found += _check_drains(run, with_timing)
     found += _check_polls(seen)
@@ -49,18 +49,18 @@
     return found
 
 
-def _check_answer(
+def _check_reply(
     request: SentRequest, attempts: list[Attempt], plan: Plan, seen: Observations
 ) -> Iterator[str]:
     name = f"{request.request_id} ({request.request_class}, {request.client})"
     if request.answered_at is None:
-        yield from _check_unanswered(request, attempts, plan, seen, name)
+        yield from _check_missing_reply(request, attempts, plan, seen, name)
         return
     expected = value_of(request.key.encode(), request.request_id.encode())
-    if isinstance(request.answer, bytes) and request.answer != expected:
-        yield f"answer: {name} got the value {request.answer!r}"
+    if isinstance(request.reply, bytes) and request.reply != expected:
+        yield f"answer: {name} got the value {request.reply!r}"
     executed = [attempt for attempt in attempts if not attempt.proves_no_execution]
-    is_rejected = str(request.answer).startswith("BUSY")
+    is_rejected = str(request.reply).startswith("BUSY")
     if is_rejected and executed and not _may_be_rejected(request, plan):
         yield f"rejected: {name} may have run at {executed[0].server}"
 
@@ -69,7 +69,7 @@
     if request.answered_at is None or request.client in ORDERED_KINDS:
         return
     taken = request.answered_at - request.sent_at
-    if taken > request.deadline + ANSWER_GRACE + TIME_LIMIT_TOLERANCE + seen.max_lag:
+    if taken > request.deadline + LATE_REPLY_GRACE + TIME_LIMIT_TOLERANCE + seen.max_lag:
         at = request.sent_at - seen.lifetimes[0].started_at
         name = f"{request.request_id} ({request.request_class}, {request.client})"
         times = f"sent at {at:.3f}, answered after {taken:.3f} s, deadline {request.deadline:.3f} s"
@@ -86,18 +86,18 @@
     return dict(settings)
 
 
-def _check_unanswered(
+def _check_missing_reply(
     request: SentRequest, attempts: list[Attempt], plan: Plan, seen: Observations, name: str
 ) -> Iterator[str]:
-    if request.left_at is not None or request.sent_at == math.inf:
+    if request.client_closed_at is not None or request.sent_at == math.inf:
         return
-    if request.closed_at is None:
+    if request.router_closed_at is None:
         if _was_killed_at(request.sent_at + request.deadline, seen):
             return
         yield f"lost: {name} has no answer, and its connection stays open"
     elif attempts:
         yield f"lost: {name} was forwarded, and its connection closed without an answer"
-    elif request.sends > 1 and not plan.crowd and not _is_in_shutdown(request.closed_at, seen):
+    elif request.sends > 1 and not plan.crowd and not _is_in_shutdown(request.router_closed_at, seen):
         yield f"lost: {name} was closed unread on two connections"
 
 
@@ -113,11 +113,13 @@
     name = f"{request.request_id} ({request.request_class})"
     if len(attempts) > plan.settings["limits"]["mostTries"] * request.sends:
         yield f"attempts: {name} was sent {len(attempts)} times"
-    if request.left_at is not None:
+    if request.client_closed_at is not None:
         for attempt in attempts:
-            late = attempt.time - request.left_at - AFTER_LEAVING - TIME_LIMIT_TOLERANCE - attempt.lag
+            late = (
+                attempt.time - request.client_closed_at - AFTER_LEAVING - TIME_LIMIT_TOLERANCE - attempt.lag
+            )
             if late > 0:
-                seconds = attempt.time - request.left_at
+                seconds = attempt.time - request.client_closed_at
                 yield f"left: {name} was sent to {attempt.server} {seconds:.3f} s after its client left"
     for position, attempt in enumerate(attempts):
         earlier = [a for a in attempts[:position] if not a.proves_no_execution]
@@ -156,7 +158,7 @@
 def _check_drains(run: SoakRun, with_timing: bool) -> Iterator[str]:
     seen = run.observations
     busy = 0.0 if with_timing else BUSY_MACHINE
-    for server, drained_at in seen.drained.items():
+    for server, drained_at in seen.drain_started_at.items():
         version = run.discovery.registry.changed_in[server]
         for life in seen.lifetimes:
             deadline = _notification_deadline(max(drained_at, life.started_at), run)
@@ -184,8 +186,10 @@
     ends = [time for time, _ in modes[1:]] + [math.inf]
     for (start, mode), end in zip(modes, ends, strict=True):
         reached_at = max(start, changed_at)
-        signals = [time for time in run.observations.signals if time < reached_at + NOTIFICATION_DEADLINE]
-        after_signal = max(signals, default=-math.inf) + ADDRESS_CHANGE_DEADLINE
+        sighup_times = [
+            time for time in run.observations.sighup_times if time < reached_at + NOTIFICATION_DEADLINE
+        ]
+        after_signal = max(sighup_times, default=-math.inf) + ADDRESS_CHANGE_DEADLINE
         deadline = max(reached_at + NOTIFICATION_DEADLINE, after_signal)
         if mode is DiscoveryMode.SERVING and deadline <= end:
             return deadline
@@ -196,7 +200,7 @@
     for poll, following in zip(seen.polls, seen.polls[1:], strict=False):
         if not poll.failed or poll.ended_at is None or following.started_at < poll.ended_at:
             continue
-        between = [t for t in seen.signals if poll.started_at - HELD_UP <= t <= following.started_at]
+        between = [t for t in seen.sighup_times if poll.started_at - HELD_UP <= t <= following.started_at]
         restarted = any(poll.started_at <= life.started_at <= following.started_at for life in seen.lifetimes)
         pause = following.started_at - poll.ended_at
         if not between and not restarted and pause < MIN_BACKOFF - 0.01 - following.lag - poll.lag:
@@ -216,8 +220,8 @@
     ready_after = (life.ready_at or math.inf) - life.started_at
     if ready_after > READY_WITHIN:
         yield f"process: ready after {ready_after:.3f} s"
-    if life.ended_at is not None and not life.was_killed and life.status != 0:
-        yield f"process: ended with status {life.status}"
+    if life.ended_at is not None and not life.was_killed and life.exit_status != 0:
+        yield f"process: ended with status {life.exit_status}"
 
 
 def command_of(run: SoakRun) -> str:
@@ -230,7 +234,7 @@
     """One line about a run."""
     seen = run.observations
     answered = sum(request.answered_at is not None for request in seen.requests.values())
-    served = sum(isinstance(request.answer, bytes) for request in seen.requests.values())
+    served = sum(isinstance(request.reply, bytes) for request in seen.requests.values())
     killed = sum(life.was_killed for life in seen.lifetimes)
     return (
         f"seed {run.plan.seed}: {'FAILED' if found else 'passed'}, {len(seen.requests)} requests, "
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -18,7 +18,7 @@
 KEY_COUNT = 40
 THINK_TIME = (0.02, 0.2)  # seconds
 RECONNECT_DELAY = 0.05
-UNREAD_TIME = 1.0  # seconds for which a client of that kind reads nothing
+NOT_READING_TIME = 1.0  # seconds for which a client of that kind reads nothing
 REST_TIME = 3.0
 MAX_BATCH_DEADLINES = 9  # answers of a batch come in order, and each may take the time of its own request
 MAX_SENDS = 2  # of a request that crosses the end of its connection
@@ -47,7 +47,7 @@
         self._numbers = itertools.count()
         self._now = asyncio.get_running_loop().time
         self._batch: list[SentRequest] = []  # sent on the present connection
-        self._again: deque[SentRequest] = deque()  # to be sent once more on another connection
+        self._to_resend: deque[SentRequest] = deque()  # to be sent once more on another connection
 
     async def run(self) -> None:
         """Send requests until cancelled."""
@@ -59,46 +59,46 @@
                 continue
             self._batch = []
             try:
-                await self._use(reader, writer)
+                await self._use_connection(reader, writer)
             except OSError:
-                self._note_closed([request for request in self._batch if request.answered_at is None])
+                self._record_router_close([request for request in self._batch if request.answered_at is None])
             except asyncio.CancelledError:
-                self._note_left()
+                self._record_client_close()
                 raise
             finally:
                 writer.transport.abort()
             await asyncio.sleep(RECONNECT_DELAY)
 
-    def _note_left(self) -> None:
+    def _record_client_close(self) -> None:
         for request in self._batch:
             if request.answered_at is None:
-                request.left_at = self._now()
+                request.client_closed_at = self._now()
 
-    async def _use(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _use_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Send requests on a connection until it ends."""
         parser = hiredis.Reader(notEnoughData=Ellipsis)
         while True:
             batch = self._batch = [self._next_request() for _ in range(self._batch_size())]
-            await self._send(batch, writer)
+            await self._send_batch(batch, writer)
             if self.kind is ClientKind.LEAVING and self._generator.random() < 0.5:
                 await asyncio.sleep(self._generator.uniform(0.0, 0.1))
-                self._note_left()
+                self._record_client_close()
                 return
             if self.kind is ClientKind.NOT_READING:
-                await asyncio.sleep(UNREAD_TIME)
+                await asyncio.sleep(NOT_READING_TIME)
             for position, request in enumerate(batch):
-                if not await self._read_answer(request, reader, parser):
-                    self._note_closed(batch[position:])
+                if not await self._read_reply(request, reader, parser):
+                    self._record_router_close(batch[position:])
                     return
             if parser.gets() is not Ellipsis:
                 self._observations.violations.append(f"answers: {self.name} got one more than it asked for")
             is_resting = self.kind is ClientKind.RESTING
             pause = REST_TIME if is_resting else self._generator.uniform(*THINK_TIME)
-            await self._rest(reader, pause)
+            await self._stay_idle(reader, pause)
             if reader.at_eof():
                 return
 
-    async def _rest(self, reader: asyncio.StreamReader, pause: float) -> None:
+    async def _stay_idle(self, reader: asyncio.StreamReader, pause: float) -> None:
         """Send nothing for a time; what the router sends in that time belongs to no request."""
         with suppress(TimeoutError):
             async with asyncio.timeout(pause):
@@ -111,10 +111,10 @@
         return self._generator.randint(3, 8) if self.kind is ClientKind.PIPELINING else 1
 
     def _next_request(self) -> SentRequest:
-        if self._again:
-            request = self._again.popleft()
+        if self._to_resend:
+            request = self._to_resend.popleft()
             request.sends += request.sent_at < math.inf
-            request.sent_at, request.closed_at = math.inf, None
+            request.sent_at, request.router_closed_at = math.inf, None
             return request
         request_class = self._generator.choices(self._classes, weights=[8, 1, 1])[0]
         request_id = f"{self.name}-{next(self._numbers)}"
@@ -130,42 +130,42 @@
         self._observations.requests[request_id] = request
         return request
 
-    async def _send(self, batch: list[SentRequest], writer: asyncio.StreamWriter) -> None:
-        data = b"".join(encode(request) for request in batch)
+    async def _send_batch(self, batch: list[SentRequest], writer: asyncio.StreamWriter) -> None:
+        data = b"".join(encode_command(request) for request in batch)
         if self.kind is ClientKind.SLOWLY_WRITING:
-            middle = self._generator.randrange(1, len(data))
-            writer.write(data[:middle])
+            split_at = self._generator.randrange(1, len(data))
+            writer.write(data[:split_at])
             await asyncio.sleep(self._generator.uniform(0.0, 0.2))
-            data = data[middle:]
+            data = data[split_at:]
         if writer.transport.is_closing():
             raise ConnectionResetError
         for request in batch:
             request.sent_at = self._now()
         writer.write(data)
 
-    async def _read_answer(
+    async def _read_reply(
         self, request: SentRequest, reader: asyncio.StreamReader, parser: hiredis.Reader
     ) -> bool:
         """Read the next answer; False when the connection ends before it."""
-        while (answer := parser.gets()) is Ellipsis:
+        while (reply := parser.gets()) is Ellipsis:
             # the check of deadlines comes later; this only ends a wait for an answer that never comes
             async with asyncio.timeout(request.deadline * MAX_BATCH_DEADLINES + 2.0):
                 data = await reader.read(65536)
             if not data:
                 return False
             parser.feed(data)
-        request.answer = answer
+        request.reply = reply
         request.answered_at = self._now()
         return True
 
-    def _note_closed(self, unanswered: list[SentRequest]) -> None:
+    def _record_router_close(self, unanswered: list[SentRequest]) -> None:
         for request in unanswered:
-            request.closed_at = self._now()
+            request.router_closed_at = self._now()
             if request.sends < MAX_SENDS:
-                self._again.append(request)
+                self._to_resend.append(request)
 
 
-def encode(request: SentRequest) -> bytes:
+def encode_command(request: SentRequest) -> bytes:
     """The command of a request."""
     info = f"c={request.request_class},t=x,d={int(request.deadline * 1000)}"
     if request.request_class == "keyed":
@@ -179,7 +179,7 @@
 async def hold_idle_connections(address: tuple[str, int], count: int) -> None:
     """Keep many connections on which nothing is sent; others replace those that the router closes."""
 
-    async def hold() -> None:
+    async def hold_connection() -> None:
         while True:
             writer = None
             with suppress(OSError):
@@ -189,4 +189,4 @@
                 writer.transport.abort()
             await asyncio.sleep(0.3)
 
-    await asyncio.gather(*(hold() for _ in range(count)))
+    await asyncio.gather(*(hold_connection() for _ in range(count)))
--- a/tests/soak/observations.py
+++ b/tests/soak/observations.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 LAG_INTERVAL = 0.005  # seconds between two looks at the clock
-LAG_MEMORY = 1.0  # seconds for which a lag counts
+LAG_WINDOW = 1.0  # seconds for which a lag counts
 
 
 @dataclass(slots=True)
@@ -34,9 +34,9 @@
     deadline: float  # seconds after that
     client: str = ""
     answered_at: float | None = None
-    answer: object = None
-    left_at: float | None = None  # the client closed its connection
-    closed_at: float | None = None  # the router closed the connection without an answer
+    reply: object = None
+    client_closed_at: float | None = None  # the client closed its connection
+    router_closed_at: float | None = None  # the router closed the connection without an answer
     sends: int = 1
 
 
@@ -59,7 +59,7 @@
     ready_at: float | None = None
     terminated_at: float | None = None  # SIGTERM
     ended_at: float | None = None
-    status: int | None = None
+    exit_status: int | None = None
     was_killed: bool = False
 
 
@@ -71,15 +71,15 @@
     attempts: list[Attempt] = field(default_factory=list)
     polls: list[Poll] = field(default_factory=list)
     lifetimes: list[Lifetime] = field(default_factory=list)
-    drained: dict[str, float] = field(default_factory=dict)  # since when, by server
-    signals: list[float] = field(default_factory=list)  # times of SIGHUP
+    drain_started_at: dict[str, float] = field(default_factory=dict)  # since when, by server
+    sighup_times: list[float] = field(default_factory=list)  # times of SIGHUP
     log: list[str] = field(default_factory=list)
     events: list[str] = field(default_factory=list)  # what was done, in order
     violations: list[str] = field(default_factory=list)  # found while the run lasts
     lag: float = 0.0  # of the last second
     max_lag: float = 0.0
 
-    def note(self, time: float, text: str) -> None:
+    def record_event(self, time: float, text: str) -> None:
         """Record what was done."""
         self.events.append(f"{time:8.3f} {text}")
 
@@ -92,6 +92,6 @@
             await asyncio.sleep(LAG_INTERVAL)
             now = loop.time()
             recent.append((now, now - before - LAG_INTERVAL))
-            recent = [entry for entry in recent if now - entry[0] < LAG_MEMORY]
+            recent = [entry for entry in recent if now - entry[0] < LAG_WINDOW]
             self.lag = max(lag for _, lag in recent)
             self.max_lag = max(self.max_lag, self.lag)
--- a/tests/soak/router.py
+++ b/tests/soak/router.py
@@ -135,7 +135,7 @@
         if self._process is not None and self._is_running():
             send_signal(self._process, number)
             if number is signal.SIGHUP:
-                self._observations.signals.append(self._now())
+                self._observations.sighup_times.append(self._now())
 
     async def signal_configurations(self, series: SignalSeries) -> None:
         """Change the file as the series wants it, with SIGHUP after each change.
@@ -183,7 +183,7 @@
             await self._process.wait()
         repeats.cancel()
         self.lifetime.ended_at = self._now()
-        self.lifetime.status = self._process.returncode
+        self.lifetime.exit_status = self._process.returncode
         await self._log
 
     async def _repeat_signals(self) -> None:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -171,7 +171,7 @@
         started_at = self._now()
         for step in self.plan.steps:
             await asyncio.sleep(max(0.0, started_at + step.time - self._now()))
-            self.observations.note(self._now() - started_at, f"{step.kind} {step.subject}")
+            self.observations.record_event(self._now() - started_at, f"{step.kind} {step.subject}")
             await self._do(step)
         await asyncio.sleep(max(0.0, started_at + self.plan.duration - self._now()))
 
@@ -202,11 +202,11 @@
             cache.listener.close()
         elif was_gone:  # it restarts, and is empty
             await cache.listener.open()
-            if cache.name not in self.observations.drained:
+            if cache.name not in self.observations.drain_started_at:
                 self.discovery.registry.put(self.entry(index, since_ms=int(time.time() * 1000)))
 
     def _drain(self, index: int) -> None:
-        self.observations.drained.setdefault(f"cache-{index}", self._now())
+        self.observations.drain_started_at.setdefault(f"cache-{index}", self._now())
         self.discovery.registry.put(self.entry(index, status="terminating"))
 
     async def _restart(self) -> None:
