--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -17,165 +17,180 @@
 
 LATE_REPLY_GRACE = 0.5  # seconds after its time in which an answer only earns nothing
 TIME_LIMIT_TOLERANCE = 0.05  # seconds that each time limit is longer on sockets
-HELD_UP = 0.15  # seconds for which a router may be held up between reading its clock and writing
-AFTER_LEAVING = 0.1  # seconds after a client left in which an attempt may still begin
+MAX_ROUTER_PAUSE = 0.15  # seconds for which a router may be held up between reading its clock and writing
+DISCONNECT_TOLERANCE = 0.1  # seconds after a client left in which an attempt may still begin
 NOTIFICATION_DEADLINE = 6.0  # seconds after discovery has a change and can be reached
 ADDRESS_CHANGE_DEADLINE = 4.0  # the same after SIGHUP
-BUSY_MACHINE = 1.0  # seconds more for a router that may have to wait for a core
-READY_WITHIN = 10.0  # seconds
+BUSY_MACHINE_TOLERANCE = 1.0  # seconds more for a router that may have to wait for a core
+READY_DEADLINE = 10.0  # seconds
 EXPECTED_ERROR = "configuration not taken"
 ORDERED_KINDS = (ClientKind.PIPELINING.value, ClientKind.NOT_READING.value)  # answers wait for others
 
 
-def violations(run: SoakRun, with_timing: bool = True) -> list[str]:
+def find_violations(run: SoakRun, with_timing: bool = True) -> list[str]:
     """All that broke a rule, a line each.
 
     `with_timing` adds the checks of how soon the router does something. They hold on a machine that gives its
     process a core when it needs one, and not beside any load.
     """
-    plan, seen = run.plan, run.observations
+    plan, observations = run.plan, run.observations
     attempts: defaultdict[str, list[Attempt]] = defaultdict(list)
-    for attempt in sorted(seen.attempts, key=lambda attempt: attempt.time):
+    for attempt in sorted(observations.attempts, key=lambda attempt: attempt.time):
         attempts[attempt.request_id].append(attempt)
-    found = list(seen.violations)
-    for request in seen.requests.values():
+    found = list(observations.violations)
+    for request in observations.requests.values():
         if with_timing:
-            found += _check_lateness(request, seen)
-        found += _check_reply(request, attempts[request.request_id], plan, seen)
+            found += _check_lateness(request, observations)
+        found += _check_reply(request, attempts[request.request_id], plan, observations)
         found += _check_attempts(request, attempts[request.request_id], plan, run)
     found += _check_drains(run, with_timing)
-    found += _check_polls(seen)
-    found += _check_processes(seen)
+    found += _check_polls(observations)
+    found += _check_processes(observations)
     return found
 
 
 def _check_reply(
-    request: SentRequest, attempts: list[Attempt], plan: Plan, seen: Observations
+    request: SentRequest, attempts: list[Attempt], plan: Plan, observations: Observations
 ) -> Iterator[str]:
-    name = f"{request.request_id} ({request.request_class}, {request.client})"
+    label = f"{request.request_id} ({request.request_class}, {request.client})"
     if request.answered_at is None:
-        yield from _check_missing_reply(request, attempts, plan, seen, name)
+        yield from _check_missing_reply(request, attempts, plan, observations, label)
         return
     expected = value_of(request.key.encode(), request.request_id.encode())
     if isinstance(request.reply, bytes) and request.reply != expected:
-        yield f"answer: {name} got the value {request.reply!r}"
+        yield f"answer: {label} got the value {request.reply!r}"
     executed = [attempt for attempt in attempts if not attempt.proves_no_execution]
     is_rejected = str(request.reply).startswith("BUSY")
-    if is_rejected and executed and not _may_be_rejected(request, plan):
-        yield f"rejected: {name} may have run at {executed[0].server}"
+    if is_rejected and executed and not _may_be_rejected_after_execution(request, plan):
+        yield f"rejected: {label} may have run at {executed[0].server}"
 
 
-def _check_lateness(request: SentRequest, seen: Observations) -> Iterator[str]:
+def _check_lateness(request: SentRequest, observations: Observations) -> Iterator[str]:
     if request.answered_at is None or request.client in ORDERED_KINDS:
         return
-    taken = request.answered_at - request.sent_at
-    if taken > request.deadline + LATE_REPLY_GRACE + TIME_LIMIT_TOLERANCE + seen.max_lag:
-        at = request.sent_at - seen.lifetimes[0].started_at
-        name = f"{request.request_id} ({request.request_class}, {request.client})"
-        times = f"sent at {at:.3f}, answered after {taken:.3f} s, deadline {request.deadline:.3f} s"
-        yield f"late: {name}, {times}"
+    elapsed = request.answered_at - request.sent_at
+    if elapsed > request.deadline + LATE_REPLY_GRACE + TIME_LIMIT_TOLERANCE + observations.max_lag:
+        at = request.sent_at - observations.lifetimes[0].started_at
+        label = f"{request.request_id} ({request.request_class}, {request.client})"
+        times = f"sent at {at:.3f}, answered after {elapsed:.3f} s, deadline {request.deadline:.3f} s"
+        yield f"late: {label}, {times}"
 
 
-def _may_be_rejected(request: SentRequest, plan: Plan) -> bool:
-    settings = _class_of(request, plan)
+def _may_be_rejected_after_execution(request: SentRequest, plan: Plan) -> bool:
+    settings = _class_settings(request, plan)
     return settings["effect"] == "free" or (settings["effect"] == "guarded" and settings["group"] == "all")
 
 
-def _class_of(request: SentRequest, plan: Plan) -> dict[str, object]:
+def _class_settings(request: SentRequest, plan: Plan) -> dict[str, object]:
     (settings,) = (c for c in plan.settings["classes"] if c["name"] == request.request_class)
     return dict(settings)
 
 
 def _check_missing_reply(
-    request: SentRequest, attempts: list[Attempt], plan: Plan, seen: Observations, name: str
+    request: SentRequest, attempts: list[Attempt], plan: Plan, observations: Observations, label: str
 ) -> Iterator[str]:
     if request.client_closed_at is not None or request.sent_at == math.inf:
         return
     if request.router_closed_at is None:
-        if _was_killed_at(request.sent_at + request.deadline, seen):
+        if _was_killed_at(request.sent_at + request.deadline, observations):
             return
-        yield f"lost: {name} has no answer, and its connection stays open"
+        yield f"lost: {label} has no answer, and its connection stays open"
     elif attempts:
-        yield f"lost: {name} was forwarded, and its connection closed without an answer"
-    elif request.sends > 1 and not plan.crowd and not _is_in_shutdown(request.router_closed_at, seen):
-        yield f"lost: {name} was closed unread on two connections"
+        yield f"lost: {label} was forwarded, and its connection closed without an answer"
+    elif request.sends > 1 and not plan.crowd and not _is_in_shutdown(request.router_closed_at, observations):
+        yield f"lost: {label} was closed unread on two connections"
 
 
-def _was_killed_at(time: float, seen: Observations) -> bool:
-    return any(life.was_killed and (life.ended_at or 0.0) <= time for life in seen.lifetimes)
+def _was_killed_at(time: float, observations: Observations) -> bool:
+    return any(
+        lifetime.was_killed and (lifetime.ended_at or 0.0) <= time for lifetime in observations.lifetimes
+    )
 
 
-def _is_in_shutdown(time: float, seen: Observations) -> bool:
-    return any(life.terminated_at is not None and life.terminated_at <= time for life in seen.lifetimes)
+def _is_in_shutdown(time: float, observations: Observations) -> bool:
+    return any(
+        lifetime.terminated_at is not None and lifetime.terminated_at <= time
+        for lifetime in observations.lifetimes
+    )
 
 
 def _check_attempts(request: SentRequest, attempts: list[Attempt], plan: Plan, run: SoakRun) -> Iterator[str]:
-    name = f"{request.request_id} ({request.request_class})"
+    label = f"{request.request_id} ({request.request_class})"
     if len(attempts) > plan.settings["limits"]["mostTries"] * request.sends:
-        yield f"attempts: {name} was sent {len(attempts)} times"
+        yield f"attempts: {label} was sent {len(attempts)} times"
     if request.client_closed_at is not None:
         for attempt in attempts:
             late = (
-                attempt.time - request.client_closed_at - AFTER_LEAVING - TIME_LIMIT_TOLERANCE - attempt.lag
+                attempt.time
+                - request.client_closed_at
+                - DISCONNECT_TOLERANCE
+                - TIME_LIMIT_TOLERANCE
+                - attempt.lag
             )
             if late > 0:
                 seconds = attempt.time - request.client_closed_at
-                yield f"left: {name} was sent to {attempt.server} {seconds:.3f} s after its client left"
+                yield f"left: {label} was sent to {attempt.server} {seconds:.3f} s after its client left"
     for position, attempt in enumerate(attempts):
         earlier = [a for a in attempts[:position] if not a.proves_no_execution]
         if earlier:
             yield from _check_repeat(request, earlier, attempt, plan, run)
         if not plan.settings["limits"]["secondCopies"]:
             for other in attempts[:position]:
-                still_open = (other.ended_at or math.inf) - attempt.time
-                if still_open > TIME_LIMIT_TOLERANCE + attempt.lag:
-                    yield f"second copy: {name} at {attempt.server} while {other.server} had it"
+                overlap = (other.ended_at or math.inf) - attempt.time
+                if overlap > TIME_LIMIT_TOLERANCE + attempt.lag:
+                    yield f"second copy: {label} at {attempt.server} while {other.server} had it"
 
 
 def _check_repeat(
     request: SentRequest, earlier: list[Attempt], attempt: Attempt, plan: Plan, run: SoakRun
 ) -> Iterator[str]:
     """Check an attempt of a request that may have run before."""
-    settings = _class_of(request, plan)
-    name = f"{request.request_id} ({request.request_class})"
+    settings = _class_settings(request, plan)
+    label = f"{request.request_id} ({request.request_class})"
     if settings["effect"] == "single_shot":
-        yield f"repeat: {name} at {attempt.server} after {earlier[0].server}"
+        yield f"repeat: {label} at {attempt.server} after {earlier[0].server}"
     if settings["effect"] != "guarded":
         return
-    window = float(str(settings["repeatWindow"])) + HELD_UP + TIME_LIMIT_TOLERANCE + attempt.lag
+    window = float(str(settings["repeatWindow"])) + MAX_ROUTER_PAUSE + TIME_LIMIT_TOLERANCE + attempt.lag
     if attempt.time - earlier[0].time > window:
-        yield f"repeat: {name} at {attempt.server} {attempt.time - earlier[0].time:.3f} s after the first"
-    groups = {_group_of(a.server, str(settings["group"]), run) for a in (*earlier, attempt)}
-    if len(groups) > 1:
-        yield f"repeat: {name} at {attempt.server}, of another group than {earlier[0].server}"
+        yield f"repeat: {label} at {attempt.server} {attempt.time - earlier[0].time:.3f} s after the first"
+    scopes = {_scope_id(a.server, str(settings["group"]), run) for a in (*earlier, attempt)}
+    if len(scopes) > 1:
+        yield f"repeat: {label} at {attempt.server}, of another group than {earlier[0].server}"
 
 
-def _group_of(server: str, group: str, run: SoakRun) -> object:
+def _scope_id(server: str, scope: str, run: SoakRun) -> object:
     entry = run.discovery.registry.entries[server]
-    return {"all": None, "zone": entry["zone"], "cell": entry["group"]}[group]
+    return {"all": None, "zone": entry["zone"], "cell": entry["group"]}[scope]
 
 
 def _check_drains(run: SoakRun, with_timing: bool) -> Iterator[str]:
-    seen = run.observations
-    busy = 0.0 if with_timing else BUSY_MACHINE
-    for server, drained_at in seen.drain_started_at.items():
+    observations = run.observations
+    busy_tolerance = 0.0 if with_timing else BUSY_MACHINE_TOLERANCE
+    for server, drained_at in observations.drain_started_at.items():
         version = run.discovery.registry.changed_in[server]
-        for life in seen.lifetimes:
-            deadline = _notification_deadline(max(drained_at, life.started_at), run)
-            written = run.discovery.registry.written_at.get(server, [])
-            end = life.ended_at or math.inf
-            notified = [t for t, v in written if v >= version and life.started_at <= t <= end]
+        for lifetime in observations.lifetimes:
+            deadline = _notification_deadline(max(drained_at, lifetime.started_at), run)
+            sent = run.discovery.registry.written_at.get(server, [])
+            end = lifetime.ended_at or math.inf
+            notified = [t for t, v in sent if v >= version and lifetime.started_at <= t <= end]
             known_at = min(notified, default=math.inf)
-            late = known_at - deadline - TIME_LIMIT_TOLERANCE - HELD_UP - seen.max_lag
+            late = known_at - deadline - TIME_LIMIT_TOLERANCE - MAX_ROUTER_PAUSE - observations.max_lag
             if (
                 with_timing
                 and late > 0
-                and (life.terminated_at or math.inf) > deadline + HELD_UP + seen.max_lag
+                and (lifetime.terminated_at or math.inf) > deadline + MAX_ROUTER_PAUSE + observations.max_lag
             ):
                 seconds = deadline - drained_at
                 yield f"list: the drain of {server} was not known {seconds:.3f} s after it"
-            latest = min(known_at, deadline) + DRAIN_GRACE + TIME_LIMIT_TOLERANCE + HELD_UP + busy
-            for attempt in seen.attempts:
+            latest = (
+                min(known_at, deadline)
+                + DRAIN_GRACE
+                + TIME_LIMIT_TOLERANCE
+                + MAX_ROUTER_PAUSE
+                + busy_tolerance
+            )
+            for attempt in observations.attempts:
                 if attempt.server == server and latest + attempt.lag < attempt.time <= end:
                     yield f"drain: {attempt.request_id} at {server} {attempt.time - latest:.3f} s too late"
 
@@ -196,35 +211,42 @@
     return math.inf
 
 
-def _check_polls(seen: Observations) -> Iterator[str]:
-    for poll, following in zip(seen.polls, seen.polls[1:], strict=False):
+def _check_polls(observations: Observations) -> Iterator[str]:
+    for poll, following in zip(observations.polls, observations.polls[1:], strict=False):
         if not poll.failed or poll.ended_at is None or following.started_at < poll.ended_at:
             continue
-        between = [t for t in seen.sighup_times if poll.started_at - HELD_UP <= t <= following.started_at]
-        restarted = any(poll.started_at <= life.started_at <= following.started_at for life in seen.lifetimes)
+        signals_between = [
+            t
+            for t in observations.sighup_times
+            if poll.started_at - MAX_ROUTER_PAUSE <= t <= following.started_at
+        ]
+        restarted = any(
+            poll.started_at <= lifetime.started_at <= following.started_at
+            for lifetime in observations.lifetimes
+        )
         pause = following.started_at - poll.ended_at
-        if not between and not restarted and pause < MIN_BACKOFF - 0.01 - following.lag - poll.lag:
+        if not signals_between and not restarted and pause < MIN_BACKOFF - 0.01 - following.lag - poll.lag:
             yield f"backoff: a poll {pause:.3f} s after one that failed"
 
 
-def _check_processes(seen: Observations) -> Iterator[str]:
-    for life in seen.lifetimes:
-        yield from _check_process(life)
-    for line in seen.log:
+def _check_processes(observations: Observations) -> Iterator[str]:
+    for lifetime in observations.lifetimes:
+        yield from _check_process(lifetime)
+    for line in observations.log:
         is_error = " ERROR " in line or " CRITICAL " in line or line.startswith("Traceback")
         if is_error and EXPECTED_ERROR not in line:
             yield f"log: {line[:200]}"
 
 
-def _check_process(life: Lifetime) -> Iterator[str]:
-    ready_after = (life.ready_at or math.inf) - life.started_at
-    if ready_after > READY_WITHIN:
+def _check_process(lifetime: Lifetime) -> Iterator[str]:
+    ready_after = (lifetime.ready_at or math.inf) - lifetime.started_at
+    if ready_after > READY_DEADLINE:
         yield f"process: ready after {ready_after:.3f} s"
-    if life.ended_at is not None and not life.was_killed and life.exit_status != 0:
-        yield f"process: ended with status {life.exit_status}"
+    if lifetime.ended_at is not None and not lifetime.was_killed and lifetime.exit_status != 0:
+        yield f"process: ended with status {lifetime.exit_status}"
 
 
-def command_of(run: SoakRun) -> str:
+def rerun_command(run: SoakRun) -> str:
     """The command that plays the same plan again."""
     plan = run.plan
     return f"python -m tests.soak --seeds 1 --first {plan.seed} --seconds {plan.duration:g}"
@@ -232,12 +254,12 @@
 
 def summary(run: SoakRun, found: list[str]) -> str:
     """One line about a run."""
-    seen = run.observations
-    answered = sum(request.answered_at is not None for request in seen.requests.values())
-    served = sum(isinstance(request.reply, bytes) for request in seen.requests.values())
-    killed = sum(life.was_killed for life in seen.lifetimes)
+    observations = run.observations
+    answered = sum(request.answered_at is not None for request in observations.requests.values())
+    served = sum(isinstance(request.reply, bytes) for request in observations.requests.values())
+    killed = sum(lifetime.was_killed for lifetime in observations.lifetimes)
     return (
-        f"seed {run.plan.seed}: {'FAILED' if found else 'passed'}, {len(seen.requests)} requests, "
-        f"{answered} answered, {served} served, {len(seen.attempts)} attempts, {len(seen.polls)} polls, "
-        f"{len(seen.lifetimes)} processes, {killed} killed, lag {seen.max_lag * 1000:.0f} ms"
+        f"seed {run.plan.seed}: {'FAILED' if found else 'passed'}, {len(observations.requests)} requests, "
+        f"{answered} answered, {served} served, {len(observations.attempts)} attempts, "
+        f"{len(observations.polls)} polls, {len(observations.lifetimes)} processes, {killed} killed, lag {observations.max_lag * 1000:.0f} ms"
     )
--- a/tests/soak/seeds.py
+++ b/tests/soak/seeds.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from tests.soak.checks import command_of, summary, violations
+from tests.soak.checks import find_violations, rerun_command, summary
 from tests.soak.plan import draw_plan
 from tests.soak.run import SoakRun
 
@@ -31,10 +31,10 @@
     with tempfile.TemporaryDirectory() as folder:
         run = SoakRun(draw_plan(seed, seconds), Path(folder), fault)
         await run.play()
-    found = violations(run, with_timing)
+    found = find_violations(run, with_timing)
     lines = [summary(run, found)]
     if found:
-        lines.append(f"  again with: {command_of(run)}")
+        lines.append(f"  again with: {rerun_command(run)}")
         lines += [f"  {violation}" for violation in found[:MAX_SHOWN]]
         lines += [f"  ({len(found)} violations)"]
         lines += [f"  event {event}" for event in run.observations.events]
