--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -168,10 +168,10 @@
     observations = run.observations
     busy_tolerance = 0.0 if with_timing else BUSY_MACHINE_TOLERANCE
     for server, drained_at in observations.drain_started_at.items():
-        version = run.discovery.registry.changed_in[server]
+        version = run.discovery.registry.changed_in_version[server]
         for lifetime in observations.lifetimes:
             deadline = _notification_deadline(max(drained_at, lifetime.started_at), run)
-            sent = run.discovery.registry.written_at.get(server, [])
+            sent = run.discovery.registry.sent_versions.get(server, [])
             end = lifetime.ended_at or math.inf
             notified = [t for t, v in sent if v >= version and lifetime.started_at <= t <= end]
             known_at = min(notified, default=math.inf)
@@ -197,9 +197,9 @@
 
 def _notification_deadline(changed_at: float, run: SoakRun) -> float:
     """When a change counts as known in any case: discovery must be within reach for the whole time before."""
-    modes = run.discovery.modes
-    ends = [time for time, _ in modes[1:]] + [math.inf]
-    for (start, mode), end in zip(modes, ends, strict=True):
+    mode_history = run.discovery.mode_history
+    ends = [time for time, _ in mode_history[1:]] + [math.inf]
+    for (start, mode), end in zip(mode_history, ends, strict=True):
         reached_at = max(start, changed_at)
         sighup_times = [
             time for time in run.observations.sighup_times if time < reached_at + NOTIFICATION_DEADLINE
@@ -261,5 +261,6 @@
     return (
         f"seed {run.plan.seed}: {'FAILED' if found else 'passed'}, {len(observations.requests)} requests, "
         f"{answered} answered, {served} served, {len(observations.attempts)} attempts, "
-        f"{len(observations.polls)} polls, {len(observations.lifetimes)} processes, {killed} killed, lag {observations.max_lag * 1000:.0f} ms"
+        f"{len(observations.polls)} polls, {len(observations.lifetimes)} processes, "
+        f"{killed} killed, lag {observations.max_lag * 1000:.0f} ms"
     )
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -13,7 +13,7 @@
 from tests.soak.observations import Observations, Poll
 from tests.soak.plan import DiscoveryMode
 
-SLOW_ANSWER = 0.6  # seconds
+SLOW_RESPONSE_DELAY = 0.6  # seconds
 SECOND_POLL_TOLERANCE = 0.1  # seconds in which the end of an earlier poll may arrive after the next one
 
 
@@ -23,24 +23,26 @@
 
     version: int = 1
     entries: dict[str, dict[str, Any]] = field(default_factory=dict)
-    changed_in: dict[str, int] = field(default_factory=dict)
-    written_at: dict[str, list[tuple[float, int]]] = field(default_factory=dict)  # time, version; by name
+    changed_in_version: dict[str, int] = field(default_factory=dict)
+    sent_versions: dict[str, list[tuple[float, int]]] = field(default_factory=dict)  # time, version; by name
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def put(self, entry: dict[str, Any]) -> None:
         """Add or change an entry."""
         self.version += 1
         self.entries[entry["name"]] = entry
-        self.changed_in[entry["name"]] = self.version
+        self.changed_in_version[entry["name"]] = self.version
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def message(self, after: int | None, now: float) -> bytes:
+    def encode_update(self, after: int | None, now: float) -> bytes:
         """The complete list, or what has changed after a version; notes when it is written."""
-        listed = [e for name, e in self.entries.items() if after is None or self.changed_in[name] > after]
+        listed = [
+            e for name, e in self.entries.items() if after is None or self.changed_in_version[name] > after
+        ]
         for entry in listed:
             name = entry["name"]
-            self.written_at.setdefault(name, []).append((now, self.changed_in[name]))
+            self.sent_versions.setdefault(name, []).append((now, self.changed_in_version[name]))
         return orjson.dumps({"index": self.version, "snapshot": after is None, "endpoints": listed})
 
 
@@ -51,7 +53,7 @@
         """Prepare discovery, with an empty registry."""
         self.registry = Registry()
         self.mode = DiscoveryMode.SERVING
-        self.modes: list[tuple[float, DiscoveryMode]] = [(0.0, self.mode)]  # since when
+        self.mode_history: list[tuple[float, DiscoveryMode]] = [(0.0, self.mode)]  # since when
         self.listeners = [Listener(address, self._handler(f"{address[0]}")) for address in addresses]
         self._observations = observations
         self._open_polls: list[Poll] = []
@@ -59,7 +61,7 @@
     async def set_mode(self, mode: DiscoveryMode) -> None:
         """Answer in another way from now on."""
         self.mode = mode
-        self.modes.append((asyncio.get_running_loop().time(), mode))
+        self.mode_history.append((asyncio.get_running_loop().time(), mode))
         for listener in self.listeners:
             if mode is DiscoveryMode.REFUSING:
                 listener.close()
@@ -79,22 +81,24 @@
         self._observations.polls.append(poll)
         self._open_polls.append(poll)
         loop.call_later(SECOND_POLL_TOLERANCE + 2 * self._observations.lag, self._check_single_poll, poll)
-        left = asyncio.ensure_future(reader.read())
-        answer = asyncio.ensure_future(self._answer(head))
+        disconnected = asyncio.ensure_future(reader.read())
+        response = asyncio.ensure_future(self._respond(head))
         try:
-            await asyncio.wait([left, answer], return_when=asyncio.FIRST_COMPLETED)
-            if answer.done():
-                poll.failed = not answer.result().startswith(b"HTTP/1.1 200") or b'"wrong"' in answer.result()
-                writer.write(answer.result())
+            await asyncio.wait([disconnected, response], return_when=asyncio.FIRST_COMPLETED)
+            if response.done():
+                poll.failed = (
+                    not response.result().startswith(b"HTTP/1.1 200") or b'"wrong"' in response.result()
+                )
+                writer.write(response.result())
                 await writer.drain()
             else:
                 poll.failed = True
         finally:
-            poll.failed |= not answer.done()
+            poll.failed |= not response.done()
             poll.ended_at = loop.time()
             self._open_polls.remove(poll)
-            left.cancel()
-            answer.cancel()
+            disconnected.cancel()
+            response.cancel()
 
     def _check_single_poll(self, poll: Poll) -> None:
         others = [
@@ -103,28 +107,28 @@
         if poll in self._open_polls and others:
             self._observations.violations.append(f"watch: {len(others) + 1} polls are open at one time")
 
-    async def _answer(self, head: str) -> bytes:
+    async def _respond(self, head: str) -> bytes:
         mode = self.mode
         if mode is DiscoveryMode.SILENT:
             await asyncio.Event().wait()
         if mode is DiscoveryMode.UNAVAILABLE:
             return b"HTTP/1.1 503 Unavailable\r\nContent-Length: 0\r\n\r\n"
         if mode is DiscoveryMode.SLOW:
-            await asyncio.sleep(SLOW_ANSWER)
+            await asyncio.sleep(SLOW_RESPONSE_DELAY)
         if mode is DiscoveryMode.WRONG_INDEX:
-            return self._http(b'{"index":"wrong","snapshot":true,"endpoints":[]}')
-        found = re.search(r"after=(\d+)&wait_ms=(\d+)", head)
-        after = int(found[1]) if found else None
-        if found and after is not None and after >= self.registry.version:
+            return self._http_response(b'{"index":"wrong","snapshot":true,"endpoints":[]}')
+        query = re.search(r"after=(\d+)&wait_ms=(\d+)", head)
+        after = int(query[1]) if query else None
+        if query and after is not None and after >= self.registry.version:
             try:
-                async with asyncio.timeout(int(found[2]) / 1000):
+                async with asyncio.timeout(int(query[2]) / 1000):
                     await self.registry.changed.wait()
             except TimeoutError:
                 pass
             if self.mode is DiscoveryMode.SILENT:
                 await asyncio.Event().wait()
-        return self._http(self.registry.message(after, asyncio.get_running_loop().time()))
+        return self._http_response(self.registry.encode_update(after, asyncio.get_running_loop().time()))
 
     @staticmethod
-    def _http(body: bytes) -> bytes:
+    def _http_response(body: bytes) -> bytes:
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
--- a/tests/soak/network.py
+++ b/tests/soak/network.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 ROUTER_PORT, CACHE_PORT, ORIGIN_PORT, DISCOVERY_PORT = 7000, 6379, 8080, 8500
-SECOND_OCTETS, THIRD_OCTETS = 200, 250  # how many of them are used
+SECOND_OCTET_COUNT, THIRD_OCTET_COUNT = 200, 250  # how many of them are used
 
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
@@ -21,8 +21,8 @@
 
     def host(self, number: int) -> str:
         """The address of a host, from 1 to 254."""
-        second = 16 + self.process_id % SECOND_OCTETS
-        third = self.process_id // SECOND_OCTETS % THIRD_OCTETS
+        second = 16 + self.process_id % SECOND_OCTET_COUNT
+        third = self.process_id // SECOND_OCTET_COUNT % THIRD_OCTET_COUNT
         return f"127.{second}.{third}.{number}"
 
     @property
--- a/tests/soak/upstreams.py
+++ b/tests/soak/upstreams.py
@@ -12,14 +12,14 @@
 from tests.soak.observations import Attempt, Observations
 from tests.soak.plan import CacheMode, OriginMode
 
-REPORT = b"svc_ms=5,pending=0"
+LOAD_REPORT = b"svc_ms=5,pending=0"
 MISS_SHARE = 0.15  # of the reads, where the router fetches misses itself
-USUAL_LATENCY = (0.001, 0.008)  # seconds
+NORMAL_LATENCY = (0.001, 0.008)  # seconds
 SLOW_LATENCY = (0.2, 0.5)
-LATE_SECOND_ANSWER = (0.001, 0.004)
+SECOND_RESPONSE_DELAY = (0.001, 0.004)
 # An answer later than 10 ms is taken for the one to the next request, which is a known limit of the router
 # (docs/ROADMAP.md). A server on a busy machine is not to exceed that.
-LATEST_SECOND_ANSWER = 0.006
+MAX_SECOND_RESPONSE_DELAY = 0.006
 
 
 def value_of(key: bytes, request_id: bytes) -> bytes:
@@ -27,10 +27,16 @@
     return key + b"|" + request_id
 
 
-def encode_answer(value: bytes | None, outcome: bytes) -> bytes:
+def encode_response(value: bytes | None, outcome: bytes) -> bytes:
     """A cache server's answer: the value, how it was found, a load report."""
     encoded = b"$-1\r\n" if value is None else b"$%d\r\n%b\r\n" % (len(value), value)
-    return b"*3\r\n%b$%d\r\n%b\r\n$%d\r\n%b\r\n" % (encoded, len(outcome), outcome, len(REPORT), REPORT)
+    return b"*3\r\n%b$%d\r\n%b\r\n$%d\r\n%b\r\n" % (
+        encoded,
+        len(outcome),
+        outcome,
+        len(LOAD_REPORT),
+        LOAD_REPORT,
+    )
 
 
 class Cache:
@@ -63,12 +69,12 @@
                 while (command := parser.gets()) is not Ellipsis:
                     attempt = Attempt(received_at, self._observations.lag, command[2].decode(), self.name)
                     self._observations.attempts.append(attempt)
-                    await self._answer(attempt, command, reader, writer)
+                    await self._respond(attempt, command, reader, writer)
         finally:
             if attempt is not None and attempt.ended_at is None:
                 attempt.ended_at = self._now()
 
-    async def _answer(
+    async def _respond(
         self,
         attempt: Attempt,
         command: list[bytes],
@@ -76,12 +82,14 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         verb, key, request_id = command[:3]
-        latency = SLOW_LATENCY if self.mode is CacheMode.SLOW else USUAL_LATENCY
+        latency = SLOW_LATENCY if self.mode is CacheMode.SLOW else NORMAL_LATENCY
         await asyncio.sleep(self._generator.uniform(*latency))
         mode = self.mode
         is_read = verb == b"C.GET"
         misses = self._is_cache_aside and (not is_read or self._generator.random() < MISS_SHARE)
-        answer = encode_answer(None if misses else value_of(key, request_id), b"miss" if misses else b"hit")
+        response = encode_response(
+            None if misses else value_of(key, request_id), b"miss" if misses else b"hit"
+        )
         match mode:
             case CacheMode.HANGING:
                 await reader.read()
@@ -90,23 +98,23 @@
                 writer.transport.abort()
                 return
             case CacheMode.CUTTING:
-                writer.write(answer[: len(answer) // 2])
+                writer.write(response[: len(response) // 2])
                 await writer.drain()
                 writer.close()
                 return
             case CacheMode.REJECTING:
                 attempt.proves_no_execution = True
-                answer = b"-BUSY\r\n"
+                response = b"-BUSY\r\n"
             case CacheMode.FAILING:
-                answer = b"-ERR failed\r\n"
+                response = b"-ERR failed\r\n"
             case _:
                 attempt.proves_no_execution = misses
         attempt.ended_at = self._now()
-        writer.write(answer)
+        writer.write(response)
         if mode is CacheMode.ANSWERING_TWICE:
-            await asyncio.sleep(self._generator.uniform(*LATE_SECOND_ANSWER))
-            if self._now() - attempt.ended_at < LATEST_SECOND_ANSWER:
-                writer.write(answer)
+            await asyncio.sleep(self._generator.uniform(*SECOND_RESPONSE_DELAY))
+            if self._now() - attempt.ended_at < MAX_SECOND_RESPONSE_DELAY:
+                writer.write(response)
 
 
 class Origin:
@@ -127,15 +135,15 @@
         while True:
             head = (await reader.readuntil(b"\r\n\r\n")).decode()
             received_at = now()
-            first, *lines = head.strip().split("\r\n")
+            request_line, *lines = head.strip().split("\r\n")
             headers = {name.lower(): value for name, value in (line.split(": ", 1) for line in lines)}
             await reader.readexactly(int(headers.get("content-length", 0)))
-            key, request_id = first.split()[1][1:], headers["request-id"]
+            key, request_id = request_line.split()[1][1:], headers["request-id"]
             attempt = Attempt(received_at, self._observations.lag, request_id, self.name, is_origin=True)
             self._observations.attempts.append(attempt)
-            slow = self.mode is OriginMode.SLOW
+            is_slow = self.mode is OriginMode.SLOW
             try:
-                await asyncio.sleep(self._generator.uniform(*(SLOW_LATENCY if slow else (0.01, 0.03))))
+                await asyncio.sleep(self._generator.uniform(*(SLOW_LATENCY if is_slow else (0.01, 0.03))))
             finally:
                 attempt.ended_at = now()
             if self.mode is OriginMode.REJECTING:
