--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -25,8 +25,8 @@
     """Run the router's process under faults drawn from seeds, and check what its peers see."""
     passed = 0
     with ProcessPoolExecutor(jobs) as pool:
-        play = partial(soak_seed, seconds=seconds, fault=fault, with_timing=timing)
-        for result in pool.map(play, range(first, first + seeds)):
+        run_seed = partial(soak_seed, seconds=seconds, fault=fault, with_timing=timing)
+        for result in pool.map(run_seed, range(first, first + seeds)):
             passed += not result.violations
             print(result.report, flush=True)
     print(f"{passed} of {seeds} seeds passed")
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -97,7 +97,11 @@
         yield f"lost: {label} has no answer, and its connection stays open"
     elif attempts:
         yield f"lost: {label} was forwarded, and its connection closed without an answer"
-    elif request.sends > 1 and not plan.crowd and not _is_in_shutdown(request.router_closed_at, observations):
+    elif (
+        request.sends > 1
+        and not plan.idle_connections
+        and not _is_in_shutdown(request.router_closed_at, observations)
+    ):
         yield f"lost: {label} was closed unread on two connections"
 
 
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import Any
 
-START_LOAD = 1.0  # seconds after the first start of the router
+LOAD_START = 1.0  # seconds after the first start of the router
 CACHE_KIND, ORIGIN_KIND = "std", "store"
 DRAIN_GRACE = 0.5  # seconds
 
@@ -73,7 +73,7 @@
 
     time: float  # seconds after the first start of the router
     kind: CacheMode | OriginMode | DiscoveryMode | SignalSeries | str
-    subject: int = 0  # index of a cache server
+    cache_index: int = 0  # index of a cache server
 
 
 @dataclass(slots=True)
@@ -86,7 +86,7 @@
     descriptors: int = 512
     cache_count: int = 4
     clients: list[ClientKind] = field(default_factory=list)
-    crowd: int = 0  # connections of clients that send nothing
+    idle_connections: int = 0  # connections of clients that send nothing
     steps: list[Step] = field(default_factory=list)
 
     @property
@@ -106,9 +106,9 @@
     generator = random.Random(seed)
     plan = Plan(seed, duration, settings=_draw_settings(generator))
     plan.cache_count = generator.randint(3, 7)
-    with_crowd = generator.random() < 0.2
-    plan.descriptors = 128 if with_crowd else 512
-    plan.crowd = 120 if with_crowd else 0
+    with_idle_connections = generator.random() < 0.2
+    plan.descriptors = 128 if with_idle_connections else 512
+    plan.idle_connections = 120 if with_idle_connections else 0
     plan.clients = [generator.choice(list(ClientKind)) for _ in range(generator.randint(8, 20))]
     plan.steps = sorted(_draw_steps(generator, plan), key=lambda step: step.time)
     return plan
@@ -161,7 +161,7 @@
     steps = []
     for mode in generator.sample([m for m in CacheMode if m is not CacheMode.NORMAL], 4):
         cache = generator.randrange(plan.cache_count)
-        start = generator.uniform(START_LOAD, end - 1.0)
+        start = generator.uniform(LOAD_START, end - 1.0)
         steps.append(Step(start, mode, cache))
         steps.append(Step(start + generator.uniform(0.5, 3.0), CacheMode.NORMAL, cache))
     for outage in generator.sample([m for m in DiscoveryMode if m is not DiscoveryMode.SERVING], 2):
@@ -171,10 +171,10 @@
             steps.append(Step(start + 0.3, SignalSeries.ALTERNATING))
         steps.append(Step(start + generator.uniform(0.5, 4.0), DiscoveryMode.SERVING))
     origin_mode = generator.choice([m for m in OriginMode if m is not OriginMode.NORMAL])
-    start = generator.uniform(START_LOAD, end - 1.0)
+    start = generator.uniform(LOAD_START, end - 1.0)
     steps += [Step(start, origin_mode), Step(start + generator.uniform(0.5, 2.0), OriginMode.NORMAL)]
     steps += [
-        Step(generator.uniform(START_LOAD, end), "drain", cache) for cache in range(plan.cache_count // 3)
+        Step(generator.uniform(LOAD_START, end), "drain", cache) for cache in range(plan.cache_count // 3)
     ]
     steps += [Step(generator.uniform(0.0, end), s) for s in generator.choices(list(SignalSeries), k=3)]
     if generator.random() < 0.5:
--- a/tests/soak/router.py
+++ b/tests/soak/router.py
@@ -18,14 +18,19 @@
 from tests.soak.plan import Plan, SignalSeries
 from tests.support.router_process import send_signal
 
-READY_POLL = 0.05  # seconds between two attempts to get a reply to PING
-ALTERNATIONS = 6
-ALTERNATION_PAUSE = 0.02  # seconds
-PYTHON_START_LIMIT = 1.0  # seconds
-MASKS = ("SigBlk", "SigCgt")  # of the signals that a process has blocked, and of those that it handles
+READY_POLL_INTERVAL = 0.05  # seconds between two attempts to get a reply to PING
+ALTERNATION_COUNT = 6
+ALTERNATION_INTERVAL = 0.02  # seconds
+PYTHON_START_TIMEOUT = 1.0  # seconds
+SIGNAL_MASK_FIELDS = (
+    "SigBlk",
+    "SigCgt",
+)  # of the signals that a process has blocked, and of those that it handles
 SIGHUP_BIT = 1 << (signal.SIGHUP - 1)
-REPEAT_PAUSE = 0.003  # seconds between signals in a shutdown, so that some come at each of its moments
-UNUSABLE = (SignalSeries.MALFORMED, SignalSeries.MISSING)
+SIGNAL_REPEAT_INTERVAL = (
+    0.003  # seconds between signals in a shutdown, so that some come at each of its moments
+)
+UNUSABLE_SERIES = (SignalSeries.MALFORMED, SignalSeries.MISSING)
 MALFORMED = b'{"listen":'
 
 
@@ -38,7 +43,7 @@
         *,
         network: Network,
         folder: Path,
-        known: dict[str, Any],
+        cached_list: dict[str, Any],
         observations: Observations,
         fault: str,
     ) -> None:
@@ -47,16 +52,16 @@
         self._path = folder / "config.json"
         self._observations = observations
         self._fault = fault
-        self._discovery = 0
+        self._discovery_index = 0
         self._process: asyncio.subprocess.Process | None = None
-        self._log: asyncio.Task[None] | None = None
+        self._log_reader: asyncio.Task[None] | None = None
         self._now = asyncio.get_running_loop().time
         self._config: dict[str, Any] = {
-            "listen": _format(network.router),
-            "discovery": _format(network.discovery(0)),
+            "listen": _format_address(network.router),
+            "discovery": _format_address(network.discovery(0)),
             "seed": f"{plan.seed:x}",
             "limits": {"sockets": plan.descriptors, "memory_mb": 192},
-            "known": known,
+            "known": cached_list,
             "settings": plan.settings,
         }
         self.write_config()
@@ -74,12 +79,12 @@
 
     def write_config(self) -> None:
         """Replace the file by the configuration."""
-        self._write(orjson.dumps(self._config))
+        self._replace_file(orjson.dumps(self._config))
 
-    def _write(self, text: bytes) -> None:
-        partial = self._path.with_suffix(".new")
-        partial.write_bytes(text)
-        partial.replace(self._path)
+    def _replace_file(self, text: bytes) -> None:
+        temporary = self._path.with_suffix(".new")
+        temporary.write_bytes(text)
+        temporary.replace(self._path)
 
     async def start(self) -> None:
         """Start a process, and wait for its first PONG in the background."""
@@ -91,12 +96,12 @@
             stderr=asyncio.subprocess.PIPE,
         )
         self._observations.lifetimes.append(Lifetime(self._now()))
-        self._log = asyncio.create_task(self._read_log(self._process))
+        self._log_reader = asyncio.create_task(self._read_log(self._process))
         with suppress(TimeoutError):
-            async with asyncio.timeout(PYTHON_START_LIMIT):
-                await self._wait_until_signals_are_held()
+            async with asyncio.timeout(PYTHON_START_TIMEOUT):
+                await self._wait_until_sighup_is_masked_or_handled()
 
-    async def _wait_until_signals_are_held(self) -> None:
+    async def _wait_until_sighup_is_masked_or_handled(self) -> None:
         """Wait until the program holds SIGHUP back or handles it.
 
         Before that Python itself starts, and nothing that the program does can keep a signal from ending it.
@@ -104,7 +109,11 @@
         """
         status = Path(f"/proc/{self.process_id}/status")
         while self._is_running():
-            masks = [line.split()[1] for line in status.read_text().splitlines() if line.startswith(MASKS)]
+            masks = [
+                line.split()[1]
+                for line in status.read_text().splitlines()
+                if line.startswith(SIGNAL_MASK_FIELDS)
+            ]
             if any(int(mask, 16) & SIGHUP_BIT for mask in masks):
                 return
             await asyncio.sleep(0.002)
@@ -125,7 +134,7 @@
                 writer.transport.abort()
             except OSError:
                 pass
-            await asyncio.sleep(READY_POLL)
+            await asyncio.sleep(READY_POLL_INTERVAL)
 
     def _is_running(self) -> bool:
         return self._process is not None and self._process.returncode is None
@@ -137,43 +146,43 @@
             if number is signal.SIGHUP:
                 self._observations.sighup_times.append(self._now())
 
-    async def signal_configurations(self, series: SignalSeries) -> None:
+    async def send_sighup_series(self, series: SignalSeries) -> None:
         """Change the file as the series wants it, with SIGHUP after each change.
 
         A process that starts with a file that it cannot use ends with status 2, as it should. So the file can
         be used until the process is ready.
         """
-        if self.lifetime.ready_at is None and series in UNUSABLE:
+        if self.lifetime.ready_at is None and series in UNUSABLE_SERIES:
             series = SignalSeries.SAME
         match series:
             case SignalSeries.MALFORMED:
-                self._write(MALFORMED)
+                self._replace_file(MALFORMED)
             case SignalSeries.MISSING:
                 self._path.unlink(missing_ok=True)
             case SignalSeries.NEW | SignalSeries.ALTERNATING:
                 self._change_discovery()
         self.send(signal.SIGHUP)
         if series is SignalSeries.ALTERNATING:
-            for _ in range(ALTERNATIONS):
-                await asyncio.sleep(ALTERNATION_PAUSE)
+            for _ in range(ALTERNATION_COUNT):
+                await asyncio.sleep(ALTERNATION_INTERVAL)
                 self._change_discovery()
                 self.send(signal.SIGHUP)
-        if series in UNUSABLE:
+        if series in UNUSABLE_SERIES:
             await asyncio.sleep(0.2)  # until the router has read it
             self.write_config()
 
     def _change_discovery(self) -> None:
-        self._discovery = 1 - self._discovery
-        self._config["discovery"] = _format(self._network.discovery(self._discovery))
+        self._discovery_index = 1 - self._discovery_index
+        self._config["discovery"] = _format_address(self._network.discovery(self._discovery_index))
         self.write_config()
 
     async def terminate(self, sigkill_after: float) -> None:
         """Send SIGTERM twice and SIGHUP during the shutdown; SIGKILL at the earliest time that is allowed."""
         assert self._process is not None
-        assert self._log is not None
+        assert self._log_reader is not None
         self.lifetime.terminated_at = self._now()
         self.send(signal.SIGTERM)
-        repeats = asyncio.create_task(self._repeat_signals())
+        repeated_signals = asyncio.create_task(self._repeat_signals())
         try:
             async with asyncio.timeout(sigkill_after):
                 await self._process.wait()
@@ -181,14 +190,14 @@
             self.lifetime.was_killed = True
             self._process.kill()
             await self._process.wait()
-        repeats.cancel()
+        repeated_signals.cancel()
         self.lifetime.ended_at = self._now()
         self.lifetime.exit_status = self._process.returncode
-        await self._log
+        await self._log_reader
 
     async def _repeat_signals(self) -> None:
         while self._is_running():
-            await asyncio.sleep(REPEAT_PAUSE)
+            await asyncio.sleep(SIGNAL_REPEAT_INTERVAL)
             self.send(signal.SIGTERM)
             self.send(signal.SIGHUP)
 
@@ -198,5 +207,5 @@
             self._process.kill()
 
 
-def _format(address: tuple[str, int]) -> str:
+def _format_address(address: tuple[str, int]) -> str:
     return f"{address[0]}:{address[1]}"
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -32,7 +32,9 @@
 MAX_MEMORY_GROWTH = 40.0  # MB, beyond the start
 SETTLE_TIME = 1.5  # seconds after the last client has left
 LOAD_BEFORE_END = 1.0  # seconds of load before the last SIGTERM
-CLIENT_STOP_TIME = 0.3  # seconds after the end of the process in which clients note the end of connections
+CLOSE_DETECTION_TIME = (
+    0.3  # seconds after the end of the process in which clients note the end of connections
+)
 
 
 class SoakRun:
@@ -45,28 +47,28 @@
         self._network = Network(os.getpid())
         self._generator = random.Random(plan.seed)
         self._now = asyncio.get_running_loop().time
-        self.caches = [self._cache(index) for index in range(plan.cache_count)]
+        self.caches = [self._create_cache(index) for index in range(plan.cache_count)]
         self.origin = Origin("origin-1", self._network.origin, self._generator, self.observations)
         self.discovery = Discovery([self._network.discovery(i) for i in range(2)], self.observations)
         for index in range(plan.cache_count):
-            self.discovery.registry.put(self.entry(index))
+            self.discovery.registry.put(self.endpoint_entry(index))
         self.discovery.registry.put(self._origin_entry())
         entries = list(self.discovery.registry.entries.values())
-        known = {"index": 1, "snapshot": True, "endpoints": entries}
+        cached_list = {"index": 1, "snapshot": True, "endpoints": entries}
         self.router = RouterProcess(
             plan,
             network=self._network,
             folder=folder,
-            known=known,
+            cached_list=cached_list,
             observations=self.observations,
             fault=fault,
         )
 
-    def _cache(self, index: int) -> Cache:
+    def _create_cache(self, index: int) -> Cache:
         address = self._network.cache(index)
         return Cache(f"cache-{index}", address, self.plan.is_cache_aside, self._generator, self.observations)
 
-    def entry(self, index: int, **changes: Any) -> dict[str, Any]:
+    def endpoint_entry(self, index: int, **changes: Any) -> dict[str, Any]:
         """The endpoint list's entry of a cache server."""
         host, port = self._network.cache(index)
         entry = {
@@ -83,9 +85,11 @@
 
     def _origin_entry(self) -> dict[str, Any]:
         host, port = self._network.origin
-        return self.entry(0, name="origin-1", address=f"{host}:{port}", type=ORIGIN_KIND, zone="a", group=9)
+        return self.endpoint_entry(
+            0, name="origin-1", address=f"{host}:{port}", type=ORIGIN_KIND, zone="a", group=9
+        )
 
-    async def play(self) -> None:
+    async def execute(self) -> None:
         """Play the whole plan, and end the router."""
         background = [asyncio.create_task(self.observations.measure_lag())]
         try:
@@ -95,7 +99,7 @@
                 *self.discovery.listeners,
             ):
                 await listener.open()
-            await self._play_lifetimes(background)
+            await self._execute_plan(background)
         finally:
             self.router.kill()
             for task in background:
@@ -108,23 +112,23 @@
             ):
                 listener.close()
 
-    async def _play_lifetimes(self, background: list[asyncio.Task[None]]) -> None:
+    async def _execute_plan(self, background: list[asyncio.Task[None]]) -> None:
         await self.router.start()
         ready = asyncio.create_task(self.router.wait_until_ready())
-        steps = asyncio.create_task(self._do_steps())
+        steps = asyncio.create_task(self._execute_steps())
         background += [ready, steps]
         await ready
-        at_start = self._resources()
+        at_load_start = self._resource_usage()
         load = self._start_load()
         background += load
         await steps
         await self._stop_load(load)
-        await self._check_rest(at_start)
+        await self._check_idle_resources(at_load_start)
         load = self._start_load("d")
         background += load
         await asyncio.sleep(LOAD_BEFORE_END)
         await self._terminate()
-        await asyncio.sleep(CLIENT_STOP_TIME)
+        await asyncio.sleep(CLOSE_DETECTION_TIME)
         await self._stop_load(load)
 
     @staticmethod
@@ -135,18 +139,18 @@
         # a client that is cancelled while it connects leaves an open socket to the garbage collector
         gc.collect()
 
-    async def _check_rest(self, at_start: tuple[int, float]) -> None:
+    async def _check_idle_resources(self, at_load_start: tuple[int, float]) -> None:
         """Check that the router holds no more than at its start once all clients have left."""
         restarted = len(self.observations.lifetimes) > 1
         await asyncio.sleep(SETTLE_TIME)
-        descriptors, memory = self._resources()
+        descriptors, memory = self._resource_usage()
         budget = DescriptorBudget.divide(self.plan.descriptors)  # of idle connections to servers
-        if descriptors - at_start[0] > budget.caches + budget.origin:
-            self._note_violation(f"rest: {descriptors} descriptors, {at_start[0]} at the start")
-        if memory - at_start[1] > MAX_MEMORY_GROWTH and not restarted:
-            self._note_violation(f"rest: {memory:.0f} MB, {at_start[1]:.0f} at the start")
+        if descriptors - at_load_start[0] > budget.caches + budget.origin:
+            self._record_violation(f"rest: {descriptors} descriptors, {at_load_start[0]} at the start")
+        if memory - at_load_start[1] > MAX_MEMORY_GROWTH and not restarted:
+            self._record_violation(f"rest: {memory:.0f} MB, {at_load_start[1]:.0f} at the start")
 
-    def _note_violation(self, text: str) -> None:
+    def _record_violation(self, text: str) -> None:
         self.observations.violations.append(text)
 
     def _start_load(self, prefix: str = "c") -> list[asyncio.Task[None]]:
@@ -163,22 +167,24 @@
             for n, kind in enumerate(self.plan.clients)
         ]
         load = [asyncio.create_task(client.run()) for client in clients]
-        if self.plan.crowd:
-            load.append(asyncio.create_task(hold_idle_connections(self._network.router, self.plan.crowd)))
+        if self.plan.idle_connections:
+            load.append(
+                asyncio.create_task(hold_idle_connections(self._network.router, self.plan.idle_connections))
+            )
         return load
 
-    async def _do_steps(self) -> None:
+    async def _execute_steps(self) -> None:
         started_at = self._now()
         for step in self.plan.steps:
             await asyncio.sleep(max(0.0, started_at + step.time - self._now()))
-            self.observations.record_event(self._now() - started_at, f"{step.kind} {step.subject}")
-            await self._do(step)
+            self.observations.record_event(self._now() - started_at, f"{step.kind} {step.cache_index}")
+            await self._execute_step(step)
         await asyncio.sleep(max(0.0, started_at + self.plan.duration - self._now()))
 
-    async def _do(self, step: Step) -> None:
+    async def _execute_step(self, step: Step) -> None:
         match step.kind:
             case CacheMode():
-                await self._set_cache_mode(step.subject, step.kind)
+                await self._set_cache_mode(step.cache_index, step.kind)
             case DiscoveryMode():
                 await self.discovery.set_mode(step.kind)
             case OriginMode():
@@ -188,9 +194,9 @@
                 else:
                     await self.origin.listener.open()
             case SignalSeries():
-                await self.router.signal_configurations(step.kind)
+                await self.router.send_sighup_series(step.kind)
             case "drain":
-                self._drain(step.subject)
+                self._drain(step.cache_index)
             case "restart":
                 await self._restart()
 
@@ -203,11 +209,11 @@
         elif was_gone:  # it restarts, and is empty
             await cache.listener.open()
             if cache.name not in self.observations.drain_started_at:
-                self.discovery.registry.put(self.entry(index, since_ms=int(time.time() * 1000)))
+                self.discovery.registry.put(self.endpoint_entry(index, since_ms=int(time.time() * 1000)))
 
     def _drain(self, index: int) -> None:
         self.observations.drain_started_at.setdefault(f"cache-{index}", self._now())
-        self.discovery.registry.put(self.entry(index, status="terminating"))
+        self.discovery.registry.put(self.endpoint_entry(index, status="terminating"))
 
     async def _restart(self) -> None:
         await self._terminate()
@@ -218,7 +224,7 @@
     async def _terminate(self) -> None:
         await self.router.terminate(self.plan.sigkill_after)
 
-    def _resources(self) -> tuple[int, float]:
+    def _resource_usage(self) -> tuple[int, float]:
         """Descriptors and resident memory, in MB, of the router."""
         folder = Path(f"/proc/{self.router.process_id}")
         try:
--- a/tests/soak/seeds.py
+++ b/tests/soak/seeds.py
@@ -30,7 +30,7 @@
 async def _soak_seed(seed: int, seconds: float, fault: str, with_timing: bool) -> SeedResult:
     with tempfile.TemporaryDirectory() as folder:
         run = SoakRun(draw_plan(seed, seconds), Path(folder), fault)
-        await run.play()
+        await run.execute()
     found = find_violations(run, with_timing)
     lines = [summary(run, found)]
     if found:
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -15,7 +15,11 @@
 SEEDS = 6
 SECONDS = 8
 TIME_LIMIT = 180.0  # seconds, of a busy machine
-FOUND = {"overflow": "log: ", "signals": "process: ended with status", "drain": "drain: "}  # by fault
+EXPECTED_VIOLATIONS = {
+    "overflow": "log: ",
+    "signals": "process: ended with status",
+    "drain": "drain: ",
+}  # by fault
 
 
 async def soak(*options: str) -> tuple[int, str]:
@@ -43,7 +47,9 @@
 
 @pytest.mark.time_limit(TIME_LIMIT)
 async def test_faults_that_are_put_back_are_found() -> None:
-    results = await asyncio.gather(*(soak("--seeds=1", "--first=1", f"--fault={fault}") for fault in FOUND))
-    for (fault, finding), (status, output) in zip(FOUND.items(), results, strict=True):
+    results = await asyncio.gather(
+        *(soak("--seeds=1", "--first=1", f"--fault={fault}") for fault in EXPECTED_VIOLATIONS)
+    )
+    for (fault, prefix), (status, output) in zip(EXPECTED_VIOLATIONS.items(), results, strict=True):
         assert status == 1, f"{fault}: {output}"
-        assert f"  {finding}" in output, f"{fault}: {output}"
+        assert f"  {prefix}" in output, f"{fault}: {output}"
