--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,5 +1,5 @@
-"""Soak: the router's process between stand-ins for all of its peers, under faults that a seed draws.
+"""Soak test: the router's process between stand-ins for all of its peers, under faults drawn from a seed.
 
-`python -m tests.soak --help` runs it by hand. `plan` draws what happens, `run` plays it, `checks` judges
-what the peers saw.
+`python -m tests.soak` runs it, `--help` lists the options. `plan` draws the faults, signals and load, `run`
+executes the plan, and `checks` verifies the observations of the peers.
 """
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,7 @@
-"""Command line of the soak: one line a seed, and for a failure its command, events and log."""
+"""Command line of the soak test.
+
+Prints one line per seed. For a failed seed it also prints the command to repeat it, its events and its log.
+"""
 
 from __future__ import annotations
 
@@ -13,16 +16,18 @@
 
 
 @click.command()
-@click.option("--seeds", default=10, show_default=True, help="how many seeds are played")
+@click.option("--seeds", default=10, show_default=True, help="number of seeds to run")
 @click.option("--first", default=1, show_default=True, help="the first seed")
-@click.option("--seconds", default=15.0, show_default=True, help="of each seed, before its last SIGTERM")
-@click.option("--jobs", default=4, show_default=True, help="seeds played at one time")
 @click.option(
-    "--timing/--no-timing", default=True, help="check how soon things happen; needs a quiet machine"
+    "--seconds", default=15.0, show_default=True, help="duration of each seed, up to its last SIGTERM"
+)
+@click.option("--jobs", default=4, show_default=True, help="number of seeds run in parallel")
+@click.option("--timing/--no-timing", default=True, help="check latencies; needs an otherwise idle machine")
+@click.option(
+    "--fault", default="", type=click.Choice(["", *FAULTS]), help="fault to reintroduce into the router"
 )
-@click.option("--fault", default="", type=click.Choice(["", *FAULTS]), help="a fault to put back")
 def main(*, seeds: int, first: int, seconds: float, jobs: int, timing: bool, fault: str) -> None:
-    """Run the router's process under faults drawn from seeds, and check what its peers see."""
+    """Run the router's process under faults drawn from seeds, and check the observations of its peers."""
     passed = 0
     with ProcessPoolExecutor(jobs) as pool:
         run_seed = partial(soak_seed, seconds=seconds, fault=fault, with_timing=timing)
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,6 +1,6 @@
-"""Judges what the peers of one run saw. Bounds are those of the operators' protocol, not measured figures.
+"""Checks of the observations of one run, with the bounds that the operators' protocol sets.
 
-Times of an observer that was late, because the machine was busy, are judged with its lag as tolerance.
+On a busy machine an observer records its times late. Its lag is then added to the tolerance of each check.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 from tests.soak.run import SoakRun
 from tests.soak.upstreams import value_of
 
-LATE_REPLY_GRACE = 0.5  # seconds after its time in which an answer only earns nothing
-TIME_LIMIT_TOLERANCE = 0.05  # seconds that each time limit is longer on sockets
-MAX_ROUTER_PAUSE = 0.15  # seconds for which a router may be held up between reading its clock and writing
-DISCONNECT_TOLERANCE = 0.1  # seconds after a client left in which an attempt may still begin
-NOTIFICATION_DEADLINE = 6.0  # seconds after discovery has a change and can be reached
-ADDRESS_CHANGE_DEADLINE = 4.0  # the same after SIGHUP
-BUSY_MACHINE_TOLERANCE = 1.0  # seconds more for a router that may have to wait for a core
-READY_DEADLINE = 10.0  # seconds
+LATE_REPLY_GRACE = 0.5  # seconds after the deadline in which a reply is worthless, but no violation
+TIME_LIMIT_TOLERANCE = 0.05  # seconds by which socket I/O may exceed each time limit
+MAX_ROUTER_PAUSE = 0.15  # seconds for which the router may be suspended between reading its clock and a write
+DISCONNECT_TOLERANCE = 0.1  # seconds after a client's disconnect in which an attempt may still begin
+NOTIFICATION_DEADLINE = 6.0  # seconds after discovery has a change and is reachable
+ADDRESS_CHANGE_DEADLINE = 4.0  # seconds after a SIGHUP, which may change the address of discovery
+BUSY_MACHINE_TOLERANCE = 1.0  # additional seconds for a router that may have to wait for a core
+READY_DEADLINE = 10.0  # seconds after the start of the process
 EXPECTED_ERROR = "configuration not taken"
-ORDERED_KINDS = (ClientKind.PIPELINING.value, ClientKind.NOT_READING.value)  # answers wait for others
+ORDERED_KINDS = (ClientKind.PIPELINING.value, ClientKind.NOT_READING.value)  # replies wait for earlier ones
 
 
 def find_violations(run: SoakRun, with_timing: bool = True) -> list[str]:
-    """All that broke a rule, a line each.
+    """Return a description of each violation.
 
-    `with_timing` adds the checks of how soon the router does something. They hold on a machine that gives its
-    process a core when it needs one, and not beside any load.
+    `with_timing` adds the checks of latencies. They are valid only on a machine that has a free core for the
+    router whenever it needs one, and not next to other load.
     """
     plan, observations = run.plan, run.observations
     attempts: defaultdict[str, list[Attempt]] = defaultdict(list)
@@ -58,11 +58,11 @@
         return
     expected = value_of(request.key.encode(), request.request_id.encode())
     if isinstance(request.reply, bytes) and request.reply != expected:
-        yield f"answer: {label} got the value {request.reply!r}"
+        yield f"reply: {label} got the value {request.reply!r} instead of {expected!r}"
     executed = [attempt for attempt in attempts if not attempt.proves_no_execution]
     is_rejected = str(request.reply).startswith("BUSY")
     if is_rejected and executed and not _may_be_rejected_after_execution(request, plan):
-        yield f"rejected: {label} may have run at {executed[0].server}"
+        yield f"rejected: {label} may have been executed by {executed[0].server}"
 
 
 def _check_lateness(request: SentRequest, observations: Observations) -> Iterator[str]:
@@ -94,15 +94,15 @@
     if request.router_closed_at is None:
         if _was_killed_at(request.sent_at + request.deadline, observations):
             return
-        yield f"lost: {label} has no answer, and its connection stays open"
+        yield f"lost: {label} has no reply, and its connection stays open"
     elif attempts:
-        yield f"lost: {label} was forwarded, and its connection closed without an answer"
+        yield f"lost: {label} was forwarded, and its connection was closed without a reply"
     elif (
         request.sends > 1
         and not plan.idle_connections
         and not _is_in_shutdown(request.router_closed_at, observations)
     ):
-        yield f"lost: {label} was closed unread on two connections"
+        yield f"lost: {label} was never forwarded, and two connections were closed without a reply"
 
 
 def _was_killed_at(time: float, observations: Observations) -> bool:
@@ -133,34 +133,34 @@
             )
             if late > 0:
                 seconds = attempt.time - request.client_closed_at
-                yield f"left: {label} was sent to {attempt.server} {seconds:.3f} s after its client left"
+                yield f"disconnect: {label} at {attempt.server} {seconds:.3f} s after its client disconnected"
     for position, attempt in enumerate(attempts):
         earlier = [a for a in attempts[:position] if not a.proves_no_execution]
         if earlier:
-            yield from _check_repeat(request, earlier, attempt, plan, run)
+            yield from _check_retry(request, earlier, attempt, plan, run)
         if not plan.settings["limits"]["secondCopies"]:
             for other in attempts[:position]:
                 overlap = (other.ended_at or math.inf) - attempt.time
                 if overlap > TIME_LIMIT_TOLERANCE + attempt.lag:
-                    yield f"second copy: {label} at {attempt.server} while {other.server} had it"
+                    yield f"hedging: {label} was sent to {attempt.server} while in flight to {other.server}"
 
 
-def _check_repeat(
+def _check_retry(
     request: SentRequest, earlier: list[Attempt], attempt: Attempt, plan: Plan, run: SoakRun
 ) -> Iterator[str]:
-    """Check an attempt of a request that may have run before."""
+    """Check an attempt for a request that `earlier` attempts may have executed."""
     settings = _class_settings(request, plan)
     label = f"{request.request_id} ({request.request_class})"
     if settings["effect"] == "single_shot":
-        yield f"repeat: {label} at {attempt.server} after {earlier[0].server}"
+        yield f"retry: {label} at {attempt.server} after an attempt at {earlier[0].server}"
     if settings["effect"] != "guarded":
         return
     window = float(str(settings["repeatWindow"])) + MAX_ROUTER_PAUSE + TIME_LIMIT_TOLERANCE + attempt.lag
     if attempt.time - earlier[0].time > window:
-        yield f"repeat: {label} at {attempt.server} {attempt.time - earlier[0].time:.3f} s after the first"
+        yield f"retry: {label} at {attempt.server} {attempt.time - earlier[0].time:.3f} s after the first"
     scopes = {_scope_id(a.server, str(settings["group"]), run) for a in (*earlier, attempt)}
     if len(scopes) > 1:
-        yield f"repeat: {label} at {attempt.server}, of another group than {earlier[0].server}"
+        yield f"retry: {label} at {attempt.server}, not in the idempotency scope of {earlier[0].server}"
 
 
 def _scope_id(server: str, scope: str, run: SoakRun) -> object:
@@ -186,7 +186,7 @@
                 and (lifetime.terminated_at or math.inf) > deadline + MAX_ROUTER_PAUSE + observations.max_lag
             ):
                 seconds = deadline - drained_at
-                yield f"list: the drain of {server} was not known {seconds:.3f} s after it"
+                yield f"list: the drain of {server} was not sent to the router within {seconds:.3f} s"
             latest = (
                 min(known_at, deadline)
                 + DRAIN_GRACE
@@ -196,11 +196,14 @@
             )
             for attempt in observations.attempts:
                 if attempt.server == server and latest + attempt.lag < attempt.time <= end:
-                    yield f"drain: {attempt.request_id} at {server} {attempt.time - latest:.3f} s too late"
+                    yield f"drain: {attempt.request_id} at {server}, {attempt.time - latest:.3f} s too late"
 
 
 def _notification_deadline(changed_at: float, run: SoakRun) -> float:
-    """When a change counts as known in any case: discovery must be within reach for the whole time before."""
+    """Return the latest time at which the router has to know a change, infinite without one.
+
+    The router has to know it once discovery has been reachable for the whole notification deadline.
+    """
     mode_history = run.discovery.mode_history
     ends = [time for time, _ in mode_history[1:]] + [math.inf]
     for (start, mode), end in zip(mode_history, ends, strict=True):
@@ -230,7 +233,7 @@
         )
         pause = following.started_at - poll.ended_at
         if not signals_between and not restarted and pause < MIN_BACKOFF - 0.01 - following.lag - poll.lag:
-            yield f"backoff: a poll {pause:.3f} s after one that failed"
+            yield f"backoff: a poll began {pause:.3f} s after a failed one"
 
 
 def _check_processes(observations: Observations) -> Iterator[str]:
@@ -245,19 +248,19 @@
 def _check_process(lifetime: Lifetime) -> Iterator[str]:
     ready_after = (lifetime.ready_at or math.inf) - lifetime.started_at
     if ready_after > READY_DEADLINE:
-        yield f"process: ready after {ready_after:.3f} s"
+        yield f"process: ready {ready_after:.3f} s after its start"
     if lifetime.ended_at is not None and not lifetime.was_killed and lifetime.exit_status != 0:
         yield f"process: ended with status {lifetime.exit_status}"
 
 
 def rerun_command(run: SoakRun) -> str:
-    """The command that plays the same plan again."""
+    """Return the command that runs the same plan again."""
     plan = run.plan
     return f"python -m tests.soak --seeds 1 --first {plan.seed} --seconds {plan.duration:g}"
 
 
 def summary(run: SoakRun, found: list[str]) -> str:
-    """One line about a run."""
+    """Return a one-line summary of a run."""
     observations = run.observations
     answered = sum(request.answered_at is not None for request in observations.requests.values())
     served = sum(isinstance(request.reply, bytes) for request in observations.requests.values())
