--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -142,7 +142,7 @@
             for other in attempts[:position]:
                 overlap = (other.ended_at or math.inf) - attempt.time
                 if overlap > TIME_LIMIT_TOLERANCE + attempt.lag:
-                    yield f"hedging: {label} was sent to {attempt.server} while in flight to {other.server}"
+                    yield f"hedging: {label} at {attempt.server} while {other.server} was processing it"
 
 
 def _check_retry(
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of several kinds, which keep using their connections until the router closes them."""
+"""Clients of several kinds, which reuse a connection until the router closes it."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from tests.soak.plan import ClientKind
 
 KEY_COUNT = 40
-THINK_TIME = (0.02, 0.2)  # seconds
-RECONNECT_DELAY = 0.05
-NOT_READING_TIME = 1.0  # seconds for which a client of that kind reads nothing
-REST_TIME = 3.0
-MAX_BATCH_DEADLINES = 9  # answers of a batch come in order, and each may take the time of its own request
-MAX_SENDS = 2  # of a request that crosses the end of its connection
+THINK_TIME = (0.02, 0.2)  # range of the pause between batches, in seconds
+RECONNECT_DELAY = 0.05  # seconds
+NOT_READING_TIME = 1.0  # seconds for which a client of kind NOT_READING reads nothing
+REST_TIME = 3.0  # seconds between the batches of a client of kind RESTING
+MAX_BATCH_DEADLINES = 9  # replies to a batch arrive in order, and each may take until its own deadline
+MAX_SENDS = 2  # a request is sent again when its connection closes before the reply
 
 
 class Client:
-    """One client; it opens another connection whenever one has ended."""
+    """A client that opens a new connection whenever the current one closes."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         generator: random.Random,
         observations: Observations,
     ) -> None:
-        """Create a client, which connects when it is run."""
+        """Create a client, which connects once `run` is called."""
         self.name = name
         self.kind = kind
         self._address = address
@@ -46,8 +46,8 @@
         self._observations = observations
         self._numbers = itertools.count()
         self._now = asyncio.get_running_loop().time
-        self._batch: list[SentRequest] = []  # sent on the present connection
-        self._to_resend: deque[SentRequest] = deque()  # to be sent once more on another connection
+        self._batch: list[SentRequest] = []  # requests sent last on the current connection
+        self._to_resend: deque[SentRequest] = deque()  # requests to send again on a new connection
 
     async def run(self) -> None:
         """Send requests until cancelled."""
@@ -75,7 +75,7 @@
                 request.client_closed_at = self._now()
 
     async def _use_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Send requests on a connection until it ends."""
+        """Send requests on a connection until one side closes it."""
         parser = hiredis.Reader(notEnoughData=Ellipsis)
         while True:
             batch = self._batch = [self._next_request() for _ in range(self._batch_size())]
@@ -91,7 +91,9 @@
                     self._record_router_close(batch[position:])
                     return
             if parser.gets() is not Ellipsis:
-                self._observations.violations.append(f"answers: {self.name} got one more than it asked for")
+                self._observations.violations.append(
+                    f"replies: {self.name} got more replies than it sent requests"
+                )
             is_resting = self.kind is ClientKind.RESTING
             pause = REST_TIME if is_resting else self._generator.uniform(*THINK_TIME)
             await self._stay_idle(reader, pause)
@@ -99,12 +101,12 @@
                 return
 
     async def _stay_idle(self, reader: asyncio.StreamReader, pause: float) -> None:
-        """Send nothing for a time; what the router sends in that time belongs to no request."""
+        """Send nothing for `pause` seconds; any data that arrives meanwhile is a violation."""
         with suppress(TimeoutError):
             async with asyncio.timeout(pause):
                 if await reader.read(1):
                     self._observations.violations.append(
-                        f"answers: {self.name} got one that it did not ask for"
+                        f"replies: {self.name} got an unexpected reply while idle"
                     )
 
     def _batch_size(self) -> int:
@@ -146,9 +148,9 @@
     async def _read_reply(
         self, request: SentRequest, reader: asyncio.StreamReader, parser: hiredis.Reader
     ) -> bool:
-        """Read the next answer; False when the connection ends before it."""
+        """Read the next reply; return False if the connection closes before it."""
         while (reply := parser.gets()) is Ellipsis:
-            # the check of deadlines comes later; this only ends a wait for an answer that never comes
+            # Only ends the wait for a reply that never arrives: the deadlines are checked after the run.
             async with asyncio.timeout(request.deadline * MAX_BATCH_DEADLINES + 2.0):
                 data = await reader.read(65536)
             if not data:
@@ -166,7 +168,7 @@
 
 
 def encode_command(request: SentRequest) -> bytes:
-    """The command of a request."""
+    """Return the RESP command of a request."""
     info = f"c={request.request_class},t=x,d={int(request.deadline * 1000)}"
     if request.request_class == "keyed":
         info += f",k=key-{request.request_id}"
@@ -177,7 +179,7 @@
 
 
 async def hold_idle_connections(address: tuple[str, int], count: int) -> None:
-    """Keep many connections on which nothing is sent; others replace those that the router closes."""
+    """Hold `count` connections on which nothing is sent, and replace those that the router closes."""
 
     async def hold_connection() -> None:
         while True:
