--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -14,17 +14,19 @@
 from tests.soak.plan import DiscoveryMode
 
 SLOW_RESPONSE_DELAY = 0.6  # seconds
-SECOND_POLL_TOLERANCE = 0.1  # seconds in which the end of an earlier poll may arrive after the next one
+SECOND_POLL_TOLERANCE = 0.1  # seconds by which the end of a poll may arrive after the start of the next one
 
 
 @dataclass(slots=True)
 class Registry:
-    """The endpoint list, with the version of each entry's last change."""
+    """The endpoint list, with the version in which each entry last changed."""
 
     version: int = 1
     entries: dict[str, dict[str, Any]] = field(default_factory=dict)
     changed_in_version: dict[str, int] = field(default_factory=dict)
-    sent_versions: dict[str, list[tuple[float, int]]] = field(default_factory=dict)  # time, version; by name
+    sent_versions: dict[str, list[tuple[float, int]]] = field(
+        default_factory=dict
+    )  # (time, version), by name
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def put(self, entry: dict[str, Any]) -> None:
@@ -36,7 +38,10 @@
         self.changed = asyncio.Event()
 
     def encode_update(self, after: int | None, now: float) -> bytes:
-        """The complete list, or what has changed after a version; notes when it is written."""
+        """Return the JSON of an update, and record the time for each entry in it.
+
+        The update is the complete list if `after` is None, otherwise the changes since that version.
+        """
         listed = [
             e for name, e in self.entries.items() if after is None or self.changed_in_version[name] > after
         ]
@@ -47,19 +52,19 @@
 
 
 class Discovery:
-    """Answers polls at two addresses."""
+    """A stand-in for discovery that answers polls at each of its addresses."""
 
     def __init__(self, addresses: list[tuple[str, int]], observations: Observations) -> None:
-        """Prepare discovery, with an empty registry."""
+        """Create discovery with an empty registry and closed listeners."""
         self.registry = Registry()
         self.mode = DiscoveryMode.SERVING
-        self.mode_history: list[tuple[float, DiscoveryMode]] = [(0.0, self.mode)]  # since when
+        self.mode_history: list[tuple[float, DiscoveryMode]] = [(0.0, self.mode)]  # (start, mode)
         self.listeners = [Listener(address, self._handler(f"{address[0]}")) for address in addresses]
         self._observations = observations
         self._open_polls: list[Poll] = []
 
     async def set_mode(self, mode: DiscoveryMode) -> None:
-        """Answer in another way from now on."""
+        """Switch to another mode."""
         self.mode = mode
         self.mode_history.append((asyncio.get_running_loop().time(), mode))
         for listener in self.listeners:
@@ -105,7 +110,7 @@
             other for other in self._open_polls if other is not poll and other.started_at < poll.started_at
         ]
         if poll in self._open_polls and others:
-            self._observations.violations.append(f"watch: {len(others) + 1} polls are open at one time")
+            self._observations.violations.append(f"watch: {len(others) + 1} polls are open at the same time")
 
     async def _respond(self, head: str) -> bytes:
         mode = self.mode
--- a/tests/soak/network.py
+++ b/tests/soak/network.py
@@ -8,59 +8,59 @@
 from dataclasses import dataclass
 
 ROUTER_PORT, CACHE_PORT, ORIGIN_PORT, DISCOVERY_PORT = 7000, 6379, 8080, 8500
-SECOND_OCTET_COUNT, THIRD_OCTET_COUNT = 200, 250  # how many of them are used
+SECOND_OCTET_COUNT, THIRD_OCTET_COUNT = 200, 250  # number of values used for each octet
 
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 @dataclass(slots=True, frozen=True)
 class Network:
-    """The addresses, in 127.0.0.0/8, of the runs of one process: processes may run side by side."""
+    """Addresses in 127.0.0.0/8 that depend on the process id, so that processes can run in parallel."""
 
     process_id: int
 
     def host(self, number: int) -> str:
-        """The address of a host, from 1 to 254."""
+        """Return the IP address of a host; `number` is from 1 to 254."""
         second = 16 + self.process_id % SECOND_OCTET_COUNT
         third = self.process_id // SECOND_OCTET_COUNT % THIRD_OCTET_COUNT
         return f"127.{second}.{third}.{number}"
 
     @property
     def router(self) -> tuple[str, int]:
-        """Where the router listens."""
+        """Address on which the router listens."""
         return self.host(1), ROUTER_PORT
 
     def cache(self, index: int) -> tuple[str, int]:
-        """Where a cache server listens."""
+        """Return the address on which a cache server listens."""
         return self.host(10 + index), CACHE_PORT
 
     @property
     def origin(self) -> tuple[str, int]:
-        """Where the origin listens."""
+        """Address on which the origin listens."""
         return self.host(100), ORIGIN_PORT
 
     def discovery(self, index: int) -> tuple[str, int]:
-        """Where the first or the second discovery listens."""
+        """Return one of the two addresses on which discovery listens; `index` is 0 or 1."""
         return self.host(200 + index), DISCOVERY_PORT
 
 
 class Listener:
-    """Accepts connections while it is open; closing it resets those that are established."""
+    """A listening socket; closing it also resets the established connections."""
 
     def __init__(self, address: tuple[str, int], handler: ConnectionHandler) -> None:
-        """Prepare a listener; `handler` serves one connection, and may raise OSError when it breaks."""
+        """Create a closed listener; `handler` serves one connection, and may raise OSError if it breaks."""
         self.address = address
         self._handler = handler
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def open(self) -> None:
-        """Accept connections from now on."""
+        """Start to accept connections."""
         if self._server is None:
             self._server = await asyncio.start_server(self._serve, *self.address)
 
     def close(self) -> None:
-        """Refuse connections from now on, and reset those that are open."""
+        """Stop accepting connections, and reset the open ones."""
         if self._server is not None:
             self._server.close()
             self._server = None
--- a/tests/soak/upstreams.py
+++ b/tests/soak/upstreams.py
@@ -13,22 +13,22 @@
 from tests.soak.plan import CacheMode, OriginMode
 
 LOAD_REPORT = b"svc_ms=5,pending=0"
-MISS_SHARE = 0.15  # of the reads, where the router fetches misses itself
-NORMAL_LATENCY = (0.001, 0.008)  # seconds
-SLOW_LATENCY = (0.2, 0.5)
-SECOND_RESPONSE_DELAY = (0.001, 0.004)
-# An answer later than 10 ms is taken for the one to the next request, which is a known limit of the router
-# (docs/ROADMAP.md). A server on a busy machine is not to exceed that.
-MAX_SECOND_RESPONSE_DELAY = 0.006
+MISS_SHARE = 0.15  # share of reads that miss, if the router fetches misses from the origin
+NORMAL_LATENCY = (0.001, 0.008)  # range in seconds
+SLOW_LATENCY = (0.2, 0.5)  # range in seconds
+SECOND_RESPONSE_DELAY = (0.001, 0.004)  # range in seconds
+# The router takes a second response that arrives after more than 10 ms for the response to the next request,
+# which is a known limitation (docs/ROADMAP.md). This limit keeps a stand-in on a busy machine below 10 ms.
+MAX_SECOND_RESPONSE_DELAY = 0.006  # seconds
 
 
 def value_of(key: bytes, request_id: bytes) -> bytes:
-    """The value of a key, made for one request."""
+    """Return the value of a key in the response to one request."""
     return key + b"|" + request_id
 
 
 def encode_response(value: bytes | None, outcome: bytes) -> bytes:
-    """A cache server's answer: the value, how it was found, a load report."""
+    """Return a cache server's response: the value, whether it was a hit or a miss, and a load report."""
     encoded = b"$-1\r\n" if value is None else b"$%d\r\n%b\r\n" % (len(value), value)
     return b"*3\r\n%b$%d\r\n%b\r\n$%d\r\n%b\r\n" % (
         encoded,
@@ -40,7 +40,7 @@
 
 
 class Cache:
-    """One cache server."""
+    """A stand-in for a cache server."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         generator: random.Random,
         observations: Observations,
     ) -> None:
-        """Prepare a server; `is_cache_aside` is whether a read may miss, and a write always does."""
+        """Create a server; if `is_cache_aside`, a read may miss, and each write is answered with a miss."""
         self.name = name
         self.mode = CacheMode.NORMAL
         self.listener = Listener(address, self._serve)
@@ -118,12 +118,12 @@
 
 
 class Origin:
-    """The origin."""
+    """A stand-in for the origin."""
 
     def __init__(
         self, name: str, address: tuple[str, int], generator: random.Random, observations: Observations
     ) -> None:
-        """Prepare the server."""
+        """Create the origin with a closed listener."""
         self.name = name
         self.mode = OriginMode.NORMAL
         self.listener = Listener(address, self._serve)
