--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,4 +1,4 @@
-"""What one seed draws: settings, fleet, load, and the faults and signals with their times."""
+"""The plan drawn from a seed: settings, fleet, load, and the faults and signals with their times."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 LOAD_START = 1.0  # seconds after the first start of the router
 CACHE_KIND, ORIGIN_KIND = "std", "store"
-DRAIN_GRACE = 0.5  # seconds
+DRAIN_GRACE = 0.5  # seconds after the notice of a drain in which attempts may still begin
 
 
 class CacheMode(Enum):
-    """How a cache server answers."""
+    """Ways in which a cache server responds to commands."""
 
     NORMAL = "normal"
     SLOW = "slow"
-    HANGING = "hanging"
+    HANGING = "hanging"  # never responds
     REJECTING = "rejecting"
     FAILING = "failing"
-    RESETTING = "resetting"
-    CUTTING = "cutting"  # closes in the middle of an answer
-    ANSWERING_TWICE = "answering twice"
+    RESETTING = "resetting"  # resets the connection
+    CUTTING = "cutting"  # closes the connection in the middle of a response
+    ANSWERING_TWICE = "answering twice"  # sends each response a second time
     GONE = "gone"  # no process at the address
 
 
 class OriginMode(Enum):
-    """How the origin answers."""
+    """Ways in which the origin responds to requests."""
 
     NORMAL = "normal"
     SLOW = "slow"
@@ -36,62 +36,62 @@
 
 
 class DiscoveryMode(Enum):
-    """How discovery answers polls."""
+    """Ways in which discovery responds to polls."""
 
     SERVING = "serving"
     REFUSING = "refusing"  # no process at the address
-    SILENT = "silent"
+    SILENT = "silent"  # never responds
     SLOW = "slow"
     UNAVAILABLE = "unavailable"  # status 503
-    WRONG_INDEX = "wrong index"
+    WRONG_INDEX = "wrong index"  # the index is not a number
 
 
 class SignalSeries(Enum):
-    """A series of SIGHUP, by the configuration that the router finds."""
+    """Kinds of configuration that the router finds when it receives SIGHUP, once or several times."""
 
-    NEW = "new"
+    NEW = "new"  # the other address of discovery
     SAME = "same"
     MALFORMED = "malformed"
     MISSING = "missing"
-    ALTERNATING = "alternating"
+    ALTERNATING = "alternating"  # both addresses of discovery in quick alternation
 
 
 class ClientKind(Enum):
-    """How a client behaves."""
+    """Behaviours of a client."""
 
     STEADY = "steady"
-    RESTING = "resting"
+    RESTING = "resting"  # idle for seconds between requests
     PIPELINING = "pipelining"
-    LEAVING = "leaving"
-    SLOWLY_WRITING = "slowly writing"
-    NOT_READING = "not reading"
+    LEAVING = "leaving"  # often disconnects without waiting for the reply
+    SLOWLY_WRITING = "slowly writing"  # sends each command in two parts
+    NOT_READING = "not reading"  # reads each reply late
 
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """Something that happens at a time; `kind` is a mode, a series of signals, or "drain" or "restart"."""
+    """A scheduled event; `kind` is the new mode of a peer, a series of signals, "drain" or "restart"."""
 
     time: float  # seconds after the first start of the router
     kind: CacheMode | OriginMode | DiscoveryMode | SignalSeries | str
-    cache_index: int = 0  # index of a cache server
+    cache_index: int = 0  # index of the affected cache server, unused by other kinds
 
 
 @dataclass(slots=True)
 class Plan:
-    """All that one seed decides."""
+    """Everything that is drawn from one seed."""
 
     seed: int
     duration: float  # seconds until the last SIGTERM
     settings: dict[str, Any] = field(default_factory=dict)
-    descriptors: int = 512
+    descriptors: int = 512  # limit of descriptors in the router's configuration
     cache_count: int = 4
     clients: list[ClientKind] = field(default_factory=list)
-    idle_connections: int = 0  # connections of clients that send nothing
+    idle_connections: int = 0  # number of connections that clients open without sending anything
     steps: list[Step] = field(default_factory=list)
 
     @property
     def sigkill_after(self) -> float:
-        """Seconds from SIGTERM to the earliest SIGKILL."""
+        """Seconds between SIGTERM and the earliest SIGKILL."""
         longest: float = max(c["giveUp"] for c in self.settings["classes"])
         return min(3.0, longest) + 0.7
 
@@ -167,7 +167,7 @@
     for outage in generator.sample([m for m in DiscoveryMode if m is not DiscoveryMode.SERVING], 2):
         start = generator.uniform(0.0, end - 2.0)
         steps.append(Step(start, outage))
-        if generator.random() < 0.5:  # an operator who looks for a discovery that answers
+        if generator.random() < 0.5:  # an operator tries both addresses for one that responds
             steps.append(Step(start + 0.3, SignalSeries.ALTERNATING))
         steps.append(Step(start + generator.uniform(0.5, 4.0), DiscoveryMode.SERVING))
     origin_mode = generator.choice([m for m in OriginMode if m is not OriginMode.NORMAL])
--- a/tests/soak/router.py
+++ b/tests/soak/router.py
@@ -1,4 +1,4 @@
-"""The router's process in a soak: its configuration, its starts, its signals and its log."""
+"""The router's process in a soak test: its configuration, starts, signals and log."""
 
 from __future__ import annotations
 
@@ -18,24 +18,19 @@
 from tests.soak.plan import Plan, SignalSeries
 from tests.support.router_process import send_signal
 
-READY_POLL_INTERVAL = 0.05  # seconds between two attempts to get a reply to PING
-ALTERNATION_COUNT = 6
-ALTERNATION_INTERVAL = 0.02  # seconds
-PYTHON_START_TIMEOUT = 1.0  # seconds
-SIGNAL_MASK_FIELDS = (
-    "SigBlk",
-    "SigCgt",
-)  # of the signals that a process has blocked, and of those that it handles
+READY_POLL_INTERVAL = 0.05  # seconds between two PINGs that test whether the router is ready
+ALTERNATION_COUNT = 6  # changes of the address after the first one
+ALTERNATION_INTERVAL = 0.02  # seconds between two changes of the address
+PYTHON_START_TIMEOUT = 1.0  # seconds to wait until the program is in control of SIGHUP
+SIGNAL_MASK_FIELDS = ("SigBlk", "SigCgt")  # masks of the blocked and the handled signals in /proc/PID/status
 SIGHUP_BIT = 1 << (signal.SIGHUP - 1)
-SIGNAL_REPEAT_INTERVAL = (
-    0.003  # seconds between signals in a shutdown, so that some come at each of its moments
-)
+SIGNAL_REPEAT_INTERVAL = 0.003  # seconds; short enough for signals to arrive in each phase of a shutdown
 UNUSABLE_SERIES = (SignalSeries.MALFORMED, SignalSeries.MISSING)
 MALFORMED = b'{"listen":'
 
 
 class RouterProcess:
-    """The process, and its configuration file in a folder of its own."""
+    """The router's process, and its configuration file in a directory of its own."""
 
     def __init__(
         self,
@@ -47,7 +42,7 @@
         observations: Observations,
         fault: str,
     ) -> None:
-        """Write the configuration; `fault` names a patch of `tests.soak.faults`, empty for none."""
+        """Write the configuration; `fault` is a key of `tests.soak.faults.FAULTS`, empty for none."""
         self._network = network
         self._path = folder / "config.json"
         self._observations = observations
@@ -68,17 +63,17 @@
 
     @property
     def lifetime(self) -> Lifetime:
-        """The process that was started last."""
+        """Lifetime of the process that was started last."""
         return self._observations.lifetimes[-1]
 
     @property
     def process_id(self) -> int:
-        """The id of the process."""
+        """Id of the process."""
         assert self._process is not None
         return self._process.pid
 
     def write_config(self) -> None:
-        """Replace the file by the configuration."""
+        """Replace the content of the file with the configuration."""
         self._replace_file(orjson.dumps(self._config))
 
     def _replace_file(self, text: bytes) -> None:
@@ -87,7 +82,7 @@
         temporary.replace(self._path)
 
     async def start(self) -> None:
-        """Start a process, and wait for its first PONG in the background."""
+        """Start a process, and wait until it blocks or handles SIGHUP, at most PYTHON_START_TIMEOUT."""
         module = ["-m", "tests.soak.faults", self._fault] if self._fault else ["-m", "cache_router"]
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -102,10 +97,10 @@
                 await self._wait_until_sighup_is_masked_or_handled()
 
     async def _wait_until_sighup_is_masked_or_handled(self) -> None:
-        """Wait until the program holds SIGHUP back or handles it.
+        """Wait until the program blocks or handles SIGHUP.
 
-        Before that Python itself starts, and nothing that the program does can keep a signal from ending it.
-        The operators' page promises that none comes before the router is ready.
+        While Python itself starts, the program cannot prevent a signal from ending the process. The operators
+        guarantee that they send none before the router is ready.
         """
         status = Path(f"/proc/{self.process_id}/status")
         while self._is_running():
@@ -124,7 +119,7 @@
             self._observations.log.append(line.decode(errors="replace").rstrip())
 
     async def wait_until_ready(self) -> None:
-        """Wait for the first PONG of the process."""
+        """Wait until the process replies to a PING, or ends."""
         while self.lifetime.ready_at is None and self._is_running():
             try:
                 reader, writer = await asyncio.open_connection(*self._network.router)
@@ -140,17 +135,17 @@
         return self._process is not None and self._process.returncode is None
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, if the process is still running."""
+        """Send a signal if the process is still running, and record the time of a SIGHUP."""
         if self._process is not None and self._is_running():
             send_signal(self._process, number)
             if number is signal.SIGHUP:
                 self._observations.sighup_times.append(self._now())
 
     async def send_sighup_series(self, series: SignalSeries) -> None:
-        """Change the file as the series wants it, with SIGHUP after each change.
+        """Change the file according to the series, and send SIGHUP after each change.
 
-        A process that starts with a file that it cannot use ends with status 2, as it should. So the file can
-        be used until the process is ready.
+        A process that starts with an unusable file correctly exits with status 2. The file therefore stays
+        usable until the process is ready.
         """
         if self.lifetime.ready_at is None and series in UNUSABLE_SERIES:
             series = SignalSeries.SAME
@@ -168,7 +163,7 @@
                 self._change_discovery()
                 self.send(signal.SIGHUP)
         if series in UNUSABLE_SERIES:
-            await asyncio.sleep(0.2)  # until the router has read it
+            await asyncio.sleep(0.2)  # leaves the router time to read the file
             self.write_config()
 
     def _change_discovery(self) -> None:
@@ -177,7 +172,10 @@
         self.write_config()
 
     async def terminate(self, sigkill_after: float) -> None:
-        """Send SIGTERM twice and SIGHUP during the shutdown; SIGKILL at the earliest time that is allowed."""
+        """Send SIGTERM, and SIGKILL if the process still runs after `sigkill_after` seconds.
+
+        Throughout the shutdown SIGTERM and SIGHUP are sent again and again, and must not disturb it.
+        """
         assert self._process is not None
         assert self._log_reader is not None
         self.lifetime.terminated_at = self._now()
@@ -202,7 +200,7 @@
             self.send(signal.SIGHUP)
 
     def kill(self) -> None:
-        """End the process at once, if it is still running."""
+        """Send SIGKILL to the process if it is still running."""
         if self._process is not None and self._is_running():
             self._process.kill()
 
