--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -19,7 +19,7 @@
 @click.option("--seeds", default=10, show_default=True, help="number of seeds to run")
 @click.option("--first", default=1, show_default=True, help="the first seed")
 @click.option(
-    "--seconds", default=15.0, show_default=True, help="duration of each seed, up to its last SIGTERM"
+    "--seconds", default=15.0, show_default=True, help="seconds in which the steps of a seed are executed"
 )
 @click.option("--jobs", default=4, show_default=True, help="number of seeds run in parallel")
 @click.option("--timing/--no-timing", default=True, help="check latencies; needs an otherwise idle machine")
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,7 @@
-"""Runs the router with a fault put back, to show that a soak finds it: `python -m tests.soak.faults NAME`."""
+"""Run the router with a fault reintroduced, which the soak test has to detect.
+
+Usage: `python -m tests.soak.faults NAME`, with a key of `FAULTS` as the name.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +14,11 @@
 from cache_router.decisions.retry_policy import RetryPolicy
 from cache_router.net.endpoint_table import EndpointTable
 
-FAILURES_UNTIL_OVERFLOW = 6  # instead of 1,025, so that an outage of seconds reaches them
+FAILURES_UNTIL_OVERFLOW = 6  # instead of 1,025, so that an outage of a few seconds suffices
 
 
 def overflow_after_many_failures() -> None:
-    """The backoff's arithmetic raises at a number of consecutive failures."""
+    """Raise an OverflowError in the computation of the backoff after several consecutive failures."""
     original = EndpointPoller.on_failure
 
     def on_failure(poller: EndpointPoller, now: float) -> float:
@@ -28,24 +31,24 @@
 
 
 def replaced_timers_fire() -> None:
-    """A timer that was replaced or cancelled has its effect nevertheless."""
+    """Let timers fire although they were replaced or cancelled."""
     timers.TimerSet.take = lambda _, timer: True  # type: ignore[method-assign, assignment]
 
 
 def signals_have_their_default_effect() -> None:
-    """No signal is held back at the start and after a shutdown."""
+    """Block no signals during the start and the end of the process."""
     process_signals.OPERATOR_SIGNALS = frozenset()
 
 
 def draining_servers_get_requests() -> None:
-    """A server that drains counts as ready."""
+    """Treat draining servers as ready."""
     is_ready = property(lambda entry: entry.state is not endpoint.EndpointState.REMOVED)
     endpoint.Endpoint.is_ready = is_ready  # type: ignore[assignment, method-assign]
     EndpointTable.is_sendable = lambda *_: True  # type: ignore[method-assign]
 
 
 def every_request_is_repeated() -> None:
-    """The class of a request does not keep it from being sent again."""
+    """Permit retries regardless of the request's class."""
     RetryPolicy.permits_attempt = lambda *_: True  # type: ignore[method-assign]
 
 
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -81,7 +81,7 @@
     """Everything that is drawn from one seed."""
 
     seed: int
-    duration: float  # seconds until the last SIGTERM
+    duration: float  # seconds in which the steps are executed
     settings: dict[str, Any] = field(default_factory=dict)
     descriptors: int = 512  # limit of descriptors in the router's configuration
     cache_count: int = 4
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays the plan of one seed: starts all peers and the router, and does each step at its time."""
+"""Execution of a plan: starts all peers and the router, and executes each step at its time."""
 
 from __future__ import annotations
 
@@ -29,19 +29,17 @@
 from tests.soak.router import RouterProcess
 from tests.soak.upstreams import Cache, Origin
 
-MAX_MEMORY_GROWTH = 40.0  # MB, beyond the start
-SETTLE_TIME = 1.5  # seconds after the last client has left
+MAX_MEMORY_GROWTH = 40.0  # MB of resident memory more than before the load
+SETTLE_TIME = 1.5  # seconds between the end of the load and the check of resources
 LOAD_BEFORE_END = 1.0  # seconds of load before the last SIGTERM
-CLOSE_DETECTION_TIME = (
-    0.3  # seconds after the end of the process in which clients note the end of connections
-)
+CLOSE_DETECTION_TIME = 0.3  # seconds after the end of the process for clients to detect closed connections
 
 
 class SoakRun:
-    """One run; all of it is on this process's event loop but the router."""
+    """One run of a plan. The router is a process of its own; its peers share this process's event loop."""
 
     def __init__(self, plan: Plan, folder: Path, fault: str = "") -> None:
-        """Create the peers of a plan, which start with `play`."""
+        """Create the peers of a plan, which start in `execute`."""
         self.plan = plan
         self.observations = Observations()
         self._network = Network(os.getpid())
@@ -69,7 +67,7 @@
         return Cache(f"cache-{index}", address, self.plan.is_cache_aside, self._generator, self.observations)
 
     def endpoint_entry(self, index: int, **changes: Any) -> dict[str, Any]:
-        """The endpoint list's entry of a cache server."""
+        """Return a cache server's entry in the endpoint list."""
         host, port = self._network.cache(index)
         entry = {
             "name": f"cache-{index}",
@@ -90,7 +88,7 @@
         )
 
     async def execute(self) -> None:
-        """Play the whole plan, and end the router."""
+        """Execute the whole plan, and end the router."""
         background = [asyncio.create_task(self.observations.measure_lag())]
         try:
             for listener in (
@@ -136,19 +134,23 @@
         for client in load:
             client.cancel()
         await asyncio.gather(*load, return_exceptions=True)
-        # a client that is cancelled while it connects leaves an open socket to the garbage collector
+        # A client that is cancelled while it connects leaves an open socket to the garbage collector.
         gc.collect()
 
     async def _check_idle_resources(self, at_load_start: tuple[int, float]) -> None:
-        """Check that the router holds no more than at its start once all clients have left."""
+        """Check that, without clients, the router holds no more resources than before the load."""
         restarted = len(self.observations.lifetimes) > 1
         await asyncio.sleep(SETTLE_TIME)
         descriptors, memory = self._resource_usage()
-        budget = DescriptorBudget.divide(self.plan.descriptors)  # of idle connections to servers
+        budget = DescriptorBudget.divide(self.plan.descriptors)  # idle connections to upstreams stay open
         if descriptors - at_load_start[0] > budget.caches + budget.origin:
-            self._record_violation(f"rest: {descriptors} descriptors, {at_load_start[0]} at the start")
+            self._record_violation(
+                f"resources: {descriptors} descriptors after the load, {at_load_start[0]} before it"
+            )
         if memory - at_load_start[1] > MAX_MEMORY_GROWTH and not restarted:
-            self._record_violation(f"rest: {memory:.0f} MB, {at_load_start[1]:.0f} at the start")
+            self._record_violation(
+                f"resources: {memory:.0f} MB after the load, {at_load_start[1]:.0f} MB before it"
+            )
 
     def _record_violation(self, text: str) -> None:
         self.observations.violations.append(text)
@@ -206,7 +208,7 @@
         cache.mode = mode
         if mode is CacheMode.GONE:
             cache.listener.close()
-        elif was_gone:  # it restarts, and is empty
+        elif was_gone:  # the server restarts with an empty cache
             await cache.listener.open()
             if cache.name not in self.observations.drain_started_at:
                 self.discovery.registry.put(self.endpoint_entry(index, since_ms=int(time.time() * 1000)))
@@ -218,14 +220,14 @@
     async def _restart(self) -> None:
         await self._terminate()
         await self.router.start()
-        self.router.send(signal.SIGHUP)  # before it has its first list
+        self.router.send(signal.SIGHUP)  # arrives before the first endpoint list
         await self.router.wait_until_ready()
 
     async def _terminate(self) -> None:
         await self.router.terminate(self.plan.sigkill_after)
 
     def _resource_usage(self) -> tuple[int, float]:
-        """Descriptors and resident memory, in MB, of the router."""
+        """Return the router's number of descriptors and its resident memory in MB."""
         folder = Path(f"/proc/{self.router.process_id}")
         try:
             pages = int((folder / "statm").read_text().split()[1])
--- a/tests/soak/seeds.py
+++ b/tests/soak/seeds.py
@@ -1,4 +1,4 @@
-"""Plays single seeds, and reports on them."""
+"""Runs of single seeds, and the reports on them."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from tests.soak.plan import draw_plan
 from tests.soak.run import SoakRun
 
-MAX_SHOWN = 12  # violations and lines of the log of a failure
+MAX_SHOWN = 12  # maximum number of violations, and of log lines, in the report on a failure
 
 
 @dataclass(slots=True, frozen=True)
 class SeedResult:
-    """How one seed went."""
+    """Result of the run of one seed."""
 
     violations: list[str]
     report: str
 
 
 def soak_seed(seed: int, seconds: float, fault: str = "", with_timing: bool = True) -> SeedResult:
-    """Play one seed."""
+    """Run one seed in an event loop of its own."""
     return asyncio.run(_soak_seed(seed, seconds, fault, with_timing))
 
 
@@ -34,7 +34,7 @@
     found = find_violations(run, with_timing)
     lines = [summary(run, found)]
     if found:
-        lines.append(f"  again with: {rerun_command(run)}")
+        lines.append(f"  repeat with: {rerun_command(run)}")
         lines += [f"  {violation}" for violation in found[:MAX_SHOWN]]
         lines += [f"  ({len(found)} violations)"]
         lines += [f"  event {event}" for event in run.observations.events]
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,8 +1,8 @@
-"""A short soak of fixed seeds, and faults that are put back, which it must find.
+"""A short soak test of fixed seeds, and of reintroduced faults that it has to detect.
 
-The checks of how soon the router does something are left out: beside load they would measure the machine.
-The fault `timers` is not among those of this test either, as the pause between two polls is observed late
-on such a machine. Both are part of `make soak`.
+The checks of latencies are left out, because on a loaded machine they would measure the machine. The fault
+`timers` is left out too, because the pause between two polls is observed late on such a machine. `make soak`
+checks latencies, and `python -m tests.soak --fault timers` reintroduces that fault.
 """
 
 from __future__ import annotations
@@ -13,17 +13,14 @@
 import pytest
 
 SEEDS = 6
-SECONDS = 8
-TIME_LIMIT = 180.0  # seconds, of a busy machine
-EXPECTED_VIOLATIONS = {
-    "overflow": "log: ",
-    "signals": "process: ended with status",
-    "drain": "drain: ",
-}  # by fault
+SECONDS = 8  # seconds in which the steps of a seed are executed
+TIME_LIMIT = 180.0  # seconds; long enough for a busy machine
+# Beginning of a violation that each fault causes.
+EXPECTED_VIOLATIONS = {"overflow": "log: ", "signals": "process: ended with status", "drain": "drain: "}
 
 
 async def soak(*options: str) -> tuple[int, str]:
-    """Run the soak; returns its exit status and its output."""
+    """Run the soak test, and return its exit status and its output."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
