--- a/tests/soak/upstreams.py
+++ b/tests/soak/upstreams.py
@@ -86,10 +86,8 @@
         await asyncio.sleep(self._generator.uniform(*latency))
         mode = self.mode
         is_read = verb == b"C.GET"
-        misses = self._is_cache_aside and (not is_read or self._generator.random() < MISS_SHARE)
-        response = encode_response(
-            None if misses else value_of(key, request_id), b"miss" if misses else b"hit"
-        )
+        miss = self._is_cache_aside and (not is_read or self._generator.random() < MISS_SHARE)
+        response = encode_response(None if miss else value_of(key, request_id), b"miss" if miss else b"hit")
         match mode:
             case CacheMode.HANGING:
                 await reader.read()
@@ -108,7 +106,7 @@
             case CacheMode.FAILING:
                 response = b"-ERR failed\r\n"
             case _:
-                attempt.proves_no_execution = misses
+                attempt.proves_no_execution = miss
         attempt.ended_at = self._now()
         writer.write(response)
         if mode is CacheMode.ANSWERING_TWICE:
