--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers that tests share: the driver of the decisions, loopback peers and router processes."""
+"""Shared test helpers, among them a driver of the decisions, loopback peers and router processes."""
--- a/tests/support/connection_pools.py
+++ b/tests/support/connection_pools.py
@@ -1,4 +1,4 @@
-"""The real and the simulated connection pool behind one interface, so that a scenario can be run on both."""
+"""The real and the simulated connection pool behind one interface, so that a scenario can run on both."""
 
 from __future__ import annotations
 
@@ -28,29 +28,29 @@
 from scale_experiments.simulation.statistics import FleetStatistics
 from tests.support.loopback import HIT, Link, Peer
 
-# in seconds; the tests advance the clocks of both pools, so that no test waits so long
+# Times in seconds. The tests advance the clocks of both pools instead of waiting that long.
 REUSE_DELAY = 100.0
 IDLE_TIME = 1000.0
 LONG = 1e6
 PATIENCE = 10.0  # real seconds within which an expected outcome must arrive
-LOOP_TURNS = 30  # of the event loop, within which a closed connection is seen on loopback
+LOOP_TURNS = 30  # pauses of 1 ms after which the loopback peer has detected closed connections
 
 GET = Command(b"C.GET", b"k", b"r1", {"c": "read", "d": "900"}, 900)
 
-Outcome = int | AttemptStatus  # the number of the connection of an attempt, or the status it ended with
+Outcome = int | AttemptStatus  # number of an attempt's connection, or the status of an attempt that has ended
 
 
 class PoolUnderTest(Protocol):
-    """A pool in front of one server. Connections are numbered in the order they were made in."""
+    """A pool of connections to one server. They are numbered in the order in which they were opened."""
 
     async def send(self, process: int = 1, ends: AttemptStatus | None = None) -> Outcome:
-        """Start an attempt at a process of the server.
+        """Start an attempt at one process of the server.
 
-        `ends` is the status that the precondition returns once a new connection is up.
+        `ends` is the status that the precondition returns after a new connection has been established.
         """
 
     async def answer(self, connection: int) -> None:
-        """Let the server answer the attempt on a connection."""
+        """Let the server respond to the attempt on a connection."""
 
     async def abandon(self, connection: int) -> None:
         """Abandon the attempt on a connection."""
@@ -62,20 +62,20 @@
         """Advance the clock."""
 
     async def closed(self) -> set[int]:
-        """The connections that are closed."""
+        """Return the numbers of the connections that are closed."""
 
 
 class AdjustableLoop(asyncio.SelectorEventLoop):
     """An event loop whose clock can be advanced."""
 
-    offset = 0.0
+    offset = 0.0  # seconds by which the clock has been advanced
 
     def time(self) -> float:
         return super().time() + self.offset
 
 
 class RealPool:
-    """`ConnectionPool` on loopback, observed from the side of the server."""
+    """A `ConnectionPool` on loopback, observed by its server."""
 
     def __init__(self, peer: Peer, budget: int) -> None:
         idle_timeout = IDLE_TIME + connection_pool.IDLE_MARGIN
@@ -98,7 +98,7 @@
             while True:
                 await link.resp()
                 self.outcomes.put_nowait(number)
-        except (AssertionError, ConnectionError):  # the connection's end
+        except (AssertionError, ConnectionError):  # the connection was closed or reset
             self.ended.add(number)
 
     async def _next_outcome(self) -> Outcome:
@@ -140,14 +140,14 @@
 
 
 class ScriptedServer(CacheServer):
-    """A cache server that responds only when the test asks for it."""
+    """A cache server that responds only when the test makes it respond."""
 
     def receive(self, attempt: Attempt, connection: SimulatedConnection) -> None:
-        """Leave an attempt without a response."""
+        """Ignore the attempt."""
 
 
 class SimulatedPool:
-    """The simulated pool, with the attempts of one router."""
+    """The simulated pool with the attempts of one router."""
 
     def __init__(self, budget: int) -> None:
         idle_timeout = IDLE_TIME + network_rules.IDLE_MARGIN
@@ -170,7 +170,7 @@
             Origin(context, caches),
             on_finished=lambda attempt, status, _: self.ended.append((attempt, status)),
         )
-        self.attempts: list[Attempt] = []  # the last one of each connection
+        self.attempts: list[Attempt] = []  # the last attempt on each connection
 
     async def send(self, process: int = 1, ends: AttemptStatus | None = None) -> Outcome:
         endpoint = Endpoint(self.server.name, weight=1.0, started_at=float(process))
--- a/tests/support/coroutine_tests.py
+++ b/tests/support/coroutine_tests.py
@@ -1,4 +1,4 @@
-"""Fixtures for tests that are coroutines: a time limit, and failure when a callback of the loop raises."""
+"""Plugin for coroutine tests: a time limit, and a failure when a callback of the event loop raises."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 import pytest
 
-DEFAULT_TIME_LIMIT = 10.0  # seconds after which a test that still waits for an event fails
+DEFAULT_TIME_LIMIT = 10.0  # seconds after which a coroutine test fails
 
 LoopErrors = list[dict[str, Any]]  # contexts that the event loop hands to its exception handler
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Register the marker that changes the time limit."""
+    """Register the marker that overrides the time limit."""
     config.addinivalue_line(
         "markers", f"time_limit(seconds): time limit of a coroutine test, {DEFAULT_TIME_LIMIT:g} s by default"
     )
@@ -24,10 +24,10 @@
 
 @pytest.fixture(autouse=True)
 def loop_errors(request: pytest.FixtureRequest) -> Iterator[LoopErrors]:
-    """Bound the time of a coroutine test, and fail it when a callback of its event loop raises.
+    """Limit the time of a coroutine test, and fail the test when a callback of its event loop raises.
 
-    An exception in a callback does not reach the test by itself: the event loop only logs it. The check comes
-    after the loop has been closed, so that exceptions of tasks that are cancelled then count too.
+    The event loop only logs an exception in a callback; it does not propagate to the test. The check follows
+    the close of the loop, so that it includes exceptions of tasks that are cancelled at that point.
     """
     errors: LoopErrors = []
     if inspect.iscoroutinefunction(request.function):
--- a/tests/support/driver.py
+++ b/tests/support/driver.py
@@ -1,4 +1,4 @@
-"""Drives one router by hand: gives it events on a clock of its own, and checks the rules for its actions."""
+"""A driver that gives events to one router on a simulated clock, and checks the rules for its actions."""
 
 from __future__ import annotations
 
@@ -27,7 +27,10 @@
 
 
 class DueEvent(NamedTuple):
-    """A timer, or the timeout of an attempt, that is due later; of those at one time timers come first."""
+    """A timer, or the timeout of an attempt, that is due later.
+
+    Of several that are due at the same time, timers come first.
+    """
 
     time: float
     request_name: str  # empty for a timer
@@ -36,16 +39,16 @@
 
 
 class Driver:
-    """A router with a clock, and what its clients and servers see of it.
+    """A router with a simulated clock, and a record of what its clients and servers observe.
 
-    Requests are named by the test. Times are in seconds on the driver's clock. Every method that gives the
-    router an event raises AssertionError when an action breaks a rule of `RouterRules`.
+    The test names the requests. Times are in seconds on the driver's clock. Every method that gives an event
+    to the router raises AssertionError when an action violates a rule of `RouterRules`.
 
     Attributes:
-        now: the time.
-        rules: the rules, with what was recorded to check them.
+        now: the current time.
+        rules: the rules, with the records against which they are checked.
         timers: the time and the token of each timer that has not fired.
-        last_actions: the router's actions on the last event.
+        last_actions: the router's actions in response to the last event.
     """
 
     def __init__(self, conf: Settings, seed: int = 1, make: type[Router] = Router) -> None:
@@ -73,24 +76,24 @@
         return self.rules.in_flight
 
     def outcome(self, name: str) -> Outcome | None:
-        """How a request ended; None while it is open."""
+        """Return how a request ended, or None while it is open."""
         return self.requests[name].outcome
 
     def servers_tried(self, name: str) -> list[str]:
-        """The server of each attempt of a request, in the order sent."""
+        """Return the server of each attempt of a request, in the order sent."""
         return self.requests[name].servers_tried
 
     def has_attempt_in_flight(self, name: str) -> bool:
-        """Whether the last attempt of a request has not completed."""
+        """Return whether the last attempt of a request is in flight."""
         attempts = self.requests[name].attempts
         return bool(attempts) and attempts[-1].is_in_flight
 
     def server(self, name: str) -> Server:
-        """The router's state of a listed server."""
+        """Return the router's state of a listed server."""
         return self.router.endpoints.servers[name]
 
     def handle(self, event: Event) -> list[Action]:
-        """Give the router one event, and check and return its actions."""
+        """Give the router one event; check and return its actions."""
         self.last_actions = self.router.handle(self.now, event)
         for action in self.last_actions:
             self.check_action(action)
@@ -111,12 +114,12 @@
         return self.handle(update)
 
     def request(self, name: str, finish: bool = False, **fields: Any) -> str | None:
-        """Give the router a request; returns the server of its first attempt, or None when none was sent.
+        """Give the router a request; return the server of its first attempt, or None when none was sent.
 
         Args:
-            name: the name of the request, which no earlier request has.
-            finish: whether the attempt is answered at once.
-            fields: fields of the event; without them its class is "read", with 2 s left.
+            name: the name of the request, different from those of all earlier requests.
+            finish: whether the first attempt completes at once with status OK.
+            fields: fields of the event; by default, the class is "read" and 2 s are left.
         """
         fields.setdefault("request_class", "read")
         fields.setdefault("time_left", 2.0)
@@ -131,7 +134,7 @@
     def complete_attempt(
         self, name: str, status: AttemptStatus, number: int | None = None, latency: float = 0.05
     ) -> str | None:
-        """Complete an attempt, the last one if no number is given.
+        """Complete an attempt, by default the last one of the request.
 
         Returns:
             The server of the next attempt, or None when none was sent.
@@ -148,7 +151,7 @@
         return attempts[-1].server if len(attempts) > attempt_count else None
 
     def serve(self, name: str) -> None:
-        """Answer the last attempt of a request with its value."""
+        """Complete the last attempt of a request with status OK."""
         self.complete_attempt(name, AttemptStatus.OK)
 
     def disconnect(self, name: str) -> list[Action]:
@@ -157,7 +160,7 @@
         return self.handle(ClientDisconnected(name))
 
     def advance(self, seconds: float) -> None:
-        """Advance the clock, with timers and timeouts in the order in which they are due."""
+        """Advance the clock; run the timers and timeouts in the order in which they are due."""
         end = self.now + seconds
         while (due := self.next_due_event()) is not None and due.time <= end:
             self.now = max(self.now, due.time)
@@ -172,14 +175,14 @@
         self.rules.check_deadlines(self.now)
 
     def fire_timer(self, due: DueEvent) -> None:
-        """Remove a timer and give it to the router."""
+        """Remove a timer from `timers`, and notify the router that it has fired."""
         self.timers.remove((due.time, due.timer_token))
         timer = read_timer(due.timer_token)
-        assert timer is not None, f"no timer of the router: {due.timer_token}"
+        assert timer is not None, f"not a timer token of the router: {due.timer_token}"
         self.handle(TimerFired(timer))
 
     def next_due_event(self) -> DueEvent | None:
-        """The next timer or timeout; None when none is set."""
+        """Return the timer or timeout that is due next, or None when none is set."""
         due = [DueEvent(at, "", token, None) for at, token in self.timers]
         due += [
             DueEvent(attempt.timeout_at, name, "", number)
@@ -189,10 +192,10 @@
 
 
 class DriverFactory(Protocol):
-    """Makes drivers of routers that know a fleet."""
+    """Creates drivers of routers with a given endpoint list."""
 
     def __call__(self, *endpoints: Endpoint, seed: int = 1, **changes: Any) -> Driver:
-        """Make a driver; its router receives `endpoints`, if there are any, as its first endpoint list.
+        """Create a driver; its router receives `endpoints`, if any are given, as its first endpoint list.
 
-        `changes` are made to the settings that `settings` returns.
+        `changes` replace fields of the settings that `router_inputs.settings` returns.
         """
--- a/tests/support/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -26,22 +26,22 @@
 
 
 def peer_entry(name: str, peer: Peer, **fields: Any) -> dict[str, Any]:
-    """Return the entry of a server that a test emulates: ready, of kind `std`, and started long ago."""
+    """Return the entry of a server that a test emulates; it is ready, of kind `std` and started long ago."""
     return {**ENDPOINT_ENTRY, "name": name, "address": peer.address, "type": "std", "since_ms": 0, **fields}
 
 
 def encode_endpoint_list(index: int, is_snapshot: bool, *entries: dict[str, Any]) -> bytes:
-    """Encode an endpoint list as discovery sends it; not a snapshot, it holds changed entries only."""
+    """Encode an endpoint list as discovery sends it; without `is_snapshot`, it holds changed entries only."""
     return orjson.dumps({"index": index, "snapshot": is_snapshot, "endpoints": entries})
 
 
 class WatchRecorder:
-    """What a watch notifies its router of, in order; a failure is None."""
+    """Records the updates of a watch in the order received; a failure is recorded as None."""
 
     def __init__(
         self, peer: Peer, budget: WatchBudget | None = None, on_update: UpdateCallback | None = None
     ) -> None:
-        """Watch the list of a peer from index 41 on; `on_update` is called instead of recording an update."""
+        """Watch the list of a peer from index 41 on; `on_update`, if given, replaces the recording."""
         self.updates: asyncio.Queue[tuple[EndpointUpdateKind, list[NetworkEndpoint]] | None] = asyncio.Queue()
         self.discovery = Discovery(
             peer.address,
@@ -53,7 +53,7 @@
         self.discovery.subscribe()
 
     async def next_update(self) -> tuple[EndpointUpdateKind, list[NetworkEndpoint]]:
-        """Return the next update; a failure of the watch fails the test."""
+        """Return the next update; fail the test when the watch has failed instead."""
         update = await self.updates.get()
         assert update is not None, "the watch has failed"
         return update
--- a/tests/support/event_order.py
+++ b/tests/support/event_order.py
@@ -1,4 +1,4 @@
-"""Helpers that force an order of events on loopback, or wait for one."""
+"""Helpers that delay, record or await events on loopback, for tests that depend on their order."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """Delays the establishment of connections to some peers until `released` is set."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, *peers: Peer) -> None:
-        """Delay all connections made to `peers` from now on."""
+        """Delay all connections that are opened to `peers` from now on."""
         self.released = asyncio.Event()
         ports = {int(p.address.rpartition(":")[2]) for p in peers}
         connect = asyncio.base_events.BaseEventLoop.create_connection
@@ -46,13 +46,13 @@
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Run the event loop until a condition holds that only the router's own work brings about."""
+    """Run the event loop until a condition holds; for conditions that need no further action of the test."""
     while not condition():
         await asyncio.sleep(0)
 
 
 async def first_connection(router: Router) -> tuple[str, Link]:
-    """Return the name of the cache server that is connected to first, and its connection."""
+    """Return the name of the cache server to which the router connects first, and the connection."""
     await wait_until(lambda: any(not p.links.empty() for p in router.caches.values()))
     (name,) = (n for n, p in router.caches.items() if not p.links.empty())
     return name, await router.caches[name].link()
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -1,4 +1,4 @@
-"""Routers on one simulated clock, whose caches answer after a fixed latency; one of the caches warms up."""
+"""Simulation of routers on one clock and of caches with a fixed latency, one of which warms up."""
 
 from __future__ import annotations
 
@@ -23,18 +23,19 @@
 from tests.support.router_inputs import entry, settings
 
 ROUTER_COUNT = 30
-CACHE_COUNT = 10  # without the warming one
+CACHE_COUNT = 10  # number of caches without the warming one
 WARMING_STARTED_AT = 5.0  # seconds
-KEY_COUNT = 20_000  # without the hot key
-REQUEST_SHARES = (1, 1, 1, 4)  # each router draws one at random
-LATENCY = 0.02  # seconds
-RESET_LATENCY = 0.005  # seconds
-TIMEOUT_LATENCY = 1.0  # seconds
+KEY_COUNT = 20_000  # number of keys without the hot one
+REQUEST_SHARES = (1, 1, 1, 4)  # relative request rates, of which each router draws one at random
+# Latencies in seconds
+LATENCY = 0.02
+RESET_LATENCY = 0.005
+TIMEOUT_LATENCY = 1.0
 ORDINARY_ANSWER = AttemptStatus.OK, LATENCY
 
 
 class ScheduledEvent(NamedTuple):
-    """An event that a router receives later; `order` breaks ties between events at one time."""
+    """An event that a router receives later; `order` breaks ties between events at the same time."""
 
     time: float
     order: int
@@ -43,23 +44,24 @@
 
 
 class FleetSimulation:
-    """Routers that share nothing but the endpoint list, and caches that answer after a fixed latency.
+    """Routers that share only the endpoint list, and caches that respond after a fixed latency.
 
     Times are in seconds.
 
     Attributes:
-        sent_to_warming: when each attempt reached the one cache that warms up.
+        sent_to_warming: times of the attempts that were sent to the cache that warms up.
         hot_key: a key whose primary server is that cache.
     """
 
     def __init__(self, seed: int, capacity: float, hot_share: float = 0.0, queued: int = 0) -> None:
-        """Choose a hot key, and start no router yet.
+        """Choose a hot key; routers are started by `run`.
 
         Args:
             seed: the seed of all random draws.
-            capacity: the capacity of each cache, in requests a second.
+            capacity: the capacity of each cache, in requests per second.
             hot_share: the share of requests for the hot key.
-            queued: how many requests for the hot key each router accepts before its first endpoint list.
+            queued: the number of requests for the hot key that each router accepts before its first endpoint
+                list.
         """
         self.settings = settings(router_count=ROUTER_COUNT)
         self.capacity = capacity
@@ -69,13 +71,13 @@
         self.request_rate = capacity * CACHE_COUNT
         self.event_order = count()
         self.events: list[ScheduledEvent] = []  # a heap
-        self.attempts: dict[str, int] = {}  # the number of the last attempt of each request
+        self.attempts: dict[str, int] = {}  # number of the last attempt of each request
         self.sent_to_warming: list[float] = []
         self.hot_key = next(k for k in map(str, count()) if self.first_choice(k) == "warming")
         self.routers: dict[int, Router] = {}
 
     def endpoint_update(self, now: float) -> EndpointUpdate:
-        """All servers that are listed at a time: the warming one is the last, from its start on."""
+        """Return a complete endpoint list at time `now`; it includes the warming cache from its start on."""
         endpoints = (
             *(entry(f"s{i}") for i in range(CACHE_COUNT)),
             entry("warming", started_at=WARMING_STARTED_AT),
@@ -85,25 +87,25 @@
         )
 
     def first_choice(self, key: str) -> str:
-        """The server to which a router sends a key at the start of the warming server."""
+        """Return the server to which a router sends a key when the warming cache starts."""
         router = Router(settings(), 1, WARMING_STARTED_AT)
         router.handle(WARMING_STARTED_AT, self.endpoint_update(WARMING_STARTED_AT))
         (send, *_) = router.handle(WARMING_STARTED_AT, Request("r", "read", 1.0, key))
         return send.server if isinstance(send, Send) else ""
 
     def start_router(self, number: int, now: float) -> None:
-        """Start a router, or start it again."""
+        """Start or restart a router."""
         self.routers[number] = Router(self.settings, self.random.getrandbits(30), now)
         for n in range(self.queued):
             self.handle(now, number, Request(f"queued{number}-{n}", "read", 1.0, self.hot_key))
         self.handle(now, number, self.endpoint_update(now))
 
     def answer(self) -> tuple[AttemptStatus, float]:
-        """The status and the latency of the next attempt."""
+        """Return the status and the latency of the next attempt."""
         return ORDINARY_ANSWER
 
     def handle(self, now: float, number: int, event: Event) -> None:
-        """Give one router an event, and schedule the events that its actions cause."""
+        """Give one router an event, and schedule the events that follow from its actions."""
         for action in self.routers[number].handle(now, event):
             if isinstance(action, Send):
                 self.send(now, number, action)
@@ -111,7 +113,7 @@
                 self.schedule(now + action.delay, number, TimerFired(action.timer))
 
     def send(self, now: float, number: int, action: Send) -> None:
-        """Record an attempt and schedule its end."""
+        """Record an attempt, and schedule its completion."""
         attempt = self.attempts[action.request_id] = self.attempts.get(action.request_id, -1) + 1
         if action.server == "warming":
             self.sent_to_warming.append(now)
@@ -128,10 +130,10 @@
         """Run until the warming cache has its full capacity.
 
         Args:
-            restarts: the numbers of the routers that start, or start again, at each time.
+            restarts: for each time, the numbers of the routers that start or restart.
 
         Returns:
-            The worst excess over the attempts that any window allows.
+            The largest excess of attempts over the limit of a window, as `worst_excess` returns it.
         """
         changes = sorted([*restarts, WARMING_STARTED_AT])
         request_shares = [self.random.choice(REQUEST_SHARES) for _ in range(ROUTER_COUNT)]
@@ -151,12 +153,12 @@
         return self.worst_excess()
 
     def draw_key(self) -> str:
-        """The key of the next request."""
+        """Draw the key of the next request."""
         is_hot = self.random.random() < self.hot_share
         return self.hot_key if is_hot else f"k{self.random.randrange(KEY_COUNT)}"
 
     def change(self, at: float, restarts: dict[float, range]) -> None:
-        """Update all routers at the start of the warming server, and start those routers that restart now."""
+        """Update the running routers at the start of the warming cache, and start routers that are due."""
         if at == WARMING_STARTED_AT:
             for number in range(ROUTER_COUNT):
                 if number in self.routers:
@@ -165,9 +167,9 @@
             self.start_router(number, at)
 
     def worst_excess(self) -> float:
-        """The most attempts that a window had beyond its bound and the statistical tolerance.
+        """Return the largest number of attempts in a window beyond its limit and a statistical tolerance.
 
-        The tolerance is two standard deviations of the expected count, and two attempts.
+        The tolerance is two standard deviations of the expected count, plus two attempts.
         """
         worst, conf = -math.inf, self.settings
         initial_share = conf.slow_start_initial_share
@@ -180,10 +182,10 @@
 
 
 class FailingFleetSimulation(FleetSimulation):
-    """Resets a fifth of the attempts and loses the answers of a tenth."""
+    """Resets a fifth of the attempts, and loses the responses to a tenth."""
 
     def answer(self) -> tuple[AttemptStatus, float]:
-        """A reset, a timeout or an ordinary answer."""
+        """Draw a reset, a timeout or a success."""
         draw = self.random.random()
         if draw < 0.2:
             return AttemptStatus.RESET, RESET_LATENCY
--- a/tests/support/log_lines.py
+++ b/tests/support/log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines and messages: those of the sources, and those that the runbook lists."""
+"""Log lines and messages, as the sources write them and as the runbook lists them."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 def template(text: str) -> str:
-    """Replace placeholders and format directives by `{}`; those beside each other count as one."""
+    """Replace placeholders and format directives by `{}`, and two adjacent ones by a single `{}`."""
     text = FORMAT_DIRECTIVE.sub(ANY_VALUE, PLACEHOLDER.sub(ANY_VALUE, text))
     return text.replace(ANY_VALUE + ANY_VALUE, ANY_VALUE)
 
 
 @dataclass(frozen=True)
 class LogLine:
-    """One kind of log line: its text with `{}` for values, its levels, and the logger's name."""
+    """One kind of log line: its text with `{}` for values, its levels, and the name of its logger."""
 
     text: str
     levels: tuple[str, ...]
@@ -35,7 +35,7 @@
 
 
 def message_of_failed_watch() -> str:
-    """Return the log message of the decisions; its text is built in steps, so that it is made here."""
+    """Return the one log message of the decisions, made by a router: no source has it as a constant."""
     router = Router(Settings(classes={"read": RequestClass("read", 1.0)}), seed=1, now=0.0)
     actions = router.handle(0.0, EndpointUpdate(EndpointUpdateKind.FAILED, discovery_address="ADDRESS"))
     (message,) = (action.message for action in actions if isinstance(action, LogMessage))
@@ -61,7 +61,7 @@
     else:
         levels = ("ERROR",) if method == "exception" else (method.upper(),)
     argument = call.args[1 if method == "log" else 0]
-    assert isinstance(argument, ast.Constant), f"{logger}: a log line without a constant format"
+    assert isinstance(argument, ast.Constant), f"{logger}: the format of a log line is not a constant"
     text = message_of_failed_watch() if argument.value == "%s" else str(argument.value)
     return LogLine(template(text), levels, method == "exception", logger)
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,6 +1,6 @@
 """Scripted servers and clients on loopback.
 
-A test reads what the router sent over a `Link`, and writes the reply or request itself.
+A test reads the bytes that the router sent over a `Link`, and writes the response or request itself.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 import hiredis
 
-# responses of a cache server: value, hit or miss, load report
+# Responses of a cache server: the value, `hit` or `miss`, and the load report
 HIT = b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
-# Turns of the event loop within which asyncio passes an accepted connection to its server: one each to create
-# the transport, to notify the protocol and to start the callback, and two to spare
+# Iterations of the event loop within which asyncio passes an accepted connection to the server's callback:
+# one each to create the transport, to notify the protocol and to start the callback, and two in reserve
 ACCEPT_TURNS = 5
 
 
@@ -40,7 +40,7 @@
 
 
 def read(request: str, key: str = "k", info: str = "c=read,t=x,d=2000") -> bytes:
-    """Encode a client's read; `info` has the class, the tenant and the deadline in milliseconds."""
+    """Encode a client's read; `info` holds the class, the tenant and the deadline in milliseconds."""
     return command("C.GET", key, request, info)
 
 
@@ -56,7 +56,7 @@
 
 
 class Link:
-    """The test's side of one connection."""
+    """The test's end of one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Wrap the streams of an open connection."""
@@ -83,7 +83,7 @@
         return first, headers, await self.reader.readexactly(int(headers.get("content-length", 0)))
 
     async def closed_by_peer(self) -> bool:
-        """Wait until the peer closes; return whether it sent nothing more before that."""
+        """Wait until the peer closes the connection; return whether it sent no more data before that."""
         try:
             return await self.reader.read() == b""
         except ConnectionResetError:
@@ -105,14 +105,14 @@
         self.writer.transport.abort()
 
     async def abort(self) -> None:
-        """Close the connection at once, without sending what is buffered, and wait until it is closed."""
+        """Close the connection at once without sending buffered data, and wait until it is closed."""
         self.writer.transport.abort()
-        with suppress(OSError):  # the error that ended the connection earlier
+        with suppress(OSError):  # raised again here if an earlier error closed the connection
             await self.writer.wait_closed()
 
 
 async def abort_all(links: Iterable[Link]) -> None:
-    """Abort connections, and wait until all are closed."""
+    """Abort connections, and wait until all of them are closed."""
     for link in links:
         await link.abort()
 
@@ -135,7 +135,7 @@
         await abort_all(self._links)
 
     def add(self, link: Link) -> Link:
-        """Close a connection with the others at the end, and return it."""
+        """Register a connection to be closed at the end of the context, and return it."""
         self._links.append(link)
         return link
 
@@ -157,7 +157,7 @@
         """Create a server that listens once its context is entered."""
         self.links: asyncio.Queue[Link] = asyncio.Queue()
         self.served: list[Link] = []  # connections on which `serve` reads
-        self._accepted: list[Link] = []  # all connections, also those that the test has taken
+        self._accepted: list[Link] = []  # all connections, including those taken from `links`
 
     async def __aenter__(self) -> Self:
         """Listen on a free port of loopback."""
@@ -174,9 +174,9 @@
         await abort_all(self._accepted)
 
     async def _stop_accepting(self) -> None:
-        """Accept no more, and wait until `_accept` has received each connection that was accepted.
+        """Stop accepting connections, and wait until `_accept` has received each one that was accepted.
 
-        In Python 3.11, a server that is closed before leaves the socket of such a connection open.
+        In Python 3.11, a server that is closed earlier leaves the socket of such a connection open.
         """
         loop = asyncio.get_running_loop()
         for listening in self.server.sockets:
@@ -190,11 +190,14 @@
         self.links.put_nowait(link)
 
     async def link(self) -> Link:
-        """Return the next connection that is made to this server."""
+        """Return the next connection to this server."""
         return await self.links.get()
 
     async def serve(self, response: bytes) -> Any:
-        """Answer the next request on any connection, and return the request; all connections stay open."""
+        """Respond to the next request on any connection, and return the request.
+
+        All connections stay open.
+        """
         while True:
             reads = {asyncio.ensure_future(link.resp()): link for link in self.served}
             accept = asyncio.ensure_future(self.links.get())
--- a/tests/support/loopback_router.py
+++ b/tests/support/loopback_router.py
@@ -22,7 +22,7 @@
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings, WatchBudget
 from tests.support.loopback import HIT, Clients, Link, Peer, read
 
-# an idempotent class, and one that is idempotent with a key
+# An idempotent request class, and one that is idempotent with an idempotency key
 READ = RequestClass("read", latency_objective=1.0)
 KEYED_WRITE = RequestClass(
     "book", 1.0, Idempotency.WITH_KEY, IdempotencyScope.ALL, idempotency_window=15.0, priority_weight=3.0
@@ -39,12 +39,12 @@
 
 
 def network_endpoint(name: str, address: str, kind: str = "std", **fields: Any) -> NetworkEndpoint:
-    """Return an entry of an endpoint list, ready and of weight 1."""
+    """Return an entry of an endpoint list for a server that is ready and has weight 1."""
     return NetworkEndpoint(Endpoint(name, kind=kind, weight=1.0, **fields), address)
 
 
 async def read_values(client: Link, server: Peer, count: int) -> None:
-    """Send reads of different keys, one after another; each has to be answered by the given server."""
+    """Send reads of different keys one after another, and check that the given server receives each."""
     for n in range(count):
         client.write(read(f"r{n}", f"k{n}"))
         await server.serve(HIT)
@@ -61,7 +61,14 @@
         max_clients: int = 16,
         reuse_delay: float = 0.0,
     ) -> None:
-        """`with_endpoints`: start with a list of all servers; `reuse_delay`: seconds between two attempts."""
+        """Create a router that starts when its context is entered.
+
+        Args:
+            settings: settings of the dispatcher.
+            with_endpoints: whether the router starts with an endpoint list of all servers.
+            max_clients: most connections of clients.
+            reuse_delay: seconds after a response before its connection carries the next attempt.
+        """
         self.with_endpoints = with_endpoints
         self.subscriptions = 0
         self.discovery: Discovery | None = None
@@ -79,7 +86,7 @@
             self.discovery.subscribe()
 
     def watch(self, agent: Peer, pushed: bool = False, budget: WatchBudget | None = None) -> None:
-        """Watch the endpoint list of a discovery agent from now on, as the program does."""
+        """Watch the endpoint list of a discovery agent from now on, in the same way as the program."""
         self.discovery = Discovery(
             agent.address,
             1,
@@ -109,7 +116,7 @@
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Abort the router's connections, stop it, and close those of clients and servers."""
+        """Abort the router's connections, stop the router, and close those of clients and servers."""
         for connection in self.listener.open_connections():
             connection.abort()
         await self.listener.stop(0.0, 1.0)
@@ -122,15 +129,15 @@
             await peer.__aexit__(kind, error, trace)
 
     async def client(self) -> Link:
-        """Open a new client's connection, which stays open until the router stops."""
+        """Open a client connection, which stays open until the router stops."""
         return await self.clients.connect(self.listener.address)
 
     def client_connections(self) -> list[ClientConnection]:
-        """Return the router's side of the clients' open connections, in order of acceptance."""
+        """Return the router's end of the open client connections, in order of acceptance."""
         return [c for c in self.listener.open_connections() if isinstance(c, ClientConnection)]
 
     async def cache(self) -> Link:
-        """Return the next connection that is made to either cache server."""
+        """Return the next connection to either cache server."""
         accepts = [asyncio.create_task(p.link()) for p in self.caches.values()]
         done, pending = await asyncio.wait(accepts, return_when=asyncio.FIRST_COMPLETED)
         for task in pending:
@@ -138,7 +145,11 @@
         return done.pop().result()
 
     async def start_read(self, request: str = "r1", info: str = "c=read,t=x,d=2000") -> tuple[Link, Link]:
-        """Start a read and wait until a cache server has it; return the links of client and cache server."""
+        """Start a read, and wait until a cache server receives it.
+
+        Returns:
+            The links of the client and of the cache server.
+        """
         client = await self.client()
         client.write(read(request, info=info))
         cache = await self.cache()
@@ -147,6 +158,6 @@
 
 
 def router_with(**options: Any) -> pytest.MarkDecorator:
-    """Return the mark of a test whose `router` fixture is created with these arguments of `Router`."""
+    """Return a marker for tests whose `router` fixture is a `Router` created with `options`."""
     name = ",".join(options)
     return pytest.mark.parametrize("router", [partial(Router, **options)], ids=[name], indirect=True)
--- a/tests/support/pages.py
+++ b/tests/support/pages.py
@@ -1,4 +1,4 @@
-"""The runbook and the architecture page as text: their code spans, tables and the configuration page."""
+"""The runbook, the architecture page and the configuration page: their text, code spans and tables."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 def flat(text: str) -> str:
-    """Return a page without its drawings, each run of white space as one space."""
+    """Remove the code blocks of a page, and replace each run of white space by one space."""
     return re.sub(r"\s+", " ", re.sub(r"```.*?```", "", text, flags=re.DOTALL))
 
 
 def code_spans(text: str) -> list[str]:
-    """Return the texts of the code spans of a page."""
+    """Return the text of each code span of a page."""
     return re.findall(r"`([^`]+)`", flat(text))
 
 
 def table_rows(text: str, header: str) -> list[list[str]]:
-    """Return the cells of the rows of all tables with a header, such as `| message | module |`."""
+    """Return the cells of each row of all tables that have this header, such as `| message | module |`."""
     rows: list[list[str]] = []
     is_inside = False
     for line in (line.strip() for line in text.splitlines()):
@@ -48,5 +48,5 @@
 
 
 def configuration_row(key: str) -> tuple[str, str] | None:
-    """Return the term and the unit of a key, which pages write without its leading `settings.`."""
+    """Return the term and the unit of a key; other pages omit its leading `settings.`."""
     return CONFIGURATION_ROWS.get(f"settings.{key}") or CONFIGURATION_ROWS.get(key)
--- a/tests/support/reference_ring.py
+++ b/tests/support/reference_ring.py
@@ -1,4 +1,4 @@
-"""The ring and its primary server by plain search, from the design's formulas."""
+"""Reference implementation of the hash ring: the formulas of the design, with a linear search."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def ring_positions(text: str) -> list[int]:
-    """The positions on the ring that one BLAKE2b-512 digest gives."""
+    """Return the positions on the ring that are contained in one BLAKE2b-512 digest."""
     digest = hashlib.blake2b(text.encode()).digest()
     return [
         int.from_bytes(digest[i : i + BYTES_PER_POSITION], "big")
@@ -18,13 +18,16 @@
 
 
 def virtual_node_positions(server: str, count: int) -> list[int]:
-    """The first positions of a server's virtual nodes."""
+    """Return the positions of the first `count` virtual nodes of a server."""
     positions = (p for j in range(count) for p in ring_positions(f"{server}-vnode-{j}"))
     return list(positions)[:count]
 
 
 def primary_server(key: str, servers: dict[str, int]) -> str:
-    """The server of the first virtual node clockwise from a key; `servers` gives the nodes of each."""
+    """Return the server of the first virtual node clockwise from a key.
+
+    `servers` holds the number of virtual nodes of each server.
+    """
     ring = sorted((p, name) for name, count in servers.items() for p in virtual_node_positions(name, count))
     position = ring_positions(key)[0]
     return next((name for p, name in ring if p >= position), ring[0][1])
--- a/tests/support/router_inputs.py
+++ b/tests/support/router_inputs.py
@@ -1,4 +1,4 @@
-"""Settings, request classes and endpoint list entries that the tests give a router."""
+"""Settings, request classes and endpoint list entries for routers under test."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """Settings with a class of each idempotency, hedging, cancellation and up to four attempts."""
+    """Return settings with a class of each idempotency, hedging, cancellation and up to four attempts.
+
+    `changes` replace their fields.
+    """
     base = Settings(
         classes={c.name: c for c in (READ, KEYED, ONCE)},
         hedging_allowed=True,
@@ -27,6 +30,6 @@
 
 
 def entry(server: str, **fields: Any) -> Endpoint:
-    """One entry of an endpoint list, of weight 1 unless `fields` say otherwise."""
+    """Return one entry of an endpoint list, by default with weight 1."""
     fields.setdefault("weight", 1.0)
     return Endpoint(server, **fields)
--- a/tests/support/router_process.py
+++ b/tests/support/router_process.py
@@ -1,4 +1,4 @@
-"""The router as a process of its own, and the configurations that it is started with."""
+"""The router as a separate process, and configurations for it."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tests.support.loopback import Peer
 from tests.support.settings_json import SETTINGS_JSON
 
-PROCESS_TEST_TIMEOUT = 60.0  # seconds for a test with a process of its own, which starts on a busy machine
+PROCESS_TEST_TIMEOUT = 60.0  # seconds for a test that starts a process, which is slow on a busy machine
 CACHED_LIST = {"index": 41, "snapshot": True, "endpoints": [ENDPOINT_ENTRY]}
 VALID_CONFIG: dict[str, Any] = {
     "name": "n3",
@@ -35,7 +35,7 @@
 
 
 async def listen_address(log: asyncio.StreamReader | None) -> tuple[str, int]:
-    """Read the address at which the program listens from its log."""
+    """Read from the program's log the address at which it listens."""
     assert log is not None
     while (found := re.search(rb"listening on ([0-9.]+:\d+)", await log.readline())) is None:
         assert not log.at_eof()
@@ -46,9 +46,9 @@
 async def router_process(
     config: dict[str, Any], path: Path, descriptors: int | None = None, *, config_path: Path | None = None
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """Run the program with a configuration written to `path`, and a limit on its descriptors if given.
+    """Run the program with a configuration, which is written to `path`.
 
-    `config_path` is a file that the program reads instead.
+    `descriptors` is a limit on its file descriptors; `config_path` is a file that it reads instead of `path`.
     """
     path.write_bytes(orjson.dumps(config))
 
@@ -84,23 +84,23 @@
 
 
 def send_signal(process: asyncio.subprocess.Process, number: signal.Signals) -> None:
-    """Send a signal, also in a series up to the end of the process.
+    """Send a signal to a process that may have ended already, for example after an earlier signal.
 
-    `Process.send_signal` looks whether the process has ended. It may then take the status that asyncio waits
-    for in another thread: asyncio reports 255 in that case, with any status.
+    `Process.send_signal` polls the process first, and may thereby reap the exit status for which asyncio
+    waits in another thread. Asyncio then reports the status as 255, whatever it is.
     """
     with suppress(ProcessLookupError):
         os.kill(process.pid, number)
 
 
 async def read_log_until(process: asyncio.subprocess.Process, text: str) -> None:
-    """Read a process's log up to the next line that contains `text`."""
+    """Read the log of a process up to the next line that contains `text`."""
     assert process.stderr is not None
     while text not in (line := await process.stderr.readline()).decode():
         assert line, f"the log ended without {text!r}"
 
 
 async def discard_log(log: asyncio.StreamReader | None) -> None:
-    """Read a process's log to its end: once the pipe is full, the process would block."""
+    """Read the log of a process to its end, because the process would block once the pipe is full."""
     while log is not None and await log.readline():
         pass
--- a/tests/support/router_rules.py
+++ b/tests/support/router_rules.py
@@ -1,10 +1,10 @@
-"""The rules that every router has to keep, checked against what its clients and servers see.
+"""The rules that every router must follow, checked against what its clients and servers observe.
 
 Rule 1: each request gets exactly one final answer, before its client's timeout.
 Rule 2: a request that is not idempotent is never executed twice.
 Rule 3: nothing is sent to a server that is draining, removed or unknown.
 
-A broken rule is an AssertionError that names the rule. Times are in seconds.
+A violation raises an AssertionError that names the rule. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -18,19 +18,21 @@
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings
 from cache_router.simulator_wire import write_timer
 
+# Statuses of attempts whose request the server has not executed
 NOT_EXECUTED = {
     AttemptStatus.REJECTED,
     AttemptStatus.CONNECT_FAILED,
     AttemptStatus.NOT_SENT,
     AttemptStatus.MISS,
 }
-MAX_TIMER_DELAY = 4260  # seconds that the wire can carry
-MAX_TIMER_TOKEN = 64  # characters that the wire can carry
-LATE_ANSWER_TOLERANCE = 0.02  # seconds
+# Limits of a timer in the simulator's messages
+MAX_TIMER_DELAY = 4260  # seconds
+MAX_TIMER_TOKEN = 64  # characters
+LATE_ANSWER_TOLERANCE = 0.02  # seconds after the deadline at which a request may still be open
 
 
 class Outcome(Enum):
-    """How a request ended for its client."""
+    """The end of a request, as its client observes it."""
 
     SERVED = "served"
     FAILED = "failed"
@@ -40,7 +42,7 @@
 
 @dataclass
 class ObservedAttempt:
-    """An attempt as its server sees it."""
+    """An attempt, as its server observes it."""
 
     server: str
     sent_at: float
@@ -60,7 +62,7 @@
 
 @dataclass
 class ObservedRequest:
-    """A request as its client sees it, and its attempts in the order sent."""
+    """A request, as its client observes it, and its attempts in the order sent."""
 
     request: Request
     deadline: float
@@ -69,16 +71,16 @@
 
     @property
     def servers_tried(self) -> list[str]:
-        """The server of each attempt."""
+        """The server of each attempt, in the order sent."""
         return [attempt.server for attempt in self.attempts]
 
     def attempts_maybe_executed(self) -> list[ObservedAttempt]:
-        """The attempts that a server has executed or may still execute."""
+        """Return the attempts that a server has executed or may still execute."""
         return [attempt for attempt in self.attempts if attempt.may_have_executed]
 
 
 def share_idempotency_keys(scope: IdempotencyScope, one: Endpoint, other: Endpoint) -> bool:
-    """Whether both servers drop repeats of each other's idempotency keys."""
+    """Return whether two servers deduplicate requests by shared idempotency keys."""
     if scope is IdempotencyScope.ALL:
         return True
     if scope is IdempotencyScope.ZONE:
@@ -90,10 +92,10 @@
     """Records the requests, attempts and endpoints of one router, and checks each of its actions.
 
     Attributes:
-        requests: every request by its name, also after its end.
+        requests: every request by its name, including those that have ended.
         open_requests: the requests without a final answer.
         in_flight: the attempts that have not completed, by request name and attempt number.
-        listed_endpoints: the last entry of each server that an endpoint update has named.
+        listed_endpoints: the latest entry of each server that an endpoint update has contained.
     """
 
     def __init__(self, conf: Settings) -> None:
@@ -110,7 +112,7 @@
         self.requests[request.request_id] = self.open_requests[request.request_id] = observed
 
     def record_endpoint_update(self, update: EndpointUpdate) -> None:
-        """Record an endpoint update; a complete list removes the servers that it does not name."""
+        """Record an endpoint update; a complete list removes the servers that it does not contain."""
         if update.kind in (EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.CACHED):
             for name, endpoint in self.listed_endpoints.items():
                 self.listed_endpoints[name] = replace(endpoint, state=EndpointState.REMOVED)
@@ -122,12 +124,12 @@
         self.in_flight.pop((name, number)).status = status
 
     def record_outcome(self, name: str, outcome: Outcome) -> None:
-        """Record that a request has ended for its client."""
+        """Record the end of a request."""
         assert name in self.open_requests, f"rule 1: a second answer to {name}"
         self.open_requests.pop(name).outcome = outcome
 
     def check_action(self, action: Action, now: float) -> None:
-        """Check the rules for one action, and record what it does to a request."""
+        """Check the rules for one action, and record its effect on a request."""
         if isinstance(action, SetTimer):
             self._check_timer(action)
         elif isinstance(action, Cancel):
@@ -142,7 +144,7 @@
             self.record_outcome(action.request_id, Outcome.FAILED)
 
     def check_deadlines(self, now: float) -> None:
-        """Check that no request is open beyond the time that its client allows."""
+        """Check that no request is open after its deadline."""
         late = [
             name
             for name, observed in self.open_requests.items()
@@ -151,12 +153,12 @@
         assert not late, f"rule 1: no answer in time for {late}"
 
     def _check_timer(self, action: SetTimer) -> None:
-        """Check that the wire can carry a timer."""
+        """Check that a timer is within the limits of the simulator's messages."""
         assert 0 <= action.delay < MAX_TIMER_DELAY, action
         assert 1 <= len(write_timer(action.timer)) <= MAX_TIMER_TOKEN, action
 
     def _check_cancellation(self, action: Cancel) -> None:
-        """Check that the attempt to cancel was sent."""
+        """Check that the attempt to be cancelled was sent."""
         observed = self.requests.get(action.request_id)
         attempt_count = len(observed.attempts) if observed is not None else 0
         assert 0 <= action.attempt_number < attempt_count, f"cancels an attempt that was never sent: {action}"
@@ -177,7 +179,7 @@
             self._check_repeat(observed, target, now)
 
     def _check_repeat(self, observed: ObservedRequest, target: Endpoint, now: float) -> None:
-        """Check that a request that may have been executed is safe to execute again."""
+        """Check that a request that may have been executed can safely be executed again."""
         request_class = self._class_of(observed)
         if request_class.idempotency is Idempotency.IDEMPOTENT:
             return
@@ -221,5 +223,5 @@
             assert is_harmless, f"rule 2: rejects {name}, which may have been executed"
 
     def _class_of(self, observed: ObservedRequest) -> RequestClass:
-        """The class of a request."""
+        """Return the class of a request."""
         return self.settings.classes[observed.request.request_class]
--- a/tests/support/router_scenarios.py
+++ b/tests/support/router_scenarios.py
@@ -1,4 +1,4 @@
-"""Fleets and requests that the tests of several decision modules share."""
+"""Fleets and request sequences that the tests of several decision modules share."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from tests.support.driver import Driver
 from tests.support.router_inputs import entry, settings
 
-# settings of a deployment in which the router fetches misses from the origin
+# Settings of a deployment in which the router fetches missing objects from the origin
 CACHE_ASIDE: dict[str, Any] = {"cache_aside": True, "origin_kind": "origin"}
 FAILED_CALL = EndpointUpdate(EndpointUpdateKind.FAILED)
 
 
 def fleet(*names: str) -> list[Endpoint]:
-    """Ready servers that alternate between two zones and cells; one named "o" is the origin."""
+    """Return ready servers that alternate between two zones and cells; one named "o" is the origin."""
     kinds = {"o": "origin"}
     return [
         entry(name, zone="xy"[i % 2], cell=i % 2, kind=kinds.get(name, "std")) for i, name in enumerate(names)
@@ -26,31 +26,31 @@
 
 
 def single_zone_fleet(names: Iterable[str]) -> list[Endpoint]:
-    """Ready caches of weight 1 in one zone and cell."""
+    """Return ready caches of weight 1 in one zone and cell."""
     return [entry(name) for name in names]
 
 
 def started_router(*names: str, now: float, **changes: Any) -> Router:
-    """A router that has received a list of the servers of `fleet`; `changes` are made to its settings."""
+    """Return a router that has received the list of `fleet(*names)`; `changes` replace its settings."""
     router = Router(settings(**changes), 1, now)
     router.handle(now, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(fleet(*names))))
     return router
 
 
 def request_and_miss(driver: Driver, *names: str, key: str = "k") -> None:
-    """Send requests that each miss in their cache."""
+    """Send requests for one key, each of which is a miss at its cache."""
     for name in names:
         driver.request(name, key=key)
         driver.complete_attempt(name, AttemptStatus.MISS)
 
 
 def ignore_key_popularity(driver: Driver) -> None:
-    """Make the router treat every key as unpopular, because it spreads a popular one over more servers."""
+    """Make the router treat every key as unpopular; it would spread a popular key over more servers."""
     driver.router.selector.popularity.count = lambda *_: 0.0  # type: ignore[method-assign]
 
 
 def servers_clockwise(driver: Driver, key: str) -> list[str]:
-    """The servers clockwise from a key, each once."""
+    """Return the servers clockwise from a key, without repetition."""
     points = list(driver.router.endpoints.ring.points())
     position = ring_hash(key)[0]
     start = next((i for i, (point, _) in enumerate(points) if point >= position), 0)
@@ -58,8 +58,8 @@
 
 
 def primary_servers(driver: Driver, run: str, count: int = 2000) -> list[str | None]:
-    """The server of each of the keys k0, k1, ..., by requests that are served at once.
+    """Return the server of each of the keys k0, k1, ..., determined by requests that are served at once.
 
-    `run` begins the names of the requests, which have to differ between calls.
+    `run` is the prefix of the request names, which must differ between calls.
     """
     return [driver.request(f"{run}{k}", key=f"k{k}", finish=True) for k in range(count)]
--- a/tests/support/settings_json.py
+++ b/tests/support/settings_json.py
@@ -1,4 +1,4 @@
-"""The settings of a site in their JSON form, as the simulator and a configuration file give them."""
+"""The settings of a site as JSON, as in a configuration file and in the simulator's messages."""
 
 from __future__ import annotations
 
--- a/tests/support/sources.py
+++ b/tests/support/sources.py
@@ -1,4 +1,4 @@
-"""The modules of the package as syntax trees: what they define, and the strings in them."""
+"""The modules of the package as syntax trees: the names that they define, and their strings."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 import cache_router
 
-ANY_VALUE = "{}"  # stands for a value in the text of a message
+ANY_VALUE = "{}"  # placeholder for a value in the text of a message
 
 
 @dataclass(frozen=True)
@@ -25,7 +25,7 @@
     tree: ast.Module
 
     def top_level_names(self) -> set[str]:
-        """Return the classes, functions and constants that the module defines."""
+        """Return the names of the classes, functions and constants that the module defines."""
         names: set[str] = set()
         for node in self.tree.body:
             if isinstance(node, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef):
@@ -36,7 +36,7 @@
 
 
 def load_sources() -> dict[str, Source]:
-    """Import all modules of the package; the keys are their names."""
+    """Import all modules of the package, and return them by name."""
     found: dict[str, Source] = {}
     for info in pkgutil.walk_packages(cache_router.__path__, "cache_router."):
         module = importlib.import_module(info.name)
@@ -67,7 +67,7 @@
 
 
 def has_member(owner: object, name: str) -> bool:
-    """Return whether an object, or an instance of a class, has an attribute."""
+    """Return whether an object or, for a class, one of its instances has an attribute."""
     if hasattr(owner, name):
         return True
     return isinstance(owner, type) and (name in owner.__annotations__ or name in instance_attributes(owner))
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True)
 class Definition:
-    """What a name on a page refers to: the module that defines it, its owner there, and its own name."""
+    """The definition of a name on a page: its module, its owner in that module, and its own name."""
 
     source: Source
     owner: object
@@ -89,7 +89,10 @@
 
 
 def definitions(name: str) -> list[Definition]:
-    """Return what a dotted name refers to: `Class.member`, `NAME`, or either after the module's last name."""
+    """Return the definitions of a dotted name.
+
+    It has the form `Class.member` or `NAME`; either may follow the last part of the module's name.
+    """
     first, *members = name.split(".")
     found: list[Definition] = []
     for source in SOURCES.values():
@@ -111,7 +114,7 @@
 
 
 def strings(source: Source) -> Iterator[str]:
-    """Yield the strings and bytes of a module; f-strings with `{}` for each part that is not constant."""
+    """Yield the strings and bytes of a module; an f-string has `{}` for each part that is not constant."""
     for node in ast.walk(source.tree):
         if isinstance(node, ast.JoinedStr):
             yield "".join(_part(source.module, part) for part in node.values)
@@ -121,7 +124,7 @@
 
 
 def _part(module: ModuleType, part: ast.expr) -> str:
-    """A part of an f-string: its text, the text of a constant of the module, or `{}`."""
+    """Return a part of an f-string: its text, the value of a string constant of the module, or `{}`."""
     if isinstance(part, ast.Constant):
         return str(part.value)
     constant = (
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts on servers that a test emulates, and their outcomes."""
+"""Attempts at servers that a test emulates, and their outcomes."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 
 
 class AttemptRecorder:
-    """Starts attempts and collects their outcomes."""
+    """Starts attempts, and records their outcomes."""
 
     def __init__(self, pool: ConnectionPool) -> None:
-        """Start attempts over a pool."""
+        """Create a recorder of attempts that use the connections of a pool."""
         self.pool = pool
         self.results: asyncio.Queue[tuple[AttemptStatus, bytes]] = asyncio.Queue()
 
     async def start_on(self, peer: Peer) -> Link:
-        """Start an attempt, and wait until the peer has its request."""
+        """Start an attempt, and wait until the peer receives its request."""
         self.start(peer.address)
         link = await peer.link()
         assert (await link.resp())[2] == b"r1"
         return link
 
     def start(self, address: str, command: Command = GET, incarnation: object = None) -> UpstreamAttempt:
-        """Start an attempt for which the router waits 0.5 s, and return it."""
+        """Start an attempt with a timeout of 0.5 s, and return it."""
         attempt = UpstreamAttempt(command, 0.5, self._record)
         self.pool.start(attempt, address, incarnation)
         return attempt
@@ -48,21 +48,21 @@
 
 
 def info_without_deadline(info: str) -> str:
-    """Return the info fields of an attempt without the last, the deadline, after checking that one."""
+    """Check the last of an attempt's info fields, the deadline, and return the others."""
     others, _, time_left = info.rpartition(",d=")
     assert 0 < int(time_left) <= 500
     return others
 
 
 class AttemptRecorders:
-    """Makes recorders of attempts, and closes the connections of all of them when its context ends."""
+    """Creates attempt recorders, and closes the connections of all of them when its context ends."""
 
     def __init__(self) -> None:
         """Create a context without a recorder."""
         self._recorders: list[AttemptRecorder] = []
 
     def __enter__(self) -> Self:
-        """Return the context itself; recorders are made in it."""
+        """Return the context itself; recorders are created in it."""
         return self
 
     def __exit__(
@@ -73,19 +73,19 @@
             recorder.pool.close()
 
     def on_pool(self, pool: ConnectionPool) -> AttemptRecorder:
-        """Return a recorder of attempts over a pool."""
+        """Return a recorder of attempts that use the connections of a pool."""
         recorder = AttemptRecorder(pool)
         self._recorders.append(recorder)
         return recorder
 
     def on_origin(self) -> AttemptRecorder:
-        """Return a recorder of attempts on an origin, over connections that may be reused at once."""
+        """Return a recorder of attempts at an origin; connections may be reused at once."""
         return self.on_pool(ConnectionPool(OriginConnection, 8, 1.0, 60.0, 0.0))
 
     def on_caches(
         self, max_connections: int = 8, idle_timeout: float = 60.0, connect_timeout: float = 1.0
     ) -> AttemptRecorder:
-        """Return a recorder of attempts on cache servers, over connections that may be reused at once.
+        """Return a recorder of attempts at cache servers; connections may be reused at once.
 
         Times are in seconds.
         """
