--- a/tests/deploy/test_deploy.py
+++ b/tests/deploy/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file: the files that it names, and what `build` does after an interrupted or older build."""
+"""The deploy file: the files that it names, and its `build` command after an interrupted or older build."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 ROOT = Path(__file__).parents[2]
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 
-# stand-ins for `python3 -m venv` and for the pip in the environment that it makes: nothing is downloaded
+# Fake `python3 -m venv`, and fake pip for the environment that it creates, so that nothing is downloaded
 PYTHON = """#!/bin/sh
 rm -rf .venv && mkdir -p .venv/bin && cp "$0.pip" .venv/bin/pip && chmod +x .venv/bin/pip
 """
@@ -23,10 +23,10 @@
 
 
 class Checkout:
-    """A checkout with its requirements, and stand-ins for the tools that record what was installed."""
+    """A checkout with its requirements, and fake tools that record which packages were installed."""
 
     def __init__(self, root: Path) -> None:
-        """Create the stand-ins, and requirements of one package."""
+        """Create the fake tools, and a requirements file with one package."""
         self.root = root
         self.tools = root / "tools"
         self.tools.mkdir()
@@ -47,7 +47,7 @@
         ).returncode
 
     def installed(self) -> str:
-        """Return the requirements from which the environment was made."""
+        """Return the requirements from which the environment was created."""
         return (self.root / ".venv" / "packages").read_text()
 
 
@@ -58,7 +58,7 @@
 
 
 def test_interrupted_build_is_repeated(checkout: Checkout) -> None:
-    """Mistaken for a complete environment, it would start no router after any later build either."""
+    """If its environment passed for a complete one, no router would start after later builds either."""
     (checkout.root / "broken").touch()
     assert checkout.build() != 0
     (checkout.root / "broken").unlink()
@@ -67,14 +67,14 @@
 
 
 def test_incomplete_environment_of_another_build_is_replaced(checkout: Checkout) -> None:
-    """A folder without its packages must not pass for a complete environment."""
+    """An environment folder without packages must not pass for a complete environment."""
     (checkout.root / ".venv" / "bin").mkdir(parents=True)
     assert checkout.build() == 0
     assert checkout.installed() == "one==1\n"
 
 
 def test_complete_build_is_kept_until_the_requirements_change(checkout: Checkout) -> None:
-    """Installing again at each build would delay a start; an outdated environment would break it."""
+    """Installing at every build would delay the start; an outdated environment could prevent it."""
     assert checkout.build() == 0
     marker = checkout.root / ".venv" / "marker"
     marker.touch()
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize("part", ["policy", "node"])
 def test_named_files_exist(part: str) -> None:
-    """The files that the deploy file lists as its parts are in the repository."""
+    """The files that the deploy file lists as parts of the program are in the repository."""
     assert DEPLOY[part]
     assert all((ROOT / name).exists() for name in DEPLOY[part])
 
@@ -100,6 +100,6 @@
 
 
 def test_run_replaces_its_shell() -> None:
-    """A shell that remained as the parent would receive SIGTERM in place of the router."""
+    """A shell that remained as the parent process would receive SIGTERM instead of the router."""
     assert DEPLOY["run"].startswith("exec ")
     assert not set("&|;") & set(DEPLOY["run"])
--- a/tests/project/__init__.py
+++ b/tests/project/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the rules that hold for the sources and pages as a whole."""
+"""Tests of the rules that apply to the sources and the pages as a whole."""
--- a/tests/project/test_code_rules.py
+++ b/tests/project/test_code_rules.py
@@ -1,4 +1,4 @@
-"""Rules of the sources: their size, vocabulary and imports of the decisions, and the README's example."""
+"""Size limits of the sources, rules for the decision modules, and the example in the README."""
 
 import ast
 import re
@@ -14,7 +14,7 @@
     name: (ROOT / name).read_text()
     for name in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
 }
-# types of the decisions' input and output; held to the same rules, though they decide nothing
+# Modules with the input and output types of the decisions, to which the same rules apply
 TYPES = (
     "cache_router/decisions/actions.py",
     "cache_router/decisions/events.py",
@@ -22,7 +22,7 @@
     "cache_router/errors.py",
     "cache_router/settings.py",
 )
-# lines that are not blank; a module holds one concern
+# Limits in lines that are not blank; the limit of a module keeps it to one concern
 MAX_FUNCTION_LINES = 40
 MAX_CLASS_LINES = 200
 MAX_MODULE_LINES = 280
@@ -38,7 +38,7 @@
 
 
 def line_count(text: str) -> int:
-    """Lines that are not blank."""
+    """Return the number of lines that are not blank."""
     return sum(bool(line.strip()) for line in text.splitlines())
 
 
@@ -95,7 +95,7 @@
     code = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.DOTALL)
     assert code is not None
     names: dict[str, object] = {}
-    exec(code.group(1), names)  # noqa: S102 - the example of the README
+    exec(code.group(1), names)  # noqa: S102 - the example from the README
     send = next(a for a in names["actions"] if isinstance(a, Send))  # type: ignore[attr-defined]
     assert send.request_id == "r1"
     assert send.server in ("cache-1", "cache-2")
--- a/tests/project/test_configuration_page.py
+++ b/tests/project/test_configuration_page.py
@@ -1,4 +1,4 @@
-"""The configuration page and its example, held against the readers of the configuration."""
+"""The configuration page and its example, compared with the code that reads the configuration."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 EXAMPLE = (ROOT / EXAMPLE_PATH).read_bytes()
 ENVIRONMENT_KEYS = {"RELAY_CONFIG"}
 REQUIRED = "required"
-# the default of each is the other's value, which a cell can only describe
+# The default of each is the value of the other, which the page can only describe in words
 MUTUAL_DEFAULTS = {"settings.classes[].aim", "settings.classes[].giveUp"}
 RECORD_TYPES = {
     record.__name__: record
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """One row of the page's tables."""
+    """One row of the tables on the page."""
 
     key: str
     term: str
@@ -60,13 +60,13 @@
 
 
 class RecordingDict(dict[str, Any]):
-    """A JSON object that records the path of each key that a reader asks for.
+    """A JSON object that records the path of each key that is read.
 
-    Reading all keys at once fails: it would not show which of them have an effect.
+    Reading all keys at once raises AssertionError, as it would not show which of them have an effect.
     """
 
     def __init__(self, values: dict[str, Any], path: str, keys_read: set[str]) -> None:
-        """Record in `keys_read`; `path` is the object's own path with its dot."""
+        """Record the paths in `keys_read`; `path` is the path of the object itself, with a final dot."""
         super().__init__(values)
         self._path = path
         self._keys_read = keys_read
@@ -116,7 +116,7 @@
 
 
 def objects_with(config: dict[str, Any], key: str) -> tuple[list[dict[str, Any]], str]:
-    """Return the objects of a configuration that hold a key, and the key's last part."""
+    """Return the objects of a configuration that contain a key, and the last part of the key."""
     *path, last = key.split(".")
     found: list[Any] = [config]
     for part in path:
@@ -126,7 +126,7 @@
 
 
 def example_with(key: str, value: Any) -> bytes:
-    """Return the example with another value of a key, wherever it stands."""
+    """Return the example with another value for each occurrence of a key."""
     config = orjson.loads(EXAMPLE)
     holders, last = objects_with(config, key)
     for holder in holders:
@@ -135,7 +135,7 @@
 
 
 def example_without(*keys: str) -> bytes:
-    """Return the example without some keys, wherever they stand."""
+    """Return the example without any occurrence of some keys."""
     config = orjson.loads(EXAMPLE)
     for key in keys:
         holders, last = objects_with(config, key)
@@ -151,7 +151,7 @@
 
 
 def test_page_and_readers_have_the_same_keys(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A key that is read and not documented fails, and so does one that is documented and not read."""
+    """Every key that is read is documented, and every documented key is read."""
     keys_read: set[str] = set()
     decoded = recording(orjson.loads(EXAMPLE), "", keys_read)
     monkeypatch.setattr(orjson, "loads", lambda text: decoded)
@@ -160,7 +160,7 @@
 
 
 def test_page_and_program_have_the_same_environment_variables(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without the variable the program ends; its sources read the environment in one place alone."""
+    """Without the variable, the program exits; its sources read the environment in only one place."""
     keys_read: set[str] = set()
     with monkeypatch.context() as patch:
         patch.setattr(os, "environ", RecordingDict({}, "", keys_read))
@@ -177,7 +177,7 @@
 
 @pytest.mark.parametrize("row", FILE_ROWS, ids=lambda row: row.key)
 def test_documented_default_is_that_of_the_reader(row: Row) -> None:
-    """A required key cannot be left out; another one has the same effect left out as with its default."""
+    """Omitting a required key is an error; omitting another one has the same effect as its default."""
     if row.default == REQUIRED:
         with pytest.raises(ConfigError):
             read_config(example_without(row.key))
@@ -199,7 +199,7 @@
 
 @pytest.mark.parametrize("row", [row for row in FILE_ROWS if row.range.startswith("at least ")], ids=str)
 def test_documented_minimum_is_that_of_the_reader(row: Row) -> None:
-    """The minimum itself is accepted, a smaller value is an error, and so is a list without entries."""
+    """The minimum itself is accepted; a smaller value or an empty list is an error."""
     found = re.match(r"at least (-?[0-9.]+)", row.range)
     if found is None:
         assert row.range == "at least one class"
@@ -216,7 +216,7 @@
     "row", [row for row in FILE_ROWS if re.fullmatch(r"`\w+`(, `\w+`)+", row.range)], ids=str
 )
 def test_documented_words_are_those_of_the_reader(row: Row) -> None:
-    """Each word that the page lists is accepted, and another one is an error."""
+    """Each word that the page lists is accepted, and any other is an error."""
     for word in re.findall(r"`(\w+)`", row.range):
         read_config(example_with(row.key, word))
     with pytest.raises(ConfigError):
@@ -247,7 +247,7 @@
 
 @pytest.mark.time_limit(PROCESS_TEST_TIMEOUT)
 async def test_router_starts_with_the_example(tmp_path: Path) -> None:
-    """Free ports replace the fixed ones, which other processes on the machine may use."""
+    """Free ports replace the fixed ones, which may be in use by other processes on the machine."""
     async with Peer() as discovery, Clients() as clients:
         addresses = {"listen": "127.0.0.1:0", "discovery": discovery.address}
         config = {**orjson.loads(EXAMPLE), **addresses}
--- a/tests/project/test_coroutine_tests.py
+++ b/tests/project/test_coroutine_tests.py
@@ -1,4 +1,4 @@
-"""The fixtures that hold for each coroutine test, in runs of pytest of their own."""
+"""The plugin for coroutine tests, in separate runs of pytest."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def run_test(pytester: pytest.Pytester, source: str) -> pytest.RunResult:
-    """Run the tests of a module under the fixtures, in this process."""
+    """Run the tests of a module with the plugin, in this process."""
     pytester.makeini(CONFIGURATION)
     pytester.makepyfile("import asyncio\nimport pytest\n" + source)
     return pytester.runpytest_inprocess("-p", "tests.support.coroutine_tests", "-p", "no:cacheprovider")
--- a/tests/project/test_dependencies.py
+++ b/tests/project/test_dependencies.py
@@ -1,4 +1,4 @@
-"""The pinned requirements hold what pyproject.toml declares, and nothing else."""
+"""The pinned requirements contain the dependencies that pyproject.toml declares, and no others."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def read_lines(name: str) -> list[str]:
-    """The lines of a requirements file that are not blank or comments."""
+    """Return the lines of a requirements file that are neither blank nor comments."""
     lines = (line.strip() for line in (ROOT / name).read_text().splitlines())
     return [line for line in lines if line and not line.startswith("#")]
 
--- a/tests/project/test_glossary.py
+++ b/tests/project/test_glossary.py
@@ -1,4 +1,4 @@
-"""The glossary, held against the configuration page, the simulator's adapter and the sources."""
+"""The glossary, compared with the configuration page, the simulator's adapter and the sources."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 
 
 def words(text: str) -> list[str]:
-    """Return the words in code marks in the first cells of the tables of a text."""
+    """Return the code spans in the first cells of the table rows of a text."""
     rows = [line for line in text.splitlines() if line.startswith("| `")]
     return [word for row in rows for word in CODE_MARKS.findall(row.split("|")[1])]
 
 
 def string_constants(source: str) -> set[str]:
-    """Return the strings of a module, those of bytes included."""
+    """Return the string constants of a module, and its bytes constants as text."""
     values = (node.value for node in ast.walk(ast.parse(source)) if isinstance(node, ast.Constant))
     return {v.decode("latin-1") if isinstance(v, bytes) else v for v in values if isinstance(v, str | bytes)}
 
 
 def wire_nodes(node: ast.AST) -> Iterator[ast.expr | None]:
-    """Yield the expressions in which the adapter spells a word of the wire, as far as they are in a node."""
+    """Yield the direct children of a syntax node that may be words of the simulator's messages."""
     if isinstance(node, ast.Assign):
         yield node.value
     elif isinstance(node, ast.Tuple):
@@ -56,18 +56,18 @@
 
 
 def wire_words() -> set[str]:
-    """Return the words of the simulator that the adapter reads or writes."""
+    """Return the words of the simulator's messages that the adapter reads or writes."""
     nodes = [node for source in SIMULATOR for node in ast.walk(ast.parse(source))]
     message_fields = [n.target for n in ast.walk(ast.parse(MESSAGES)) if isinstance(n, ast.AnnAssign)]
     expressions = [e for node in nodes for e in wire_nodes(node)]
     constants = {e.value for e in expressions if isinstance(e, ast.Constant) and isinstance(e.value, str)}
     fields = {target.id for target in message_fields if isinstance(target, ast.Name)}
-    # the default of an absent field, and the name of the main module
+    # Neither the default of an absent field nor the name of the main module is a word of the messages
     return (constants | fields) - {"", "__main__"}
 
 
 def test_glossary_has_each_key_of_the_configuration() -> None:
-    """The first table of the section has the keys, the second one has their values."""
+    """The first table of the section lists the keys, and the second one their values."""
     keys, _, values = section("Configuration").partition("\n| value |")
     documented = {path.rpartition(".")[2] for path in words(CONFIGURATION_PAGE)}
     assert sorted(words(keys)) == sorted(documented)
@@ -91,7 +91,7 @@
 
 
 def test_terms_of_the_glossary_are_names_of_the_code() -> None:
-    """Each term in code marks, such as `Reject.retry_after`, names something in the sources."""
+    """Each term in a code span, such as `Reject.retry_after`, is a name in the sources."""
     names = set(re.findall(r"\w+", "\n".join(SOURCES.values())))
     rows = [line for line in PAGE.splitlines() if line.startswith("| ")]
     terms = [term for row in rows for cell in row.split("|")[2:] for term in CODE_MARKS.findall(cell)]
--- a/tests/project/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that fail for a known fault, and the run that passes over them."""
+"""The list of tests that fail because of a known fault and are deselected."""
 
 from __future__ import annotations
 
--- a/tests/project/test_page_names.py
+++ b/tests/project/test_page_names.py
@@ -1,4 +1,4 @@
-"""Names on the runbook and the architecture page: each refers to something that exists."""
+"""Names on the runbook and the architecture page, each of which must refer to something that exists."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 )
 from tests.support.sources import SOURCES, definitions, is_defined_in, strings
 
-# words of the configuration and of the wire; tests of their own compare both pages with the program
+# Pages with the words of the configuration and of the protocols; other tests compare them with the program
 LISTED_WORDS = CONFIGURATION + (DOCS / "GLOSSARY.md").read_text()
 COMMAND_PREFIXES = ("curl ", "ss -", "ulimit ", "python -m scale_experiments", "python -B -m cache_router")
-# words that belong to Python or to the platform
+# Names that Python or the platform defines
 FOREIGN_WORDS = {
     "asyncio",
     "ConnectionRefusedError",
@@ -39,12 +39,12 @@
 
 
 def is_path(span: str) -> bool:
-    """Return whether a text is a path, relative to the package or to the repository, that exists."""
+    """Return whether a text is an existing path, relative to the package or to the repository."""
     return " " not in span and any((folder / span).exists() for folder in (PACKAGE, ROOT))
 
 
 def is_name(span: str) -> bool:
-    """Return whether a text names something in the code, a logger or a module."""
+    """Return whether a text is the name of a definition in the code, of a logger or of a module."""
     return bool(re.fullmatch(r"[A-Za-z_][\w.]*", span)) and (bool(definitions(span)) or span in SOURCES)
 
 
@@ -57,13 +57,13 @@
 
 
 def is_listed_word(span: str) -> bool:
-    """Return whether a text is a key of the configuration or a word of the glossary."""
+    """Return whether a text is a key of the configuration or the deploy file, or a word of the glossary."""
     deploy_keys = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text()).keys()
     return f"`{span}`" in LISTED_WORDS or configuration_row(span) is not None or span in deploy_keys
 
 
 def is_string(span: str) -> bool:
-    """Return whether the sources have a string: exactly this one, or one that starts with a text of words."""
+    """Return whether a text is a string of the sources or, unless it is an identifier, the start of one."""
     texts = {text for source in SOURCES.values() for text in strings(source)}
     return span in texts or (not span.isidentifier() and any(text.startswith(span) for text in texts))
 
@@ -105,7 +105,7 @@
 
 @pytest.mark.parametrize("page", PAGES)
 def test_names_after_a_file_are_defined_there(page: str) -> None:
-    """As in: `decisions/open_requests.py`, `OpenRequests.reject_or_fail`."""
+    """The form on a page is: `decisions/open_requests.py`, `OpenRequests.reject_or_fail`."""
     pairs = FILE_AND_NAME.findall(flat(PAGES[page]))
     assert page != "RUNBOOK.md" or len(pairs) >= 30
     assert [pair for pair in pairs if not is_defined_in(*pair)] == []
--- a/tests/project/test_page_values.py
+++ b/tests/project/test_page_values.py
@@ -13,7 +13,7 @@
 from tests.support.pages import ARCHITECTURE, PAGES, RUNBOOK, configuration_row, flat, table_rows
 from tests.support.sources import Definition, definitions
 
-# words of a unit that state no quantity
+# Words in a unit that do not have to occur in the source
 UNIT_FILLERS = {"a", "at", "each", "for", "of", "the", "times"}
 UNIT_ABBREVIATIONS = {"s": "second", "ms": "_ms"}
 QUANTITY = re.compile(r"`([A-Za-z_][\w.]*)` \((\d[\d.]*)(?: to (\d[\d.]*))?(?: ([^();,]+))?[);,]")
@@ -22,12 +22,12 @@
 
 
 def comments(definition: Definition) -> str:
-    """Return what the source says of a constant or field: its comments, and the doc comments around it."""
+    """Return the texts that describe a constant or field: its comments, and the doc comments of its owner."""
     name, owner = definition.name, definition.owner
     lines = definition.source.text.splitlines()
     place = next(i for i, line in enumerate(lines) if re.match(rf"\s*(?:def )?{name}\b[:(= ]", line))
     texts = [name, lines[place]]
-    # the comment above a constant may be that of a group of them
+    # The comment above a group of constants describes each of them
     for line in reversed(lines[:place]):
         if not re.match(r"\s*#|\w+ = ", line):
             break
@@ -44,7 +44,7 @@
 
 
 def wrong_quantity(name: str, low: str, high: str, unit: str) -> str:
-    """Return what is wrong about a value that a page gives, empty if nothing is."""
+    """Return how a documented value or unit differs from the sources, or an empty text if it does not."""
     found = definitions(name)
     if len(found) != 1:
         return f"{name} has {len(found)} definitions"
@@ -52,7 +52,7 @@
     if found[0].value != pytest.approx(documented):
         return f"{name} is {found[0].value}, not {documented}"
     missing = [word for word in unit_words(unit) if word not in comments(found[0])]
-    return f"{name}: unit {unit!r}" if missing else ""
+    return f"{name}: no unit {unit!r} in the sources" if missing else ""
 
 
 @pytest.mark.parametrize("page", PAGES)
@@ -68,7 +68,7 @@
         "`MIN_EJECTION_TIME` (0.6 s)",
         "`MIN_EJECTION_TIME` (0.5 ms)",
         "`MAX_PIPELINED_COMMANDS` (32 s)",
-        "`BACKOFF_JITTER` (0.75 to 1.25)",  # two modules have one
+        "`BACKOFF_JITTER` (0.75 to 1.25)",  # two modules define it
         "`EJECTION_JITTER` (0.5 to 1.1)",
         "`WatchBudget.call_timeout` (2 s)",
     ],
@@ -79,7 +79,7 @@
 
 
 def test_settings_of_the_runbook_are_those_of_the_configuration_page() -> None:
-    """Each key has the term and the unit that the configuration page gives."""
+    """Each key has the same term and the same unit as on the configuration page."""
     settings = SETTING.findall(flat(RUNBOOK))
     assert len(settings) >= 20
     for key, unit, term in settings:
@@ -99,7 +99,7 @@
 
 
 def test_clients_have_the_documented_descriptors() -> None:
-    """With the default of `limits.sockets`."""
+    """The documented number is for the default of `limits.sockets`."""
     found = re.search(r"`CLIENT_EIGHTHS` \(4 eighths\) of the others: (\d+) of ([\d,]+)\.", flat(RUNBOOK))
     assert found is not None
     assert DescriptorBudget.divide(int(found[2].replace(",", ""))).clients == int(found[1])
--- a/tests/project/test_pages.py
+++ b/tests/project/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages: links, paths of the repository, and the length of the README."""
+"""The pages: their links, the repository paths on them, and the length of the README."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 MAX_README_LINES = 110  # two screens
 FOLDERS = "cache_router|docs|tests|scale_experiments|deploy"
 LINK = re.compile(r"\]\(([^)#:]+)\)")
-# a path in code marks or in a command; wildcards are no paths
+# A path in a code span or in a command; a text with wildcards is not a path
 REPOSITORY_PATH = re.compile(rf"(?<![\w./-])(?:{FOLDERS})/[\w./-]*[\w/](?![\w*])")
 
 
--- a/tests/project/test_runbook.py
+++ b/tests/project/test_runbook.py
@@ -1,4 +1,4 @@
-"""Log lines and messages of the runbook, compared with the sources, and the form of both pages."""
+"""The log lines and messages of the runbook, compared with the sources; its structure; links to sections."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def test_decisions_log_one_kind_of_message() -> None:
-    """`message_of_failed_watch` makes that one; another one must be added to it and to the runbook."""
+    """`message_of_failed_watch` covers it; a second kind must be added there and to the runbook."""
     calls = [
         node
         for source in SOURCES.values()
