--- a/tests/project/test_page_names.py
+++ b/tests/project/test_page_names.py
@@ -18,7 +18,7 @@
     ROOT,
     code_spans,
     configuration_row,
-    flat,
+    normalize,
     table_rows,
 )
 from tests.support.sources import SOURCES, definitions, is_defined_in, strings
@@ -106,7 +106,7 @@
 @pytest.mark.parametrize("page", PAGES)
 def test_names_after_a_file_are_defined_there(page: str) -> None:
     """The form on a page is: `decisions/open_requests.py`, `OpenRequests.reject_or_fail`."""
-    pairs = FILE_AND_NAME.findall(flat(PAGES[page]))
+    pairs = FILE_AND_NAME.findall(normalize(PAGES[page]))
     assert page != "RUNBOOK.md" or len(pairs) >= 30
     assert [pair for pair in pairs if not is_defined_in(*pair)] == []
 
--- a/tests/project/test_page_values.py
+++ b/tests/project/test_page_values.py
@@ -10,7 +10,7 @@
 from cache_router.descriptor_budget import DescriptorBudget
 from cache_router.settings import RequestClass, Settings
 from cache_router.shutdown_schedule import ShutdownSchedule
-from tests.support.pages import ARCHITECTURE, PAGES, RUNBOOK, configuration_row, flat, table_rows
+from tests.support.pages import ARCHITECTURE, PAGES, RUNBOOK, configuration_row, normalize, table_rows
 from tests.support.sources import Definition, definitions
 
 # Words in a unit that do not have to occur in the source
@@ -52,12 +52,12 @@
     if found[0].value != pytest.approx(documented):
         return f"{name} is {found[0].value}, not {documented}"
     missing = [word for word in unit_words(unit) if word not in comments(found[0])]
-    return f"{name}: no unit {unit!r} in the sources" if missing else ""
+    return f"{name}: no comment states the unit {unit!r}" if missing else ""
 
 
 @pytest.mark.parametrize("page", PAGES)
 def test_values_and_units_are_those_of_the_code(page: str) -> None:
-    quantities = QUANTITY.findall(flat(PAGES[page]))
+    quantities = QUANTITY.findall(normalize(PAGES[page]))
     assert len(quantities) >= 10
     assert [wrong for each in quantities if (wrong := wrong_quantity(*each))] == []
 
@@ -80,7 +80,7 @@
 
 def test_settings_of_the_runbook_are_those_of_the_configuration_page() -> None:
     """Each key has the same term and the same unit as on the configuration page."""
-    settings = SETTING.findall(flat(RUNBOOK))
+    settings = SETTING.findall(normalize(RUNBOOK))
     assert len(settings) >= 20
     for key, unit, term in settings:
         row = configuration_row(key)
@@ -100,7 +100,9 @@
 
 def test_clients_have_the_documented_descriptors() -> None:
     """The documented number is for the default of `limits.sockets`."""
-    found = re.search(r"`CLIENT_EIGHTHS` \(4 eighths\) of the others: (\d+) of ([\d,]+)\.", flat(RUNBOOK))
+    found = re.search(
+        r"`CLIENT_EIGHTHS` \(4 eighths\) of the others: (\d+) of ([\d,]+)\.", normalize(RUNBOOK)
+    )
     assert found is not None
     assert DescriptorBudget.divide(int(found[2].replace(",", ""))).clients == int(found[1])
 
--- a/tests/project/test_runbook.py
+++ b/tests/project/test_runbook.py
@@ -22,7 +22,7 @@
 
 
 def test_decisions_log_one_kind_of_message() -> None:
-    """`message_of_failed_watch` covers it; a second kind must be added there and to the runbook."""
+    """`failed_watch_message` covers it; a second kind must be added there and to the runbook."""
     calls = [
         node
         for source in SOURCES.values()
--- a/tests/support/connection_pools.py
+++ b/tests/support/connection_pools.py
@@ -31,9 +31,9 @@
 # Times in seconds. The tests advance the clocks of both pools instead of waiting that long.
 REUSE_DELAY = 100.0
 IDLE_TIME = 1000.0
-LONG = 1e6
-PATIENCE = 10.0  # real seconds within which an expected outcome must arrive
-LOOP_TURNS = 30  # pauses of 1 ms after which the loopback peer has detected closed connections
+ATTEMPT_TIMEOUT = 1e6
+OUTCOME_TIMEOUT = 10.0  # real seconds within which an expected outcome must arrive
+CLOSE_DETECTION_PAUSES = 30  # pauses of 1 ms after which the loopback peer has detected closed connections
 
 GET = Command(b"C.GET", b"k", b"r1", {"c": "read", "d": "900"}, 900)
 
@@ -82,7 +82,7 @@
         self.pool = ConnectionPool(CacheConnection, budget, 5.0, idle_timeout, REUSE_DELAY)
         self.peer = peer
         self.links: list[Link] = []
-        self.ended: set[int] = set()
+        self.closed_connections: set[int] = set()
         self.attempts: dict[int, UpstreamAttempt] = {}
         self.outcomes: asyncio.Queue[Outcome] = asyncio.Queue()
         self.tasks = [asyncio.create_task(self._accept())]
@@ -99,16 +99,16 @@
                 await link.resp()
                 self.outcomes.put_nowait(number)
         except (AssertionError, ConnectionError):  # the connection was closed or reset
-            self.ended.add(number)
+            self.closed_connections.add(number)
 
     async def _next_outcome(self) -> Outcome:
-        return await asyncio.wait_for(self.outcomes.get(), PATIENCE)
+        return await asyncio.wait_for(self.outcomes.get(), OUTCOME_TIMEOUT)
 
     async def send(self, process: int = 1, ends: AttemptStatus | None = None) -> Outcome:
-        def done(response: UpstreamResponse) -> None:
+        def on_completed(response: UpstreamResponse) -> None:
             self.outcomes.put_nowait(response.status)
 
-        attempt = UpstreamAttempt(GET, LONG, done, precondition=lambda: ends)
+        attempt = UpstreamAttempt(GET, ATTEMPT_TIMEOUT, on_completed, precondition=lambda: ends)
         self.pool.start(attempt, self.peer.address, process)
         outcome = await self._next_outcome()
         if isinstance(outcome, int):
@@ -129,9 +129,9 @@
         cast(AdjustableLoop, asyncio.get_running_loop()).offset += seconds
 
     async def closed(self) -> set[int]:
-        for _ in range(LOOP_TURNS):
+        for _ in range(CLOSE_DETECTION_PAUSES):
             await asyncio.sleep(0.001)
-        return set(self.ended)
+        return set(self.closed_connections)
 
     def stop(self) -> None:
         self.pool.close()
@@ -161,14 +161,14 @@
         self.server = ScriptedServer(context, 0)
         caches = {self.server.name: self.server}
         self.endpoints: dict[str, Endpoint] = {}
-        self.ended: list[tuple[Attempt, AttemptStatus]] = []
+        self.completed_attempts: list[tuple[Attempt, AttemptStatus]] = []
         self.runner = AttemptRunner(
             context,
             Location(0, 0),
             self.endpoints,
             caches,
             Origin(context, caches),
-            on_finished=lambda attempt, status, _: self.ended.append((attempt, status)),
+            on_finished=lambda attempt, status, _: self.completed_attempts.append((attempt, status)),
         )
         self.attempts: list[Attempt] = []  # the last attempt on each connection
 
@@ -187,7 +187,7 @@
             self.endpoints[endpoint.name] = draining
         self.events.run(0.01)
         if attempt is None:
-            return self.ended[-1][1]
+            return self.completed_attempts[-1][1]
         connections = [a.connection for a in self.attempts]
         if attempt.connection in connections:
             number = connections.index(attempt.connection)
@@ -195,12 +195,12 @@
         else:
             number = len(self.attempts)
             self.attempts.append(attempt)
-        return self.ended[-1][1] if attempt.is_finished else number
+        return self.completed_attempts[-1][1] if attempt.is_finished else number
 
     async def answer(self, connection: int) -> None:
         attempt = self.attempts[connection]
         self.runner.pool.receive_response(attempt, AttemptStatus.OK, LoadReport(0.0, 0.0))
-        assert self.ended[-1] == (attempt, AttemptStatus.OK)
+        assert self.completed_attempts[-1] == (attempt, AttemptStatus.OK)
 
     async def abandon(self, connection: int) -> None:
         self.runner.abandon(self.attempts[connection], AttemptStatus.CANCELLED)
--- a/tests/support/coroutine_tests.py
+++ b/tests/support/coroutine_tests.py
@@ -33,12 +33,12 @@
     if inspect.iscoroutinefunction(request.function):
         marker = request.node.get_closest_marker("time_limit")
         time_limit = marker.args[0] if marker is not None else DEFAULT_TIME_LIMIT
-        request.node.obj = bounded(request.node.obj, time_limit, errors)
+        request.node.obj = with_time_limit(request.node.obj, time_limit, errors)
     yield errors
     assert not errors, f"exceptions in callbacks of the event loop: {errors}"
 
 
-def bounded(
+def with_time_limit(
     test: Callable[..., Awaitable[None]], time_limit: float, errors: LoopErrors
 ) -> Callable[..., Awaitable[None]]:
     """Wrap a coroutine test: it raises `TimeoutError` after `time_limit` seconds and records `errors`."""
--- a/tests/support/driver.py
+++ b/tests/support/driver.py
@@ -51,12 +51,12 @@
         last_actions: the router's actions in response to the last event.
     """
 
-    def __init__(self, conf: Settings, seed: int = 1, make: type[Router] = Router) -> None:
+    def __init__(self, settings: Settings, seed: int = 1, make: type[Router] = Router) -> None:
         """Start a router of class `make` at `START_TIME`."""
-        self.settings = conf
+        self.settings = settings
         self.now = START_TIME
-        self.router = make(conf, seed, self.now)
-        self.rules = RouterRules(conf)
+        self.router = make(settings, seed, self.now)
+        self.rules = RouterRules(settings)
         self.timers: list[tuple[float, str]] = []
         self.last_actions: list[Action] = []
 
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -31,7 +31,7 @@
 LATENCY = 0.02
 RESET_LATENCY = 0.005
 TIMEOUT_LATENCY = 1.0
-ORDINARY_ANSWER = AttemptStatus.OK, LATENCY
+SUCCESSFUL_COMPLETION = AttemptStatus.OK, LATENCY
 
 
 class ScheduledEvent(NamedTuple):
@@ -73,7 +73,7 @@
         self.events: list[ScheduledEvent] = []  # a heap
         self.attempts: dict[str, int] = {}  # number of the last attempt of each request
         self.sent_to_warming: list[float] = []
-        self.hot_key = next(k for k in map(str, count()) if self.first_choice(k) == "warming")
+        self.hot_key = next(k for k in map(str, count()) if self.primary_server(k) == "warming")
         self.routers: dict[int, Router] = {}
 
     def endpoint_update(self, now: float) -> EndpointUpdate:
@@ -86,7 +86,7 @@
             EndpointUpdateKind.SNAPSHOT, endpoints if now >= WARMING_STARTED_AT else endpoints[:-1]
         )
 
-    def first_choice(self, key: str) -> str:
+    def primary_server(self, key: str) -> str:
         """Return the server to which a router sends a key when the warming cache starts."""
         router = Router(settings(), 1, WARMING_STARTED_AT)
         router.handle(WARMING_STARTED_AT, self.endpoint_update(WARMING_STARTED_AT))
@@ -100,9 +100,9 @@
             self.handle(now, number, Request(f"queued{number}-{n}", "read", 1.0, self.hot_key))
         self.handle(now, number, self.endpoint_update(now))
 
-    def answer(self) -> tuple[AttemptStatus, float]:
+    def draw_completion(self) -> tuple[AttemptStatus, float]:
         """Return the status and the latency of the next attempt."""
-        return ORDINARY_ANSWER
+        return SUCCESSFUL_COMPLETION
 
     def handle(self, now: float, number: int, event: Event) -> None:
         """Give one router an event, and schedule the events that follow from its actions."""
@@ -117,7 +117,7 @@
         attempt = self.attempts[action.request_id] = self.attempts.get(action.request_id, -1) + 1
         if action.server == "warming":
             self.sent_to_warming.append(now)
-        status, latency = self.answer()
+        status, latency = self.draw_completion()
         is_final = status is AttemptStatus.OK
         completed = AttemptCompleted(action.request_id, attempt, status, is_final, latency)
         self.schedule(now + latency, number, completed)
@@ -135,15 +135,15 @@
         Returns:
             The largest excess of attempts over the limit of a window, as `worst_excess` returns it.
         """
-        changes = sorted([*restarts, WARMING_STARTED_AT])
+        change_times = sorted([*restarts, WARMING_STARTED_AT])
         request_shares = [self.random.choice(REQUEST_SHARES) for _ in range(ROUTER_COUNT)]
         now = 0.0
         for n in count():
             now += self.random.expovariate(self.request_rate)
             if now > WARMING_STARTED_AT + self.settings.slow_start_duration:
                 break
-            while changes and changes[0] <= now:
-                self.change(changes.pop(0), restarts)
+            while change_times and change_times[0] <= now:
+                self.apply_changes(change_times.pop(0), restarts)
             while self.events and self.events[0].time <= now:
                 due = heapq.heappop(self.events)
                 self.handle(due.time, due.router_number, due.event)
@@ -157,7 +157,7 @@
         is_hot = self.random.random() < self.hot_share
         return self.hot_key if is_hot else f"k{self.random.randrange(KEY_COUNT)}"
 
-    def change(self, at: float, restarts: dict[float, range]) -> None:
+    def apply_changes(self, at: float, restarts: dict[float, range]) -> None:
         """Update the running routers at the start of the warming cache, and start routers that are due."""
         if at == WARMING_STARTED_AT:
             for number in range(ROUTER_COUNT):
@@ -184,11 +184,11 @@
 class FailingFleetSimulation(FleetSimulation):
     """Resets a fifth of the attempts, and loses the responses to a tenth."""
 
-    def answer(self) -> tuple[AttemptStatus, float]:
+    def draw_completion(self) -> tuple[AttemptStatus, float]:
         """Draw a reset, a timeout or a success."""
         draw = self.random.random()
         if draw < 0.2:
             return AttemptStatus.RESET, RESET_LATENCY
         if draw < 0.3:
             return AttemptStatus.TIMEOUT, TIMEOUT_LATENCY
-        return ORDINARY_ANSWER
+        return SUCCESSFUL_COMPLETION
--- a/tests/support/log_lines.py
+++ b/tests/support/log_lines.py
@@ -34,7 +34,7 @@
     logger: str
 
 
-def message_of_failed_watch() -> str:
+def failed_watch_message() -> str:
     """Return the one log message of the decisions, made by a router: no source has it as a constant."""
     router = Router(Settings(classes={"read": RequestClass("read", 1.0)}), seed=1, now=0.0)
     actions = router.handle(0.0, EndpointUpdate(EndpointUpdateKind.FAILED, discovery_address="ADDRESS"))
@@ -62,7 +62,7 @@
         levels = ("ERROR",) if method == "exception" else (method.upper(),)
     argument = call.args[1 if method == "log" else 0]
     assert isinstance(argument, ast.Constant), f"{logger}: the format of a log line is not a constant"
-    text = message_of_failed_watch() if argument.value == "%s" else str(argument.value)
+    text = failed_watch_message() if argument.value == "%s" else str(argument.value)
     return LogLine(template(text), levels, method == "exception", logger)
 
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -20,7 +20,7 @@
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
 # Iterations of the event loop within which asyncio passes an accepted connection to the server's callback:
 # one each to create the transport, to notify the protocol and to start the callback, and two in reserve
-ACCEPT_TURNS = 5
+ACCEPT_ITERATIONS = 5
 
 
 def format_address(address: tuple[str, int]) -> str:
@@ -181,7 +181,7 @@
         loop = asyncio.get_running_loop()
         for listening in self.server.sockets:
             loop.remove_reader(listening)
-        for _ in range(ACCEPT_TURNS):
+        for _ in range(ACCEPT_ITERATIONS):
             await asyncio.sleep(0)
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/support/pages.py
+++ b/tests/support/pages.py
@@ -14,14 +14,14 @@
 CONFIGURATION = (DOCS / "CONFIGURATION.md").read_text()
 
 
-def flat(text: str) -> str:
+def normalize(text: str) -> str:
     """Remove the code blocks of a page, and replace each run of white space by one space."""
     return re.sub(r"\s+", " ", re.sub(r"```.*?```", "", text, flags=re.DOTALL))
 
 
 def code_spans(text: str) -> list[str]:
     """Return the text of each code span of a page."""
-    return re.findall(r"`([^`]+)`", flat(text))
+    return re.findall(r"`([^`]+)`", normalize(text))
 
 
 def table_rows(text: str, header: str) -> list[list[str]]:
--- a/tests/support/router_rules.py
+++ b/tests/support/router_rules.py
@@ -98,9 +98,9 @@
         listed_endpoints: the latest entry of each server that an endpoint update has contained.
     """
 
-    def __init__(self, conf: Settings) -> None:
-        """Start without requests and endpoints; `conf` are the settings of the router."""
-        self.settings = conf
+    def __init__(self, settings: Settings) -> None:
+        """Start without requests and endpoints; `settings` are the settings of the router."""
+        self.settings = settings
         self.requests: dict[str, ObservedRequest] = {}
         self.open_requests: dict[str, ObservedRequest] = {}
         self.in_flight: dict[tuple[str, int], ObservedAttempt] = {}
@@ -195,10 +195,10 @@
         scope = request_class.idempotency_scope
         for attempt in executed:
             earlier = self.listed_endpoints.get(attempt.server)
-            is_recognised = scope is IdempotencyScope.ALL or (
+            is_in_scope = scope is IdempotencyScope.ALL or (
                 earlier is not None and share_idempotency_keys(scope, earlier, target)
             )
-            assert is_recognised, f"rule 2: {name} is sent again outside its idempotency scope"
+            assert is_in_scope, f"rule 2: {name} is sent again outside its idempotency scope"
 
     def _record_attempt(self, action: Send, now: float) -> None:
         """Record an attempt as in flight."""
@@ -216,11 +216,11 @@
         observed = self.open_requests[name]
         request_class = self._class_of(observed)
         if observed.attempts_maybe_executed() and request_class.idempotency is not Idempotency.IDEMPOTENT:
-            is_harmless = (
+            is_safe_to_retry = (
                 request_class.idempotency is Idempotency.WITH_KEY
                 and request_class.idempotency_scope is IdempotencyScope.ALL
             )
-            assert is_harmless, f"rule 2: rejects {name}, which may have been executed"
+            assert is_safe_to_retry, f"rule 2: rejects {name}, which may have been executed"
 
     def _class_of(self, observed: ObservedRequest) -> RequestClass:
         """Return the class of a request."""
--- a/tests/support/sources.py
+++ b/tests/support/sources.py
@@ -117,13 +117,13 @@
     """Yield the strings and bytes of a module; an f-string has `{}` for each part that is not constant."""
     for node in ast.walk(source.tree):
         if isinstance(node, ast.JoinedStr):
-            yield "".join(_part(source.module, part) for part in node.values)
+            yield "".join(_part_text(source.module, part) for part in node.values)
         elif isinstance(node, ast.Constant) and isinstance(node.value, str | bytes):
             text = node.value.decode("latin-1") if isinstance(node.value, bytes) else node.value
             yield text.rstrip("\r\n")
 
 
-def _part(module: ModuleType, part: ast.expr) -> str:
+def _part_text(module: ModuleType, part: ast.expr) -> str:
     """Return a part of an f-string: its text, the value of a string constant of the module, or `{}`."""
     if isinstance(part, ast.Constant):
         return str(part.value)
