--- a/tests/deploy/test_deploy.py
+++ b/tests/deploy/test_deploy.py
@@ -14,10 +14,10 @@
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 
 # Fake `python3 -m venv`, and fake pip for the environment that it creates, so that nothing is downloaded
-PYTHON = """#!/bin/sh
+FAKE_PYTHON = """#!/bin/sh
 rm -rf .venv && mkdir -p .venv/bin && cp "$0.pip" .venv/bin/pip && chmod +x .venv/bin/pip
 """
-PIP = """#!/bin/sh
+FAKE_PIP = """#!/bin/sh
 test ! -e broken && cp requirements.txt .venv/packages
 """
 
@@ -30,12 +30,12 @@
         self.root = root
         self.tools = root / "tools"
         self.tools.mkdir()
-        (self.tools / "python3").write_text(PYTHON)
+        (self.tools / "python3").write_text(FAKE_PYTHON)
         (self.tools / "python3").chmod(0o755)
-        (self.tools / "python3.pip").write_text(PIP)
-        self.require("one==1\n")
+        (self.tools / "python3.pip").write_text(FAKE_PIP)
+        self.write_requirements("one==1\n")
 
-    def require(self, text: str) -> None:
+    def write_requirements(self, text: str) -> None:
         """Write requirements.txt."""
         (self.root / "requirements.txt").write_text(text)
 
@@ -46,7 +46,7 @@
             ["/bin/sh", "-c", DEPLOY["build"]], cwd=self.root, env={"PATH": path}, check=False
         ).returncode
 
-    def installed(self) -> str:
+    def installed_requirements(self) -> str:
         """Return the requirements from which the environment was created."""
         return (self.root / ".venv" / "packages").read_text()
 
@@ -63,14 +63,14 @@
     assert checkout.build() != 0
     (checkout.root / "broken").unlink()
     assert checkout.build() == 0
-    assert checkout.installed() == "one==1\n"
+    assert checkout.installed_requirements() == "one==1\n"
 
 
 def test_incomplete_environment_of_another_build_is_replaced(checkout: Checkout) -> None:
     """An environment folder without packages must not pass for a complete environment."""
     (checkout.root / ".venv" / "bin").mkdir(parents=True)
     assert checkout.build() == 0
-    assert checkout.installed() == "one==1\n"
+    assert checkout.installed_requirements() == "one==1\n"
 
 
 def test_complete_build_is_kept_until_the_requirements_change(checkout: Checkout) -> None:
@@ -80,9 +80,9 @@
     marker.touch()
     assert checkout.build() == 0
     assert marker.exists()
-    checkout.require("one==2\n")
+    checkout.write_requirements("one==2\n")
     assert checkout.build() == 0
-    assert checkout.installed() == "one==2\n"
+    assert checkout.installed_requirements() == "one==2\n"
     assert not marker.exists()
 
 
--- a/tests/project/test_code_rules.py
+++ b/tests/project/test_code_rules.py
@@ -10,12 +10,12 @@
 from cache_router.decisions.actions import Send
 
 ROOT = Path(__file__).parents[2]
-DECISIONS = {
+DECISION_SOURCES = {
     name: (ROOT / name).read_text()
     for name in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
 }
 # Modules with the input and output types of the decisions, to which the same rules apply
-TYPES = (
+TYPE_MODULES = (
     "cache_router/decisions/actions.py",
     "cache_router/decisions/events.py",
     "cache_router/endpoint.py",
@@ -58,11 +58,11 @@
 def test_every_decision_module_is_listed_in_the_deploy_file() -> None:
     folder = ROOT / "cache_router" / "decisions"
     modules = {str(path.relative_to(ROOT)) for path in folder.glob("*.py") if path.name != "__init__.py"}
-    assert set(DECISIONS) | set(TYPES) >= modules
+    assert set(DECISION_SOURCES) | set(TYPE_MODULES) >= modules
 
 
 def test_decisions_name_no_deployment() -> None:
-    for text in DECISIONS.values():
+    for text in DECISION_SOURCES.values():
         assert not [w for w in DEPLOYMENT_WORDS.split() if re.search(rf"\b{w}", text, re.IGNORECASE)]
 
 
@@ -83,12 +83,12 @@
         "cache_router",
         "cache_router.decisions",
     }
-    assert "cache_router/decisions/router.py" in DECISIONS
-    sources = DECISIONS | {name: (ROOT / name).read_text() for name in TYPES}
+    assert "cache_router/decisions/router.py" in DECISION_SOURCES
+    sources = DECISION_SOURCES | {name: (ROOT / name).read_text() for name in TYPE_MODULES}
     allowed |= {name.removesuffix(".py").replace("/", ".") for name in sources}
     for text in sources.values():
         assert set(re.findall(r"^(?:import|from) (\S+)", text, re.MULTILINE)) <= allowed
-    assert "`events`" in DECISIONS["cache_router/decisions/router.py"].split('"""')[1]
+    assert "`events`" in DECISION_SOURCES["cache_router/decisions/router.py"].split('"""')[1]
 
 
 def test_readme_example_runs() -> None:
--- a/tests/project/test_configuration_page.py
+++ b/tests/project/test_configuration_page.py
@@ -120,7 +120,7 @@
     *path, last = key.split(".")
     found: list[Any] = [config]
     for part in path:
-        values = [holder[part.removesuffix("[]")] for holder in found]
+        values = [each[part.removesuffix("[]")] for each in found]
         found = [item for value in values for item in value] if part.endswith("[]") else values
     return found, last
 
@@ -128,9 +128,9 @@
 def example_with(key: str, value: Any) -> bytes:
     """Return the example with another value for each occurrence of a key."""
     config = orjson.loads(EXAMPLE)
-    holders, last = objects_with(config, key)
-    for holder in holders:
-        holder[last] = copy.deepcopy(value)
+    objects, last = objects_with(config, key)
+    for each in objects:
+        each[last] = copy.deepcopy(value)
     return orjson.dumps(config)
 
 
@@ -138,9 +138,9 @@
     """Return the example without any occurrence of some keys."""
     config = orjson.loads(EXAMPLE)
     for key in keys:
-        holders, last = objects_with(config, key)
-        for holder in holders:
-            del holder[last]
+        objects, last = objects_with(config, key)
+        for each in objects:
+            del each[last]
     return orjson.dumps(config)
 
 
--- a/tests/project/test_coroutine_tests.py
+++ b/tests/project/test_coroutine_tests.py
@@ -11,7 +11,7 @@
 """
 
 
-def run_test(pytester: pytest.Pytester, source: str) -> pytest.RunResult:
+def run_tests(pytester: pytest.Pytester, source: str) -> pytest.RunResult:
     """Run the tests of a module with the plugin, in this process."""
     pytester.makeini(CONFIGURATION)
     pytester.makepyfile("import asyncio\nimport pytest\n" + source)
@@ -19,7 +19,7 @@
 
 
 def test_coroutine_without_faults_passes(pytester: pytest.Pytester) -> None:
-    result = run_test(pytester, "async def test_pause():\n    await asyncio.sleep(0)\n")
+    result = run_tests(pytester, "async def test_pause():\n    await asyncio.sleep(0)\n")
     result.assert_outcomes(passed=1)
 
 
@@ -29,7 +29,7 @@
 async def test_hangs():
     await asyncio.Event().wait()
 """
-    result = run_test(pytester, source)
+    result = run_tests(pytester, source)
     result.assert_outcomes(failed=1)
     result.stdout.fnmatch_lines(["*TimeoutError*"])
 
@@ -40,7 +40,7 @@
     asyncio.get_running_loop().call_soon(int, "no number")
     await asyncio.sleep(0.01)
 """
-    result = run_test(pytester, source)
+    result = run_tests(pytester, source)
     result.assert_outcomes(passed=1, errors=1)
     result.stdout.fnmatch_lines(["*exceptions in callbacks of the event loop*no number*"])
 
@@ -57,7 +57,7 @@
     task = asyncio.create_task(raise_when_cancelled())
     await asyncio.sleep(0.01)
 """
-    result = run_test(pytester, source)
+    result = run_tests(pytester, source)
     result.assert_outcomes(passed=1, errors=1)
     result.stdout.fnmatch_lines(["*raised while the loop closed*"])
 
@@ -69,4 +69,4 @@
     assert number
     assert tmp_path.exists()
 """
-    run_test(pytester, source).assert_outcomes(passed=2)
+    run_tests(pytester, source).assert_outcomes(passed=2)
--- a/tests/project/test_glossary.py
+++ b/tests/project/test_glossary.py
@@ -16,7 +16,7 @@
 SIMULATOR_MODULES = ("simulator_adapter", "simulator_messages", "simulator_wire")
 MESSAGES = SOURCES[ROOT / "cache_router" / "simulator_messages.py"]
 SIMULATOR = [SOURCES[ROOT / "cache_router" / f"{name}.py"] for name in SIMULATOR_MODULES]
-CODE_MARKS = re.compile(r"`([^`]+)`")
+CODE_SPAN = re.compile(r"`([^`]+)`")
 
 
 def section(title: str) -> str:
@@ -24,10 +24,10 @@
     return PAGE.partition(f"\n## {title}\n")[2].partition("\n## ")[0]
 
 
-def words(text: str) -> list[str]:
+def documented_words(text: str) -> list[str]:
     """Return the code spans in the first cells of the table rows of a text."""
     rows = [line for line in text.splitlines() if line.startswith("| `")]
-    return [word for row in rows for word in CODE_MARKS.findall(row.split("|")[1])]
+    return [word for row in rows for word in CODE_SPAN.findall(row.split("|")[1])]
 
 
 def string_constants(source: str) -> set[str]:
@@ -69,13 +69,13 @@
 def test_glossary_has_each_key_of_the_configuration() -> None:
     """The first table of the section lists the keys, and the second one their values."""
     keys, _, values = section("Configuration").partition("\n| value |")
-    documented = {path.rpartition(".")[2] for path in words(CONFIGURATION_PAGE)}
-    assert sorted(words(keys)) == sorted(documented)
-    assert set(words(values)) <= string_constants("\n".join(SOURCES.values()))
+    documented = {path.rpartition(".")[2] for path in documented_words(CONFIGURATION_PAGE)}
+    assert sorted(documented_words(keys)) == sorted(documented)
+    assert set(documented_words(values)) <= string_constants("\n".join(SOURCES.values()))
 
 
 def test_glossary_has_each_word_of_the_simulator() -> None:
-    glossary = words(section("The simulator"))
+    glossary = documented_words(section("The simulator"))
     assert len(glossary) == len(set(glossary))
     assert set(glossary) == wire_words()
 
@@ -83,17 +83,17 @@
 @pytest.mark.parametrize("title", ["RESP: clients and cache servers", "HTTP: discovery and the origin"])
 def test_wire_words_of_the_glossary_are_in_the_sources(title: str) -> None:
     constants = [constant for source in SOURCES.values() for constant in string_constants(source)]
-    listed = words(section(title))
+    listed = documented_words(section(title))
     assert listed
     for word in listed:
-        spelled = re.compile(rf"(?<![\w-]){re.escape(word)}(?![\w-])", re.IGNORECASE)
-        assert any(spelled.search(constant) for constant in constants), word
+        pattern = re.compile(rf"(?<![\w-]){re.escape(word)}(?![\w-])", re.IGNORECASE)
+        assert any(pattern.search(constant) for constant in constants), word
 
 
 def test_terms_of_the_glossary_are_names_of_the_code() -> None:
     """Each term in a code span, such as `Reject.retry_after`, is a name in the sources."""
     names = set(re.findall(r"\w+", "\n".join(SOURCES.values())))
     rows = [line for line in PAGE.splitlines() if line.startswith("| ")]
-    terms = [term for row in rows for cell in row.split("|")[2:] for term in CODE_MARKS.findall(cell)]
+    terms = [term for row in rows for cell in row.split("|")[2:] for term in CODE_SPAN.findall(cell)]
     assert len(terms) > 100
     assert not [term for term in terms if not set(term.split(".")) <= names]
--- a/tests/project/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("listed", ["tests/a.py: a file", "tests/a.py::test_a", "x::y: z\n" * 4])
-def test_list_without_a_test_or_a_cause_or_of_four_is_rejected(listed: str) -> None:
+def test_line_without_test_or_cause_and_a_fourth_line_are_rejected(listed: str) -> None:
     with pytest.raises(pytest.UsageError):
         read_known_red(listed)
 
--- a/tests/project/test_page_names.py
+++ b/tests/project/test_page_names.py
@@ -24,10 +24,10 @@
 from tests.support.sources import SOURCES, definitions, is_defined_in, strings
 
 # Pages with the words of the configuration and of the protocols; other tests compare them with the program
-LISTED_WORDS = CONFIGURATION + (DOCS / "GLOSSARY.md").read_text()
+WORD_PAGES = CONFIGURATION + (DOCS / "GLOSSARY.md").read_text()
 COMMAND_PREFIXES = ("curl ", "ss -", "ulimit ", "python -m scale_experiments", "python -B -m cache_router")
 # Names that Python or the platform defines
-FOREIGN_WORDS = {
+PLATFORM_NAMES = {
     "asyncio",
     "ConnectionRefusedError",
     "JSONDecodeError",
@@ -48,7 +48,7 @@
     return bool(re.fullmatch(r"[A-Za-z_][\w.]*", span)) and (bool(definitions(span)) or span in SOURCES)
 
 
-def is_line(span: str) -> bool:
+def is_documented_line(span: str) -> bool:
     """Return whether a text is a documented line or message, or the start of one."""
     lines = [line.text for line in documented_lines()] + [template(text) for text, _ in documented_messages()]
     if PLACEHOLDER.search(span):
@@ -59,27 +59,33 @@
 def is_listed_word(span: str) -> bool:
     """Return whether a text is a key of the configuration or the deploy file, or a word of the glossary."""
     deploy_keys = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text()).keys()
-    return f"`{span}`" in LISTED_WORDS or configuration_row(span) is not None or span in deploy_keys
+    return f"`{span}`" in WORD_PAGES or configuration_row(span) is not None or span in deploy_keys
 
 
-def is_string(span: str) -> bool:
+def is_source_string(span: str) -> bool:
     """Return whether a text is a string of the sources or, unless it is an identifier, the start of one."""
     texts = {text for source in SOURCES.values() for text in strings(source)}
     return span in texts or (not span.isidentifier() and any(text.startswith(span) for text in texts))
 
 
-KINDS: tuple[Callable[[str], bool], ...] = (is_path, is_name, is_line, is_listed_word, is_string)
+CHECKS: tuple[Callable[[str], bool], ...] = (
+    is_path,
+    is_name,
+    is_documented_line,
+    is_listed_word,
+    is_source_string,
+)
 
 
 def is_known(span: str) -> bool:
     """Return whether a code span of a page refers to something that exists."""
-    if span in FOREIGN_WORDS or span.startswith(COMMAND_PREFIXES):
+    if span in PLATFORM_NAMES or span.startswith(COMMAND_PREFIXES):
         return True
-    return any(is_kind(span) for is_kind in KINDS)
+    return any(check(span) for check in CHECKS)
 
 
 @pytest.mark.parametrize("page", PAGES)
-def test_what_stands_in_code_marks_exists(page: str) -> None:
+def test_code_spans_refer_to_something_that_exists(page: str) -> None:
     spans = set(code_spans(PAGES[page]))
     assert len(spans) > 100
     assert sorted(span for span in spans if not is_known(span)) == []
@@ -99,7 +105,7 @@
         "-ERR unheard of",
     ],
 )
-def test_what_does_not_exist_is_found(span: str) -> None:
+def test_unknown_code_span_is_found(span: str) -> None:
     assert not is_known(span)
 
 
--- a/tests/project/test_page_values.py
+++ b/tests/project/test_page_values.py
@@ -25,10 +25,10 @@
     """Return the texts that describe a constant or field: its comments, and the doc comments of its owner."""
     name, owner = definition.name, definition.owner
     lines = definition.source.text.splitlines()
-    place = next(i for i, line in enumerate(lines) if re.match(rf"\s*(?:def )?{name}\b[:(= ]", line))
-    texts = [name, lines[place]]
+    line_index = next(i for i, line in enumerate(lines) if re.match(rf"\s*(?:def )?{name}\b[:(= ]", line))
+    texts = [name, lines[line_index]]
     # The comment above a group of constants describes each of them
-    for line in reversed(lines[:place]):
+    for line in reversed(lines[:line_index]):
         if not re.match(r"\s*#|\w+ = ", line):
             break
         texts.append(line)
@@ -43,7 +43,7 @@
     return [UNIT_ABBREVIATIONS.get(word, word.removesuffix("s")) for word in words]
 
 
-def wrong_quantity(name: str, low: str, high: str, unit: str) -> str:
+def quantity_mismatch(name: str, low: str, high: str, unit: str) -> str:
     """Return how a documented value or unit differs from the sources, or an empty text if it does not."""
     found = definitions(name)
     if len(found) != 1:
@@ -59,7 +59,7 @@
 def test_values_and_units_are_those_of_the_code(page: str) -> None:
     quantities = QUANTITY.findall(normalize(PAGES[page]))
     assert len(quantities) >= 10
-    assert [wrong for each in quantities if (wrong := wrong_quantity(*each))] == []
+    assert [mismatch for each in quantities if (mismatch := quantity_mismatch(*each))] == []
 
 
 @pytest.mark.parametrize(
@@ -75,7 +75,7 @@
 )
 def test_wrong_value_or_unit_is_found(text: str) -> None:
     (quantity,) = QUANTITY.findall(text)
-    assert wrong_quantity(*quantity)
+    assert quantity_mismatch(*quantity)
 
 
 def test_settings_of_the_runbook_are_those_of_the_configuration_page() -> None:
--- a/tests/project/test_runbook.py
+++ b/tests/project/test_runbook.py
@@ -11,7 +11,14 @@
 from tests.support.pages import DOCS, PAGES, RUNBOOK
 from tests.support.sources import SOURCES, source_of_path, strings
 
-LEADS = ["Seen", "Log", "File and state", "Settings and constants", "Not to be confused with", "What to do"]
+ITEM_TITLES = [
+    "Seen",
+    "Log",
+    "File and state",
+    "Settings and constants",
+    "Not to be confused with",
+    "What to do",
+]
 ALARM_COUNT = 14
 
 
@@ -46,8 +53,10 @@
     _, *sections = re.split(r"^## ", RUNBOOK.partition("\n## What can be seen\n")[2], flags=re.MULTILINE)
     assert len(sections) == ALARM_COUNT
     for section in sections:
-        leads = [lead for lead in re.findall(r"^- \*\*(.+?)\*\*:", section, re.MULTILINE) if lead in LEADS]
-        assert leads == LEADS, section.splitlines()[0]
+        titles = [
+            title for title in re.findall(r"^- \*\*(.+?)\*\*:", section, re.MULTILINE) if title in ITEM_TITLES
+        ]
+        assert titles == ITEM_TITLES, section.splitlines()[0]
 
 
 @pytest.mark.parametrize("page", PAGES)
