--- a/tests/project/test_page_values.py
+++ b/tests/project/test_page_values.py
@@ -13,7 +13,7 @@
 from tests.support.pages import ARCHITECTURE, PAGES, RUNBOOK, configuration_row, normalize, table_rows
 from tests.support.sources import Definition, definitions
 
-# Words in a unit that do not have to occur in the source
+# Words in a unit that state no quantity, and therefore do not have to occur in the source
 UNIT_FILLERS = {"a", "at", "each", "for", "of", "the", "times"}
 UNIT_ABBREVIATIONS = {"s": "second", "ms": "_ms"}
 QUANTITY = re.compile(r"`([A-Za-z_][\w.]*)` \((\d[\d.]*)(?: to (\d[\d.]*))?(?: ([^();,]+))?[);,]")
--- a/tests/support/settings_json.py
+++ b/tests/support/settings_json.py
@@ -19,5 +19,5 @@
     "siblings": 3,
     "tenants": [{"name": "t", "allowancePerS": 9.0, "share": 1.0}],
     "zone": "z",
-    "unheardOf": {"x": [1]},
+    "unheardOf": {"x": [1]},  # a key that the reader does not know and ignores
 }
