--- a/tests/project/test_code_rules.py
+++ b/tests/project/test_code_rules.py
@@ -1,4 +1,4 @@
-"""Rules of the sources: their size, vocabulary and imports of the decisions, and the README's example."""
+"""Size limits of the sources, rules for the decision modules, and the example in the README."""
 
 import ast
 import re
@@ -10,19 +10,19 @@
 from cache_router.decisions.actions import Send
 
 ROOT = Path(__file__).parents[2]
-DECISIONS = {
+DECISION_SOURCES = {
     name: (ROOT / name).read_text()
     for name in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
 }
-# types of the decisions' input and output; held to the same rules, though they decide nothing
-TYPES = (
+# Modules with the input and output types of the decisions, to which the same rules apply
+TYPE_MODULES = (
     "cache_router/decisions/actions.py",
     "cache_router/decisions/events.py",
     "cache_router/endpoint.py",
     "cache_router/errors.py",
     "cache_router/settings.py",
 )
-# lines that are not blank; a module holds one concern
+# Limits in lines that are not blank; the limit of a module keeps it to one concern
 MAX_FUNCTION_LINES = 40
 MAX_CLASS_LINES = 200
 MAX_MODULE_LINES = 280
@@ -38,7 +38,7 @@
 
 
 def line_count(text: str) -> int:
-    """Lines that are not blank."""
+    """Return the number of lines that are not blank."""
     return sum(bool(line.strip()) for line in text.splitlines())
 
 
@@ -58,11 +58,11 @@
 def test_every_decision_module_is_listed_in_the_deploy_file() -> None:
     folder = ROOT / "cache_router" / "decisions"
     modules = {str(path.relative_to(ROOT)) for path in folder.glob("*.py") if path.name != "__init__.py"}
-    assert set(DECISIONS) | set(TYPES) >= modules
+    assert set(DECISION_SOURCES) | set(TYPE_MODULES) >= modules
 
 
 def test_decisions_name_no_deployment() -> None:
-    for text in DECISIONS.values():
+    for text in DECISION_SOURCES.values():
         assert not [w for w in DEPLOYMENT_WORDS.split() if re.search(rf"\b{w}", text, re.IGNORECASE)]
 
 
@@ -83,19 +83,19 @@
         "cache_router",
         "cache_router.decisions",
     }
-    assert "cache_router/decisions/router.py" in DECISIONS
-    sources = DECISIONS | {name: (ROOT / name).read_text() for name in TYPES}
+    assert "cache_router/decisions/router.py" in DECISION_SOURCES
+    sources = DECISION_SOURCES | {name: (ROOT / name).read_text() for name in TYPE_MODULES}
     allowed |= {name.removesuffix(".py").replace("/", ".") for name in sources}
     for text in sources.values():
         assert set(re.findall(r"^(?:import|from) (\S+)", text, re.MULTILINE)) <= allowed
-    assert "`events`" in DECISIONS["cache_router/decisions/router.py"].split('"""')[1]
+    assert "`events`" in DECISION_SOURCES["cache_router/decisions/router.py"].split('"""')[1]
 
 
 def test_readme_example_runs() -> None:
     code = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.DOTALL)
     assert code is not None
     names: dict[str, object] = {}
-    exec(code.group(1), names)  # noqa: S102 - the example of the README
+    exec(code.group(1), names)  # noqa: S102 - the example from the README
     send = next(a for a in names["actions"] if isinstance(a, Send))  # type: ignore[attr-defined]
     assert send.request_id == "r1"
     assert send.server in ("cache-1", "cache-2")
--- a/tests/project/test_page_names.py
+++ b/tests/project/test_page_names.py
@@ -1,4 +1,4 @@
-"""Names on the runbook and the architecture page: each refers to something that exists."""
+"""Names on the runbook and the architecture page, each of which must refer to something that exists."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
     ROOT,
     code_spans,
     configuration_row,
-    flat,
+    normalize,
     table_rows,
 )
 from tests.support.sources import SOURCES, definitions, is_defined_in, strings
 
-# words of the configuration and of the wire; tests of their own compare both pages with the program
-LISTED_WORDS = CONFIGURATION + (DOCS / "GLOSSARY.md").read_text()
+# Pages with the words of the configuration and of the protocols; other tests compare them with the program
+WORD_PAGES = CONFIGURATION + (DOCS / "GLOSSARY.md").read_text()
 COMMAND_PREFIXES = ("curl ", "ss -", "ulimit ", "python -m scale_experiments", "python -B -m cache_router")
-# words that belong to Python or to the platform
-FOREIGN_WORDS = {
+# Names that Python or the platform defines
+PLATFORM_NAMES = {
     "asyncio",
     "ConnectionRefusedError",
     "JSONDecodeError",
@@ -39,16 +39,16 @@
 
 
 def is_path(span: str) -> bool:
-    """Return whether a text is a path, relative to the package or to the repository, that exists."""
+    """Return whether a text is an existing path, relative to the package or to the repository."""
     return " " not in span and any((folder / span).exists() for folder in (PACKAGE, ROOT))
 
 
 def is_name(span: str) -> bool:
-    """Return whether a text names something in the code, a logger or a module."""
+    """Return whether a text is the name of a definition in the code, of a logger or of a module."""
     return bool(re.fullmatch(r"[A-Za-z_][\w.]*", span)) and (bool(definitions(span)) or span in SOURCES)
 
 
-def is_line(span: str) -> bool:
+def is_documented_line(span: str) -> bool:
     """Return whether a text is a documented line or message, or the start of one."""
     lines = [line.text for line in documented_lines()] + [template(text) for text, _ in documented_messages()]
     if PLACEHOLDER.search(span):
@@ -57,29 +57,35 @@
 
 
 def is_listed_word(span: str) -> bool:
-    """Return whether a text is a key of the configuration or a word of the glossary."""
+    """Return whether a text is a key of the configuration or the deploy file, or a word of the glossary."""
     deploy_keys = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text()).keys()
-    return f"`{span}`" in LISTED_WORDS or configuration_row(span) is not None or span in deploy_keys
+    return f"`{span}`" in WORD_PAGES or configuration_row(span) is not None or span in deploy_keys
 
 
-def is_string(span: str) -> bool:
-    """Return whether the sources have a string: exactly this one, or one that starts with a text of words."""
+def is_source_string(span: str) -> bool:
+    """Return whether a text is a string of the sources or, unless it is an identifier, the start of one."""
     texts = {text for source in SOURCES.values() for text in strings(source)}
     return span in texts or (not span.isidentifier() and any(text.startswith(span) for text in texts))
 
 
-KINDS: tuple[Callable[[str], bool], ...] = (is_path, is_name, is_line, is_listed_word, is_string)
+CHECKS: tuple[Callable[[str], bool], ...] = (
+    is_path,
+    is_name,
+    is_documented_line,
+    is_listed_word,
+    is_source_string,
+)
 
 
 def is_known(span: str) -> bool:
     """Return whether a code span of a page refers to something that exists."""
-    if span in FOREIGN_WORDS or span.startswith(COMMAND_PREFIXES):
+    if span in PLATFORM_NAMES or span.startswith(COMMAND_PREFIXES):
         return True
-    return any(is_kind(span) for is_kind in KINDS)
+    return any(check(span) for check in CHECKS)
 
 
 @pytest.mark.parametrize("page", PAGES)
-def test_what_stands_in_code_marks_exists(page: str) -> None:
+def test_code_spans_refer_to_something_that_exists(page: str) -> None:
     spans = set(code_spans(PAGES[page]))
     assert len(spans) > 100
     assert sorted(span for span in spans if not is_known(span)) == []
@@ -99,14 +105,14 @@
         "-ERR unheard of",
     ],
 )
-def test_what_does_not_exist_is_found(span: str) -> None:
+def test_unknown_code_span_is_found(span: str) -> None:
     assert not is_known(span)
 
 
 @pytest.mark.parametrize("page", PAGES)
 def test_names_after_a_file_are_defined_there(page: str) -> None:
-    """As in: `decisions/open_requests.py`, `OpenRequests.reject_or_fail`."""
-    pairs = FILE_AND_NAME.findall(flat(PAGES[page]))
+    """The form on a page is: `decisions/open_requests.py`, `OpenRequests.reject_or_fail`."""
+    pairs = FILE_AND_NAME.findall(normalize(PAGES[page]))
     assert page != "RUNBOOK.md" or len(pairs) >= 30
     assert [pair for pair in pairs if not is_defined_in(*pair)] == []
 
--- a/tests/project/test_runbook.py
+++ b/tests/project/test_runbook.py
@@ -1,4 +1,4 @@
-"""Log lines and messages of the runbook, compared with the sources, and the form of both pages."""
+"""The log lines and messages of the runbook, compared with the sources; its structure; links to sections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,14 @@
 from tests.support.pages import DOCS, PAGES, RUNBOOK
 from tests.support.sources import SOURCES, source_of_path, strings
 
-LEADS = ["Seen", "Log", "File and state", "Settings and constants", "Not to be confused with", "What to do"]
+ITEM_TITLES = [
+    "Seen",
+    "Log",
+    "File and state",
+    "Settings and constants",
+    "Not to be confused with",
+    "What to do",
+]
 ALARM_COUNT = 14
 
 
@@ -22,7 +29,7 @@
 
 
 def test_decisions_log_one_kind_of_message() -> None:
-    """`message_of_failed_watch` makes that one; another one must be added to it and to the runbook."""
+    """`failed_watch_message` covers it; a second kind must be added there and to the runbook."""
     calls = [
         node
         for source in SOURCES.values()
@@ -46,8 +53,10 @@
     _, *sections = re.split(r"^## ", RUNBOOK.partition("\n## What can be seen\n")[2], flags=re.MULTILINE)
     assert len(sections) == ALARM_COUNT
     for section in sections:
-        leads = [lead for lead in re.findall(r"^- \*\*(.+?)\*\*:", section, re.MULTILINE) if lead in LEADS]
-        assert leads == LEADS, section.splitlines()[0]
+        titles = [
+            title for title in re.findall(r"^- \*\*(.+?)\*\*:", section, re.MULTILINE) if title in ITEM_TITLES
+        ]
+        assert titles == ITEM_TITLES, section.splitlines()[0]
 
 
 @pytest.mark.parametrize("page", PAGES)
--- a/tests/support/settings_json.py
+++ b/tests/support/settings_json.py
@@ -1,4 +1,4 @@
-"""The settings of a site in their JSON form, as the simulator and a configuration file give them."""
+"""The settings of a site as JSON, as in a configuration file and in the simulator's messages."""
 
 from __future__ import annotations
 
@@ -19,5 +19,5 @@
     "siblings": 3,
     "tenants": [{"name": "t", "allowancePerS": 9.0, "share": 1.0}],
     "zone": "z",
-    "unheardOf": {"x": [1]},
+    "unheardOf": {"x": [1]},  # a key that the reader does not know and ignores
 }
