--- a/cache_router/decisions/admission_control.py
+++ b/cache_router/decisions/admission_control.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class AdmissionControl:
-    """Rejects a random share of requests, so that queues do not grow until every answer is late."""
+    """Rejects a random share of requests, so that queues do not grow until every response is late."""
 
     settings: Settings
     health: FleetHealth
--- a/cache_router/decisions/attempt_feedback.py
+++ b/cache_router/decisions/attempt_feedback.py
@@ -18,9 +18,9 @@
 
 @dataclass(slots=True)
 class AttemptFeedback:
-    """Notifies the parts that keep state of servers of a completed attempt, in a fixed order.
+    """Passes the outcome of a completed attempt, in a fixed order, to the parts that keep state of servers.
 
-    The concurrency limit adapts last, because an ejection caps it first.
+    The concurrency limit adapts last, after a possible ejection has capped it.
     """
 
     endpoints: EndpointList
--- a/cache_router/decisions/concurrency_limit.py
+++ b/cache_router/decisions/concurrency_limit.py
@@ -13,7 +13,8 @@
 INITIAL_LIMIT = 4.0  # attempts; the limit adapts to the server within seconds
 # With 0.75 the queue of an overloaded server empties within a few round trips; with 0.9 it took many seconds.
 DECREASE_FACTOR = 0.75
-# Largest value of one sample as a multiple of the smoothed value; bounds the effect of one lost response.
+# Largest latency of one sample as a multiple of the smoothed latency, and largest latency ratio of a sample.
+# Both bound the effect of one lost response.
 MAX_SAMPLE_FACTOR = 4.0
 
 
@@ -78,9 +79,10 @@
         return self.in_flight + 1 >= self.limit / 2
 
     def _decrease(self, is_rejected: bool, target_latency: float, now: float) -> None:
-        """Reduce the limit, at most once per target latency, and on a rejection to the attempts in flight.
+        """Multiply the limit by `DECREASE_FACTOR`, at most once per target latency.
 
-        The attempts in flight when the server rejects one are as many as it has capacity for.
+        A rejection also reduces the limit to the number of attempts in flight, because the server has
+        capacity for no more than these. The limit is at least 1.
         """
         if now - self.decreased_at > target_latency:
             self.limit = max(1.0, self.limit * DECREASE_FACTOR)
--- a/cache_router/decisions/endpoint_polling.py
+++ b/cache_router/decisions/endpoint_polling.py
@@ -1,8 +1,8 @@
 """The backoff between polls for the endpoint list while discovery fails.
 
-The router must learn of each change of the list within the notification deadline of `settings.WatchBudget`.
-All routers lose discovery at the same time. The backoff between their polls is therefore exponential with
-jitter.
+The router must be notified of each change of the list within the notification deadline of
+`settings.WatchBudget`. All routers lose discovery at the same time. The backoff between their polls is
+therefore exponential with jitter.
 """
 
 import random
@@ -20,7 +20,7 @@
         self._random = generator
         self._budget = settings.watch_budget
         self._poll_due = now + self._budget.poll_cycle  # latest start of the next poll
-        self._min_backoff_cap = self._budget.max_backoff  # cap on a backoff when the next poll is due already
+        self._min_backoff_cap = self._budget.max_backoff  # cap on a backoff when the next poll is already due
         self._reset_failures()
 
     def on_update(self, is_cached: bool, now: float) -> None:
@@ -52,7 +52,7 @@
         self._set_exponential_backoff(self._settings.overload_window / 2)
 
     def _double_backoff(self) -> None:
-        """Double the backoff; computed as a power of the number of failures it would overflow a float."""
+        """Double the backoff; a power of two computed from the number of failures would overflow a float."""
         self._set_exponential_backoff(2 * self._exponential_backoff)
 
     def _set_exponential_backoff(self, seconds: float) -> None:
--- a/cache_router/decisions/events.py
+++ b/cache_router/decisions/events.py
@@ -15,7 +15,7 @@
     DELTA = "delta"  # changed entries only
     SNAPSHOT = "snapshot"  # the complete list
     CACHED = "cached"  # the complete list that was stored before the router started
-    FAILED = "failed"  # no endpoints, because the call to discovery failed
+    FAILED = "failed"  # no endpoints, because the poll of discovery failed
 
 
 class AttemptStatus(Enum):
@@ -67,11 +67,11 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdate:
-    """A change of the endpoint list, or the failure of a call to discovery."""
+    """A change of the endpoint list, or the failure of a poll of discovery."""
 
     kind: EndpointUpdateKind
     endpoints: tuple[Endpoint, ...] = ()
-    discovery_address: str = ""  # address of the failed call, for the log; empty if discovery has none
+    discovery_address: str = ""  # address of the failed poll, for the log; empty if discovery has none
 
 
 @dataclass(slots=True, frozen=True)
--- a/cache_router/decisions/hedging.py
+++ b/cache_router/decisions/hedging.py
@@ -1,4 +1,4 @@
-"""Hedged requests: a second attempt for a read whose answer is more likely lost than late.
+"""Hedged requests: a second attempt for an idempotent request whose response is more likely lost than late.
 
 The second attempt is sent after a delay, so that few requests are sent twice (Dean and Barroso, "The Tail at
 Scale", 2013).
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Hedging:
-    """Decides when a read is hedged, and at which server, within the retry budget."""
+    """Decides when a request is hedged, and at which server, within the retry budget."""
 
     endpoints: EndpointList
     slow_start: SlowStart
@@ -63,9 +63,9 @@
         return pending.request_class.idempotency is Idempotency.IDEMPOTENT
 
     def _answers_others(self, attempt: Attempt, now: float) -> bool:
-        """Return whether the server has answered another attempt since this one was sent.
+        """Return whether the server is ready, is not ejected, and has responded since this attempt was sent.
 
-        Otherwise the server may be down.
+        A server that has not responded since then may be down.
         """
         server = attempt.server
         if not self.endpoints.is_listed(server) or not server.endpoint.is_ready:
--- a/cache_router/decisions/idle_connections.py
+++ b/cache_router/decisions/idle_connections.py
@@ -1,4 +1,4 @@
-"""How long idle connections are kept, by the cost of an open connection and that of a new handshake."""
+"""The time for which idle connections are kept, from the costs of open connections and of new handshakes."""
 
 from dataclasses import dataclass
 
@@ -30,7 +30,7 @@
         self.request_count += 1
 
     def on_attempt_completed(self, status: AttemptStatus) -> None:
-        """Halve the share after a failed connect, which may mean full connection tables; else restore it."""
+        """Halve the share after a failed connect: connection tables may be full. Else restore part of it."""
         if status is AttemptStatus.CONNECT_FAILED:
             self.keep_share /= 2
         else:
--- a/cache_router/decisions/origin_scheduler.py
+++ b/cache_router/decisions/origin_scheduler.py
@@ -88,9 +88,9 @@
 
 
 def _is_in_time(pending: PendingRequest, origin: Server, now: float) -> bool:
-    """Return whether the origin is expected to answer before the deadline.
+    """Return whether the origin is expected to respond before the deadline of the request.
 
-    An idle origin is sent one request in any case until its deadline, because only a response can show that
+    If the origin is idle, any request is in time until its deadline, because only a response can show that
     the origin has become faster.
     """
     if origin.concurrency.in_flight:
--- a/cache_router/decisions/outlier_detection.py
+++ b/cache_router/decisions/outlier_detection.py
@@ -80,7 +80,8 @@
     def record(self, history: FailureHistory, status: AttemptStatus, is_listed: bool, now: float) -> bool:
         """Record the outcome of an attempt at a cache; return whether it ejects the server.
 
-        The maximum share does not protect a server to which a connect fails, as it cannot serve in any case.
+        A failure beyond the maximum share resets the history like a success. A failed connect does not,
+        because its server cannot serve in any case.
         """
         is_failure = status in FAILED
         is_connect_failure = status is AttemptStatus.CONNECT_FAILED
@@ -99,7 +100,7 @@
             self._outliers.add(history)
         if now < history.ejected_until:
             return False
-        # beyond the maximum share the ejection time does not grow
+        # Beyond the maximum share, the ejection time is the minimum.
         doubled = 0.0 if exceeds_max_share else 2 * history.ejection_time
         ejection_time = min(self.max_ejection_time, max(MIN_EJECTION_TIME, doubled))
         history.eject(ejection_time, self.generator.uniform(*EJECTION_JITTER), now)
--- a/cache_router/decisions/pending_request.py
+++ b/cache_router/decisions/pending_request.py
@@ -70,6 +70,6 @@
     def give_up_retries(self, now: float) -> None:
         """Prevent further attempts by setting the deadline to now.
 
-        An attempt in flight may still bring the answer. Without one, the request ends.
+        An attempt in flight may still get a response. A request that has no attempt in flight ends.
         """
         self.deadline = now
--- a/cache_router/decisions/request_lifecycle.py
+++ b/cache_router/decisions/request_lifecycle.py
@@ -138,7 +138,7 @@
         Attempts at the origin are bounded by its concurrency limit, so they take nothing from the budget.
         """
         if status is AttemptStatus.ERROR and not self.settings.cache_aside:
-            return False  # the caches fetch from the origin; after a failed fetch, a retry adds another one
+            return False  # the caches fetch from the origin; a retry after a failed fetch adds another fetch
         return pending.to_origin or self.retry_budget.take_for_retry(status, self.health.success_rate)
 
 
--- a/cache_router/decisions/router.py
+++ b/cache_router/decisions/router.py
@@ -148,7 +148,7 @@
             return
         if self.endpoints.apply(update):
             self._on_endpoints_changed(now)
-        # last, so that a call whose update cannot be applied does not count as a success
+        # The subscription comes last: a poll whose update cannot be applied must not count as a success.
         self.subscription.on_update(update.kind is EndpointUpdateKind.CACHED, now)
 
     def _on_endpoints_changed(self, now: float) -> None:
--- a/cache_router/decisions/server_selection.py
+++ b/cache_router/decisions/server_selection.py
@@ -2,7 +2,8 @@
 
 Each key belongs to the first server clockwise of its hash. The walk skips servers that may not be sent the
 request now, and servers whose load is above a cap. The cap is (1 + epsilon) times the average load, as in
-Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with Bounded Loads" (2016).
+Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with Bounded Loads" (2016). An average load below 1
+counts as 1.
 """
 
 import random
@@ -53,8 +54,9 @@
         """Return the first eligible server clockwise of `position`, after those that serve `load_before`.
 
         `load_before` is a share of all requests. Each eligible server serves a part of the key's load:
-        (1 + epsilon) times the server's share of the fleet's size. When the load of every server is above the
-        cap, the first eligible server is returned, as it is the most likely to have the key.
+        (1 + epsilon) times the server's share of the fleet's size, times its usable share of points. When the
+        load of every server is above the cap, the first eligible server is returned, because it most likely
+        has the key.
         """
         endpoints = self.endpoints
         success_rate = self.health.success_rate
--- a/cache_router/descriptor_budget.py
+++ b/cache_router/descriptor_budget.py
@@ -20,7 +20,7 @@
 
 
 def usable_descriptors(configured: int) -> int:
-    """Return how many of the configured file descriptors this process may open.
+    """Return the number of configured file descriptors that this process may open.
 
     With a budget above the limit of the process, idle clients could take the descriptor that the connection
     to discovery needs, and the router would not evict a client to free it.
--- a/cache_router/net/attempt_runner.py
+++ b/cache_router/net/attempt_runner.py
@@ -120,10 +120,11 @@
     def _precondition(
         self, request: RequestInFlight, endpoint: NetworkEndpoint | None
     ) -> AttemptStatus | None:
-        """Return the status with which an attempt completes if it must not be sent; None if it may be.
+        """Return the status with which an attempt completes if it must not be sent; None if it may be sent.
 
         This is checked when the attempt starts, and again once a new connection is established: in between,
-        the client may have disconnected, or the server may have started to drain.
+        the client may have disconnected, or the server may have started to drain. A disconnect that is found
+        here is reported to `on_client_disconnected`.
         """
         if not request.is_closed and not request.is_connected():
             self._on_client_disconnected(request.request_id)
--- a/cache_router/net/client_connection_table.py
+++ b/cache_router/net/client_connection_table.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 READ_BUFFER_SIZE = 64 * 1024  # bytes
-# seconds for a new client to send its first command before it may be evicted, at any number of connections
+# seconds that a client has to send a command before it may be evicted, however many connections there are
 FIRST_COMMAND_GRACE = 0.05
 
 
@@ -115,8 +115,8 @@
         self.notify_change()
 
     def _enter_state(self, state: dict[OpenConnection, float], connection: OpenConnection) -> None:
-        # A timer or a late reply may report the state of a connection that has closed. If it entered the
-        # table again, it would stay there, and the evictor would examine a socket that is closed.
+        # A timer or a late reply may report the state of a connection that has closed. If that connection
+        # entered the table again, it would stay there, and the evictor would examine a closed socket.
         if connection in self._open and connection not in state:
             state[connection] = asyncio.get_running_loop().time()
             self.notify_change()
@@ -124,7 +124,7 @@
     # Changes of the table
 
     def start_draining(self) -> None:
-        """Let every connection close once no reply is pending on it, including those accepted later."""
+        """Set `draining`: each connection, even if accepted later, closes once no reply is pending on it."""
         self.draining = True
 
     def notify_change(self) -> None:
--- a/cache_router/net/connection_pool.py
+++ b/cache_router/net/connection_pool.py
@@ -127,10 +127,10 @@
         attempt.finish(UpstreamResponse(status))
 
     def _take_idle(self, address: str, incarnation: object) -> UpstreamConnection | None:
-        """Return the connection to a server that has been idle for longest, if it may be reused.
+        """Return the longest-idle connection to a server, if it may be reused.
 
-        A late second response could be mistaken for the response to the next request. It is least likely on
-        the connection that has been idle for longest.
+        A late second response could be mistaken for the response to the next request. It is least likely to
+        arrive on the connection that has been idle for longest.
         """
         idle_before = asyncio.get_running_loop().time() - self._reuse_delay
         while (connection := self._idle.longest_idle_to(address)) is not None:
--- a/cache_router/net/discovery.py
+++ b/cache_router/net/discovery.py
@@ -114,8 +114,8 @@
     def next_poll(self) -> Poll:
         """Return the next request and its timeout.
 
-        Every poll has a timeout: `budget.notification_deadline` seconds after discovery has a change,
-        the router is considered notified of it, even if discovery has stopped responding in between.
+        Every poll has a timeout. The router counts as notified of a change `budget.notification_deadline`
+        seconds after discovery has the change, even if discovery has stopped responding in between.
         """
         if self.index is None:
             return Poll(LIST_PATH, self._budget.response_timeout)
--- a/cache_router/net/dispatcher.py
+++ b/cache_router/net/dispatcher.py
@@ -50,9 +50,9 @@
 from cache_router.net.request_table import RequestInFlight, RequestTable
 from cache_router.settings import Idempotency, RequestClass, Settings
 
-# Seconds by which the router's deadline precedes that of the client, which counts from its send. The network
-# takes 1.3 ms at most in each direction and this process 1.4 ms at the 99th percentile; the remainder covers
-# a busy core.
+# Seconds by which the router's deadline precedes the client's deadline. The client measures its deadline from
+# the time at which it sends the request. The network takes 1.3 ms at most in each direction and this process
+# 1.4 ms at the 99th percentile; the remainder covers a busy core.
 DEADLINE_MARGIN = 0.02
 # digits of a cost hint in microseconds; a longer number might not fit a float
 MAX_COST_HINT_DIGITS = 12
@@ -128,8 +128,8 @@
                 self._handle(self._events.popleft())
         finally:
             self._is_handling = False
-            # Not earlier: the decision module may return an attempt for a request that it has just ended, and
-            # must be notified that this attempt was not sent.
+            # Finished requests are not released earlier: the decision module may return an attempt for a
+            # request that it has just ended, and must be notified that this attempt was not sent.
             self.requests.release_finished()
 
     def _handle(self, event: Event) -> None:
@@ -253,7 +253,7 @@
         self.post(ShutdownStarted(seconds))
 
     def _on_deadline(self, request: RequestInFlight) -> None:
-        """Time out the attempts of a request; if the decision module leaves it open, fail it soon after."""
+        """Time out the attempts of a request; fail the request soon after if the decisions leave it open."""
         self._attempts.time_out_all(request)
         if not request.is_closed:
             self._recovery.fail_after_grace(request.request_id)
--- a/cache_router/net/endpoint_table.py
+++ b/cache_router/net/endpoint_table.py
@@ -24,7 +24,7 @@
 
     @property
     def incarnation(self) -> tuple[str, float]:
-        """Identity of one process; another process at the address, or a restarted one, has another."""
+        """Identity of one process; it differs for another process at the address, and after a restart."""
         return self.entry.name, self.entry.started_at
 
 
--- a/cache_router/net/http.py
+++ b/cache_router/net/http.py
@@ -147,7 +147,11 @@
             raise HttpError(f"response body exceeds {self._max_body_length} bytes")
 
     def response_started(self) -> bool:
-        """Return whether part of the final response, not only of an informational one, was received."""
+        """Return whether part of the final response, not only a complete informational one, was received.
+
+        An informational response may precede the final one by a long time. An incomplete head counts as part
+        of the final response.
+        """
         return bool(self._partial_head) or not self._head_pending
 
     def is_reusable(self) -> bool:
--- a/cache_router/net/idle_connection_set.py
+++ b/cache_router/net/idle_connection_set.py
@@ -42,11 +42,11 @@
         return self._idle_since[connection]
 
     def longest_idle(self) -> UpstreamConnection | None:
-        """Return the connection that has been idle for longest; None if none is idle."""
+        """Return the longest-idle connection; None if no connection is idle."""
         return next(iter(self._idle_since), None)
 
     def longest_idle_to(self, address: str) -> UpstreamConnection | None:
-        """Return the connection to an address that has been idle for longest; None if none is idle."""
+        """Return the longest-idle connection to an address; None if no connection to it is idle."""
         return next(iter(self._by_address.get(address, ())), None)
 
     def connections_to(self, address: str) -> list[UpstreamConnection]:
--- a/cache_router/net/request_table.py
+++ b/cache_router/net/request_table.py
@@ -76,7 +76,7 @@
         self._ids_rotated_at = clock.now()
 
     def __len__(self) -> int:
-        """Return how many requests are in flight."""
+        """Return the number of requests in flight."""
         return len(self._requests)
 
     def __iter__(self) -> Iterator[str]:
--- a/cache_router/net/resp.py
+++ b/cache_router/net/resp.py
@@ -70,9 +70,9 @@
         """Create a reader with limits.
 
         Args:
-            max_items: Items of an array.
-            max_bulk: Bytes of a bulk string.
-            max_message: Bytes of a message, up to the end of its last bulk string.
+            max_items: Maximum number of items of an array.
+            max_bulk: Maximum size of a bulk string in bytes.
+            max_message: Maximum size of a message in bytes, up to the end of its last bulk string.
         """
         self._max_items = max_items
         self._max_bulk = max_bulk
--- a/cache_router/net/upstream_connection.py
+++ b/cache_router/net/upstream_connection.py
@@ -2,7 +2,7 @@
 
 `UpstreamConnection` implements what the protocols have in common: it tracks whether a request is completely
 written, discards responses that can't be trusted, and decides whether the connection may be reused. The
-status of a failed attempt depends on whether the server may have run the request.
+status of a failed attempt depends on whether the server may have executed the request.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class MalformedResponseError(RouterError):
-    """A response that violates the protocol or is too large. The server may have run the request."""
+    """A response that violates the protocol or is too large. The server may have executed the request."""
 
 
 class ConnectionOwner(Protocol):
@@ -60,7 +60,7 @@
         self._attempt: UpstreamAttempt | None = None
         # Whether the whole request has been passed to the kernel.
         self._request_written = False
-        # Timer that limits how long the connection is idle, or how long a response is incomplete.
+        # Timer that limits the idle time of the connection, or the time in which a response must be complete.
         self._timeout: asyncio.TimerHandle | None = None
 
     @abstractmethod
@@ -105,7 +105,7 @@
             self.abort()
             return
         self._transport.write(data)
-        # `write` also returns if bytes are buffered or if writing failed; no server runs a truncated request.
+        # `write` also returns if bytes are buffered or writing failed. Truncated requests are not executed.
         buffered = self._transport.get_write_buffer_size()
         self._request_written = not self._transport.is_closing() and not buffered
 
@@ -177,7 +177,7 @@
         self._timeout = loop.call_later(RESPONSE_COMPLETION_TIMEOUT, self._fail, attempt, error)
 
     def _fail(self, attempt: UpstreamAttempt, error: Exception) -> None:
-        """Fail an attempt whose request may have run, and close the connection, which is out of sync."""
+        """Fail an attempt whose request may have been executed, and close the out-of-sync connection."""
         level = logging.WARNING if isinstance(error, MalformedResponseError) else logging.ERROR
         log.log(level, "response from %s can't be used: %.200r", self.address, error)
         self._attempt = None
--- a/cache_router/section_reader.py
+++ b/cache_router/section_reader.py
@@ -52,7 +52,7 @@
         return bool(value)
 
     def choice(self, field: str, default: str, choices: Mapping[str, Choice]) -> Choice:
-        """Return the value in `choices` of the key that the field holds, or of `default` if it is absent.
+        """Return the value that `choices` has for the key in the field, or for `default` if it is absent.
 
         Raises:
             SettingsError: the value is not a key of `choices`.
--- a/cache_router/server.py
+++ b/cache_router/server.py
@@ -20,7 +20,7 @@
 from cache_router.shutdown_schedule import ShutdownSchedule
 
 # Seconds to wait for the first endpoint list before serving from the cached one. An agent on the same machine
-# answers within milliseconds unless it is down.
+# responds within milliseconds unless it is down.
 FIRST_LIST_TIMEOUT = 1.0
 log = logging.getLogger(__name__)
 
@@ -103,9 +103,9 @@
         release_signals()
 
     async def _wait_for_first_list(self) -> None:
-        """Wait for the first answer of the agent, for at most `FIRST_LIST_TIMEOUT` seconds.
+        """Wait for the first response of the agent, for at most `FIRST_LIST_TIMEOUT` seconds.
 
-        Whatever the agent knows counts as known to the router from its start, while the cached list may
+        The list of the agent counts as known to the router from the router's start. The cached list may
         contain servers that have drained since.
         """
         with suppress(TimeoutError):
--- a/cache_router/settings.py
+++ b/cache_router/settings.py
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchBudget:
-    """Time limits of the steps of a watch, which add up to the time to learn of an endpoint list change.
+    """Time limits of the steps of a watch, which add up to the notification deadline of a change of the list.
 
     `notification_deadline` = `long_poll_wait` + `response_timeout` (a poll times out) + `max_backoff`
     + `response_timeout` (the response to the next poll) + `scheduling_slack`. `long_poll_wait` is the
@@ -47,12 +47,12 @@
     response_timeout: float = 2.0  # time beyond a long poll's wait; discovery may serve polls one at a time
     max_backoff: float = 0.7  # longest backoff after a poll that timed out
     scheduling_slack: float = 0.3  # reserve for delays when other processes keep the core busy
-    notification_deadline: float = 6.0  # time to learn of a change that a reachable discovery has
+    notification_deadline: float = 6.0  # time to receive a change that a reachable discovery has
     address_change_deadline: float = 4.0  # notification deadline after a change of the discovery address
 
     @property
     def long_poll_wait(self) -> float:
-        """Time that discovery may wait for a change before it answers a poll."""
+        """Time that discovery may wait for a change before it responds to a poll."""
         waits = self.max_backoff + 2 * self.response_timeout
         return self.notification_deadline - self.scheduling_slack - waits
 
@@ -113,9 +113,9 @@
 
     @property
     def watch_budget(self) -> WatchBudget:
-        """Time budget of a watch, which depends on whether discovery or an agent answers the polls.
+        """Time budget of a watch, which depends on whether discovery or an agent responds to the polls.
 
-        If updates are pushed, an agent on the router's machine answers, and a poll costs next to nothing. A
+        If updates are pushed, an agent on the router's machine responds, and a poll costs next to nothing. A
         router counts as notified as soon as its agent knows of a change, so no backoff may exceed half of the
         drain grace period.
         """
--- a/cache_router/simulator_messages.py
+++ b/cache_router/simulator_messages.py
@@ -46,7 +46,7 @@
 
 
 class MembershipMessage(Message):
-    """Complete endpoint list, changed entries of it, or the failure of a call for it."""
+    """Complete endpoint list, changed entries of it, or the failure of a poll for it."""
 
     scope: str
     lines: NotRequired[list[EndpointLine] | None]
--- a/cache_router/simulator_wire.py
+++ b/cache_router/simulator_wire.py
@@ -95,7 +95,7 @@
 
 
 def read_endpoint_update(message: MembershipMessage) -> EndpointUpdate:
-    """Convert a complete endpoint list, changed entries of it, or the failure of a call for it."""
+    """Convert a complete endpoint list, changed entries of it, or the failure of a poll for it."""
     kind = UPDATE_KINDS[message["scope"]]
     return EndpointUpdate(kind, tuple(map(read_endpoint, message.get("lines") or ())))
 
