--- a/scale_experiments/__main__.py
+++ b/scale_experiments/__main__.py
@@ -98,7 +98,7 @@
     seed = 1                  # seed of the first repeat; each further repeat adds 1
     repeats = 3               # number of measurements of each size; 1 by default
     time_limit_s = 600        # time limit of the complete run, in seconds
-    [parameters]              # its parameters: see `python -m scale_experiments kinds list_change`
+    [parameters]              # scenario's parameters: see `python -m scale_experiments kinds list_change`
     changes = 8
     [[sizes]]                 # one or more sizes; the scenario defines their columns
     caches = 200
@@ -134,7 +134,7 @@
 def _report_outcome(outcome: RunOutcome, path: Path) -> ExitStatus:
     """Print the number of samples and the exceeded budgets, and return the exit status."""
     result = outcome.result
-    click.echo(f"{path}: {len(result.samples)} samples, {'complete' if result.complete else 'not complete'}")
+    click.echo(f"{path}: {len(result.samples)} samples, {'complete' if result.complete else 'incomplete'}")
     if outcome.interrupted:
         return ExitStatus.INTERRUPTED
     exceeded = result.exceeded_budgets()
@@ -192,8 +192,8 @@
     """Print how each metric of RESULTS, files that `run` has written, grows with the fleet.
 
     Several forms (constant, linear, product, power) are fitted to each metric by least squares, and printed
-    with their standard errors. The best is marked with * and followed by its predictions for
-    the fleet of target.toml and for larger fleets.
+    with their standard errors. The best is marked with * and followed by its predictions
+    for the fleet of target.toml and for one that is 1.5 times as large.
     """
     # imported here, because numpy takes long to import and the other commands don't need it
     sys.exit(import_module("scale_experiments.commands.fit").main(list(results)))
