--- a/scale_experiments/capacity/comparison_table.py
+++ b/scale_experiments/capacity/comparison_table.py
@@ -1,4 +1,4 @@
-"""The table of a comparison: metrics from before and from after a mechanism was built."""
+"""The table of a comparison: metrics measured before and after a mechanism was built."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ComparedResults:
-    """The result from before a mechanism was built, and the result from after it."""
+    """The results that were measured before and after a mechanism was built."""
 
     before: Result
     after: Result
--- a/scale_experiments/capacity/model.py
+++ b/scale_experiments/capacity/model.py
@@ -80,7 +80,7 @@
     def estimate(
         self, entry: CapacityEntry, point: FleetPoint, formula: Expression | None = None
     ) -> Estimate:
-        """Evaluate a formula of an entry's terms at a point, by default the entry's own; in its unit."""
+        """Evaluate a formula at a point, in the entry's unit; by default, the formula of the entry itself."""
         formula = formula or entry.formula
         return self._propagate_errors(entry, point, formula.names, formula.value)
 
@@ -104,8 +104,8 @@
     ) -> Estimate:
         """Return the value of an evaluation that uses the given names, and its standard error.
 
-        Each term in turn is shifted by its standard error, while the others stay. The standard error of the
-        value is the root of the sum of squares of the changes that this causes.
+        Each term in turn is shifted by its standard error, while the other terms keep their values. The
+        standard error of the value is the root of the sum of squares of the changes that this causes.
         """
         with self._locating_errors(entry):
             terms = {
--- a/scale_experiments/capacity/ranking_table.py
+++ b/scale_experiments/capacity/ranking_table.py
@@ -54,7 +54,10 @@
 
 
 def ranking_table(model: CapacityModel, contradictions: bool = False) -> list[str]:
-    """Return the table of the demands with a budget, starting with those that exceed it at any size.
+    """Return the table of the demands with a budget, in the order of their breaking points.
+
+    Demands without a mechanism and without a result come first, because they exceed their budget at any size.
+    Other demands without a result are omitted.
 
     With `contradictions`, the table has only the demands whose given figures contradict each other; without
     it, all others.
--- a/scale_experiments/capacity/reader.py
+++ b/scale_experiments/capacity/reader.py
@@ -1,4 +1,4 @@
-"""The reader of capacity.toml, which also checks that each name refers to exactly one thing."""
+"""The reader of capacity.toml, which also checks references, duplicate demands and unused parameters."""
 
 from __future__ import annotations
 
--- a/scale_experiments/capacity/schema.py
+++ b/scale_experiments/capacity/schema.py
@@ -70,7 +70,7 @@
     column_formulas: dict[str, Formula] = Field(default={}, alias="at")
     # use the mean at the largest measured size, without a fit
     at_largest_size: bool = Field(default=False, alias="largest_only")
-    # smallest sizes that are fitted, by column: today's size, where smaller fleets have another slope
+    # smallest sizes that are fitted, by column: today's size, if the slope differs below it
     min_sizes: dict[str, float] = Field(default={}, alias="least")
     # largest sizes that are fitted, by column; beyond them, the measuring machine was overloaded
     max_sizes: dict[str, float] = Field(default={}, alias="most")
--- a/scale_experiments/emulators/cache/__main__.py
+++ b/scale_experiments/emulators/cache/__main__.py
@@ -8,8 +8,8 @@
 
 Cache servers speak the router's protocol over RESP2. A cache server never fetches a key itself: it reports a
 miss, and stores the key once the origin has answered the request that missed. The first request on a
-connection takes `handshake_s` longer, as a TLS handshake would. On a connection beyond `max_connections`, the
-first request is rejected and the connection is closed.
+connection takes `handshake_s` longer, to emulate a TLS handshake. On a connection beyond `max_connections`,
+the first request is rejected and the connection is closed.
 
 Modes of a cache server:
 
--- a/scale_experiments/emulators/cache/cluster.py
+++ b/scale_experiments/emulators/cache/cluster.py
@@ -7,7 +7,8 @@
 from scale_experiments.emulators.cache.keys import CachedKeys
 from scale_experiments.emulators.messages.caches import CacheSettings
 
-MAX_PENDING_MISSES = 50_000  # requests; one that a router never forwards to the origin would stay forever
+# number of requests; without a limit, one that a router never forwards to the origin would stay forever
+MAX_PENDING_MISSES = 50_000
 
 
 class CacheCluster:
@@ -32,7 +33,7 @@
         return keys
 
     def on_miss(self, request_id: bytes, keys: CachedKeys) -> None:
-        """Record the cache server at which a request missed, by its keys, until the origin answers.
+        """Record that a request missed at the cache server with these keys, until the origin answers.
 
         The oldest request is dropped when more than `MAX_PENDING_MISSES` are pending.
         """
--- a/scale_experiments/emulators/cache/connection.py
+++ b/scale_experiments/emulators/cache/connection.py
@@ -1,4 +1,4 @@
-"""A connection to a cache server: reads requests, and writes each reply after its service time."""
+"""A connection to a cache server: reads requests, and writes each response after its service time."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
         ...
 
     def on_disconnected(self, connection: CacheConnection, unsent_replies: int) -> None:
-        """Remove a connection; its unsent replies are no longer pending."""
+        """Remove a connection; its unsent responses are no longer pending."""
         ...
 
     def handle_read(self, key: bytes, request_id: bytes, *, is_over_limit: bool) -> bytes | None:
-        """Handle a read; return its reply without the load report, or None if it is rejected."""
+        """Handle a read; return its response without the load report, or None if it is rejected."""
         ...
 
     def handle_write(self, request_id: bytes, *, is_over_limit: bool) -> bytes | None:
-        """Handle a write; return its reply without the load report, or None if it is rejected."""
+        """Handle a write; return its response without the load report, or None if it is rejected."""
         ...
 
     def on_reply_queued(self) -> None:
@@ -54,25 +54,25 @@
         ...
 
     def load_report(self) -> bytes:
-        """Return the load report, the last element of a reply."""
+        """Return the load report, the last element of a response."""
         ...
 
 
 class CacheConnection(asyncio.Protocol):
     """One connection to a cache server.
 
-    The replies to admitted requests are sent in the order of the requests. Rejections and PING replies are
-    sent at once.
+    The responses to admitted requests are sent in the order of the requests. Rejections and responses to
+    PING are sent at once.
     """
 
     def __init__(self, cache: ConnectionOwner) -> None:
         self._cache = cache
         self._reader = RespReader(MAX_ARRAY_LENGTH, MAX_VALUE_BYTES, MAX_REQUEST_BYTES)
-        self._last_reply_due_at = 0.0  # event loop time; later replies are not sent before it
+        self._last_reply_due_at = 0.0  # event loop time; later responses are not sent before it
         self._is_over_limit = False
         self._admitted_requests = 0
         self._idle_timer: asyncio.TimerHandle | None = None
-        self._pending_replies: deque[bytes] = deque()  # replies without load reports; each has a timer
+        self._pending_replies: deque[bytes] = deque()  # responses without load reports; each has a timer
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Add the connection to the cache server."""
@@ -123,7 +123,7 @@
                 raise RespError("unknown command")
 
     def _respond(self, reply: bytes | None) -> None:
-        """Queue a reply, or send a rejection at once and close a connection that exceeds the limit."""
+        """Queue a response, or send a rejection at once and close a connection that exceeds the limit."""
         if reply is not None:
             self._queue_reply(reply)
             return
@@ -132,7 +132,7 @@
             self._transport.close()
 
     def _queue_reply(self, reply: bytes) -> None:
-        """Send a reply after the service time; the first reply is also delayed by the handshake time."""
+        """Send a response after the service time; the first one is also delayed by the handshake time."""
         loop = asyncio.get_running_loop()
         settings = self._cache.settings
         handshake_s = settings.handshake_s if self._admitted_requests == 0 else 0.0
@@ -145,7 +145,7 @@
         loop.call_at(self._last_reply_due_at, self._send_reply)
 
     def _send_reply(self) -> None:
-        if not self._pending_replies:  # the connection was closed before the reply was due
+        if not self._pending_replies:  # the connection was closed before the response was due
             return
         reply = self._pending_replies.popleft()
         self._cache.on_reply_due()
@@ -156,7 +156,7 @@
         self._restart_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Remove the connection from the cache server, and drop the unsent replies."""
+        """Remove the connection from the cache server, and drop the unsent responses."""
         if self._idle_timer is not None:
             self._idle_timer.cancel()
         unsent_replies = len(self._pending_replies)
--- a/scale_experiments/emulators/cache/server.py
+++ b/scale_experiments/emulators/cache/server.py
@@ -1,4 +1,4 @@
-"""One cache server: listens at its address and determines the reply to each request."""
+"""One cache server: listens at its address and determines the response to each request."""
 
 from __future__ import annotations
 
@@ -78,12 +78,12 @@
         return is_over_limit
 
     def on_disconnected(self, connection: CacheConnection, unsent_replies: int) -> None:
-        """Remove a connection; its unsent replies are no longer pending."""
+        """Remove a connection; its unsent responses are no longer pending."""
         self._pending_requests -= unsent_replies
         self._connections.pop(connection, None)
 
     def handle_read(self, key: bytes, request_id: bytes, *, is_over_limit: bool) -> bytes | None:
-        """Handle a read; return its reply without the load report, or None if it is rejected."""
+        """Handle a read; return its response without the load report, or None if it is rejected."""
         # the lookup precedes the rejection: a rejected read also makes its key the most recently used one
         is_hit = self._keys.contains(key)
         return self._handle_request(request_id, is_hit=is_hit, is_over_limit=is_over_limit)
--- a/scale_experiments/emulators/clients/connection.py
+++ b/scale_experiments/emulators/clients/connection.py
@@ -87,7 +87,7 @@
         self._load.on_connected()
 
     def send(self, request: ClientRequest) -> None:
-        """Send a request; no other one may be in flight."""
+        """Send a request; no other request may be in flight."""
         self._request = request
         expires_at = request.due_at + self._load.deadline_s + DEADLINE_GRACE_S
         self._expiry_timer = asyncio.get_running_loop().call_at(expires_at, self._expire_request)
--- a/scale_experiments/emulators/messages/routers.py
+++ b/scale_experiments/emulators/messages/routers.py
@@ -14,9 +14,10 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class StartRouters:
-    """Start `routers` routers, spread evenly over `spread_s`.
+    """Start `routers` routers, at times spread evenly over `spread_s`.
 
     Each router watches one address (host:port) of `discovery`; the addresses are assigned in rotation.
+    `scale_experiments.routers.hollow.__main__` describes the modes.
     """
 
     do: ClassVar[str] = "start"
--- a/scale_experiments/fitting/interpolation.py
+++ b/scale_experiments/fitting/interpolation.py
@@ -21,9 +21,10 @@
 class InterpolatedFit(Fit):
     """The means at the measured sizes of one column, in ascending order.
 
-    A value between two sizes is on the power function through both means. A value beyond the last size is on
-    the power function through the last two. The standard error is the value times `cross_validation_error`,
-    which overestimates the error, because cross-validation leaves out the nearest size.
+    A value between two sizes is on the power function through both means. A value outside the measured sizes
+    is on the power function through the means at the two nearest sizes. The standard error is the value times
+    `cross_validation_error`, which overestimates the error, because cross-validation leaves out the nearest
+    size.
     """
 
     sizes: tuple[float, ...]
@@ -48,7 +49,10 @@
 
 
 def interpolate(sizes: Sequence[float], means: Array, x: float) -> float:
-    """Return the value at x on the power function through the sizes around x, or the two nearest sizes."""
+    """Return the value at x on the power function through the means at two sizes.
+
+    These are the neighbours of x, or the two nearest sizes if x is outside all sizes.
+    """
     i = min(max(bisect.bisect_right(sizes, x), 1), len(sizes) - 1)
     fraction = math.log(x / sizes[i - 1]) / math.log(sizes[i] / sizes[i - 1])
     return float(means[i - 1] * (means[i] / means[i - 1]) ** fraction)
--- a/scale_experiments/measurement/estimate.py
+++ b/scale_experiments/measurement/estimate.py
@@ -17,7 +17,7 @@
 
     @property
     def has_error(self) -> bool:
-        """Whether the standard error is larger than what rounding alone causes."""
+        """Whether the standard error exceeds the error that rounding alone causes."""
         return self.standard_error > ROUNDING_TOLERANCE * abs(self.value)
 
     def scaled(self, divisor: float) -> Estimate:
--- a/scale_experiments/runs/scenario.py
+++ b/scale_experiments/runs/scenario.py
@@ -36,5 +36,5 @@
     measure: Callable[[ParametersT, SizeT, int, ExperimentContext], Iterator[Sample]]
 
 
-# a scenario of any schemas, by which its parameters and sizes have been validated
+# a scenario of any schemas; its parameters and sizes have to be validated by its own schemas
 AnyScenario: TypeAlias = Scenario[Any, Any]
--- a/tests/scale_experiments/conftest.py
+++ b/tests/scale_experiments/conftest.py
@@ -11,5 +11,5 @@
 
 @pytest.fixture(params=[play_on_real_pool, play_on_simulated_pool], ids=["real", "simulated"])
 def play(request: pytest.FixtureRequest) -> Play:
-    """Return a function that plays a scenario on one of the pools, with a budget of descriptors."""
+    """Return a function that plays a scenario on the real or the simulated pool, with a descriptor budget."""
     return cast(Play, request.param)
--- a/tests/scale_experiments/emulators/test_cache.py
+++ b/tests/scale_experiments/emulators/test_cache.py
@@ -1,4 +1,4 @@
-"""Emulated cache servers and their origin: replies in each mode, stored keys, and counts."""
+"""Emulated cache servers and their origin: responses in each mode, stored keys, and counts."""
 
 from __future__ import annotations
 
@@ -143,7 +143,7 @@
 
 
 async def test_cache_sends_replies_in_the_order_of_requests_and_reports_its_pending_requests() -> None:
-    """The second reply waits for the first one, which is delayed by the handshake time."""
+    """The second response waits for the first one, which is delayed by the handshake time."""
     address = free_address()
     settings = replace(CACHE_SETTINGS, service_s=0.01, handshake_s=0.05, warm=True)
     cache = CacheServer(CacheCluster(settings), "a", address)
--- a/tests/scale_experiments/test_capacity.py
+++ b/tests/scale_experiments/test_capacity.py
@@ -168,11 +168,12 @@
     model = CapacityModel(read_entries(tmp_path), load_target(), tmp_path)
     path = model.growth_path
     cost, peers, missing = model.table.demands
-    # 0.5 + 0.002 x caches is 1.34 at 420 caches, 220 of 640 on the path
+    # 0.5 + 0.002 x caches is 1.34 at 420 caches, after 220 of the 640 that the path adds to today's 200
     assert model.breaking_point(cost) == pytest.approx(220 / 640)
     assert format_progress(path, model.breaking_point(cost)) == "2,572 / 420"
     assert describe_basis(model, cost) == "extrapolated by a factor of 2.1"
-    assert model.breaking_point(peers) is None  # 7,100 / 840 is 8.5, and never more than 6,900 / 640
+    # routers per cache are 7,100 / 840 = 8.5 at the target, and always below 6,900 / 640 = 10.8
+    assert model.breaking_point(peers) is None
     assert describe_basis(model, peers) == "given"
     assert model.utilization(peers, path.at_target()) == pytest.approx(7100 / 840 / 20)
     with pytest.raises(NotMeasuredError):
