--- a/scale_experiments/emulators/cache/connection.py
+++ b/scale_experiments/emulators/cache/connection.py
@@ -12,8 +12,8 @@
 MAX_ARRAY_LENGTH = 16  # elements of a request
 MAX_VALUE_BYTES = 64 * 1024
 MAX_REQUEST_BYTES = MAX_VALUE_BYTES + 8192  # a value, and room for the other elements
-PING_REPLY = b"+PONG\r\n"
-REJECTED_REPLY = b"-BUSY\r\n"
+PING_RESPONSE = b"+PONG\r\n"
+REJECTED_RESPONSE = b"-BUSY\r\n"
 
 
 class ConnectionOwner(Protocol):
@@ -33,7 +33,7 @@
         """Add a connection; return whether it exceeds the connection limit."""
         ...
 
-    def on_disconnected(self, connection: CacheConnection, unsent_replies: int) -> None:
+    def on_disconnected(self, connection: CacheConnection, unsent_responses: int) -> None:
         """Remove a connection; its unsent responses are no longer pending."""
         ...
 
@@ -45,11 +45,11 @@
         """Handle a write; return its response without the load report, or None if it is rejected."""
         ...
 
-    def on_reply_queued(self) -> None:
+    def on_response_queued(self) -> None:
         """Count a request as pending."""
         ...
 
-    def on_reply_due(self) -> None:
+    def on_response_due(self) -> None:
         """Count a request as no longer pending, because its service time has passed."""
         ...
 
@@ -68,11 +68,11 @@
     def __init__(self, cache: ConnectionOwner) -> None:
         self._cache = cache
         self._reader = RespReader(MAX_ARRAY_LENGTH, MAX_VALUE_BYTES, MAX_REQUEST_BYTES)
-        self._last_reply_due_at = 0.0  # event loop time; later responses are not sent before it
+        self._last_response_due_at = 0.0  # event loop time; later responses are not sent before it
         self._is_over_limit = False
         self._admitted_requests = 0
         self._idle_timer: asyncio.TimerHandle | None = None
-        self._pending_replies: deque[bytes] = deque()  # responses without load reports; each has a timer
+        self._pending_responses: deque[bytes] = deque()  # responses without load reports; each has a timer
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Add the connection to the cache server."""
@@ -91,7 +91,7 @@
         self._idle_timer = loop.call_later(self._cache.settings.idle_s, self._close_if_idle)
 
     def _close_if_idle(self) -> None:
-        if not self._pending_replies and not self._cache.is_hanging:
+        if not self._pending_responses and not self._cache.is_hanging:
             self._transport.close()
 
     def data_received(self, data: bytes) -> None:
@@ -112,53 +112,53 @@
             raise RespError("not a command")
         match [bytes(p) for p in message]:
             case [b"PING"]:
-                self._transport.write(PING_REPLY)
+                self._transport.write(PING_RESPONSE)
             case [b"C.GET", key, request_id, _]:
-                reply = self._cache.handle_read(key, request_id, is_over_limit=self._is_over_limit)
-                self._respond(reply)
+                response = self._cache.handle_read(key, request_id, is_over_limit=self._is_over_limit)
+                self._respond(response)
             case [b"C.SET", _, request_id, _, _]:
-                reply = self._cache.handle_write(request_id, is_over_limit=self._is_over_limit)
-                self._respond(reply)
+                response = self._cache.handle_write(request_id, is_over_limit=self._is_over_limit)
+                self._respond(response)
             case _:
                 raise RespError("unknown command")
 
-    def _respond(self, reply: bytes | None) -> None:
+    def _respond(self, response: bytes | None) -> None:
         """Queue a response, or send a rejection at once and close a connection that exceeds the limit."""
-        if reply is not None:
-            self._queue_reply(reply)
+        if response is not None:
+            self._queue_response(response)
             return
-        self._transport.write(REJECTED_REPLY)
+        self._transport.write(REJECTED_RESPONSE)
         if self._is_over_limit:
             self._transport.close()
 
-    def _queue_reply(self, reply: bytes) -> None:
+    def _queue_response(self, response: bytes) -> None:
         """Send a response after the service time; the first one is also delayed by the handshake time."""
         loop = asyncio.get_running_loop()
         settings = self._cache.settings
         handshake_s = settings.handshake_s if self._admitted_requests == 0 else 0.0
         self._admitted_requests += 1
-        self._last_reply_due_at = max(
-            self._last_reply_due_at, loop.time() + (settings.service_s + handshake_s)
+        self._last_response_due_at = max(
+            self._last_response_due_at, loop.time() + (settings.service_s + handshake_s)
         )
-        self._cache.on_reply_queued()
-        self._pending_replies.append(reply)
-        loop.call_at(self._last_reply_due_at, self._send_reply)
+        self._cache.on_response_queued()
+        self._pending_responses.append(response)
+        loop.call_at(self._last_response_due_at, self._send_response)
 
-    def _send_reply(self) -> None:
-        if not self._pending_replies:  # the connection was closed before the response was due
+    def _send_response(self) -> None:
+        if not self._pending_responses:  # the connection was closed before the response was due
             return
-        reply = self._pending_replies.popleft()
-        self._cache.on_reply_due()
+        response = self._pending_responses.popleft()
+        self._cache.on_response_due()
         if self._cache.is_hanging:
             return
         report = self._cache.load_report()
-        self._transport.write(reply + b"$%d\r\n%b\r\n" % (len(report), report))
+        self._transport.write(response + b"$%d\r\n%b\r\n" % (len(report), report))
         self._restart_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Remove the connection from the cache server, and drop the unsent responses."""
         if self._idle_timer is not None:
             self._idle_timer.cancel()
-        unsent_replies = len(self._pending_replies)
-        self._pending_replies.clear()
-        self._cache.on_disconnected(self, unsent_replies)
+        unsent_responses = len(self._pending_responses)
+        self._pending_responses.clear()
+        self._cache.on_disconnected(self, unsent_responses)
--- a/scale_experiments/emulators/cache/server.py
+++ b/scale_experiments/emulators/cache/server.py
@@ -10,7 +10,7 @@
 from scale_experiments.emulators.messages.caches import CacheCounters, CacheMode, CacheSettings
 
 LISTEN_BACKLOG = 512
-MISS_REPLY = b"*3\r\n$-1\r\n$4\r\nmiss\r\n"  # the third element, the load report, is appended when it is sent
+MISS_RESPONSE = b"*3\r\n$-1\r\n$4\r\nmiss\r\n"  # the third element, the load report, is appended on sending
 
 
 class CacheServer:
@@ -77,9 +77,9 @@
         self._statistics.on_connected(open_connections, is_over_limit=is_over_limit)
         return is_over_limit
 
-    def on_disconnected(self, connection: CacheConnection, unsent_replies: int) -> None:
+    def on_disconnected(self, connection: CacheConnection, unsent_responses: int) -> None:
         """Remove a connection; its unsent responses are no longer pending."""
-        self._pending_requests -= unsent_replies
+        self._pending_requests -= unsent_responses
         self._connections.pop(connection, None)
 
     def handle_read(self, key: bytes, request_id: bytes, *, is_over_limit: bool) -> bytes | None:
@@ -102,13 +102,13 @@
             return b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n" % (len(value), value)
         self._statistics.on_miss()
         self._cluster.on_miss(request_id, self._keys)
-        return MISS_REPLY
+        return MISS_RESPONSE
 
-    def on_reply_queued(self) -> None:
+    def on_response_queued(self) -> None:
         """Count a request as pending."""
         self._pending_requests += 1
 
-    def on_reply_due(self) -> None:
+    def on_response_due(self) -> None:
         """Count a request as no longer pending, because its service time has passed."""
         self._pending_requests -= 1
 
--- a/tests/scale_experiments/emulators/test_cache.py
+++ b/tests/scale_experiments/emulators/test_cache.py
@@ -142,7 +142,7 @@
     await cache.set_mode("dead")
 
 
-async def test_cache_sends_replies_in_the_order_of_requests_and_reports_its_pending_requests() -> None:
+async def test_cache_sends_responses_in_the_order_of_requests_and_reports_its_pending_requests() -> None:
     """The second response waits for the first one, which is delayed by the handshake time."""
     address = free_address()
     settings = replace(CACHE_SETTINGS, service_s=0.01, handshake_s=0.05, warm=True)
