--- a/tests/scale_experiments/emulators/test_control.py
+++ b/tests/scale_experiments/emulators/test_control.py
@@ -71,7 +71,7 @@
         assert client.process.wait(STOP_TIMEOUT_S) == 0
 
 
-def test_discoveries_send_their_addresses_and_carry_out_the_same_commands() -> None:
+def test_discoveries_send_their_addresses_and_execute_the_same_commands() -> None:
     with (
         control_client("-m", DISCOVERY_MODULE, "127.0.0.1:0") as first,
         control_client("-m", DISCOVERY_MODULE, "127.0.0.1:0") as second,
@@ -85,7 +85,7 @@
         assert all(type(each) is DiscoveryStats for each in stats)
 
 
-def test_command_that_fails_is_reported_and_the_next_one_is_carried_out() -> None:
+def test_command_that_fails_is_reported_and_the_next_one_is_executed() -> None:
     with control_client("-m", DISCOVERY_MODULE, "127.0.0.1:0", name="discovery") as client:
         client.receive(Listening)
         client.request(ReplaceList(7, []))
