--- a/scale_experiments/scenarios/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -36,9 +36,7 @@
 class ConnectionsMetrics(Metrics):
     """Metrics of cache servers (`cache_`), of routers (`router_`) and of requests."""
 
-    routers_run: Count = Field(
-        description="routers that were simulated; metrics of a cache are scaled up from them"
-    )
+    routers_run: Count = Field(description="simulated routers; metrics of a cache are scaled up from them")
     cache_connections_mean: Count = Field(
         description="open connections at a cache server, mean over time and caches (scaled)"
     )
@@ -61,13 +59,9 @@
         description="attempts received by the busiest cache over the mean of all caches"
     )
     cache_handshakes_per_s: PerSecond = Field(description="new connections at a cache server, mean (scaled)")
-    cache_handshake_cores: Cores = Field(
-        description="cores that a cache server spends on handshakes, mean (scaled)"
-    )
+    cache_handshake_cores: Cores = Field(description="cores that a cache spends on handshakes, mean (scaled)")
     handshakes_per_request: Ratio = Field(description="new connections for each request accepted (measured)")
-    attempts_per_request: Ratio = Field(
-        description="attempts at cache servers for each request accepted (measured)"
-    )
+    attempts_per_request: Ratio = Field(description="attempts at caches for each request accepted (measured)")
     router_connections_mean: Count = Field(
         description="open connections of a router to cache servers, mean over time (measured)"
     )
@@ -78,9 +72,7 @@
         description="share of the routers' open connections that were idle at the end (measured)"
     )
     router_dials_per_s: PerSecond = Field(description="connection attempts of a router (measured)")
-    caches_met_10s: Count = Field(
-        description="distinct cache servers that a router uses within 10 s, mean (measured)"
-    )
+    caches_met_10s: Count = Field(description="distinct caches a router uses within 10 s, mean (measured)")
     handle_cpu_s: Seconds = Field(
         description="processor time of one call of Router.handle, mean of every 16th call (measured)"
     )
