--- a/cache_router/decisions/subscription.py
+++ b/cache_router/decisions/subscription.py
@@ -6,7 +6,7 @@
 from cache_router.decisions.actions import LogMessage, SubscribeToEndpoints
 from cache_router.decisions.endpoint_polling import EndpointPoller
 from cache_router.decisions.events import TimerKind
-from cache_router.decisions.repeated_events import is_logged
+from cache_router.decisions.log_sampling import is_logged
 from cache_router.decisions.timers import TimerSet
 from cache_router.settings import Settings
 
--- a/cache_router/net/discovery.py
+++ b/cache_router/net/discovery.py
@@ -11,7 +11,7 @@
 import orjson
 
 from cache_router.decisions.events import EndpointUpdateKind
-from cache_router.decisions.repeated_events import is_logged
+from cache_router.decisions.log_sampling import is_logged
 from cache_router.net.address import parse_address
 from cache_router.net.endpoint_list_reader import EndpointListError, EndpointListMessage, read_endpoint_list
 from cache_router.net.endpoint_table import EndpointUpdateError, NetworkEndpoint
