--- a/cache_router/decisions/events.py
+++ b/cache_router/decisions/events.py
@@ -45,23 +45,23 @@
 
 
 class TimerKind(Enum):
-    """Purpose of a timer. The kind determines what the timer's subject identifies."""
+    """Purpose of a timer. The kind determines what the timer's target identifies."""
 
-    HEDGE = "hedge"  # the subject is a request id
-    IDLE_CONNECTIONS = "idle"  # the subject is a server name
-    ENDPOINT_POLL = "poll"  # there is no subject
-    QUEUE_DEADLINE = "queue"  # the subject is a request id
+    HEDGE = "hedge"  # the target is a request id
+    IDLE_CONNECTIONS = "idle"  # the target is a server name
+    ENDPOINT_POLL = "poll"  # there is no target
+    QUEUE_DEADLINE = "queue"  # the target is a request id
 
 
 @dataclass(slots=True, frozen=True)
 class Timer:
     """Identifies a timer; the host returns it unchanged in `TimerFired`.
 
-    Timers of the same kind and subject have the same purpose and compare equal.
+    Timers of the same kind and target have the same purpose and compare equal.
     """
 
     kind: TimerKind
-    subject: str = ""
+    target: str = ""
     serial: int = field(default=0, compare=False)  # distinguishes timers that compare equal
 
 
--- a/cache_router/decisions/router.py
+++ b/cache_router/decisions/router.py
@@ -135,11 +135,11 @@
         if timer.kind is TimerKind.ENDPOINT_POLL:
             self.subscription.on_poll_timer()
         elif timer.kind is TimerKind.IDLE_CONNECTIONS:
-            self.idle_connection_closer.on_timer(timer.subject, now)
+            self.idle_connection_closer.on_timer(timer.target, now)
         elif timer.kind is TimerKind.HEDGE:
-            self.requests.on_hedge_timer(timer.subject, now)
+            self.requests.on_hedge_timer(timer.target, now)
         else:
-            self.origin_scheduler.on_deadline_timer(timer.subject, now)
+            self.origin_scheduler.on_deadline_timer(timer.target, now)
 
     def _on_endpoint_update(self, update: events.EndpointUpdate, now: float) -> None:
         """Apply an update to the endpoint list, then notify the parts that depend on the list."""
--- a/cache_router/decisions/subscription.py
+++ b/cache_router/decisions/subscription.py
@@ -10,7 +10,7 @@
 from cache_router.decisions.timers import TimerSet
 from cache_router.settings import Settings
 
-POLL_SUBJECT = ""  # subject of the poll timer; there is only one, as there is one subscription
+POLL_TARGET = ""  # target of the poll timer; there is only one, as there is one subscription
 
 
 @dataclass(slots=True)
@@ -34,7 +34,7 @@
     def on_failure(self, discovery_address: str, now: float) -> None:
         """Handle a failed poll: log it, and set the timer of the next poll."""
         backoff = self.poller.on_failure(now)
-        self.timers.set(POLL_SUBJECT, backoff, now)
+        self.timers.set(POLL_TARGET, backoff, now)
         if is_logged(self.poller.failures):
             subject = f"discovery {discovery_address}" if discovery_address else "discovery"
             self.actions.add(LogMessage(f"{subject}: {self.poller.failures} consecutive failures"))
@@ -45,7 +45,7 @@
         Where updates are pushed, the host itself subscribes. In both cases the poll timer is cancelled, as it
         would start a second poll.
         """
-        self.timers.cancel(POLL_SUBJECT)
+        self.timers.cancel(POLL_TARGET)
         self.poller.on_address_changed(now)
         self._subscribe_unless_pushed()
 
--- a/cache_router/net/event_recovery.py
+++ b/cache_router/net/event_recovery.py
@@ -67,7 +67,7 @@
             case Request() | AttemptCompleted():
                 self._fail_unless_in_flight(event.request_id)
             case TimerFired(timer) if timer.kind is TimerKind.QUEUE_DEADLINE:
-                self._fail_unless_in_flight(timer.subject)
+                self._fail_unless_in_flight(timer.target)
             case TimerFired(timer) if timer.kind is TimerKind.ENDPOINT_POLL:
                 self._subscribe()
             case DiscoveryAddressChanged():
--- a/cache_router/simulator_wire.py
+++ b/cache_router/simulator_wire.py
@@ -142,11 +142,11 @@
 
 def read_timer(context: str) -> Timer | None:
     """Return the timer of a context that `write_timer` returned; None for any other context."""
-    kind, _, numbered_subject = context.partition(":")
-    serial, _, subject = numbered_subject.partition(":")
+    kind, _, numbered_target = context.partition(":")
+    serial, _, target = numbered_target.partition(":")
     if kind not in TIMER_KINDS or not serial.isdecimal():
         return None
-    return Timer(TIMER_KINDS[kind], subject, int(serial))
+    return Timer(TIMER_KINDS[kind], target, int(serial))
 
 
 def read_timer_fired(message: TimerMessage) -> TimerFired | None:
@@ -199,8 +199,8 @@
 
 
 def write_timer(timer: Timer) -> str:
-    """Return the context of a timer: its kind, serial number and subject, separated by colons."""
-    return f"{timer.kind.value}:{timer.serial}:{timer.subject}"
+    """Return the context of a timer: its kind, serial number and target, separated by colons."""
+    return f"{timer.kind.value}:{timer.serial}:{timer.target}"
 
 
 def write_set_timer(action: SetTimer) -> TimerCommand:
