--- a/cache_router/decisions/router.py
+++ b/cache_router/decisions/router.py
@@ -40,7 +40,7 @@
 
 # multiple of the shortest latency objective; longer than ordinary pauses between the responses of a server,
 # but short enough that the detection of a silent server is still useful
-SILENCE_TIMEOUT = 1.0
+SILENCE_TIMEOUT_FACTOR = 1.0
 
 
 class Router:
@@ -52,7 +52,7 @@
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         generator = random.Random(seed)
         shortest_objective = min(c.latency_objective for c in settings.classes.values())
-        silence_timeout = SILENCE_TIMEOUT * shortest_objective
+        silence_timeout = SILENCE_TIMEOUT_FACTOR * shortest_objective
         self.settings = settings
         self.now = now  # time of the event handled last
         self._actions = ActionBuffer()
