--- a/cache_router/decisions/hedging.py
+++ b/cache_router/decisions/hedging.py
@@ -15,7 +15,7 @@
 from cache_router.decisions.slow_start import SlowStart
 from cache_router.settings import Idempotency, Settings
 
-LATENCY_FACTOR = 6.0  # multiple of the usual latency after which an answer is more likely lost than late
+HEDGE_DELAY_FACTOR = 6.0  # multiple of the usual latency after which an answer is more likely lost than late
 
 
 @dataclass(slots=True)
@@ -35,7 +35,7 @@
         if not self._may_be_hedged(pending, server):
             return None
         usual_latency = max(server.concurrency.latency, self.health.queueing_latency)
-        delay = max(LATENCY_FACTOR * usual_latency, self.settings.clock_resolution)
+        delay = max(HEDGE_DELAY_FACTOR * usual_latency, self.settings.clock_resolution)
         return delay if now + delay < pending.deadline else None
 
     def choose_server(self, pending: PendingRequest, now: float) -> Server | None:
--- a/tests/cache_router/decisions/test_attempt_sender.py
+++ b/tests/cache_router/decisions/test_attempt_sender.py
@@ -7,7 +7,7 @@
 from cache_router.decisions.actions import Send, SetTimer
 from cache_router.decisions.attempt_sender import CACHE_LATENCY_TARGET, ORIGIN_LATENCY_TARGET, AttemptSender
 from cache_router.decisions.events import AttemptStatus, Request, Timer, TimerKind
-from cache_router.decisions.hedging import LATENCY_FACTOR
+from cache_router.decisions.hedging import HEDGE_DELAY_FACTOR
 from cache_router.decisions.pending_request import PendingRequest
 from cache_router.decisions.router import Router
 from cache_router.settings import RequestClass
@@ -76,7 +76,7 @@
     assert send == Send("r", "a")
     assert isinstance(timer, SetTimer)
     assert timer.timer == Timer(TimerKind.HEDGE, "r")
-    assert timer.delay == pytest.approx(LATENCY_FACTOR * 0.01)
+    assert timer.delay == pytest.approx(HEDGE_DELAY_FACTOR * 0.01)
     actions = sender.actions.start_event()
     sender.send(new_pending_request(ONCE), router.endpoints.servers["b"], NOW)
     assert actions == [Send("r", "b")]
--- a/tests/cache_router/decisions/test_hedging.py
+++ b/tests/cache_router/decisions/test_hedging.py
@@ -40,7 +40,7 @@
     if answers_others:
         driver.now += 0.001
         driver.request("r2", key="k", finish=True)
-    driver.advance(hedging.LATENCY_FACTOR * 0.01)
+    driver.advance(hedging.HEDGE_DELAY_FACTOR * 0.01)
     assert len(driver.servers_tried("r1")) == 2
     assert (driver.servers_tried("r1")[1] == first) is answers_others
     # the request goes to the origin, though its first attempt is still in flight
@@ -64,7 +64,7 @@
         driver.router.retry_budget.tokens = 0.5
     if reason == "draining":
         driver.update_endpoints(entry(first, state=EndpointState.DRAINING), kind=EndpointUpdateKind.DELTA)
-    driver.advance(hedging.LATENCY_FACTOR * 0.01)
+    driver.advance(hedging.HEDGE_DELAY_FACTOR * 0.01)
     assert first not in driver.servers_tried("r1")[1:]
     assert reason == "draining" or len(driver.servers_tried("r1")) == 1
 
--- a/tests/cache_router/decisions/test_slow_start.py
+++ b/tests/cache_router/decisions/test_slow_start.py
@@ -93,7 +93,7 @@
     warming.grant_slow_start_quota(0.01)
     name = next(n for n in map(str, count()) if driver.request(n) == "b")
     warming.concurrency.unanswered_since = driver.now + 0.001  # it has responded to others since
-    driver.advance(hedging.LATENCY_FACTOR * 0.01)
+    driver.advance(hedging.HEDGE_DELAY_FACTOR * 0.01)
     assert driver.servers_tried(name) == ["b", hedge_server]
 
 
