--- a/cache_router/load_report.py
+++ b/cache_router/load_report.py
@@ -12,7 +12,7 @@
 # Names of the values in a load report that the decisions use.
 SERVICE_TIME_MS = "svc_ms"
 QUEUE_LENGTH = "pending"
-MAX_LOAD_REPORT = 256  # bytes of a load report that are parsed; further ones are ignored
+MAX_LOAD_REPORT_SIZE = 256  # bytes of a load report that are parsed; further ones are ignored
 
 
 def parse_load_report(text: bytes, names: tuple[str, ...]) -> LoadReport | None:
@@ -21,7 +21,7 @@
     Return None if a value that the decisions use is missing or invalid.
     """
     values: dict[str, float] = {}
-    for pair in text[:MAX_LOAD_REPORT].decode("latin-1").split(","):
+    for pair in text[:MAX_LOAD_REPORT_SIZE].decode("latin-1").split(","):
         name, _, value = pair.partition("=")
         if name in names:
             with suppress(ValueError):
--- a/cache_router/net/cache_connection.py
+++ b/cache_router/net/cache_connection.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from cache_router.decisions.events import AttemptStatus
-from cache_router.net.command import MAX_VALUE, Command
+from cache_router.net.command import MAX_VALUE_SIZE, Command
 from cache_router.net.resp import INCOMPLETE, ErrorReply, RespError, RespReader, encode_command
 from cache_router.net.upstream_attempt import UpstreamResponse
 from cache_router.net.upstream_connection import ConnectionOwner, MalformedResponseError, UpstreamConnection
@@ -16,7 +16,7 @@
 # Maximum number of items of one array. A response has three items; the third may be an array.
 MAX_RESPONSE_ITEMS = 16
 # Maximum size of a response in bytes: the largest value, and room for the other items.
-MAX_RESPONSE_SIZE = MAX_VALUE + 8192
+MAX_RESPONSE_SIZE = MAX_VALUE_SIZE + 8192
 # First word of the error line with which a server rejects a request.
 BUSY = "BUSY"
 
@@ -27,7 +27,7 @@
     def __init__(self, owner: ConnectionOwner, address: str, incarnation: object) -> None:
         """Prepare a connection to `address` (`host:port`) that notifies `owner` of its state changes."""
         super().__init__(owner, address, incarnation)
-        self._reader = RespReader(MAX_RESPONSE_ITEMS, MAX_VALUE, MAX_RESPONSE_SIZE)
+        self._reader = RespReader(MAX_RESPONSE_ITEMS, MAX_VALUE_SIZE, MAX_RESPONSE_SIZE)
 
     def encode(self, command: Command, time_left: float) -> bytes:
         """Encode a request as an array of bulk strings; its deadline is `time_left` seconds from now."""
--- a/cache_router/net/client_connection.py
+++ b/cache_router/net/client_connection.py
@@ -10,12 +10,13 @@
 from typing import Protocol, cast
 
 from cache_router.net.address import Address
-from cache_router.net.command import MAX_INFO, MAX_KEY, MAX_VALUE, CommandError, parse_command
+from cache_router.net.command import MAX_INFO_SIZE, MAX_KEY_SIZE, MAX_VALUE_SIZE, CommandError, parse_command
 from cache_router.net.dispatcher import Dispatcher
 from cache_router.net.resp import INCOMPLETE, Message, RespError, RespReader
 from cache_router.net.socket_state import has_unread_bytes, is_hung_up
 
-MAX_COMMAND_SIZE = MAX_VALUE + MAX_KEY + MAX_INFO + 4096  # bytes buffered for an incomplete command
+# bytes buffered for an incomplete command
+MAX_COMMAND_SIZE = MAX_VALUE_SIZE + MAX_KEY_SIZE + MAX_INFO_SIZE + 4096
 MAX_COMMAND_PARTS = 16  # items of the array that encodes a command
 MAX_PIPELINED_COMMANDS = 32  # commands per connection whose replies are pending
 CLOSE_TIMEOUT = 0.5  # seconds that a closing connection waits for its client to read the last reply
@@ -82,7 +83,7 @@
         """Create a connection that sends requests to a dispatcher and reports its state to an owner."""
         self._dispatcher = dispatcher
         self._owner = owner
-        self._reader = RespReader(MAX_COMMAND_PARTS, MAX_VALUE, MAX_COMMAND_SIZE)
+        self._reader = RespReader(MAX_COMMAND_PARTS, MAX_VALUE_SIZE, MAX_COMMAND_SIZE)
         self._replies: deque[PipelinedReply] = deque()
         self._commands_received = 0  # number of complete commands
         self._reading_enabled = True
--- a/cache_router/net/command.py
+++ b/cache_router/net/command.py
@@ -8,10 +8,10 @@
 from cache_router.errors import RouterError
 from cache_router.net.resp import Message
 
-MAX_VALUE = 64 * 1024  # bytes
-MAX_KEY = 1024  # bytes
-MAX_INFO = 1024  # bytes
-MAX_REQUEST_ID = 64  # bytes
+MAX_VALUE_SIZE = 64 * 1024  # bytes
+MAX_KEY_SIZE = 1024  # bytes
+MAX_INFO_SIZE = 1024  # bytes
+MAX_REQUEST_ID_SIZE = 64  # bytes
 MAX_DEADLINE_MS = 600_000
 MAX_DEADLINE_DIGITS = 9  # longer texts are rejected without converting them to a number
 VISIBLE_ASCII = re.compile(rb"[!-~]+")
@@ -70,7 +70,7 @@
         CommandError: The text is too long, not visible ASCII or malformed, or has a name twice.
     """
     # The origin receives the fields as a header: a line break would start another header or request.
-    if len(text) > MAX_INFO or not VISIBLE_ASCII.fullmatch(text):
+    if len(text) > MAX_INFO_SIZE or not VISIBLE_ASCII.fullmatch(text):
         raise CommandError("names and values must be visible ASCII, 1024 bytes at most")
     info: dict[str, str] = {}
     for pair in text.decode().split(","):
@@ -98,14 +98,14 @@
     if len(bulk_strings) != PART_COUNTS[verb]:
         raise CommandError(f"wrong number of arguments for {verb.decode()}")
     key, request_id = bulk_strings[1], bulk_strings[2]
-    if not 0 < len(key) <= MAX_KEY or key in RESERVED_KEYS:
+    if not 0 < len(key) <= MAX_KEY_SIZE or key in RESERVED_KEYS:
         raise CommandError("key is empty, too long or reserved")
-    if len(request_id) > MAX_REQUEST_ID or not VISIBLE_ASCII.fullmatch(request_id):
+    if len(request_id) > MAX_REQUEST_ID_SIZE or not VISIBLE_ASCII.fullmatch(request_id):
         raise CommandError("request id must be visible ASCII, 64 bytes at most")
     info = parse_info(bulk_strings[3])
     deadline_ms = _parse_deadline(info.get(DEADLINE_FIELD, ""))
     value = bulk_strings[4] if verb == SET else None
-    if value is not None and len(value) > MAX_VALUE:
+    if value is not None and len(value) > MAX_VALUE_SIZE:
         raise CommandError("value is longer than 65536 bytes")
     return Command(bulk_strings[0], key, request_id, info, deadline_ms, value)
 
--- a/cache_router/net/origin_connection.py
+++ b/cache_router/net/origin_connection.py
@@ -5,7 +5,7 @@
 from urllib.parse import quote_from_bytes
 
 from cache_router.decisions.events import AttemptStatus
-from cache_router.net.command import MAX_VALUE, Command
+from cache_router.net.command import MAX_VALUE_SIZE, Command
 from cache_router.net.http import HttpClient, HttpError
 from cache_router.net.upstream_attempt import UpstreamResponse
 from cache_router.net.upstream_connection import ConnectionOwner, MalformedResponseError, UpstreamConnection
@@ -28,7 +28,7 @@
     def __init__(self, owner: ConnectionOwner, address: str, incarnation: object) -> None:
         """Prepare a connection to `address` (`host:port`) that notifies `owner` of its state changes."""
         super().__init__(owner, address, incarnation)
-        self._client = HttpClient(address, MAX_VALUE)
+        self._client = HttpClient(address, MAX_VALUE_SIZE)
 
     def encode(self, command: Command, time_left: float) -> bytes:
         """Encode a GET or PUT of the key's path; its deadline is `time_left` seconds from now."""
