--- a/cache_router/decisions/attempt_feedback.py
+++ b/cache_router/decisions/attempt_feedback.py
@@ -36,7 +36,7 @@
         status = event.status
         server.concurrency.on_attempt_completed(now)
         if status not in NO_RESPONSE:
-            server.concurrency.on_answer()
+            server.concurrency.on_response()
             if server.is_cache:
                 self.detect_outlier(server, status, now)
         self.overload.record(server.overload, server.is_cache, event, now)
@@ -55,4 +55,4 @@
         is_good = event.status in ANSWERED
         self.health.record(is_good, event.latency, server.reported_load)
         if is_good:
-            self.slow_start.on_good_answer(server, now)
+            self.slow_start.on_successful_response(server, now)
--- a/cache_router/decisions/concurrency_limit.py
+++ b/cache_router/decisions/concurrency_limit.py
@@ -47,7 +47,7 @@
         self.in_flight -= 1
         self.last_completed_at = now
 
-    def on_answer(self) -> None:
+    def on_response(self) -> None:
         """Record that the server has responded, so that it no longer counts as silent."""
         self.unanswered_since = math.inf
 
--- a/cache_router/decisions/slow_start.py
+++ b/cache_router/decisions/slow_start.py
@@ -67,7 +67,7 @@
         if server.slow_start_quota is not None:
             server.slow_start_quota.add(now, self._settings.overload_window)
 
-    def on_good_answer(self, server: Server, now: float) -> None:
+    def on_successful_response(self, server: Server, now: float) -> None:
         """Count a successful response of a cache towards the throughput of warm servers, if it is warm."""
         if self.is_warming_up(server.endpoint, now):
             return
--- a/tests/cache_router/decisions/test_concurrency_limit.py
+++ b/tests/cache_router/decisions/test_concurrency_limit.py
@@ -129,5 +129,5 @@
     concurrency.on_attempt_sent(5.0)
     assert not concurrency.is_silent(2.0, silence_timeout=1.0)
     assert concurrency.is_silent(2.1, silence_timeout=1.0)
-    concurrency.on_answer()
+    concurrency.on_response()
     assert not concurrency.is_silent(math.inf, silence_timeout=1.0)
