--- a/cache_router/decisions/idle_connections.py
+++ b/cache_router/decisions/idle_connections.py
@@ -8,8 +8,8 @@
 
 # Share of the break-even time for which an idle connection is kept. The break-even time is that after which
 # keeping the connection has cost as much as the handshake that it saves.
-KEEP_SHARE = 0.5
-KEEP_RECOVERY = 0.01  # share of the difference to KEEP_SHARE that each further attempt restores
+KEEP_ALIVE_SHARE = 0.5
+KEEP_ALIVE_RECOVERY = 0.01  # share of the difference to KEEP_ALIVE_SHARE that each further attempt restores
 # Connections at each server to which one `Settings.connection_price` applies. Where connections have no
 # price, all routers together keep this number at each server.
 CONNECTIONS_PER_PRICE = 100
@@ -22,7 +22,7 @@
     settings: Settings
     min_age: float  # minimum time over which the request rate is averaged
     started_at: float  # start of the router on its clock
-    keep_share: float = KEEP_SHARE  # current share; reduced by failed connects
+    keep_alive_share: float = KEEP_ALIVE_SHARE  # current share; reduced by failed connects
     request_count: int = 0  # requests accepted since the start
 
     def on_request(self) -> None:
@@ -32,9 +32,9 @@
     def on_attempt_completed(self, status: AttemptStatus) -> None:
         """Halve the share after a failed connect, which may mean full connection tables; else restore it."""
         if status is AttemptStatus.CONNECT_FAILED:
-            self.keep_share /= 2
+            self.keep_alive_share /= 2
         else:
-            self.keep_share += KEEP_RECOVERY * (KEEP_SHARE - self.keep_share)
+            self.keep_alive_share += KEEP_ALIVE_RECOVERY * (KEEP_ALIVE_SHARE - self.keep_alive_share)
 
     def time_left(self, concurrency: ConcurrencyLimit, cache_count: int, now: float) -> float | None:
         """Return the seconds until the idle connections to a server should be closed.
@@ -63,8 +63,8 @@
         """Return the connections to keep at a server, as a multiple of `CONNECTIONS_PER_PRICE`."""
         price = self.settings.connection_price
         if price:
-            return self.keep_share * self.settings.handshake_price / price
-        return self.keep_share / KEEP_SHARE
+            return self.keep_alive_share * self.settings.handshake_price / price
+        return self.keep_alive_share / KEEP_ALIVE_SHARE
 
     def _fleet_request_rate(self, now: float) -> float:
         """Return the requests per second of all routers, estimated from those of this router."""
--- a/tests/cache_router/decisions/test_idle_connections.py
+++ b/tests/cache_router/decisions/test_idle_connections.py
@@ -7,7 +7,7 @@
 from cache_router.decisions.actions import Action, CloseIdleConnections
 from cache_router.decisions.concurrency_limit import ConcurrencyLimit
 from cache_router.decisions.events import AttemptStatus
-from cache_router.decisions.idle_connections import KEEP_SHARE, IdleConnections
+from cache_router.decisions.idle_connections import KEEP_ALIVE_SHARE, IdleConnections
 from cache_router.settings import Settings
 from tests.support.driver import Driver, DriverFactory
 from tests.support.router_inputs import settings
@@ -75,9 +75,9 @@
     driver = make_driver(*fleet("a", "b"))
     driver.request("r")
     driver.complete_attempt("r", AttemptStatus.CONNECT_FAILED)
-    assert driver.router.idle_connections.keep_share == KEEP_SHARE / 2
+    assert driver.router.idle_connections.keep_alive_share == KEEP_ALIVE_SHARE / 2
     driver.serve("r")
-    assert KEEP_SHARE / 2 < driver.router.idle_connections.keep_share < KEEP_SHARE
+    assert KEEP_ALIVE_SHARE / 2 < driver.router.idle_connections.keep_alive_share < KEEP_ALIVE_SHARE
 
 
 def idle_connections(router_count: int, connection_price: float, handshake_price: float) -> IdleConnections:
