--- a/cache_router/decisions/idle_connection_closer.py
+++ b/cache_router/decisions/idle_connection_closer.py
@@ -31,7 +31,7 @@
         No timer is set where the host's own idle timeout would close the connections first.
         """
         cache_count = len(self.endpoints.caches)
-        time_left = self.idle_connections.time_left(server.concurrency, cache_count, now)
+        time_left = self.idle_connections.time_until_close(server.concurrency, cache_count, now)
         if time_left is None:
             return
         name = server.endpoint.name
--- a/cache_router/decisions/idle_connections.py
+++ b/cache_router/decisions/idle_connections.py
@@ -36,7 +36,7 @@
         else:
             self.keep_alive_share += KEEP_ALIVE_RECOVERY * (KEEP_ALIVE_SHARE - self.keep_alive_share)
 
-    def time_left(self, concurrency: ConcurrencyLimit, cache_count: int, now: float) -> float | None:
+    def time_until_close(self, concurrency: ConcurrencyLimit, cache_count: int, now: float) -> float | None:
         """Return the seconds until the idle connections to a server should be closed.
 
         None means that they are kept without a limit, or that the server has attempts in flight.
--- a/tests/cache_router/decisions/test_idle_connection_closer.py
+++ b/tests/cache_router/decisions/test_idle_connection_closer.py
@@ -27,7 +27,7 @@
         super().__init__(settings(), 1.0, NOW)
         self.fixed_time_left = time_left
 
-    def time_left(self, concurrency: ConcurrencyLimit, cache_count: int, now: float) -> float | None:
+    def time_until_close(self, concurrency: ConcurrencyLimit, cache_count: int, now: float) -> float | None:
         """Return the fixed time."""
         return self.fixed_time_left
 
--- a/tests/cache_router/decisions/test_idle_connections.py
+++ b/tests/cache_router/decisions/test_idle_connections.py
@@ -104,13 +104,13 @@
 ) -> None:
     decision = idle_connections(router_count, connection_price, handshake_price)
     concurrency = ConcurrencyLimit(last_completed_at=99.5)
-    time_left = decision.time_left(concurrency, cache_count=30, now=100.0)
+    time_left = decision.time_until_close(concurrency, cache_count=30, now=100.0)
     assert time_left == pytest.approx(keep_time - 0.5)
 
 
 def test_connections_in_use_are_not_closed() -> None:
     decision = idle_connections(300, 0.03, 0.06)
-    assert decision.time_left(ConcurrencyLimit(in_flight=1), cache_count=30, now=100.0) is None
+    assert decision.time_until_close(ConcurrencyLimit(in_flight=1), cache_count=30, now=100.0) is None
 
 
 @pytest.mark.parametrize(("router_count", "is_kept"), [(100, True), (101, False)])
@@ -118,4 +118,4 @@
     router_count: int, is_kept: bool
 ) -> None:
     decision = idle_connections(router_count, 0.0, 0.06)
-    assert (decision.time_left(ConcurrencyLimit(), cache_count=30, now=100.0) is None) is is_kept
+    assert (decision.time_until_close(ConcurrencyLimit(), cache_count=30, now=100.0) is None) is is_kept
