--- a/cache_router/decisions/endpoints.py
+++ b/cache_router/decisions/endpoints.py
@@ -49,7 +49,7 @@
                 changed[endpoint.name] = self._add_or_update(endpoint)
         if update.kind is EndpointUpdateKind.DELTA and not update.endpoints:
             return False
-        self._place(server for server in changed.values() if self.is_listed(server))
+        self._update_sizes_and_ring(server for server in changed.values() if self.is_listed(server))
         return True
 
     def _add_or_update(self, endpoint: Endpoint) -> Server:
@@ -66,7 +66,7 @@
         if name in self.servers:
             self.ring.place(name, self.servers.pop(name), 0)
 
-    def _place(self, changed: Iterable[Server]) -> None:
+    def _update_sizes_and_ring(self, changed: Iterable[Server]) -> None:
         """Update the sizes and ring points of the changed servers, and the totals.
 
         The number of points of a server depends only on its size and on the unit of size. Servers that join
