--- a/cache_router/decisions/hash_ring.py
+++ b/cache_router/decisions/hash_ring.py
@@ -27,7 +27,7 @@
 POSITIONS_PER_HASH = 8
 # Intended mean number of points in a bucket. Above twice this number, or below a quarter of it, the number of
 # buckets is adapted.
-BUCKET_FILL = 32
+POINTS_PER_BUCKET = 32
 
 
 def ring_hash(text: str) -> tuple[int, ...]:
@@ -94,7 +94,7 @@
             self._members[slot] = PlacedMember(member, count)
         else:
             self._release_slot(name)
-        if not BUCKET_FILL / 4 <= self.size / len(self._buckets) <= BUCKET_FILL * 2:
+        if not POINTS_PER_BUCKET / 4 <= self.size / len(self._buckets) <= POINTS_PER_BUCKET * 2:
             self._resize_buckets()
 
     def walk(self, position: int) -> Iterator[tuple[Member, float]]:
@@ -149,7 +149,7 @@
     def _resize_buckets(self) -> None:
         """Adapt the number of buckets to the number of points; this is rare and takes O(points) time."""
         points = [point for bucket in self._buckets for point in bucket]
-        bits = max(0, (len(points) // BUCKET_FILL).bit_length() - 1)
+        bits = max(0, (len(points) // POINTS_PER_BUCKET).bit_length() - 1)
         if len(self._buckets) == 1 << bits:
             return
         self._shift = POSITION_BITS - bits
--- a/tests/cache_router/decisions/test_hash_ring_updates.py
+++ b/tests/cache_router/decisions/test_hash_ring_updates.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cache_router.decisions.hash_ring import BUCKET_FILL, HashRing
+from cache_router.decisions.hash_ring import POINTS_PER_BUCKET, HashRing
 from cache_router.endpoint import Endpoint
 from tests.support.router_inputs import entry
 
@@ -42,7 +42,7 @@
     ring: HashRing[int] = HashRing()
     for n in range(300):
         ring.place(f"m{n}", n, 128)
-        assert BUCKET_FILL / 8 <= ring.size / len(ring._buckets) <= BUCKET_FILL * 8
+        assert POINTS_PER_BUCKET / 8 <= ring.size / len(ring._buckets) <= POINTS_PER_BUCKET * 8
     for n in range(300):
         ring.place(f"m{n}", n, 0)
     assert ring._buckets == [[]]
