--- a/cache_router/decisions/outlier_detection.py
+++ b/cache_router/decisions/outlier_detection.py
@@ -25,28 +25,30 @@
 class FailureHistory:
     """Consecutive failures of one server, and its latest ejection. Times are in seconds."""
 
-    consecutive: int = 0
+    consecutive_failures: int = 0
     ejection_time: float = 0.0  # duration of the latest ejection before jitter
     ejected_until: float = -math.inf  # end of the latest ejection on the router's clock
 
     @property
     def is_outlier(self) -> bool:
         """Return whether the server is ejected, or awaits the success of a probe attempt."""
-        return self.consecutive >= CONSECUTIVE_FAILURES
+        return self.consecutive_failures >= CONSECUTIVE_FAILURES
 
     def admits(self, in_flight: int, now: float) -> bool:
         """Return whether an attempt may be sent: none while ejected, then one probe attempt at a time."""
         # `is_outlier` is written out to save a call: this runs at every step of the walk on the hash ring
-        return now >= self.ejected_until and not (in_flight and self.consecutive >= CONSECUTIVE_FAILURES)
+        return now >= self.ejected_until and not (
+            in_flight and self.consecutive_failures >= CONSECUTIVE_FAILURES
+        )
 
     def reset(self) -> None:
         """Reset the failures and the ejection time; an ejection in effect lasts until its end."""
-        self.consecutive = 0
+        self.consecutive_failures = 0
         self.ejection_time = 0.0
 
     def record_failure(self) -> None:
         """Count an attempt that reached the server and failed."""
-        self.consecutive += 1
+        self.consecutive_failures += 1
 
     def record_failed_connect(self) -> None:
         """Count a failed connect as enough failures for an ejection, as nothing listens at the address.
@@ -54,7 +56,7 @@
         In a large fleet each router connects to a server rarely. Several failures would take a long time to
         occur.
         """
-        self.consecutive += CONSECUTIVE_FAILURES
+        self.consecutive_failures += CONSECUTIVE_FAILURES
 
     def eject(self, ejection_time: float, jitter: float, now: float) -> None:
         """Eject the server for `ejection_time` seconds times `jitter`."""
--- a/tests/cache_router/decisions/test_attempt_feedback.py
+++ b/tests/cache_router/decisions/test_attempt_feedback.py
@@ -42,4 +42,4 @@
     before = cache_aside_driver.router.health.success_rate
     cache_aside_driver.complete_attempt("r", AttemptStatus.ERROR)
     assert cache_aside_driver.router.health.success_rate == before
-    assert not cache_aside_driver.server("o").failures.consecutive
+    assert not cache_aside_driver.server("o").failures.consecutive_failures
--- a/tests/cache_router/decisions/test_outlier_detection.py
+++ b/tests/cache_router/decisions/test_outlier_detection.py
@@ -122,7 +122,7 @@
     history.record_failed_connect()
     history.eject(ejection_time=2.0, jitter=1.0, now=10.0)
     history.reset()
-    assert (history.consecutive, history.ejection_time) == (0, 0.0)
+    assert (history.consecutive_failures, history.ejection_time) == (0, 0.0)
     assert not history.admits(in_flight=0, now=11.9)
     assert history.admits(in_flight=5, now=12.0)
 
