--- a/cache_router/decisions/key_popularity.py
+++ b/cache_router/decisions/key_popularity.py
@@ -10,7 +10,7 @@
         self._counts: dict[str, int] = {}  # requests by key
         self._total = 0.0  # requests for all keys
 
-    def count(self, key: str, cache_count: int, now: float) -> float:
+    def record_request(self, key: str, cache_count: int, now: float) -> float:
         """Count a request for a key, and return the key's share of the requests, from 0 to 1.
 
         The share excludes this request, so that a key is never popular on its first request. A router with
--- a/cache_router/decisions/server_selection.py
+++ b/cache_router/decisions/server_selection.py
@@ -45,7 +45,7 @@
         """
         request = pending.request
         key = request.key if request.key is not None else request.request_id
-        key_share = self.popularity.count(key, len(self.endpoints.caches), now)
+        key_share = self.popularity.record_request(key, len(self.endpoints.caches), now)
         load_before = self.generator.random() * key_share
         return self._walk(pending, ring_hash(key)[0], load_before, now)
 
--- a/tests/support/router_scenarios.py
+++ b/tests/support/router_scenarios.py
@@ -46,7 +46,7 @@
 
 def ignore_key_popularity(driver: Driver) -> None:
     """Make the router treat every key as unpopular, because it spreads a popular one over more servers."""
-    driver.router.selector.popularity.count = lambda *_: 0.0  # type: ignore[method-assign]
+    driver.router.selector.popularity.record_request = lambda *_: 0.0  # type: ignore[method-assign]
 
 
 def servers_clockwise(driver: Driver, key: str) -> list[str]:
