--- a/cache_router/__main__.py
+++ b/cache_router/__main__.py
@@ -2,10 +2,10 @@
 
 import sys
 
-from cache_router.process_signals import hold_signals
+from cache_router.process_signals import block_signals
 
 if __name__ == "__main__":
-    hold_signals()
+    block_signals()
     # Signals are blocked before this import, which takes most of the startup time.
     from cache_router.program import main
 
--- a/cache_router/process_signals.py
+++ b/cache_router/process_signals.py
@@ -12,11 +12,11 @@
 OPERATOR_SIGNALS = frozenset({signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
 
 
-def hold_signals() -> None:
+def block_signals() -> None:
     """Block the operators' signals in this thread and in all threads that it starts from now on."""
     signal.pthread_sigmask(signal.SIG_BLOCK, OPERATOR_SIGNALS)
 
 
-def release_signals() -> None:
+def unblock_signals() -> None:
     """Unblock the operators' signals, so that pending and future ones reach their handlers."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, OPERATOR_SIGNALS)
--- a/cache_router/program.py
+++ b/cache_router/program.py
@@ -8,7 +8,7 @@
 import sys
 
 from cache_router.config import Config, ConfigError, config_path, load_config
-from cache_router.process_signals import hold_signals
+from cache_router.process_signals import block_signals
 from cache_router.server import serve
 
 UNUSABLE_CONFIG_STATUS = 2  # exit status of the process after a `ConfigError`
@@ -33,4 +33,4 @@
     The event loop removes its signal handlers when it closes, before the interpreter has exited.
     """
     await serve(config, path)
-    hold_signals()
+    block_signals()
--- a/cache_router/server.py
+++ b/cache_router/server.py
@@ -16,7 +16,7 @@
 from cache_router.net.dispatcher import Dispatcher
 from cache_router.net.listener import Listener
 from cache_router.net.origin_connection import OriginConnection
-from cache_router.process_signals import release_signals
+from cache_router.process_signals import unblock_signals
 from cache_router.shutdown_schedule import ShutdownSchedule
 
 # Seconds to wait for the first endpoint list before serving from the cached one. An agent on the same machine
@@ -100,7 +100,7 @@
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._terminated.set)
-        release_signals()
+        unblock_signals()
 
     async def _wait_for_first_list(self) -> None:
         """Wait for the first answer of the agent, for at most `FIRST_LIST_TIMEOUT` seconds.
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -60,7 +60,7 @@
 
 if __name__ == "__main__":
     FAULTS[sys.argv[1]]()
-    process_signals.hold_signals()
+    process_signals.block_signals()
     from cache_router.program import main
 
     sys.exit(main())
