--- a/cache_router/net/discovery.py
+++ b/cache_router/net/discovery.py
@@ -122,7 +122,7 @@
         if self._pushed and self._poll_without_wait:
             return Poll(f"{LIST_PATH}?after={self.index}&wait_ms=0", self._budget.response_timeout)
         wait_ms = int(self._budget.long_poll_wait * 1000)
-        return Poll(f"{LIST_PATH}?after={self.index}&wait_ms={wait_ms}", self._budget.call_timeout)
+        return Poll(f"{LIST_PATH}?after={self.index}&wait_ms={wait_ms}", self._budget.poll_timeout)
 
     async def _watch(self) -> None:
         """Poll until a poll fails.
--- a/cache_router/settings.py
+++ b/cache_router/settings.py
@@ -57,14 +57,14 @@
         return self.notification_deadline - self.scheduling_slack - waits
 
     @property
-    def call_timeout(self) -> float:
+    def poll_timeout(self) -> float:
         """Timeout of a long poll; that of other polls is `response_timeout`."""
         return self.long_poll_wait + self.response_timeout
 
     @property
     def poll_cycle(self) -> float:
         """Longest time between the starts of two polls, no matter how the first one fails."""
-        return self.call_timeout + self.max_backoff
+        return self.poll_timeout + self.max_backoff
 
     @property
     def address_change_cycle(self) -> float:
--- a/tests/cache_router/decisions/test_endpoint_polling.py
+++ b/tests/cache_router/decisions/test_endpoint_polling.py
@@ -30,7 +30,7 @@
 def test_backoff_after_a_watch_timeout_is_at_most_one_second(make_driver: DriverFactory) -> None:
     """Most of the notification deadline of 6 s has passed when a poll without a response times out."""
     driver = make_driver(must_subscribe=True, overload_window=60.0, slow_start_duration=60.0)
-    driver.now += driver.settings.watch_budget.call_timeout
+    driver.now += driver.settings.watch_budget.poll_timeout
     (timer,) = (action for action in driver.handle(FAILED_CALL) if isinstance(action, SetTimer))
     assert timer.delay <= 1.0
 
--- a/tests/cache_router/test_watch_budget.py
+++ b/tests/cache_router/test_watch_budget.py
@@ -66,7 +66,7 @@
     driver.update_endpoints(entry("a"))
     poll_started = driver.now
     for n in range(40):
-        next_started = fail_poll(driver, FAILED_POLL_DURATIONS[failure](n) * budget.call_timeout)
+        next_started = fail_poll(driver, FAILED_POLL_DURATIONS[failure](n) * budget.poll_timeout)
         assert next_started - poll_started + budget.response_timeout <= 6.0 - budget.scheduling_slack + 1e-6
         poll_started = next_started
 
@@ -110,7 +110,7 @@
         driver.update_endpoints(entry("a"))
     for _ in range(4):
         starts = sorted(
-            fail_poll(driver, timeout_share * conf.watch_budget.call_timeout) for driver in drivers
+            fail_poll(driver, timeout_share * conf.watch_budget.poll_timeout) for driver in drivers
         )
         max_polls_per_100ms = max(sum(at <= start < at + 0.1 for start in starts) for at in starts)
         assert max_polls_per_100ms <= 60
--- a/tests/project/test_page_values.py
+++ b/tests/project/test_page_values.py
@@ -70,7 +70,7 @@
         "`MAX_PIPELINED_COMMANDS` (32 s)",
         "`BACKOFF_JITTER` (0.75 to 1.25)",  # two modules have one
         "`EJECTION_JITTER` (0.5 to 1.1)",
-        "`WatchBudget.call_timeout` (2 s)",
+        "`WatchBudget.poll_timeout` (2 s)",
     ],
 )
 def test_wrong_value_or_unit_is_found(text: str) -> None:
