--- a/tests/cache_router/decisions/test_endpoint_polling.py
+++ b/tests/cache_router/decisions/test_endpoint_polling.py
@@ -7,7 +7,7 @@
 from cache_router.decisions.actions import LogMessage, SetTimer, SubscribeToEndpoints
 from cache_router.decisions.events import DiscoveryAddressChanged, EndpointUpdateKind, TimerFired
 from tests.support.driver import Driver, DriverFactory
-from tests.support.router_scenarios import FAILED_CALL, fleet
+from tests.support.router_scenarios import FAILED_POLL, fleet
 
 
 def test_router_subscribes_and_backs_off_after_failures(make_driver: DriverFactory) -> None:
@@ -16,7 +16,7 @@
     backoffs = []
     logged = []
     for _ in range(6):
-        timer, *log = driver.handle(FAILED_CALL)
+        timer, *log = driver.handle(FAILED_POLL)
         logged += [line.message for line in log if isinstance(line, LogMessage)]
         assert isinstance(timer, SetTimer)
         backoffs.append(timer.delay)
@@ -31,7 +31,7 @@
     """Most of the notification deadline of 6 s has passed when a poll without a response times out."""
     driver = make_driver(must_subscribe=True, overload_window=60.0, slow_start_duration=60.0)
     driver.now += driver.settings.watch_budget.poll_timeout
-    (timer,) = (action for action in driver.handle(FAILED_CALL) if isinstance(action, SetTimer))
+    (timer,) = (action for action in driver.handle(FAILED_POLL) if isinstance(action, SetTimer))
     assert timer.delay <= 1.0
 
 
@@ -45,7 +45,7 @@
     """
     driver = make_driver(drain_grace_period=drain_grace_period, overload_window=2.0, slow_start_duration=9.0)
     for _ in range(12):
-        (timer,) = (a for a in driver.handle(FAILED_CALL) if isinstance(a, SetTimer))
+        (timer,) = (a for a in driver.handle(FAILED_POLL) if isinstance(a, SetTimer))
         assert 0 < timer.delay <= max(drain_grace_period / 2, 0.05)  # 50 ms is MIN_BACKOFF
         driver.timers.clear()
         assert driver.handle(TimerFired(timer.timer)) == [SubscribeToEndpoints()]
@@ -55,9 +55,9 @@
     """The backoff after failures of the old address would delay updates from the new one."""
     driver = make_driver(must_subscribe=True)
     for _ in range(4):
-        driver.handle(FAILED_CALL)
+        driver.handle(FAILED_POLL)
     assert driver.handle(DiscoveryAddressChanged()) == [SubscribeToEndpoints()]
-    timer, _ = driver.handle(FAILED_CALL)
+    timer, _ = driver.handle(FAILED_POLL)
     assert isinstance(timer, SetTimer)
     assert timer.delay <= driver.settings.overload_window
 
--- a/tests/cache_router/decisions/test_router_sequences.py
+++ b/tests/cache_router/decisions/test_router_sequences.py
@@ -35,7 +35,7 @@
 from tests.support.driver import Driver
 from tests.support.router_inputs import settings
 from tests.support.router_rules import Outcome
-from tests.support.router_scenarios import CACHE_ASIDE, FAILED_CALL
+from tests.support.router_scenarios import CACHE_ASIDE, FAILED_POLL
 
 SEEDS = range(40)
 EVENT_COUNT = 600
@@ -168,7 +168,7 @@
         self.fires_polls_early = calls > 1
         for _ in range(calls):
             self.is_polling = False
-            self.handle(FAILED_CALL)
+            self.handle(FAILED_POLL)
             if self.fires_polls_early:
                 self.fire_poll_timers()
         self.fires_polls_early = False
--- a/tests/cache_router/decisions/test_single_timers.py
+++ b/tests/cache_router/decisions/test_single_timers.py
@@ -17,7 +17,7 @@
 from cache_router.decisions.idle_connections import CONNECTIONS_PER_PRICE
 from cache_router.simulator_wire import read_timer
 from tests.support.driver import Driver, DriverFactory
-from tests.support.router_scenarios import CACHE_ASIDE, FAILED_CALL, fleet, request_and_miss
+from tests.support.router_scenarios import CACHE_ASIDE, FAILED_POLL, fleet, request_and_miss
 
 ADDRESS_CHANGES = 20
 
@@ -50,10 +50,10 @@
     make_driver: DriverFactory, must_subscribe: bool
 ) -> None:
     driver = make_driver(must_subscribe=must_subscribe)
-    driver.handle(FAILED_CALL)
+    driver.handle(FAILED_POLL)
     for _ in range(ADDRESS_CHANGES):
         driver.handle(DiscoveryAddressChanged())
-        driver.handle(FAILED_CALL)  # the poll at the new address, started at once, fails
+        driver.handle(FAILED_POLL)  # the poll at the new address, started at once, fails
     assert poll_count(fire_all_timers(driver)) == 1
 
 
@@ -62,7 +62,7 @@
     make_driver: DriverFactory, must_subscribe: bool
 ) -> None:
     driver = make_driver(must_subscribe=must_subscribe)
-    driver.handle(FAILED_CALL)
+    driver.handle(FAILED_POLL)
     driver.handle(DiscoveryAddressChanged())  # starts a poll, which stays in flight
     assert poll_count(fire_all_timers(driver)) == 0
 
--- a/tests/cache_router/test_watch_budget.py
+++ b/tests/cache_router/test_watch_budget.py
@@ -20,7 +20,7 @@
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, WatchRecorder, accept_poll, encode_endpoint_list
 from tests.support.loopback import Peer, http
 from tests.support.router_inputs import entry, settings
-from tests.support.router_scenarios import FAILED_CALL
+from tests.support.router_scenarios import FAILED_POLL
 
 SETTINGS = {
     "polled": settings(must_subscribe=True, overload_window=2.0, slow_start_duration=8.9),
@@ -43,7 +43,7 @@
 def fail_poll(driver: Driver, duration: float) -> float:
     """Start a poll now and let it fail after `duration` seconds; return the start time of the next one."""
     driver.now += duration
-    timers = [a for a in driver.handle(FAILED_CALL) if isinstance(a, SetTimer)]
+    timers = [a for a in driver.handle(FAILED_POLL) if isinstance(a, SetTimer)]
     timers = [timer for timer in timers if timer.timer.kind is TimerKind.ENDPOINT_POLL]
     driver.timers.clear()
     assert len(timers) == 1
@@ -145,5 +145,5 @@
     for seed in range(100):
         router = Router(conf, seed, 0.0)
         router.handle(0.0, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, (entry("a"),)))
-        delays += [a.delay for a in router.handle(300.0, FAILED_CALL) if isinstance(a, SetTimer)]
+        delays += [a.delay for a in router.handle(300.0, FAILED_POLL) if isinstance(a, SetTimer)]
     assert max(delays) - min(delays) > 0.4
--- a/tests/support/router_scenarios.py
+++ b/tests/support/router_scenarios.py
@@ -14,7 +14,7 @@
 
 # settings of a deployment in which the router fetches misses from the origin
 CACHE_ASIDE: dict[str, Any] = {"cache_aside": True, "origin_kind": "origin"}
-FAILED_CALL = EndpointUpdate(EndpointUpdateKind.FAILED)
+FAILED_POLL = EndpointUpdate(EndpointUpdateKind.FAILED)
 
 
 def fleet(*names: str) -> list[Endpoint]:
