--- a/cache_router/program.py
+++ b/cache_router/program.py
@@ -11,7 +11,7 @@
 from cache_router.process_signals import block_signals
 from cache_router.server import serve
 
-UNUSABLE_CONFIG_STATUS = 2  # exit status of the process after a `ConfigError`
+CONFIG_ERROR_STATUS = 2  # exit status of the process after a `ConfigError`
 LOG_FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
 
 
@@ -23,7 +23,7 @@
         asyncio.run(_serve_until_shutdown(load_config(path), path))
     except ConfigError as error:
         print(f"cache_router: {error}", file=sys.stderr)
-        return UNUSABLE_CONFIG_STATUS
+        return CONFIG_ERROR_STATUS
     return 0
 
 
--- a/tests/project/test_configuration_page.py
+++ b/tests/project/test_configuration_page.py
@@ -165,7 +165,7 @@
     with monkeypatch.context() as patch:
         patch.setattr(os, "environ", RecordingDict({}, "", keys_read))
         status = program.main()
-    assert status == program.UNUSABLE_CONFIG_STATUS
+    assert status == program.CONFIG_ERROR_STATUS
     assert keys_read == ENVIRONMENT_KEYS <= {row.key for row in ROWS}
     sources = [path.read_text() for path in (ROOT / "cache_router").rglob("*.py")]
     assert sum(len(re.findall(r"\benviron\b|\bgetenv\b", text)) for text in sources) == 1
