--- a/cache_router/decisions/slow_start.py
+++ b/cache_router/decisions/slow_start.py
@@ -60,7 +60,7 @@
         else:
             quota = server.slow_start_quota
         warm_rate = server.size * self._throughput.rate(now, self._settings.overload_window)
-        return quota.is_used_up(self._settings, server.endpoint, warm_rate, now)
+        return quota.is_exhausted(self._settings, server.endpoint, warm_rate, now)
 
     def on_attempt_sent(self, server: Server, now: float) -> None:
         """Count an attempt against the server's quota, if it has one."""
--- a/cache_router/decisions/slow_start_quota.py
+++ b/cache_router/decisions/slow_start_quota.py
@@ -51,7 +51,7 @@
         """Count an attempt sent now, and drop those older than the window; `window` is in seconds."""
         self.sent_at = [*(at for at in self.sent_at if now - at < window), now]
 
-    def is_used_up(self, settings: Settings, endpoint: Endpoint, warm_rate: float, now: float) -> bool:
+    def is_exhausted(self, settings: Settings, endpoint: Endpoint, warm_rate: float, now: float) -> bool:
         """Return whether one more attempt would exceed the quota.
 
         `warm_rate` is the number of responses per second that this router gets from a warm server of the same
--- a/tests/cache_router/decisions/test_slow_start_quota.py
+++ b/tests/cache_router/decisions/test_slow_start_quota.py
@@ -41,26 +41,26 @@
     limit = 13.2 + (2 * math.sqrt(13.2 * 4) + 2) / 4  # 17.33
     quota = SlowStartQuota(offset=0.5)
     admitted = 0
-    while not quota.is_used_up(SETTINGS, entry("a", started_at=STARTED_AT), 5.0, now):
+    while not quota.is_exhausted(SETTINGS, entry("a", started_at=STARTED_AT), 5.0, now):
         quota.add(now, WINDOW)
         admitted += 1
     assert admitted == math.floor(limit - 0.5) + 1 == 17
 
 
-@pytest.mark.parametrize(("offset", "is_used_up"), [(0.49, False), (0.51, True)])
+@pytest.mark.parametrize(("offset", "is_exhausted"), [(0.49, False), (0.51, True)])
 def test_offset_decides_which_routers_send_to_a_server_with_a_small_quota(
-    offset: float, is_used_up: bool
+    offset: float, is_exhausted: bool
 ) -> None:
     """Without throughput of warm servers, only the tolerance remains: two attempts for four routers."""
     quota = SlowStartQuota(offset)
-    assert quota.is_used_up(SETTINGS, entry("a", started_at=STARTED_AT), 0.0, STARTED_AT) is is_used_up
+    assert quota.is_exhausted(SETTINGS, entry("a", started_at=STARTED_AT), 0.0, STARTED_AT) is is_exhausted
 
 
 def test_attempts_older_than_the_window_do_not_count() -> None:
     quota = SlowStartQuota(offset=0.2)
     endpoint = entry("a", started_at=STARTED_AT)
     quota.add(STARTED_AT, WINDOW)
-    assert quota.is_used_up(SETTINGS, endpoint, 0.0, STARTED_AT + WINDOW - 0.01)
-    assert not quota.is_used_up(SETTINGS, endpoint, 0.0, STARTED_AT + WINDOW)
+    assert quota.is_exhausted(SETTINGS, endpoint, 0.0, STARTED_AT + WINDOW - 0.01)
+    assert not quota.is_exhausted(SETTINGS, endpoint, 0.0, STARTED_AT + WINDOW)
     quota.add(STARTED_AT + WINDOW, WINDOW)
     assert quota.sent_at == [STARTED_AT + WINDOW]
