--- a/cache_router/decisions/slow_start.py
+++ b/cache_router/decisions/slow_start.py
@@ -60,14 +60,14 @@
         else:
             quota = server.slow_start_quota
         warm_rate = server.size * self._throughput.rate(now, self._settings.overload_window)
-        return quota.is_used_up(self._settings, server.endpoint, warm_rate, now)
+        return quota.is_exhausted(self._settings, server.endpoint, warm_rate, now)
 
     def on_attempt_sent(self, server: Server, now: float) -> None:
         """Count an attempt against the server's quota, if it has one."""
         if server.slow_start_quota is not None:
             server.slow_start_quota.add(now, self._settings.overload_window)
 
-    def on_good_answer(self, server: Server, now: float) -> None:
+    def on_successful_response(self, server: Server, now: float) -> None:
         """Count a successful response of a cache towards the throughput of warm servers, if it is warm."""
         if self.is_warming_up(server.endpoint, now):
             return
--- a/cache_router/net/discovery.py
+++ b/cache_router/net/discovery.py
@@ -11,7 +11,7 @@
 import orjson
 
 from cache_router.decisions.events import EndpointUpdateKind
-from cache_router.decisions.repeated_events import is_logged
+from cache_router.decisions.log_sampling import is_logged
 from cache_router.net.address import parse_address
 from cache_router.net.endpoint_list_reader import EndpointListError, EndpointListMessage, read_endpoint_list
 from cache_router.net.endpoint_table import EndpointUpdateError, NetworkEndpoint
@@ -122,7 +122,7 @@
         if self._pushed and self._poll_without_wait:
             return Poll(f"{LIST_PATH}?after={self.index}&wait_ms=0", self._budget.response_timeout)
         wait_ms = int(self._budget.long_poll_wait * 1000)
-        return Poll(f"{LIST_PATH}?after={self.index}&wait_ms={wait_ms}", self._budget.call_timeout)
+        return Poll(f"{LIST_PATH}?after={self.index}&wait_ms={wait_ms}", self._budget.poll_timeout)
 
     async def _watch(self) -> None:
         """Poll until a poll fails.
--- a/tests/cache_router/decisions/test_idle_connections.py
+++ b/tests/cache_router/decisions/test_idle_connections.py
@@ -7,7 +7,7 @@
 from cache_router.decisions.actions import Action, CloseIdleConnections
 from cache_router.decisions.concurrency_limit import ConcurrencyLimit
 from cache_router.decisions.events import AttemptStatus
-from cache_router.decisions.idle_connections import KEEP_SHARE, IdleConnections
+from cache_router.decisions.idle_connections import KEEP_ALIVE_SHARE, IdleConnections
 from cache_router.settings import Settings
 from tests.support.driver import Driver, DriverFactory
 from tests.support.router_inputs import settings
@@ -75,9 +75,9 @@
     driver = make_driver(*fleet("a", "b"))
     driver.request("r")
     driver.complete_attempt("r", AttemptStatus.CONNECT_FAILED)
-    assert driver.router.idle_connections.keep_share == KEEP_SHARE / 2
+    assert driver.router.idle_connections.keep_alive_share == KEEP_ALIVE_SHARE / 2
     driver.serve("r")
-    assert KEEP_SHARE / 2 < driver.router.idle_connections.keep_share < KEEP_SHARE
+    assert KEEP_ALIVE_SHARE / 2 < driver.router.idle_connections.keep_alive_share < KEEP_ALIVE_SHARE
 
 
 def idle_connections(router_count: int, connection_price: float, handshake_price: float) -> IdleConnections:
@@ -104,13 +104,13 @@
 ) -> None:
     decision = idle_connections(router_count, connection_price, handshake_price)
     concurrency = ConcurrencyLimit(last_completed_at=99.5)
-    time_left = decision.time_left(concurrency, cache_count=30, now=100.0)
+    time_left = decision.time_until_close(concurrency, cache_count=30, now=100.0)
     assert time_left == pytest.approx(keep_time - 0.5)
 
 
 def test_connections_in_use_are_not_closed() -> None:
     decision = idle_connections(300, 0.03, 0.06)
-    assert decision.time_left(ConcurrencyLimit(in_flight=1), cache_count=30, now=100.0) is None
+    assert decision.time_until_close(ConcurrencyLimit(in_flight=1), cache_count=30, now=100.0) is None
 
 
 @pytest.mark.parametrize(("router_count", "is_kept"), [(100, True), (101, False)])
@@ -118,4 +118,4 @@
     router_count: int, is_kept: bool
 ) -> None:
     decision = idle_connections(router_count, 0.0, 0.06)
-    assert (decision.time_left(ConcurrencyLimit(), cache_count=30, now=100.0) is None) is is_kept
+    assert (decision.time_until_close(ConcurrencyLimit(), cache_count=30, now=100.0) is None) is is_kept
--- a/tests/support/router_scenarios.py
+++ b/tests/support/router_scenarios.py
@@ -14,7 +14,7 @@
 
 # Settings of a deployment in which the router fetches missing objects from the origin
 CACHE_ASIDE: dict[str, Any] = {"cache_aside": True, "origin_kind": "origin"}
-FAILED_CALL = EndpointUpdate(EndpointUpdateKind.FAILED)
+FAILED_POLL = EndpointUpdate(EndpointUpdateKind.FAILED)
 
 
 def fleet(*names: str) -> list[Endpoint]:
@@ -46,7 +46,7 @@
 
 def ignore_key_popularity(driver: Driver) -> None:
     """Make the router treat every key as unpopular; it would spread a popular key over more servers."""
-    driver.router.selector.popularity.count = lambda *_: 0.0  # type: ignore[method-assign]
+    driver.router.selector.popularity.record_request = lambda *_: 0.0  # type: ignore[method-assign]
 
 
 def servers_clockwise(driver: Driver, key: str) -> list[str]:
