--- a/tests/cache_router/decisions/test_endpoints.py
+++ b/tests/cache_router/decisions/test_endpoints.py
@@ -44,7 +44,7 @@
     endpoint_list = applied(entry("a", weight=3.0), entry("b", weight=1.0), entry("c", weight=0.0))
     assert sizes(endpoint_list) == {"a": 3.0, "b": 1.0, "c": 3.0}
     assert endpoint_list.total_size == 7.0
-    assert endpoint_list.ring.size == 96 + 32 + 96  # the unit is 4, the next power of two: 128 points
+    assert endpoint_list.ring.size == 96 + 32 + 96  # 128 points per unit, which is 4, the next power of two
 
 
 def test_sizes_are_one_where_no_weight_is_known() -> None:
--- a/tests/cache_router/decisions/test_extreme_values.py
+++ b/tests/cache_router/decisions/test_extreme_values.py
@@ -3,7 +3,7 @@
 Guards against three faults. One weight of 1e308 raised OverflowError in `EndpointList` (`2.0 **
 math.ceil(math.log2(...))`) at each of 51 polls in 8 s, so that changes of the two other servers were never
 applied. One load report with `svc_ms=1e300` kept every server's backoff at 11.3 s instead of 0.26 s for
-3,066 answers. One attempt that hung for ten minutes had the same effect on the queueing latency.
+3,066 responses. One attempt that hung for ten minutes had the same effect on the queueing latency.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 def answer_with_report(driver: Driver, name: str, service_time: float) -> None:
-    """Send a request and answer it, with the load report of a server without a queue."""
+    """Send a request, and complete its attempt with a load report of a server without a queue."""
     driver.request(name)
     report = LoadReport(service_time, queue_length=0.0)
     driver.handle(AttemptCompleted(name, 0, AttemptStatus.OK, True, 0.05, report))
--- a/tests/cache_router/decisions/test_hedging.py
+++ b/tests/cache_router/decisions/test_hedging.py
@@ -16,7 +16,7 @@
 
 
 def send_unanswered_request(driver: Driver, name: str, **fields: Any) -> None:
-    """Send a request that stays unanswered to a fleet whose servers usually answer fast."""
+    """Send a request that stays unanswered to a fleet whose servers usually respond fast."""
     driver.update_endpoints(*fleet("a", "b", "o"))
     for server in driver.router.endpoints.servers.values():
         server.concurrency.latency = 0.01
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("answers_others", [True, False])
 def test_read_without_answer_is_hedged(make_driver: DriverFactory, answers_others: bool) -> None:
-    """Without hedging, a lost answer costs the whole latency objective, though servers may have the key."""
+    """Otherwise a lost response costs the whole latency objective, though the server may have the key."""
     driver = make_driver(**CACHE_ASIDE)
     send_unanswered_request(driver, "r1")
     first = driver.servers_tried("r1")[0]
@@ -72,7 +72,7 @@
 def test_few_fast_answers_of_one_server_do_not_shorten_the_hedge_delay(make_driver: DriverFactory) -> None:
     """The hedge delay depends on the latency of all servers.
 
-    One or two answers of a server may be unusually fast. With a delay derived from them, needless hedged
+    One or two responses of a server may be unusually fast. With a delay derived from them, needless hedged
     requests would be a tenth of all attempts.
     """
     driver = make_driver(*single_zone_fleet("abcdef"))
--- a/tests/cache_router/decisions/test_idle_connection_closer.py
+++ b/tests/cache_router/decisions/test_idle_connection_closer.py
@@ -1,4 +1,4 @@
-"""When idle connections to a server are closed, and when the closer checks them again."""
+"""The time at which idle connections to a server are closed, and the closer's timer for its next check."""
 
 from __future__ import annotations
 
--- a/tests/cache_router/decisions/test_idle_connections.py
+++ b/tests/cache_router/decisions/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""How long idle connections are kept, by their price, the request rate and failed connects."""
+"""The time for which idle connections are kept: it follows from prices, request rate and failed connects."""
 
 from __future__ import annotations
 
@@ -95,7 +95,7 @@
         (150, 0.03, 0.06, 3000 / 3000),
         (300, 0.03, 0.06, 3000 / 6000),
         (300, 0.06, 0.06, 1500 / 6000),
-        # without a price: 100 connections at each of 30 caches
+        # A connection has no price here: 100 connections at each of 30 caches are kept.
         (300, 0.0, 0.06, 3000 / 6000),
     ],
 )
--- a/tests/cache_router/decisions/test_long_outage.py
+++ b/tests/cache_router/decisions/test_long_outage.py
@@ -15,7 +15,7 @@
 def test_each_failed_call_of_a_long_outage_sets_a_timer_for_the_next(
     make_driver: DriverFactory, must_subscribe: bool
 ) -> None:
-    """Without a timer for the next call, the router would keep an outdated list after discovery recovers."""
+    """Without a timer for the next poll, the router would keep an outdated list after discovery recovers."""
     driver = make_driver(must_subscribe=must_subscribe)
     for call in range(FAILED_CALLS):
         timers = [action for action in driver.handle(FAILED_CALL) if isinstance(action, SetTimer)]
--- a/tests/cache_router/decisions/test_origin_scheduler.py
+++ b/tests/cache_router/decisions/test_origin_scheduler.py
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def scheduler() -> OriginScheduler:
-    """The scheduler of a router whose origin "o" takes one request at a time, and answers in 0.2 s."""
+    """The scheduler of a router whose origin "o" takes one request at a time, and responds in 0.2 s."""
     router = started_router("a", "o", now=NOW, **CACHE_ASIDE)
     origin = router.endpoints.servers["o"].concurrency
     origin.limit = 1.0
@@ -43,7 +43,7 @@
 
 
 def complete_at_origin(scheduler: OriginScheduler, request_id: str) -> None:
-    """Complete the only attempt of a request with an answer of the origin."""
+    """Complete the only attempt of a request with a response of the origin."""
     assert scheduler.sender.complete(request_id, 0, AttemptStatus.OK) is not None
     origin_of(scheduler).concurrency.on_attempt_completed(NOW)
 
--- a/tests/cache_router/decisions/test_outlier_detection.py
+++ b/tests/cache_router/decisions/test_outlier_detection.py
@@ -58,7 +58,7 @@
 
 
 def test_no_more_than_half_the_fleet_is_ejected(make_driver: DriverFactory) -> None:
-    """When all servers fail the cause is elsewhere, and a few remaining ones would be overloaded."""
+    """When all servers fail the cause is elsewhere, and the few remaining ones would be overloaded."""
     driver = make_driver(*fleet("a", "b", "c", "d"))
     for server in driver.router.endpoints.servers.values():
         for _ in range(2 * outlier_detection.CONSECUTIVE_FAILURES):
--- a/tests/cache_router/decisions/test_overload_backoff.py
+++ b/tests/cache_router/decisions/test_overload_backoff.py
@@ -15,7 +15,7 @@
 
 
 def report_overload(driver: Driver, name: str, service_time: float = 0.5, queue_length: float = 20.0) -> str:
-    """Let a server reject a request and report its load, in seconds and requests; return its name."""
+    """Let a server reject a request with a load report; return the server. The service time is in seconds."""
     server = driver.request(name, key="k")
     assert server is not None
     report = LoadReport(service_time, queue_length)
--- a/tests/cache_router/decisions/test_router_properties.py
+++ b/tests/cache_router/decisions/test_router_properties.py
@@ -19,7 +19,7 @@
 from tests.support.router_inputs import entry, settings
 from tests.support.router_scenarios import CACHE_ASIDE, fleet
 
-# weighted by repetition
+# Kinds of events; one that is listed n times is drawn n times as often.
 EVENTS = [
     *["request"] * 4,
     *["attempt completed"] * 5,
@@ -58,7 +58,7 @@
             self.disconnect(name)
 
     def random_endpoint_update(self, data: st.DataObject) -> None:
-        """Draw an endpoint update, or the failure of a call to discovery."""
+        """Draw an endpoint update, or the failure of a poll of discovery."""
         kind = data.draw(st.sampled_from(list(EndpointUpdateKind)))
         names = data.draw(st.lists(st.sampled_from("abcdo"), unique=True))
         states = st.sampled_from(
@@ -81,7 +81,7 @@
 
 
 def request_classes(scope: IdempotencyScope) -> dict[str, RequestClass]:
-    """Return a class of each idempotency, and one with a short latency objective."""
+    """Return a class for each kind of idempotency, and one with a short latency objective."""
     keyed = RequestClass(
         "keyed", 1.0, Idempotency.WITH_KEY, scope, idempotency_window=0.5, priority_weight=5.0
     )
--- a/tests/cache_router/decisions/test_router_rules.py
+++ b/tests/cache_router/decisions/test_router_rules.py
@@ -42,7 +42,7 @@
 
 
 def lose_first_attempt(rules: RouterRules) -> None:
-    """Send the request to "a", and lose the answer."""
+    """Send the request to "a", and lose the response."""
     rules.check_action(Send("r", "a"), NOW)
     rules.record_completion("r", 0, AttemptStatus.RESET)
 
--- a/tests/cache_router/decisions/test_server_selection.py
+++ b/tests/cache_router/decisions/test_server_selection.py
@@ -1,4 +1,4 @@
-"""The bounded walk on the hash ring past servers at capacity or silent, and the spreading of hot keys."""
+"""The bounded walk on the hash ring past silent servers and those at capacity; the spreading of hot keys."""
 
 from __future__ import annotations
 
--- a/tests/cache_router/decisions/test_single_timers.py
+++ b/tests/cache_router/decisions/test_single_timers.py
@@ -1,7 +1,7 @@
 """At most one timer is active for each purpose.
 
 A host cannot cancel a timer. When a change of discovery's address started a poll and left the old backoff
-timer active, each change added a chain of failing polls until discovery answered. After 20 changes in an
+timer active, each change added a chain of failing polls until discovery responded. After 20 changes in an
 outage, a router made 12 polls a second instead of 6 where updates are pushed, and 3.1 instead of 0.4 where
 it polls itself. Timers of the other kinds were duplicated in the same way.
 """
@@ -91,9 +91,9 @@
 
 
 def test_retry_is_not_hedged_at_the_time_of_the_attempt_before_it(make_driver: DriverFactory) -> None:
-    """A hedged request that is sent too early only adds load while an answer is about to arrive."""
+    """A hedged request that is sent too early only adds load while a response is about to arrive."""
     driver = make_driver(*fleet("a", "b", "c"))
-    for n in range(30):  # so that the latency of each server is known
+    for n in range(30):  # makes the latency of each server known
         driver.request(f"known-{n}", key=f"k{n}", finish=True)
     driver.request("r")
     (first_hedge,) = (read_timer(token) for _, token in driver.timers if token.endswith(":r"))
--- a/tests/cache_router/decisions/test_slow_start.py
+++ b/tests/cache_router/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the attempts at warming servers by one router, and by thirty routers on a simulated clock."""
+"""Slow start: attempts that one router, or thirty on a simulated clock, send to warming servers."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
     warming.concurrency.latency = 0.01
     warming.grant_slow_start_quota(0.01)
     name = next(n for n in map(str, count()) if driver.request(n) == "b")
-    warming.concurrency.unanswered_since = driver.now + 0.001  # it has responded to others since
+    warming.concurrency.unanswered_since = driver.now + 0.001  # it has responded to other attempts since
     driver.advance(hedging.LATENCY_FACTOR * 0.01)
     assert driver.servers_tried(name) == ["b", hedge_server]
 
--- a/tests/cache_router/decisions/test_slow_start_quota.py
+++ b/tests/cache_router/decisions/test_slow_start_quota.py
@@ -51,7 +51,7 @@
 def test_offset_decides_which_routers_send_to_a_server_with_a_small_quota(
     offset: float, is_used_up: bool
 ) -> None:
-    """Without throughput of warm servers, only the tolerance remains: two attempts for four routers."""
+    """Without throughput of warm servers, each quota is half an attempt: a tolerance of 2 for 4 routers."""
     quota = SlowStartQuota(offset)
     assert quota.is_used_up(SETTINGS, entry("a", started_at=STARTED_AT), 0.0, STARTED_AT) is is_used_up
 
--- a/tests/cache_router/decisions/test_subscription.py
+++ b/tests/cache_router/decisions/test_subscription.py
@@ -1,4 +1,4 @@
-"""When the router subscribes to the endpoint list, and what it does after a failure."""
+"""The events that make the router subscribe to the endpoint list, and its reaction to a failure."""
 
 from __future__ import annotations
 
--- a/tests/cache_router/net/test_cache_connection.py
+++ b/tests/cache_router/net/test_cache_connection.py
@@ -28,7 +28,7 @@
 async def test_responses_of_a_cache_server(
     peer: Peer, attempt_recorders: AttemptRecorders, response: bytes, status: AttemptStatus, value: bytes
 ) -> None:
-    """Only an error that starts with BUSY is a rejection; any other is an error: the request may have run."""
+    """Only an error that starts with BUSY is a rejection; after any other error the request may have run."""
     attempts = attempt_recorders.on_caches()
     attempts.start(peer.address)
     link = await peer.link()
--- a/tests/cache_router/net/test_client_connection.py
+++ b/tests/cache_router/net/test_client_connection.py
@@ -133,7 +133,7 @@
 
 
 async def client_with_full_pipeline(router: Router) -> tuple[Link, ClientConnection]:
-    """Return a client that has sent twice the commands that may be pipelined, and the router's side of it."""
+    """Return a client that has sent twice the pipeline limit of commands, and the router's side of it."""
     client = await router.client()
     client.write(b"".join(read(f"r{n}") for n in range(2 * MAX_PIPELINED_COMMANDS)))
     await wait_until(router.client_connections)
--- a/tests/cache_router/net/test_client_connection_table.py
+++ b/tests/cache_router/net/test_client_connection_table.py
@@ -11,7 +11,7 @@
 
 
 class StubConnection:
-    """A connection of which the table uses only the identity."""
+    """A connection without behaviour; the table uses only its identity."""
 
     def has_sent_single_command(self) -> bool:
         raise NotImplementedError
--- a/tests/cache_router/net/test_connection_pool.py
+++ b/tests/cache_router/net/test_connection_pool.py
@@ -12,7 +12,7 @@
 
 
 async def test_longest_idle_connection_is_used_first(peer: Peer, attempt_recorders: AttemptRecorders) -> None:
-    """A late second response on a connection that is reused would be taken for that of the next request."""
+    """A late second response on a reused connection would be taken for the response to the next request."""
     attempts = attempt_recorders.on_caches()
     links = [await attempts.start_on(peer) for _ in range(2)]
     for link in links:
--- a/tests/cache_router/net/test_descriptors.py
+++ b/tests/cache_router/net/test_descriptors.py
@@ -112,7 +112,7 @@
         task.cancel()
 
 
-# descriptors that the configuration allows; the smaller limit of the process applies in both cases
+# Descriptors that the configuration allows. The process limit of 64 applies in both cases.
 @pytest.mark.parametrize("allowed", [DESCRIPTOR_LIMIT, 1024])
 @pytest.mark.parametrize("agent_state", ["refused", "silent"])
 @pytest.mark.time_limit(PROCESS_TEST_TIMEOUT)
--- a/tests/cache_router/net/test_disconnect_races.py
+++ b/tests/cache_router/net/test_disconnect_races.py
@@ -23,7 +23,7 @@
 from tests.support.loopback_router import Router, router_with
 from tests.support.upstream_attempts import GET
 
-# how a client disconnects
+# Ways in which a client disconnects.
 DISCONNECTS = ["closes", "half-closes", "resets"]
 
 
@@ -63,7 +63,7 @@
 
 
 async def open_idle_connections(router: Router) -> dict[str, Link]:
-    """Open an idle connection to every server, so that attempts are written at once; return them by name."""
+    """Open an idle connection to each server, so that attempts are written at once; return all by name."""
     endpoints = router.dispatcher.endpoints
     links: dict[str, Link] = {}
     responses: asyncio.Queue[UpstreamResponse] = asyncio.Queue()
@@ -108,7 +108,7 @@
     cache.write(HIT)
     assert await regular.resp() == b"value"
     last = await router.client()
-    await last.ping()  # by now the client before it has been accepted
+    await last.ping()  # the reply shows that `client` has been accepted too
     other.write(HIT)
     assert await surplus.resp() == b"value"
     client.close()
@@ -175,7 +175,7 @@
 async def test_read_is_not_attempted_again_for_a_client_that_disconnected_at_the_same_time(
     router: Router, cause: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The event loop handles what causes the attempt first, and the client's disconnect right after it."""
+    """The event loop handles the cause of the attempt first, and the client's disconnect right after it."""
     links = await open_idle_connections(router)
     written = record_written_requests(monkeypatch)
     DelayedConnections(monkeypatch, *router.caches.values())
--- a/tests/cache_router/net/test_discovery.py
+++ b/tests/cache_router/net/test_discovery.py
@@ -77,7 +77,7 @@
 
 
 async def test_poll_of_a_silent_discovery_times_out(peer: Peer) -> None:
-    """Discovery considers the router notified: if it waited longer, it would send to draining servers."""
+    """Discovery considers the router notified; a router that waited longer would send to draining servers."""
     recorder = WatchRecorder(
         peer,
         WatchBudget(response_timeout=0.05, max_backoff=0.0, scheduling_slack=0.0, notification_deadline=0.15),
--- a/tests/cache_router/net/test_faults_of_decisions.py
+++ b/tests/cache_router/net/test_faults_of_decisions.py
@@ -1,4 +1,4 @@
-"""The decision module raises once, at each kind of event: clients are answered, the watch is renewed.
+"""The decision module raises once at each kind of event: clients still get replies, the watch is renewed.
 
 An OverflowError in the report of a failed poll once ended the task of the watch, which nothing renewed and
 only asyncio logged. Later events stayed in the queue until another one was posted, and their requests got no
@@ -42,7 +42,7 @@
 def raise_once(
     router: Router, monkeypatch: pytest.MonkeyPatch, when: str, matches: Callable[[Event], bool]
 ) -> list[Event]:
-    """Make the decision module raise at the next event that `matches`; return a list that receives it."""
+    """Raise in the decision module at the next event that `matches` accepts; return a list of that event."""
     handle = router.dispatcher.router.handle
     raised: list[Event] = []
 
@@ -181,7 +181,7 @@
 async def test_update_that_failed_is_received_as_a_whole(
     when: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Otherwise the next poll would ask for later updates only, and this one would never be applied."""
+    """Otherwise the next poll would request later updates only, and this one would never be applied."""
     async with Peer() as agent, Router(SUBSCRIBING) as router:
         raise_once(router, monkeypatch, when, lambda event: isinstance(event, EndpointUpdate))
         router.watch(agent)
--- a/tests/cache_router/net/test_origin_connection.py
+++ b/tests/cache_router/net/test_origin_connection.py
@@ -51,7 +51,7 @@
 async def test_responses_of_the_origin(
     peer: Peer, attempt_recorders: AttemptRecorders, response: bytes, status: AttemptStatus, value: bytes
 ) -> None:
-    """Only `Not-Started: 1` with status 503 or 504 is a rejection; after any other error it may have run."""
+    """Only `Not-Started: 1` with 503 or 504 is a rejection; after other errors the request may have run."""
     attempts = attempt_recorders.on_origin()
     link, request_line, headers, _ = await start_on_origin(peer, attempts)
     assert request_line == "GET /k HTTP/1.1"
--- a/tests/cache_router/net/test_unread_disconnects.py
+++ b/tests/cache_router/net/test_unread_disconnects.py
@@ -32,7 +32,7 @@
     client.write(read("r1") + {"error": command("GET", "k"), "framing": b"noise\r\n"}.get(state, b""))
     cache = await router.cache()
     await cache.resp()
-    if state == "slow":  # as the transport does when the client reads no replies
+    if state == "slow":  # the transport pauses writing when the client reads no replies
         router.client_connections()[0].pause_writing()
     await disconnect(router, client)
     if response is None:
--- a/tests/cache_router/net/test_upstream_connection.py
+++ b/tests/cache_router/net/test_upstream_connection.py
@@ -38,7 +38,7 @@
 
 
 async def connect(owner: RecordingOwner, peer: Peer) -> CacheConnection:
-    """Return an established connection to a peer that notifies an owner."""
+    """Connect to a peer; return the connection, which notifies the owner of its states."""
     _, connection = await asyncio.get_running_loop().create_connection(
         lambda: CacheConnection(owner, peer.address, "incarnation"), *parse_address(peer.address)
     )
@@ -64,7 +64,7 @@
 
 
 async def test_aborted_connection_notifies_its_owner_at_once(peer: Peer) -> None:
-    """If it were counted until the event loop has closed it, no other could be opened in its place."""
+    """If the pool counted it until the event loop has closed it, no other could be opened in its place."""
     owner = RecordingOwner()
     connection = await connect(owner, peer)
     connection.abort()
--- a/tests/cache_router/net/test_watch_failures.py
+++ b/tests/cache_router/net/test_watch_failures.py
@@ -51,7 +51,7 @@
 
 
 async def test_first_poll_of_a_new_address_times_out_without_its_wait() -> None:
-    """A new address must notify the router within 4 s of SIGHUP, so a lost first poll must not take 5 s."""
+    """Updates from a new address are due within 4 s of SIGHUP, so a lost first poll must not take 5 s."""
     async with Peer() as old, Peer() as new, Router(AGENT_SETTINGS) as router:
         router.watch(old, pushed=True, budget=WatchBudget(response_timeout=0.02, notification_deadline=600.0))
         await next_poll(old)  # the first poll, at startup
--- a/tests/cache_router/test_address_changes.py
+++ b/tests/cache_router/test_address_changes.py
@@ -52,10 +52,10 @@
 async def test_backoff_is_kept_after_many_changes_of_address(
     mode: str, observed_polls: int, closed_address: str, tmp_path: Path
 ) -> None:
-    """A number of polls takes a minimum time, also on a busy machine.
+    """A given number of failing polls takes a minimum time, also on a busy machine.
 
-    The fault: each change of the address started another chain of polls, so that the polls took a small part
-    of that time.
+    The fault: each change of the address started another chain of polls, so that the same number of polls
+    took only a small part of that time.
     """
     path = tmp_path / "config.json"
     async with Peer() as cache, Peer() as reachable:
--- a/tests/cache_router/test_server.py
+++ b/tests/cache_router/test_server.py
@@ -39,7 +39,8 @@
         path.write_bytes(config)
     monkeypatch.setenv("RELAY_CONFIG", str(path))
     status = main()
-    # A listener that could not be bound keeps its socket until the process exits, which this one does not.
+    # A listener that could not be bound keeps its socket until the process exits. The test process
+    # does not exit, so the socket is closed here.
     with warnings.catch_warnings():
         warnings.simplefilter("ignore", ResourceWarning)
         gc.collect()
--- a/tests/cache_router/test_shutdown.py
+++ b/tests/cache_router/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown over loopback: which requests and clients are still served."""
+"""Graceful shutdown over loopback: requests and clients that are still served."""
 
 from __future__ import annotations
 
--- a/tests/cache_router/test_signals.py
+++ b/tests/cache_router/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals during startup and exit of the program, each sent at a point where the test halts it.
+"""Signals during startup, shutdown and exit of the program, most of them sent where the test halts it.
 
 Faults that these tests guard against: SIGHUP in the first half second after the start killed the process (6
 of 6), because the event loop had no handlers yet. Signals during a graceful shutdown killed it with the
@@ -79,7 +79,7 @@
         os.close(descriptor)
 
     def send_repeatedly(self, number: signal.Signals) -> None:
-        """Send a signal `REPEATS` times in a row."""
+        """Send a signal `REPEATS` times without a pause."""
         for _ in range(REPEATS):
             send_signal(self.process, number)
 
--- a/tests/cache_router/test_simulator_adapter.py
+++ b/tests/cache_router/test_simulator_adapter.py
@@ -26,7 +26,7 @@
 
 
 def endpoint_update(scope: str, generation: int, lines: list[dict[str, Any]] | None) -> dict[str, Any]:
-    """Return an endpoint update, or the failure of a call for one, in wire format."""
+    """Return an endpoint update, or the failure of a poll for one, in wire format."""
     return {"op": "Membership", "scope": scope, "generation": generation, "lines": lines}
 
 
--- a/tests/cache_router/test_watch_budget.py
+++ b/tests/cache_router/test_watch_budget.py
@@ -41,7 +41,7 @@
 
 
 def fail_poll(driver: Driver, duration: float) -> float:
-    """Start a poll now and let it fail after `duration` seconds; return the start time of the next one."""
+    """Let the poll that starts now fail after `duration` seconds; return the start time of the next one."""
     driver.now += duration
     timers = [a for a in driver.handle(FAILED_CALL) if isinstance(a, SetTimer)]
     timers = [timer for timer in timers if timer.timer.kind is TimerKind.ENDPOINT_POLL]
@@ -139,7 +139,7 @@
 
 
 def test_broken_long_subscriptions_are_renewed_with_jitter() -> None:
-    """If updates are pushed, all routers lose their subscriptions at once and have no poll in flight."""
+    """All routers lose their subscriptions at once; their next polls must not start at the same time."""
     conf = SETTINGS["polled"]
     delays = []
     for seed in range(100):
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -200,7 +200,7 @@
 
 
 def _notification_deadline(changed_at: float, run: SoakRun) -> float:
-    """Return the latest time at which the router has to know a change, infinite without one.
+    """Return the latest time at which the router has to know a change; infinite if it never has to.
 
     The router has to know it once discovery has been reachable for the whole notification deadline.
     """
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -101,7 +101,7 @@
                 return
 
     async def _stay_idle(self, reader: asyncio.StreamReader, pause: float) -> None:
-        """Send nothing for `pause` seconds; any data that arrives meanwhile is a violation."""
+        """Send nothing for `pause` seconds; any data that arrives in that time is a violation."""
         with suppress(TimeoutError):
             async with asyncio.timeout(pause):
                 if await reader.read(1):
@@ -150,7 +150,7 @@
     ) -> bool:
         """Read the next reply; return False if the connection closes before it."""
         while (reply := parser.gets()) is Ellipsis:
-            # Only ends the wait for a reply that never arrives: the deadlines are checked after the run.
+            # This timeout ends the wait for a reply that never arrives. Deadlines are checked after the run.
             async with asyncio.timeout(request.deadline * MAX_BATCH_DEADLINES + 2.0):
                 data = await reader.read(65536)
             if not data:
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -24,7 +24,7 @@
     version: int = 1
     entries: dict[str, dict[str, Any]] = field(default_factory=dict)
     changed_in_version: dict[str, int] = field(default_factory=dict)
-    sent_versions: dict[str, list[tuple[float, int]]] = field(default_factory=dict)  # (time, version)
+    sent_versions: dict[str, list[tuple[float, int]]] = field(default_factory=dict)  # (time, version) by name
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def put(self, entry: dict[str, Any]) -> None:
--- a/tests/soak/observations.py
+++ b/tests/soak/observations.py
@@ -19,7 +19,7 @@
     server: str
     is_origin: bool = False
     proves_no_execution: bool = False  # whether the response rules out an execution
-    ended_at: float | None = None  # answered, or its connection closed
+    ended_at: float | None = None  # time of the response, or of the close of the connection
 
 
 @dataclass(slots=True)
@@ -47,7 +47,7 @@
     started_at: float
     lag: float  # seconds by which the observer may have recorded the time late
     address: str
-    ended_at: float | None = None  # answered, or its connection closed
+    ended_at: float | None = None  # time of the response, or of the close of the connection
     failed: bool = False
 
 
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -73,7 +73,7 @@
 
     time: float  # seconds after the first start of the router
     kind: CacheMode | OriginMode | DiscoveryMode | SignalSeries | str
-    cache_index: int = 0  # index of the affected cache server, unused by other kinds
+    cache_index: int = 0  # index of the affected cache server; unused if no cache server is affected
 
 
 @dataclass(slots=True)
--- a/tests/soak/router.py
+++ b/tests/soak/router.py
@@ -21,7 +21,7 @@
 READY_POLL_INTERVAL = 0.05  # seconds between two PINGs that test whether the router is ready
 ALTERNATION_COUNT = 6  # changes of the address after the first one
 ALTERNATION_INTERVAL = 0.02  # seconds between two changes of the address
-PYTHON_START_TIMEOUT = 1.0  # seconds to wait until the program is in control of SIGHUP
+PYTHON_START_TIMEOUT = 1.0  # seconds to wait until the program blocks or handles SIGHUP
 SIGNAL_MASK_FIELDS = ("SigBlk", "SigCgt")  # masks of the blocked and the handled signals in /proc/PID/status
 SIGHUP_BIT = 1 << (signal.SIGHUP - 1)
 SIGNAL_REPEAT_INTERVAL = 0.003  # seconds; short enough for signals to arrive in each phase of a shutdown
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -29,7 +29,7 @@
 from tests.soak.router import RouterProcess
 from tests.soak.upstreams import Cache, Origin
 
-MAX_MEMORY_GROWTH = 40.0  # MB of resident memory more than before the load
+MAX_MEMORY_GROWTH = 40.0  # MB by which the load may increase the resident memory
 SETTLE_TIME = 1.5  # seconds between the end of the load and the check of resources
 LOAD_BEFORE_END = 1.0  # seconds of load before the last SIGTERM
 CLOSE_DETECTION_TIME = 0.3  # seconds after the end of the process for clients to detect closed connections
