--- a/tests/scale_experiments/conftest.py
+++ b/tests/scale_experiments/conftest.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from tests.support.connection_pools import Play, play_on_real_pool, play_on_simulated_pool
+from tests.support.connection_pools import ScenarioRunner, run_on_real_pool, run_on_simulated_pool
 
 
-@pytest.fixture(params=[play_on_real_pool, play_on_simulated_pool], ids=["real", "simulated"])
-def play(request: pytest.FixtureRequest) -> Play:
-    """Return a function that plays a scenario on one of the pools, with a budget of descriptors."""
-    return cast(Play, request.param)
+@pytest.fixture(params=[run_on_real_pool, run_on_simulated_pool], ids=["real", "simulated"])
+def run_scenario(request: pytest.FixtureRequest) -> ScenarioRunner:
+    """Return a function that runs a scenario on one of the pools, with a budget of descriptors."""
+    return cast(ScenarioRunner, request.param)
--- a/tests/support/connection_pools.py
+++ b/tests/support/connection_pools.py
@@ -43,13 +43,14 @@
 class PoolUnderTest(Protocol):
     """A pool of connections to one server. They are numbered in the order in which they were opened."""
 
-    async def send(self, process: int = 1, ends: AttemptStatus | None = None) -> Outcome:
-        """Start an attempt at one process of the server.
+    async def send(self, incarnation: int = 1, precondition_status: AttemptStatus | None = None) -> Outcome:
+        """Start an attempt at one incarnation of the server.
 
-        `ends` is the status that the precondition returns after a new connection has been established.
+        `precondition_status` is the status that the precondition returns after a new connection has been
+        established.
         """
 
-    async def answer(self, connection: int) -> None:
+    async def respond(self, connection: int) -> None:
         """Let the server respond to the attempt on a connection."""
 
     async def abandon(self, connection: int) -> None:
@@ -104,18 +105,20 @@
     async def _next_outcome(self) -> Outcome:
         return await asyncio.wait_for(self.outcomes.get(), OUTCOME_TIMEOUT)
 
-    async def send(self, process: int = 1, ends: AttemptStatus | None = None) -> Outcome:
+    async def send(self, incarnation: int = 1, precondition_status: AttemptStatus | None = None) -> Outcome:
         def on_completed(response: UpstreamResponse) -> None:
             self.outcomes.put_nowait(response.status)
 
-        attempt = UpstreamAttempt(GET, ATTEMPT_TIMEOUT, on_completed, precondition=lambda: ends)
-        self.pool.start(attempt, self.peer.address, process)
+        attempt = UpstreamAttempt(
+            GET, ATTEMPT_TIMEOUT, on_completed, precondition=lambda: precondition_status
+        )
+        self.pool.start(attempt, self.peer.address, incarnation)
         outcome = await self._next_outcome()
         if isinstance(outcome, int):
             self.attempts[outcome] = attempt
         return outcome
 
-    async def answer(self, connection: int) -> None:
+    async def respond(self, connection: int) -> None:
         self.links[connection].write(HIT)
         assert await self._next_outcome() is AttemptStatus.OK
 
@@ -172,17 +175,17 @@
         )
         self.attempts: list[Attempt] = []  # the last attempt on each connection
 
-    async def send(self, process: int = 1, ends: AttemptStatus | None = None) -> Outcome:
-        endpoint = Endpoint(self.server.name, weight=1.0, started_at=float(process))
+    async def send(self, incarnation: int = 1, precondition_status: AttemptStatus | None = None) -> Outcome:
+        endpoint = Endpoint(self.server.name, weight=1.0, started_at=float(incarnation))
         self.endpoints[endpoint.name] = endpoint
         request = PendingRequest("r1", self.runner, ClientRequest("k", False, START))
         self.runner.start(request, endpoint.name)
         attempt = next(iter(request.attempts_in_flight.values()), None)
-        if ends is AttemptStatus.NOT_SENT:
+        if precondition_status is AttemptStatus.NOT_SENT:
             request.mark_overdue()
-        if ends is AttemptStatus.CONNECT_FAILED:
+        if precondition_status is AttemptStatus.CONNECT_FAILED:
             draining = Endpoint(
-                endpoint.name, weight=1.0, started_at=float(process), state=EndpointState.DRAINING
+                endpoint.name, weight=1.0, started_at=float(incarnation), state=EndpointState.DRAINING
             )
             self.endpoints[endpoint.name] = draining
         self.events.run(0.01)
@@ -197,7 +200,7 @@
             self.attempts.append(attempt)
         return self.completed_attempts[-1][1] if attempt.is_finished else number
 
-    async def answer(self, connection: int) -> None:
+    async def respond(self, connection: int) -> None:
         attempt = self.attempts[connection]
         self.runner.pool.receive_response(attempt, AttemptStatus.OK, LoadReport(0.0, 0.0))
         assert self.completed_attempts[-1] == (attempt, AttemptStatus.OK)
@@ -217,19 +220,19 @@
 
 
 Scenario = Callable[[PoolUnderTest], Coroutine[Any, Any, None]]
-Play = Callable[[Scenario, int], None]
+ScenarioRunner = Callable[[Scenario, int], None]
 
 
-def play_on_real_pool(scenario: Scenario, budget: int) -> None:
-    async def play() -> None:
+def run_on_real_pool(scenario: Scenario, budget: int) -> None:
+    async def run_scenario() -> None:
         async with Peer() as peer:
             pool = RealPool(peer, budget)
             await scenario(pool)
             pool.stop()
 
     with asyncio.Runner(loop_factory=AdjustableLoop) as runner:
-        runner.run(play())
+        runner.run(run_scenario())
 
 
-def play_on_simulated_pool(scenario: Scenario, budget: int) -> None:
+def run_on_simulated_pool(scenario: Scenario, budget: int) -> None:
     asyncio.run(scenario(SimulatedPool(budget)))
