--- a/scale_experiments/scenarios/cold_start.py
+++ b/scale_experiments/scenarios/cold_start.py
@@ -155,7 +155,7 @@
     """Shut the cache down and notify all routers."""
     name = cache.endpoint.name
     fleet.fail_servers([name], is_silent=False)
-    fleet.notify_all([name], EndpointState.REMOVED, REMOVAL_NOTICE_S, parameters.spread_s)
+    fleet.send_endpoint_updates([name], EndpointState.REMOVED, REMOVAL_NOTICE_S, parameters.spread_s)
 
 
 def restore_cache(fleet: Fleet, cache: CacheServer, parameters: Parameters) -> None:
@@ -163,8 +163,8 @@
     name = cache.endpoint.name
     fleet.restore_servers([name])
     cache.record_arrivals()
-    fleet.reset()
-    fleet.notify_all([name], EndpointState.READY, parameters.notice_s, parameters.spread_s)
+    fleet.reset_statistics()
+    fleet.send_endpoint_updates([name], EndpointState.READY, parameters.notice_s, parameters.spread_s)
     if parameters.restarted_share:
         # They start with the current endpoint list, which a new process receives before its first request.
         restarted = fleet.routers[: round(parameters.restarted_share * len(fleet.routers))]
--- a/scale_experiments/scenarios/connections.py
+++ b/scale_experiments/scenarios/connections.py
@@ -306,8 +306,8 @@
     description = f"{model.routers_run} of {model.routers} routers, {model.caches} caches"
     context.progress(f"{description}: warming")
     run_fleet(fleet, warm_s, context)
-    fleet.reset()
-    fleet.watch_servers_used(SERVERS_USED_WINDOW_S)
+    fleet.reset_statistics()
+    fleet.record_servers_used_every(SERVERS_USED_WINDOW_S)
     context.progress(f"{description}: measuring")
     run_fleet(fleet, parameters.measured_s, context)
     return Sample(compute_metrics(fleet, parameters).values(), {"latency": latency_histogram(fleet)})
--- a/scale_experiments/scenarios/surge.py
+++ b/scale_experiments/scenarios/surge.py
@@ -106,7 +106,7 @@
 
     Raises TimeLimitReachedError.
     """
-    fleet.reset()
+    fleet.reset_statistics()
     fleet.clients.set_demand(parameters.demand)
     run_fleet(fleet, parameters.surge_s, context)
     counts = fleet.statistics.counts
@@ -126,7 +126,7 @@
 
 def measure_recovery(fleet: Fleet, parameters: Parameters, context: ExperimentContext) -> Recovery:
     """Run the fleet after the surge and measure it. Raises TimeLimitReachedError."""
-    fleet.reset()
+    fleet.reset_statistics()
     fleet.clients.set_demand(1.0)
     run_fleet(fleet, parameters.after_s, context)
     counts, model = fleet.statistics.counts, fleet.model
@@ -146,7 +146,7 @@
     """Measure the fleet before, during and after the surge. Raises TimeLimitReachedError."""
     fleet = build_fleet(parameters, size, seed)
     run_fleet(fleet, parameters.warm_s, context)
-    fleet.reset()
+    fleet.reset_statistics()
     run_fleet(fleet, parameters.before_s, context)
     before_served_share = fleet.statistics.served_share()
     context.progress("surge")
--- a/scale_experiments/scenarios/zone_loss.py
+++ b/scale_experiments/scenarios/zone_loss.py
@@ -135,7 +135,7 @@
         self.affected_caches = select_affected_caches(fleet, parameters)
         self.is_isolation = parameters.lost == "cut"
         self.region = fleet.caches[self.affected_caches[0]].location.region
-        fleet.statistics.watch_region(self.region)
+        fleet.statistics.track_region(self.region)
 
     def measure(self) -> Sample:
         """Measure all phases, one after the other; raises TimeLimitReachedError."""
@@ -150,7 +150,7 @@
     def measure_before(self) -> BeforeLoss:
         """Measure the fleet before the loss; raises TimeLimitReachedError."""
         fleet, seconds = self.fleet, self.parameters.before_s
-        fleet.reset()
+        fleet.reset_statistics()
         run_fleet(fleet, seconds, self.context)
         return BeforeLoss(
             served_share=fleet.statistics.served_share(),
@@ -162,35 +162,39 @@
     def measure_loss(self, origin_rate_before: float) -> DuringLoss:
         """Measure the fleet during the loss; raises TimeLimitReachedError."""
         fleet = self.fleet
-        fleet.reset()
+        fleet.reset_statistics()
         if self.is_isolation:
             fleet.network.isolate_region(self.region)
         else:
             fleet.fail_servers(self.affected_caches)
-            fleet.notify_all(self.affected_caches, EndpointState.REMOVED, *self.parameters.notice_s)
+            fleet.send_endpoint_updates(
+                self.affected_caches, EndpointState.REMOVED, *self.parameters.notice_s
+            )
         run_fleet(fleet, self.parameters.lost_s, self.context)
-        counts, isolated = fleet.statistics.counts, fleet.statistics.watched.totals
+        counts, isolated = fleet.statistics.counts, fleet.statistics.tracked.totals
         client_requests = max(1, counts[CountedEvent.CLIENT_REQUEST])
         isolated_requests = max(1, isolated[CountedEvent.REQUEST])
         return DuringLoss(
             requests=phase_requests(fleet, origin_rate_before),
             failed_connects_per_request=per_accepted_request(fleet, CountedEvent.CONNECT_FAILED),
             requests_per_client_request=counts[CountedEvent.REQUEST] / client_requests,
-            isolated_served_share=fleet.statistics.watched_served_share(),
+            isolated_served_share=fleet.statistics.tracked_served_share(),
             isolated_rejections_per_request=isolated[CountedEvent.REJECTED] / isolated_requests,
         )
 
     def measure_return(self, origin_rate_before: float) -> AfterReturn:
         """Measure the fleet from the return to the end of the slow start; raises TimeLimitReachedError."""
         fleet = self.fleet
-        fleet.reset()
+        fleet.reset_statistics()
         if self.is_isolation:
             fleet.network.reconnect_regions()
         else:
             fleet.restore_servers(self.affected_caches)
             for name in self.affected_caches:
                 fleet.caches[name].record_arrivals()
-            fleet.notify_all(self.affected_caches, EndpointState.READY, *self.parameters.back_notice_s)
+            fleet.send_endpoint_updates(
+                self.affected_caches, EndpointState.READY, *self.parameters.back_notice_s
+            )
         notice_s = sum(self.parameters.back_notice_s)
         run_fleet(fleet, fleet.settings.slow_start_duration + notice_s + SETTLING_SECONDS, self.context)
         requests = phase_requests(fleet, origin_rate_before)
--- a/scale_experiments/simulation/fleet.py
+++ b/scale_experiments/simulation/fleet.py
@@ -33,7 +33,10 @@
 
 
 class Fleet:
-    """A simulated fleet. `run` advances its clock; `statistics` holds the counts since the last `reset`."""
+    """A simulated fleet.
+
+    `run` advances its clock; `statistics` holds the counts since the last `reset_statistics`.
+    """
 
     def __init__(self, settings: Settings, model: FleetModel, seed: int) -> None:
         self.model = model
@@ -94,7 +97,7 @@
         """Advance the clock by `seconds`; return False if stopped early, see `EventQueue.run`."""
         return self.events.run(seconds, should_stop)
 
-    def reset(self) -> None:
+    def reset_statistics(self) -> None:
         """Restart all statistics except those of the decision timer."""
         self.statistics.reset()
         for cache in self.caches.values():
@@ -102,7 +105,7 @@
         for router in self.routers:
             router.pool.connections.reset(self.events.now)
 
-    def watch_servers_used(self, span: float) -> None:
+    def record_servers_used_every(self, span: float) -> None:
         """Start to record, every `span` seconds, how many cache servers each router used in that time."""
         for router in self.routers:
             router.attempts.clear_servers_used()
@@ -110,7 +113,7 @@
 
     def _record_servers_used(self, span: float) -> None:
         self.statistics.record_servers_used(router.attempts.servers_used_count for router in self.routers)
-        self.watch_servers_used(span)
+        self.record_servers_used_every(span)
 
     def budget_use(self, cache: CacheServer) -> BudgetUse:
         """Return the largest use of a cache server's slow start budget in any window since the last reset.
@@ -132,7 +135,9 @@
         for name in names:
             self.caches[name].restart()
 
-    def notify_all(self, names: Iterable[str], state: EndpointState, delay: float, spread: float) -> None:
+    def send_endpoint_updates(
+        self, names: Iterable[str], state: EndpointState, delay: float, spread: float
+    ) -> None:
         """Send each router an endpoint update with a new state of cache servers.
 
         Each router receives it after `delay` plus a random time of up to `spread` seconds.
--- a/scale_experiments/simulation/statistics.py
+++ b/scale_experiments/simulation/statistics.py
@@ -61,11 +61,11 @@
 class FleetStatistics:
     """Counts and latencies since the last reset.
 
-    Events of clients whose routers are in a watched region are also counted in `watched`.
+    Events of clients whose routers are in a tracked region are also counted in `tracked`.
     """
 
     def __init__(self, events: EventQueue) -> None:
-        self._watched_regions: set[int] = set()
+        self._tracked_regions: set[int] = set()
         self.requests_since_start = 0  # requests accepted by routers; not cleared by reset()
         self.answers_since_start = 0  # final answers of routers; not cleared by reset()
         self._events = events
@@ -75,7 +75,7 @@
         """Restart the statistics."""
         self.counted_from = self._events.now
         self._all = EventTally()
-        self.watched = EventTally()
+        self.tracked = EventTally()
         self.latencies: list[float] = []  # seconds from a client request until it was served
         self.servers_used: list[int] = []  # cache servers that one router used within one interval
 
@@ -84,9 +84,9 @@
         """Counts of each event since the last reset."""
         return self._all.totals
 
-    def watch_region(self, region: int) -> None:
-        """Start to count events of clients of this region's routers also in `watched`."""
-        self._watched_regions.add(region)
+    def track_region(self, region: int) -> None:
+        """Start to count events of clients of this region's routers also in `tracked`."""
+        self._tracked_regions.add(region)
 
     def count(self, event: CountedEvent) -> None:
         """Count one event now."""
@@ -101,8 +101,8 @@
             return
         second = int(at - self.counted_from)
         self._all.add(event, second)
-        if region in self._watched_regions:
-            self.watched.add(event, second)
+        if region in self._tracked_regions:
+            self.tracked.add(event, second)
 
     def request_accepted(self, region: int) -> None:
         """Count a request that a router of this region has accepted."""
@@ -139,9 +139,9 @@
         """Return the served share of the client requests made in all settled seconds."""
         return self._all.served_share(self._settled_seconds())
 
-    def watched_served_share(self) -> float:
-        """Return the served share of the client requests in watched regions, in all settled seconds."""
-        return self.watched.served_share(self._settled_seconds())
+    def tracked_served_share(self) -> float:
+        """Return the served share of the client requests in tracked regions, in all settled seconds."""
+        return self.tracked.served_share(self._settled_seconds())
 
     def _settled_seconds(self) -> int:
         return max(0, int(self._events.now - self.counted_from) - SETTLING_SECONDS)
--- a/tests/scale_experiments/test_fleet.py
+++ b/tests/scale_experiments/test_fleet.py
@@ -32,13 +32,13 @@
     fleet.run(3.0)
     failed = ["s-00000001"]
     fleet.fail_servers(failed)
-    fleet.notify_all(failed, EndpointState.REMOVED, 1.0, 0.5)
+    fleet.send_endpoint_updates(failed, EndpointState.REMOVED, 1.0, 0.5)
     fleet.network.isolate_region(2)
     fleet.run(3.0)
     fleet.network.reconnect_regions()
     fleet.restore_servers(failed)
     fleet.caches[failed[0]].record_arrivals()
-    fleet.notify_all(failed, EndpointState.READY, 0.5, 0.5)
+    fleet.send_endpoint_updates(failed, EndpointState.READY, 0.5, 0.5)
     fleet.run(3.0)
     return fleet
 
