--- a/tests/cache_router/net/test_attempt_runner.py
+++ b/tests/cache_router/net/test_attempt_runner.py
@@ -8,7 +8,7 @@
 
 from cache_router.decisions.actions import Action, Cancel, Fail, Reject, Send
 from cache_router.decisions.events import AttemptCompleted, AttemptStatus, Event, Request
-from tests.support.loopback import command, error_text, read
+from tests.support.loopback import encode_command, encode_read, error_text
 from tests.support.loopback_router import SETTINGS, Router, router_with
 
 
@@ -30,9 +30,9 @@
 
     monkeypatch.setattr(router.dispatcher.router, "handle", handle)
     client = await router.client()
-    client.write(read("r1") + command("PING"))
-    assert error_text(await client.resp()) == "BUSY 250"
-    assert await client.resp() == b"PONG"
+    client.write(encode_read("r1") + encode_command("PING"))
+    assert error_text(await client.read_resp()) == "BUSY 250"
+    assert await client.read_resp() == b"PONG"
     outcomes = [(a.attempt_number, a.status, a.request_closed) for a in completed]
     assert outcomes == [
         (1, AttemptStatus.NOT_SENT, False),
@@ -57,5 +57,5 @@
 
     monkeypatch.setattr(router.dispatcher.router, "handle", handle)
     client = await router.client()
-    client.write(read("r1"))
-    assert error_text(await client.resp()) == "ERR failed"
+    client.write(encode_read("r1"))
+    assert error_text(await client.read_resp()) == "ERR failed"
--- a/tests/cache_router/net/test_cache_connection.py
+++ b/tests/cache_router/net/test_cache_connection.py
@@ -32,13 +32,13 @@
     attempts = attempt_recorders.on_caches()
     attempts.start(peer.address)
     link = await peer.link()
-    *parts, info = await link.resp()
+    *parts, info = await link.read_resp()
     assert parts == [b"C.GET", b"k", b"r1"]
     assert info_without_deadline(info.decode()) == "c=read"
     link.write(response)
     assert await attempts.outcome() == (status, value)
     attempts.start(peer.address)  # reuses the connection
-    await link.resp()
+    await link.read_resp()
 
 
 @pytest.mark.parametrize(
--- a/tests/cache_router/net/test_client_connection.py
+++ b/tests/cache_router/net/test_client_connection.py
@@ -10,45 +10,45 @@
 from cache_router.net.address import Address
 from cache_router.net.client_connection import MAX_PIPELINED_COMMANDS, ClientConnection, PipelinedReply
 from tests.support.event_order import wait_until
-from tests.support.loopback import HIT, Link, command, error_text, read
+from tests.support.loopback import HIT, Link, encode_command, encode_read, error_text
 from tests.support.loopback_router import Router, router_with
 
 
 async def test_replies_are_written_in_the_order_of_the_commands(router: Router) -> None:
     """RESP replies carry no id: in another order a client would take one value for another."""
     client = await router.client()
-    client.write(read("r1") + read("r2") + command("PING"))
+    client.write(encode_read("r1") + encode_read("r2") + encode_command("PING"))
     caches = [await router.cache(), await router.cache()]
-    by_request = {(await cache.resp())[2]: cache for cache in caches}
+    by_request = {(await cache.read_resp())[2]: cache for cache in caches}
     by_request[b"r2"].write(HIT.replace(b"value", b"later"))
     await wait_until(lambda: "r2" not in router.dispatcher.requests)
     by_request[b"r1"].write(HIT)
-    assert [await client.resp() for _ in range(3)] == [b"value", b"later", b"PONG"]
+    assert [await client.read_resp() for _ in range(3)] == [b"value", b"later", b"PONG"]
 
 
 INVALID_COMMANDS = [
-    (command("GET", "k"), "unknown command"),
-    (command("CLIENT", "LIST"), "unknown command"),
-    (command("A\r\n+PONG"), "unknown command"),  # if echoed unescaped, a second reply
-    (command("C.GET", "k", "r1"), "wrong number"),
-    (command("C.SET", "k", "r1", "c=book,d=900"), "wrong number"),
-    (command("C.GET", "", "r1", "c=read,d=900"), "key"),
-    (command("C.GET", "stats", "r1", "c=read,d=900"), "key"),
-    (command("C.GET", "..", "r1", "c=read,d=900"), "key"),
-    (command("C.GET", "k" * 2000, "r1", "c=read,d=900"), "key"),
-    (command("C.GET", "k", "r 1", "c=read,d=900"), "id"),
-    (command("C.GET", "k", "", "c=read,d=900"), "id"),
-    (command("C.GET", "k", "r1", "c=read"), "d must"),
-    (command("C.GET", "k", "r1", "c=read,d=soon"), "d must"),
-    (command("C.GET", "k", "r1", "c=read,d=-5"), "d must"),
-    (command("C.GET", "k", "r1", "c=read,d=600001"), "d must"),
-    (command("C.GET", "k", "r1", "c=read,d=" + "9" * 600), "d must"),
-    (command("C.GET", "k", "r1", "c=read,d=9,d=900"), "not a new name"),
-    (command("C.GET", "k", "r1", "c=read,d"), "not a new name"),
-    (command("C.GET", "k", "r1", "c=unheard-of,d=900"), "class is unknown"),
-    (command("C.GET", "k", "r1", "t=x,d=900"), "class is unknown"),
-    (command("C.SET", "k", "r1", "c=book,d=900", "v"), "k is missing"),
-    (command("C.GET", "k", "r1", "c=read,d=900\r\nX: y"), "visible ASCII"),
+    (encode_command("GET", "k"), "unknown command"),
+    (encode_command("CLIENT", "LIST"), "unknown command"),
+    (encode_command("A\r\n+PONG"), "unknown command"),  # if echoed unescaped, a second reply
+    (encode_command("C.GET", "k", "r1"), "wrong number"),
+    (encode_command("C.SET", "k", "r1", "c=book,d=900"), "wrong number"),
+    (encode_command("C.GET", "", "r1", "c=read,d=900"), "key"),
+    (encode_command("C.GET", "stats", "r1", "c=read,d=900"), "key"),
+    (encode_command("C.GET", "..", "r1", "c=read,d=900"), "key"),
+    (encode_command("C.GET", "k" * 2000, "r1", "c=read,d=900"), "key"),
+    (encode_command("C.GET", "k", "r 1", "c=read,d=900"), "id"),
+    (encode_command("C.GET", "k", "", "c=read,d=900"), "id"),
+    (encode_command("C.GET", "k", "r1", "c=read"), "d must"),
+    (encode_command("C.GET", "k", "r1", "c=read,d=soon"), "d must"),
+    (encode_command("C.GET", "k", "r1", "c=read,d=-5"), "d must"),
+    (encode_command("C.GET", "k", "r1", "c=read,d=600001"), "d must"),
+    (encode_command("C.GET", "k", "r1", "c=read,d=" + "9" * 600), "d must"),
+    (encode_command("C.GET", "k", "r1", "c=read,d=9,d=900"), "not a new name"),
+    (encode_command("C.GET", "k", "r1", "c=read,d"), "not a new name"),
+    (encode_command("C.GET", "k", "r1", "c=unheard-of,d=900"), "class is unknown"),
+    (encode_command("C.GET", "k", "r1", "t=x,d=900"), "class is unknown"),
+    (encode_command("C.SET", "k", "r1", "c=book,d=900", "v"), "k is missing"),
+    (encode_command("C.GET", "k", "r1", "c=read,d=900\r\nX: y"), "visible ASCII"),
     (b"*1\r\n:7\r\n", "array of bulk strings"),
     (b"*0\r\n", "array of bulk strings"),
     (b"*-1\r\n", "array of bulk strings"),
@@ -63,9 +63,9 @@
 ) -> None:
     """An invalid command is still complete, so that the start of the next command is known."""
     client = await router.client()
-    client.write(sent + command("PING"))
-    assert expected in error_text(await client.resp())
-    assert await client.resp() == b"PONG"
+    client.write(sent + encode_command("PING"))
+    assert expected in error_text(await client.read_resp())
+    assert await client.read_resp() == b"PONG"
     assert not router.dispatcher.requests
 
 
@@ -89,7 +89,7 @@
     """The bytes that follow might be a part of a value, and would be executed as a command."""
     client, other = await router.client(), await router.client()
     client.write(sent)
-    assert error_text(await client.resp()).startswith("ERR")
+    assert error_text(await client.read_resp()).startswith("ERR")
     assert await client.closed_by_peer()
     await other.ping()
 
@@ -103,8 +103,8 @@
     assert not connection.is_reading()
     assert not connection.has_buffered_input()
     cache.write(HIT)
-    assert await client.resp() == b"value"
-    assert error_text(await client.resp()).startswith("ERR")
+    assert await client.read_resp() == b"value"
+    assert error_text(await client.read_resp()).startswith("ERR")
     assert await client.closed_by_peer()
 
 
@@ -113,9 +113,9 @@
     loop = asyncio.get_running_loop()
     client = await router.client()
     started_at = loop.time()
-    client.write(read("r1", info="c=unheard-of,d=900") * 3)
+    client.write(encode_read("r1", info="c=unheard-of,d=900") * 3)
     for _ in range(3):
-        error_text(await client.resp())
+        error_text(await client.read_resp())
     assert loop.time() - started_at >= 2 * client_connection.ERROR_THROTTLE_TIME - 0.01
 
 
@@ -123,19 +123,19 @@
     """The commands stay in the buffer until earlier replies are written."""
     client = await router.client()
     request_ids = [f"r{n}" for n in range(3 * MAX_PIPELINED_COMMANDS)]
-    client.write(b"".join(read(n, info="c=read,t=x,d=1") for n in request_ids) + read("last"))
+    client.write(b"".join(encode_read(n, info="c=read,t=x,d=1") for n in request_ids) + encode_read("last"))
     cache = await router.cache()
-    assert (await cache.resp())[2] == b"last"
+    assert (await cache.read_resp())[2] == b"last"
     cache.write(HIT)
     for _ in request_ids:
-        error_text(await client.resp())
-    assert await client.resp() == b"value"
+        error_text(await client.read_resp())
+    assert await client.read_resp() == b"value"
 
 
 async def client_with_full_pipeline(router: Router) -> tuple[Link, ClientConnection]:
     """Return a client that has sent twice the commands that may be pipelined, and the router's side of it."""
     client = await router.client()
-    client.write(b"".join(read(f"r{n}") for n in range(2 * MAX_PIPELINED_COMMANDS)))
+    client.write(b"".join(encode_read(f"r{n}") for n in range(2 * MAX_PIPELINED_COMMANDS)))
     await wait_until(router.client_connections)
     (connection,) = router.client_connections()
     await wait_until(lambda: connection.pending_replies >= MAX_PIPELINED_COMMANDS)
@@ -164,8 +164,8 @@
 async def test_ping_fails_until_a_cache_server_is_known(router: Router) -> None:
     """Health checks must not direct clients to a router that can't serve them."""
     client = await router.client()
-    client.write(command("PING"))
-    assert "no cache server" in error_text(await client.resp())
+    client.write(encode_command("PING"))
+    assert "no cache server" in error_text(await client.read_resp())
     router.list_caches("a")
     await client.ping()
 
@@ -178,7 +178,7 @@
     first, cache = await router.start_read()
     with monkeypatch.context() as patch:
         patch.setattr(router.dispatcher, "accept", None)
-        first.write(read("r2"))
+        first.write(encode_read("r2"))
         assert await first.closed_by_peer()
     assert await cache.closed_by_peer()
     assert not router.dispatcher.router.pending
--- a/tests/cache_router/net/test_client_connection_closing.py
+++ b/tests/cache_router/net/test_client_connection_closing.py
@@ -11,7 +11,7 @@
 from cache_router.net.client_connection import ClientConnection
 from cache_router.net.client_connection_table import ClientConnectionTable
 from tests.support.event_order import wait_until
-from tests.support.loopback import Link, error_text, read
+from tests.support.loopback import Link, encode_read, error_text
 from tests.support.loopback_router import Router, router_with
 
 
@@ -31,8 +31,8 @@
     table = ClientConnectionTable()
     client, connection = await accepted_connection(router, table)
     other, remaining = await accepted_connection(router, table)
-    client.write(read("r1", info="c=unheard-of,d=900"))
-    error_text(await client.resp())
+    client.write(encode_read("r1", info="c=unheard-of,d=900"))
+    error_text(await client.read_resp())
     if cause == "abort":
         connection.abort()
         assert list(table) == [remaining]
@@ -78,8 +78,8 @@
 async def test_clients_are_accepted_after_a_throttled_connection_has_closed(router: Router) -> None:
     """The end of throttling must not add the closed connection to the table again."""
     client = await router.client()
-    client.write(read("r1", info="c=unheard-of,d=900"))
-    error_text(await client.resp())
+    client.write(encode_read("r1", info="c=unheard-of,d=900"))
+    error_text(await client.read_resp())
     client.reset()
     await wait_until(lambda: not router.client_connections())
     await asyncio.sleep(2 * client_connection.ERROR_THROTTLE_TIME)
--- a/tests/cache_router/net/test_descriptors.py
+++ b/tests/cache_router/net/test_descriptors.py
@@ -11,7 +11,16 @@
 import pytest
 
 from tests.support.endpoint_lists import encode_endpoint_list, peer_entry
-from tests.support.loopback import HIT, Clients, Link, Peer, command, format_address, http, read
+from tests.support.loopback import (
+    HIT,
+    Clients,
+    Link,
+    Peer,
+    encode_command,
+    encode_http_response,
+    encode_read,
+    format_address,
+)
 from tests.support.router_process import (
     PROCESS_TEST_TIMEOUT,
     config_with_cache,
@@ -53,7 +62,7 @@
     async def answer_all(link: Link) -> None:
         with suppress(AssertionError, ConnectionError):  # the connection was closed
             while True:
-                await link.resp()
+                await link.read_resp()
                 link.write(HIT)
                 served.append(peer)
 
@@ -84,8 +93,8 @@
     busy_clients = [await clients.connect_and_ping(address) for _ in range(3)]
     for n in range(31):
         for i in (0, 1):
-            busy_clients[i].write(read(f"r{i}-{n}", f"k{i}-{n}", LONG_DEADLINE))
-        busy_clients[2].write(command("C.SET", f"k{n}", f"w{n}", "c=pay,t=t,d=600000,k=1", "v"))
+            busy_clients[i].write(encode_read(f"r{i}-{n}", f"k{i}-{n}", LONG_DEADLINE))
+        busy_clients[2].write(encode_command("C.SET", f"k{n}", f"w{n}", "c=pay,t=t,d=600000,k=1", "v"))
     await poll_until(lambda: sum(p.links.qsize() for p in caches) == SHARED_DESCRIPTORS * 3 // 8)
     await poll_until(lambda: origin.links.qsize() == SHARED_DESCRIPTORS // 8)
     for _ in range(DESCRIPTOR_LIMIT):
@@ -102,12 +111,12 @@
     """
     served: list[Peer] = []
     serving = [asyncio.create_task(serve_and_record(peer, served)) for peer in caches]
-    reads = (read(f"x{n}", f"x{n}", LONG_DEADLINE) for n in range(200))
-    client.write(command("PING") + next(reads))
-    assert await client.resp() == b"PONG"
+    reads = (encode_read(f"x{n}", f"x{n}", LONG_DEADLINE) for n in range(200))
+    client.write(encode_command("PING") + next(reads))
+    assert await client.read_resp() == b"PONG"
     while not expected <= set(served):
         client.write(next(reads))
-        await client.resp()
+        await client.read_resp()
     for task in serving:
         task.cancel()
 
@@ -144,11 +153,11 @@
                 while not agent.links.empty():
                     (await agent.link()).reset()
             entries.append(peer_entry("s-new", new_cache, weight=1.0))
-            response = http("200 OK", encode_endpoint_list(50, True, *entries))
+            response = encode_http_response("200 OK", encode_endpoint_list(50, True, *entries))
             poll = await agent.link()
-            await poll.http()
+            await poll.read_http()
             poll.write(response)
-            assert "after=50&" in (await (await agent.link()).http())[0]
+            assert "after=50&" in (await (await agent.link()).read_http())[0]
             client = await clients.connect(address)
             await read_until_served(client, [*caches, new_cache], {caches[0], new_cache})
             log_reader.cancel()
--- a/tests/cache_router/net/test_disconnect_races.py
+++ b/tests/cache_router/net/test_disconnect_races.py
@@ -19,7 +19,15 @@
     record_written_requests,
     wait_until,
 )
-from tests.support.loopback import HIT, MISS, Link, command, http, keyed_write, read
+from tests.support.loopback import (
+    HIT,
+    MISS,
+    Link,
+    encode_command,
+    encode_http_response,
+    encode_keyed_write,
+    encode_read,
+)
 from tests.support.loopback_router import Router, router_with
 from tests.support.upstream_attempts import GET
 
@@ -73,15 +81,15 @@
         attempt = UpstreamAttempt(GET, 60.0, responses.put_nowait)
         pool.start(attempt, endpoint.address, endpoint.incarnation)
         links[name] = link = await peer.link()
-        await (link.http() if peer is router.origin else link.resp())
-        link.write(http("200 OK", b"value") if peer is router.origin else HIT)
+        await (link.read_http() if peer is router.origin else link.read_resp())
+        link.write(encode_http_response("200 OK", b"value") if peer is router.origin else HIT)
         await responses.get()
     return links
 
 
 async def link_of_next_request(links: dict[str, Link]) -> Link:
     """Return the connection to a cache server, `a` or `b`, on which the next request arrives."""
-    reads = {asyncio.ensure_future(links[name].resp()): links[name] for name in ("a", "b")}
+    reads = {asyncio.ensure_future(links[name].read_resp()): links[name] for name in ("a", "b")}
     done, (other,) = await asyncio.wait(reads, return_when=asyncio.FIRST_COMPLETED)
     other.cancel()
     return reads[done.pop()]
@@ -96,21 +104,21 @@
     router.list_caches("a")
     regular, cache = await router.client(), (await open_idle_connections(router))["a"]
     written = record_written_requests(monkeypatch)
-    regular.write(read("u1"))
-    assert (await cache.resp())[2] == b"u1"
+    regular.write(encode_read("u1"))
+    assert (await cache.read_resp())[2] == b"u1"
     surplus = await router.client()  # one client above the limit: later ones stay in the backlog
-    surplus.write(read("u2"))
+    surplus.write(encode_read("u2"))
     other = await router.caches["a"].link()
-    assert (await other.resp())[2] == b"u2"
+    assert (await other.read_resp())[2] == b"u2"
     client = blocking_client(router)
-    client.sendall(read("r1"))
+    client.sendall(encode_read("r1"))
     disconnect_blocking_client(client, how)
     cache.write(HIT)
-    assert await regular.resp() == b"value"
+    assert await regular.read_resp() == b"value"
     last = await router.client()
     await last.ping()  # by now the client before it has been accepted
     other.write(HIT)
-    assert await surplus.resp() == b"value"
+    assert await surplus.read_resp() == b"value"
     client.close()
     await wait_until_settled(router)
     assert "r1" not in written
@@ -129,14 +137,14 @@
     connection = await connection_of(router, client)
     if cause == "pipeline":
         monkeypatch.setattr(client_connection, "MAX_PIPELINED_COMMANDS", 1)
-        client.sendall(read("r0"))
-        assert (await cache.resp())[2] == b"r0"
+        client.sendall(encode_read("r0"))
+        assert (await cache.read_resp())[2] == b"r0"
     elif cause == "error":
-        client.sendall(command("GET", "k"))
+        client.sendall(encode_command("GET", "k"))
         await wait_until(connection.is_throttled_only)
     elif cause == "slow":
         connection.pause_writing()
-    client.sendall(read("r1"))
+    client.sendall(encode_read("r1"))
     disconnect_blocking_client(client, how)
     if cause == "pipeline":
         cache.write(HIT)
@@ -161,7 +169,7 @@
     for cache in router.caches.values():
         router.cache_pool.close_idle(cache.address)
     assert router.cache_pool.idle_count == 0
-    client.sendall(read("r1"))
+    client.sendall(encode_read("r1"))
     await first_connection(router)
     disconnect_blocking_client(client, how)
     connections.released.set()
@@ -181,7 +189,7 @@
     DelayedConnections(monkeypatch, *router.caches.values())
     client = blocking_client(router)
     await connection_of(router, client)
-    client.sendall(read("r1"))
+    client.sendall(encode_read("r1"))
     cache = await link_of_next_request(links)
     if cause == "miss":
         cache.write(MISS)
@@ -216,9 +224,9 @@
     written = record_written_requests(monkeypatch)
     client = blocking_client(router)
     await connection_of(router, client)
-    client.sendall(keyed_write("r1"))
-    await origin.http()
-    origin.write(http("503 Busy", b"", "Not-Started: 1"))
+    client.sendall(encode_keyed_write("r1"))
+    await origin.read_http()
+    origin.write(encode_http_response("503 Busy", b"", "Not-Started: 1"))
     disconnect_blocking_client(client, how)
     await wait_until_settled(router)
     assert written == ["r1"]
--- a/tests/cache_router/net/test_discovery.py
+++ b/tests/cache_router/net/test_discovery.py
@@ -11,7 +11,7 @@
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.settings import WatchBudget
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, WatchRecorder, accept_poll, encode_endpoint_list
-from tests.support.loopback import Peer, http
+from tests.support.loopback import Peer, encode_http_response
 
 
 async def test_watch_continues_from_the_received_index(peer: Peer) -> None:
@@ -19,13 +19,17 @@
     recorder = WatchRecorder(peer)
     request_line, link = await accept_poll(peer)
     assert request_line == "GET /registry/instances?after=41&wait_ms=1000 HTTP/1.1"
-    link.write(http("200 OK", encode_endpoint_list(43, False, {**ENDPOINT_ENTRY, "status": "terminating"})))
+    link.write(
+        encode_http_response(
+            "200 OK", encode_endpoint_list(43, False, {**ENDPOINT_ENTRY, "status": "terminating"})
+        )
+    )
     kind, (endpoint,) = await recorder.next_update()
     assert kind is EndpointUpdateKind.DELTA
     assert endpoint.entry.state is EndpointState.DRAINING
     request_line, link = await accept_poll(peer)
     assert "after=43&" in request_line
-    link.write(http("200 OK", encode_endpoint_list(50, True, ENDPOINT_ENTRY)))
+    link.write(encode_http_response("200 OK", encode_endpoint_list(50, True, ENDPOINT_ENTRY)))
     assert (await recorder.next_update())[0] is EndpointUpdateKind.SNAPSHOT
     assert "after=50&" in (await accept_poll(peer))[0]
     recorder.discovery.close()
@@ -36,7 +40,7 @@
     recorder = WatchRecorder(peer)
     recorder.discovery.subscribe()
     _, link = await accept_poll(peer)
-    link.write(http("200 OK", encode_endpoint_list(42, False)))
+    link.write(encode_http_response("200 OK", encode_endpoint_list(42, False)))
     await recorder.updates.get()
     assert "after=42&" in (await accept_poll(peer))[0]  # not a second poll after 41
     recorder.discovery.close()
@@ -45,11 +49,11 @@
 @pytest.mark.parametrize(
     "response",
     [
-        http("503 Busy"),
-        http("200 OK", b"not json"),
-        http("200 OK", b"[]"),
-        http("200 OK", b'{"index":42,"snapshot":false}'),
-        http("200 OK", encode_endpoint_list(42, False, {**ENDPOINT_ENTRY, "address": ""})),
+        encode_http_response("503 Busy"),
+        encode_http_response("200 OK", b"not json"),
+        encode_http_response("200 OK", b"[]"),
+        encode_http_response("200 OK", b'{"index":42,"snapshot":false}'),
+        encode_http_response("200 OK", encode_endpoint_list(42, False, {**ENDPOINT_ENTRY, "address": ""})),
         b"hello\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{",
         b"",
@@ -95,7 +99,7 @@
 
     recorder = WatchRecorder(peer, on_update=faulty)
     _, link = await accept_poll(peer)
-    link.write(http("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
+    link.write(encode_http_response("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
     assert await recorder.updates.get() is None
     assert not recorder.discovery.is_watching
 
@@ -110,7 +114,7 @@
         recorder.discovery.subscribe()
         request_line, link = await accept_poll(new)
         assert request_line == "GET /registry/instances HTTP/1.1"
-        link.write(http("200 OK", encode_endpoint_list(3, True, ENDPOINT_ENTRY)))
+        link.write(encode_http_response("200 OK", encode_endpoint_list(3, True, ENDPOINT_ENTRY)))
         assert (await recorder.next_update())[0] is EndpointUpdateKind.SNAPSHOT
         assert "after=3&" in (await accept_poll(new))[0]
         assert recorder.updates.empty()
@@ -122,12 +126,12 @@
     recorder = WatchRecorder(peer)
     waiting = asyncio.create_task(recorder.discovery.wait_for_first_update())
     _, link = await accept_poll(peer)
-    link.write(http("503 Busy"))
+    link.write(encode_http_response("503 Busy"))
     assert await recorder.updates.get() is None
     assert not waiting.done()
     recorder.discovery.subscribe()
     _, link = await accept_poll(peer)
-    link.write(http("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
+    link.write(encode_http_response("200 OK", encode_endpoint_list(42, False, ENDPOINT_ENTRY)))
     await waiting
     assert not recorder.updates.empty()
     recorder.discovery.close()
--- a/tests/cache_router/net/test_endpoint_table.py
+++ b/tests/cache_router/net/test_endpoint_table.py
@@ -31,7 +31,7 @@
     """A failed machine never closes its connections, and another process may be started at its address."""
     client, cache = await router.start_read()
     cache.write(HIT)
-    assert await client.resp() == b"value"
+    assert await client.read_resp() == b"value"
     assert router.cache_pool.idle_count == 1
     address = format_address(cache.writer.get_extra_info("sockname"))
     endpoints = router.dispatcher.endpoints
--- a/tests/cache_router/net/test_eviction.py
+++ b/tests/cache_router/net/test_eviction.py
@@ -12,7 +12,7 @@
 from cache_router.net import client_connection_table, eviction
 from tests.support.coroutine_tests import DEFAULT_TIME_LIMIT
 from tests.support.event_order import wait_until
-from tests.support.loopback import HIT, Link, command, error_text, read
+from tests.support.loopback import HIT, Link, encode_command, encode_read, error_text
 from tests.support.loopback_router import READ, SETTINGS, Router, router_with
 
 
@@ -22,12 +22,12 @@
     monkeypatch.setattr(eviction, "OVERDUE_CHECK_INTERVAL", 0.01)
     async with Router() as router:
         regular, silent, incomplete = [await router.client() for _ in range(3)]
-        regular.write(command("PING"))
-        incomplete.write(command("PING") + b"*4\r\n$5\r\nC.G")
-        assert await regular.resp() == await incomplete.resp() == b"PONG"
-        assert "no whole command" in error_text(await incomplete.resp())
+        regular.write(encode_command("PING"))
+        incomplete.write(encode_command("PING") + b"*4\r\n$5\r\nC.G")
+        assert await regular.read_resp() == await incomplete.read_resp() == b"PONG"
+        assert "no whole command" in error_text(await incomplete.read_resp())
         assert await incomplete.closed_by_peer()
-        assert "no whole command" in error_text(await silent.resp())
+        assert "no whole command" in error_text(await silent.read_resp())
         assert await silent.closed_by_peer()
         await regular.ping()
 
@@ -41,7 +41,7 @@
     assert await idle.closed_by_peer()
     await third.ping()
     cache.write(HIT)
-    assert await busy.resp() == b"value"
+    assert await busy.read_resp() == b"value"
 
 
 @router_with(max_clients=1)
@@ -51,7 +51,7 @@
     newest = await router.client()
     await newest.ping()
     cache.write(HIT)
-    assert await busy.resp() == b"value"
+    assert await busy.read_resp() == b"value"
 
 
 async def client_after_pings(router: Router, times: int) -> Link:
@@ -94,8 +94,8 @@
 async def test_throttled_clients_are_evicted_first(router: Router) -> None:
     """A client that keeps sending errors is never idle, and would otherwise never be evicted."""
     regular, erroneous = await client_after_pings(router, 1), await client_after_pings(router, 2)
-    erroneous.write(read("r1", info="c=unheard-of,d=900") * 100)
-    error_text(await erroneous.resp())
+    erroneous.write(encode_read("r1", info="c=unheard-of,d=900") * 100)
+    error_text(await erroneous.read_resp())
     await client_after_pings(router, 1)
     with suppress(ConnectionResetError):
         await erroneous.reader.read()  # until the router closes the connection
@@ -151,9 +151,9 @@
         patch.setattr(socket.socket, "accept", accept_with_small_buffer)
         client = router.clients.add(Link(*await asyncio.open_connection(sock=small_buffer, limit=1024)))
         await wait_until(router.client_connections)
-    client.write(read("r1"))
+    client.write(encode_read("r1"))
     cache = await router.cache()
-    await cache.resp()
+    await cache.read_resp()
     (connection,) = router.client_connections()
     cache.write(b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % (len(value), value))
     # No reply is pending: the last one was passed to the transport, so that the connection counts as idle.
@@ -170,7 +170,7 @@
     client = await client_with_unread_reply(router, value, monkeypatch)
     other = await router.client()
     await other.ping()  # the eviction would have happened by now
-    assert await client.resp() == value
+    assert await client.read_resp() == value
 
 
 async def test_client_that_never_reads_its_reply_is_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/cache_router/net/test_faults_of_decisions.py
+++ b/tests/cache_router/net/test_faults_of_decisions.py
@@ -28,7 +28,7 @@
 )
 from tests.support.endpoint_lists import accept_poll, encode_endpoint_list, peer_entry
 from tests.support.event_order import wait_until
-from tests.support.loopback import HIT, MISS, Peer, error_text, http, read
+from tests.support.loopback import HIT, MISS, Peer, encode_http_response, encode_read, error_text
 from tests.support.loopback_router import SETTINGS, Router
 
 SUBSCRIBING = replace(SETTINGS, must_subscribe=True)
@@ -76,20 +76,20 @@
 ) -> None:
     raise_once(router, monkeypatch, when, lambda event: isinstance(event, Request))
     client = await router.client()
-    client.write(read("r1"))
+    client.write(encode_read("r1"))
     if when == "before":
-        assert error_text(await client.resp()) == "ERR failed"
+        assert error_text(await client.read_resp()) == "ERR failed"
     else:
         cache = await router.cache()
-        await cache.resp()
+        await cache.read_resp()
         cache.write(HIT)
-        assert await client.resp() == b"value"
+        assert await client.read_resp() == b"value"
     assert_logged_once(caplog)
-    client.write(read("r2"))
+    client.write(encode_read("r2"))
     cache = await router.cache() if when == "before" else cache
-    await cache.resp()
+    await cache.read_resp()
     cache.write(HIT)
-    assert await client.resp() == b"value"
+    assert await client.read_resp() == b"value"
     await wait_until(lambda: not router.dispatcher.requests)
 
 
@@ -101,12 +101,12 @@
     client, cache = await router.start_read()
     cache.write(MISS)
     if when == "before":
-        assert error_text(await client.resp()) == "ERR failed"
+        assert error_text(await client.read_resp()) == "ERR failed"
     else:
         origin = await router.origin.link()
-        await origin.http()
-        origin.write(http("200 OK", b"fetched"))
-        assert await client.resp() == b"fetched"
+        await origin.read_http()
+        origin.write(encode_http_response("200 OK", b"fetched"))
+        assert await client.read_resp() == b"fetched"
     assert_logged_once(caplog)
     await wait_until(lambda: not router.dispatcher.requests)
 
@@ -123,7 +123,7 @@
     raise_once(router, monkeypatch, when, is_queue_deadline)
     client, cache = await router.start_read(info="c=read,t=x,d=300")
     cache.write(MISS)
-    assert error_text(await client.resp()).startswith("ERR failed" if when == "before" else "BUSY")
+    assert error_text(await client.read_resp()).startswith("ERR failed" if when == "before" else "BUSY")
     assert_logged_once(caplog)
     await wait_until(lambda: not router.dispatcher.requests and not router.dispatcher.router.pending)
 
@@ -146,7 +146,7 @@
     raise_once(router, monkeypatch, when, lambda event: isinstance(event, ShutdownStarted))
     client, _ = await router.start_read(info="c=read,t=x,d=600000")
     router.dispatcher.start_shutdown(0.05)
-    assert error_text(await client.resp())
+    assert error_text(await client.read_resp())
     assert_logged_once(caplog)
 
 
@@ -187,10 +187,12 @@
         router.watch(agent)
         _, link = await accept_poll(agent)
         draining = peer_entry("a", router.caches["a"], status="terminating")
-        link.write(http("200 OK", encode_endpoint_list(2, False, draining)))
+        link.write(encode_http_response("200 OK", encode_endpoint_list(2, False, draining)))
         first, link = await accept_poll(agent)
         assert first == "GET /registry/instances HTTP/1.1"
-        link.write(http("200 OK", encode_endpoint_list(2, True, peer_entry("b", router.caches["b"]))))
+        link.write(
+            encode_http_response("200 OK", encode_endpoint_list(2, True, peer_entry("b", router.caches["b"])))
+        )
         first, _ = await accept_poll(agent)
         assert "after=2&" in first
         assert list(router.dispatcher.endpoints) == list(router.dispatcher.router.endpoints.servers) == ["b"]
--- a/tests/cache_router/net/test_late_connections.py
+++ b/tests/cache_router/net/test_late_connections.py
@@ -15,7 +15,7 @@
     record_written_requests,
     wait_until,
 )
-from tests.support.loopback import HIT, http, keyed_write, read
+from tests.support.loopback import HIT, encode_http_response, encode_keyed_write, encode_read
 from tests.support.loopback_router import KEYED_WRITE, READ, SETTINGS, Router
 
 
@@ -26,7 +26,7 @@
     """After the drain grace period no request may be written to a server that is known to be draining."""
     connections = DelayedConnections(monkeypatch, *router.caches.values())
     client = await router.client()
-    client.write(read("r1"))
+    client.write(encode_read("r1"))
     name, link = await first_connection(router)
     endpoint = router.dispatcher.endpoints[name]
     updated = {
@@ -41,9 +41,9 @@
         other = await router.cache()  # it may be the restarted server
     else:
         other = await next(p for n, p in router.caches.items() if n != name).link()
-    assert (await other.resp())[2] == b"r1"
+    assert (await other.read_resp())[2] == b"r1"
     other.write(HIT)
-    assert await client.resp() == b"value"
+    assert await client.read_resp() == b"value"
 
 
 async def test_attempt_carries_the_time_left_when_it_is_written(
@@ -54,16 +54,16 @@
     connections = DelayedConnections(monkeypatch, *router.caches.values())
     client = await router.client()
     sent_at = loop.time()
-    client.write(read("r1"))
+    client.write(encode_read("r1"))
     _, link = await first_connection(router)
     await asyncio.sleep(0.3)
     elapsed = loop.time() - sent_at
     connections.released.set()
-    info = (await link.resp())[3].decode()
+    info = (await link.read_resp())[3].decode()
     time_left = int(dict(pair.split("=") for pair in info.split(","))["d"]) / 1000
     assert 0 < time_left <= 2.0 - elapsed + 0.001
     link.write(HIT)
-    assert await client.resp() == b"value"
+    assert await client.read_resp() == b"value"
 
 
 @pytest.mark.parametrize("cancellation_allowed", [True, False])
@@ -75,7 +75,7 @@
         written = record_written_requests(monkeypatch)
         connections = DelayedConnections(monkeypatch, *router.caches.values())
         client = await router.client()
-        client.write(read("r1"))
+        client.write(encode_read("r1"))
         await first_connection(router)
         client.close()
         await wait_until(lambda: not router.client_connections())
@@ -93,16 +93,16 @@
     classes = {"read": READ, "book": replace(KEYED_WRITE, idempotency_window=window)}
     async with Router(replace(SETTINGS, classes=classes, connect_timeout=1.0)) as router:
         client = await router.client()
-        client.write(keyed_write("r1"))
+        client.write(encode_keyed_write("r1"))
         origin = await router.origin.link()
-        await origin.http()  # received completely, so that it may have been executed
+        await origin.read_http()  # received completely, so that it may have been executed
         origin.reset()
         if is_retried:
             origin = await router.origin.link()
-            await origin.http()
-            origin.write(http("200 OK", b"receipt"))
-            assert await client.resp() == b"receipt"
+            await origin.read_http()
+            origin.write(encode_http_response("200 OK", b"receipt"))
+            assert await client.read_resp() == b"receipt"
         else:
-            assert str(await client.resp()).startswith("BUSY")
+            assert str(await client.read_resp()).startswith("BUSY")
             assert router.origin.links.empty()
             assert router.origin_pool.connecting_count == 0
--- a/tests/cache_router/net/test_listener.py
+++ b/tests/cache_router/net/test_listener.py
@@ -9,7 +9,7 @@
 import pytest
 
 from cache_router.net import listener
-from tests.support.loopback import HIT, command
+from tests.support.loopback import HIT, encode_command
 from tests.support.loopback_router import Router
 
 
@@ -30,12 +30,12 @@
 
     monkeypatch.setattr(socket.socket, "accept", failing)
     first = await router.client()
-    first.write(command("PING"))
+    first.write(encode_command("PING"))
     await asyncio.sleep(3 * listener.ACCEPT_RETRY_DELAY)
     assert 1 <= calls <= 10  # one call per pause; a busy loop would make thousands
     assert f"accepting on {address} failed: [Errno {errno.EMFILE}]" in caplog.text
     exhausted = False
-    assert await first.resp() == b"PONG"
+    assert await first.read_resp() == b"PONG"
     second = await router.client()
     await second.ping()
 
@@ -43,8 +43,8 @@
 async def test_incomplete_command_does_not_delay_shutdown(router: Router) -> None:
     """Otherwise the router would wait for a client that never completes its command, until SIGKILL."""
     client = await router.client()
-    client.write(command("PING") + b"*4\r\n$5\r\nC.G")
-    assert await client.resp() == b"PONG"
+    client.write(encode_command("PING") + b"*4\r\n$5\r\nC.G")
+    assert await client.read_resp() == b"PONG"
     await router.listener.stop(0.0, 0.05)
     (connection,) = router.client_connections()
     connection.abort()
@@ -61,7 +61,7 @@
     assert await late.closed_by_peer()
     assert not shutdown.done()
     cache.write(HIT)
-    assert await busy.resp() == b"value"
+    assert await busy.read_resp() == b"value"
     assert await busy.closed_by_peer()
     await shutdown
     with pytest.raises(ConnectionRefusedError):
--- a/tests/cache_router/net/test_origin_connection.py
+++ b/tests/cache_router/net/test_origin_connection.py
@@ -8,7 +8,7 @@
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net.command import Command
-from tests.support.loopback import Link, Peer, http
+from tests.support.loopback import Link, Peer, encode_http_response
 from tests.support.upstream_attempts import GET, AttemptRecorder, AttemptRecorders, info_without_deadline
 
 # Unreserved characters of RFC 3986, which need no escaping in a path.
@@ -21,31 +21,36 @@
     """Start an attempt on the origin, and read its request."""
     attempts.start(peer.address, command)
     link = await peer.link()
-    return link, *await link.http()
+    return link, *await link.read_http()
 
 
 @pytest.mark.parametrize(
     ("response", "status", "value"),
     [
-        (http("200 OK", b"value"), AttemptStatus.OK, b"value"),
+        (encode_http_response("200 OK", b"value"), AttemptStatus.OK, b"value"),
         (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nva\r\n0\r\n\r\n",
             AttemptStatus.OK,
             b"va",
         ),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + http("200 OK", b"v"), AttemptStatus.OK, b"v"),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + encode_http_response("200 OK", b"v"), AttemptStatus.OK, b"v"),
         (
-            b"HTTP/1.1 103 Early Hints\r\nX: y\r\n\r\nHTTP/1.1 100 C\r\n\r\n" + http("200 OK", b"v"),
+            b"HTTP/1.1 103 Early Hints\r\nX: y\r\n\r\nHTTP/1.1 100 C\r\n\r\n"
+            + encode_http_response("200 OK", b"v"),
             AttemptStatus.OK,
             b"v",
         ),
-        (http("200 OK", b"v", "Server-Load: \x00\x01\x7f", "server-load: a\nb"), AttemptStatus.OK, b"v"),
-        (http("500 Error"), AttemptStatus.ERROR, b""),
-        (http("503 Busy", b"", "Not-Started: 1"), AttemptStatus.REJECTED, b""),
-        (http("504 Late", b"", "Not-Started: 1"), AttemptStatus.REJECTED, b""),
-        (http("503 Busy"), AttemptStatus.ERROR, b""),
-        (http("500 Error", b"", "Not-Started: 1"), AttemptStatus.ERROR, b""),
-        (http("404 None"), AttemptStatus.ERROR, b""),
+        (
+            encode_http_response("200 OK", b"v", "Server-Load: \x00\x01\x7f", "server-load: a\nb"),
+            AttemptStatus.OK,
+            b"v",
+        ),
+        (encode_http_response("500 Error"), AttemptStatus.ERROR, b""),
+        (encode_http_response("503 Busy", b"", "Not-Started: 1"), AttemptStatus.REJECTED, b""),
+        (encode_http_response("504 Late", b"", "Not-Started: 1"), AttemptStatus.REJECTED, b""),
+        (encode_http_response("503 Busy"), AttemptStatus.ERROR, b""),
+        (encode_http_response("500 Error", b"", "Not-Started: 1"), AttemptStatus.ERROR, b""),
+        (encode_http_response("404 None"), AttemptStatus.ERROR, b""),
     ],
 )
 async def test_responses_of_the_origin(
@@ -59,14 +64,14 @@
     link.write(response)
     assert await attempts.outcome() == (status, value)
     attempts.start(peer.address)  # reuses the connection
-    await link.http()
+    await link.read_http()
 
 
 @pytest.mark.parametrize(
     ("response", "status"),
     [
         (b"hello\r\n\r\n", AttemptStatus.ERROR),
-        (http("200 OK", b"x" * 70000), AttemptStatus.ERROR),
+        (encode_http_response("200 OK", b"x" * 70000), AttemptStatus.ERROR),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nval", AttemptStatus.RESET),
         (b"HTTP/1.1 200 OK\r\n\r\nvalue", AttemptStatus.RESET),  # no length: possibly truncated
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nv", AttemptStatus.ERROR),
--- a/tests/cache_router/net/test_request_table.py
+++ b/tests/cache_router/net/test_request_table.py
@@ -11,7 +11,7 @@
 from cache_router.net.request_table import RequestInFlight, RequestTable
 from cache_router.net.upstream_attempt import UpstreamAttempt
 from tests.support.event_order import wait_until
-from tests.support.loopback import HIT, error_text, read
+from tests.support.loopback import HIT, encode_read, error_text
 from tests.support.loopback_router import Router
 from tests.support.upstream_attempts import GET
 
@@ -20,19 +20,19 @@
     """Two requests under one id would get each other's replies."""
     other = await router.client()
     client, cache = await router.start_read()
-    other.write(read("r1"))
-    assert "in use" in error_text(await other.resp())
+    other.write(encode_read("r1"))
+    assert "in use" in error_text(await other.read_resp())
     cache.write(HIT)
-    assert await client.resp() == b"value"
-    other.write(read("r1"))  # still in use right after the reply
-    assert "in use" in error_text(await other.resp())
+    assert await client.read_resp() == b"value"
+    other.write(encode_read("r1"))  # still in use right after the reply
+    assert "in use" in error_text(await other.read_resp())
 
 
 async def test_answered_request_is_removed_at_once(router: Router) -> None:
     """Otherwise its id and value would stay in memory until its deadline, for up to ten minutes."""
     client, cache = await router.start_read(info="c=read,t=x,d=600000,h=" + "9" * 400)
     cache.write(HIT)
-    assert await client.resp() == b"value"
+    assert await client.read_resp() == b"value"
     assert not router.dispatcher.requests
 
 
--- a/tests/cache_router/net/test_unread_disconnects.py
+++ b/tests/cache_router/net/test_unread_disconnects.py
@@ -8,7 +8,15 @@
 
 from cache_router.net import client_connection
 from tests.support.event_order import record_written_requests, wait_until
-from tests.support.loopback import HIT, MISS, Link, command, http, keyed_write, read
+from tests.support.loopback import (
+    HIT,
+    MISS,
+    Link,
+    encode_command,
+    encode_http_response,
+    encode_keyed_write,
+    encode_read,
+)
 from tests.support.loopback_router import Router
 
 
@@ -29,9 +37,11 @@
     monkeypatch.setattr(client_connection, "ERROR_THROTTLE_TIME", 60.0)
     written = record_written_requests(monkeypatch)
     client = await router.client()
-    client.write(read("r1") + {"error": command("GET", "k"), "framing": b"noise\r\n"}.get(state, b""))
+    client.write(
+        encode_read("r1") + {"error": encode_command("GET", "k"), "framing": b"noise\r\n"}.get(state, b"")
+    )
     cache = await router.cache()
-    await cache.resp()
+    await cache.read_resp()
     if state == "slow":  # as the transport does when the client reads no replies
         router.client_connections()[0].pause_writing()
     await disconnect(router, client)
@@ -55,12 +65,12 @@
     written = record_written_requests(monkeypatch)
     decisions = router.dispatcher.router
     first = await router.client()
-    first.write(keyed_write("w1"))  # uses up the concurrency limit of the origin
+    first.write(encode_keyed_write("w1"))  # uses up the concurrency limit of the origin
     origin = await router.origin.link()
-    await origin.http()
+    await origin.read_http()
     decisions.endpoints.origins[0].concurrency.limit = 1.0
     client = await router.client()
-    client.write(keyed_write("w2") + (b"" if is_read else command("GET", "k")))
+    client.write(encode_keyed_write("w2") + (b"" if is_read else encode_command("GET", "k")))
     await wait_until(lambda: "w2" in decisions.pending and decisions.pending["w2"].is_queued)
     connection = router.client_connections()[1]
     if is_read:
@@ -70,8 +80,8 @@
         await wait_until(lambda: not connection.is_reading())
         client.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
         await wait_until(connection.is_hung_up)
-    origin.write(http("200 OK", b"receipt"))
-    assert await first.resp() == b"receipt"
+    origin.write(encode_http_response("200 OK", b"receipt"))
+    assert await first.read_resp() == b"receipt"
     await wait_until(lambda: not router.dispatcher.requests)
     assert written == ["w1"]
     assert not decisions.pending
@@ -84,7 +94,7 @@
     written = record_written_requests(monkeypatch)
     client, cache = await router.start_read("r0")
     request_ids = [f"r{n}" for n in range(1, 2 * client_connection.MAX_PIPELINED_COMMANDS)]
-    client.write(b"".join(read(n) for n in request_ids))
+    client.write(b"".join(encode_read(n) for n in request_ids))
     await wait_until(lambda: not router.client_connections()[0].is_reading())
     await disconnect(router, client)
     before = list(written)
--- a/tests/cache_router/net/test_upstream_connection.py
+++ b/tests/cache_router/net/test_upstream_connection.py
@@ -16,7 +16,7 @@
 from cache_router.net.upstream_attempt import UpstreamAttempt, UpstreamResponse
 from cache_router.net.upstream_connection import UpstreamConnection
 from tests.support.event_order import wait_until
-from tests.support.loopback import HIT, Peer, http
+from tests.support.loopback import HIT, Peer, encode_http_response
 from tests.support.upstream_attempts import GET, HUGE_SET, AttemptRecorders
 
 
@@ -54,7 +54,7 @@
     link = await peer.link()
     for _ in range(2):
         connection.send(UpstreamAttempt(GET, 0.5, responses.put_nowait))
-        await link.resp()
+        await link.read_resp()
         link.write(HIT)
         assert (await responses.get()).status is AttemptStatus.OK
     assert owner.notifications == ["connected", "idle", "idle"]
@@ -94,7 +94,7 @@
     connection.abort_after(0.0)
     connection.send(UpstreamAttempt(GET, 0.5, responses.put_nowait))
     link = await peer.link()
-    await link.resp()
+    await link.read_resp()
     await asyncio.sleep(0.01)
     link.write(HIT)
     assert (await responses.get()).status is AttemptStatus.OK
@@ -113,8 +113,10 @@
     attempts = attempt_recorders.on_pool(ConnectionPool(kind, 8, 1.0, 60.0, 0.0))
     attempts.start(peer.address)
     link = await peer.link()
-    await (link.resp() if kind is CacheConnection else link.http())
-    link.write(b"*3\r\n$9\r\nvalue\r\n" if kind is CacheConnection else http("200 OK", b"value")[:-1])
+    await (link.read_resp() if kind is CacheConnection else link.read_http())
+    link.write(
+        b"*3\r\n$9\r\nvalue\r\n" if kind is CacheConnection else encode_http_response("200 OK", b"value")[:-1]
+    )
     assert await attempts.outcome() == (AttemptStatus.ERROR, b"")
     assert await link.closed_by_peer()
     assert attempts.pool.established_count == 0
@@ -162,7 +164,7 @@
     attempts = attempt_recorders.on_caches()
     attempts.start(peer.address, HUGE_SET)
     link = await peer.link()
-    assert len(await link.resp()) == 5
+    assert len(await link.read_resp()) == 5
     link.reset()
     assert await attempts.outcome() == (AttemptStatus.RESET, b"")
 
@@ -177,7 +179,7 @@
     attempts = attempt_recorders.on_caches()
     attempt = attempts.start(peer.address)
     link = await peer.link()
-    await link.resp()
+    await link.read_resp()
     attempt.abandon()
     assert await link.closed_by_peer()
     assert attempts.results.empty()
@@ -194,6 +196,6 @@
     await wait_until(lambda: not attempts.pool.connecting_count)
     attempts.start(peer.address)
     link = await peer.link()
-    assert (await link.resp())[2] == b"r1"
+    assert (await link.read_resp())[2] == b"r1"
     assert attempts.pool.established_count == 1
     assert attempts.results.empty()
--- a/tests/cache_router/net/test_upstream_responses.py
+++ b/tests/cache_router/net/test_upstream_responses.py
@@ -8,7 +8,7 @@
 
 from cache_router.net import upstream_connection
 from cache_router.net.origin_connection import OriginConnection
-from tests.support.loopback import HIT, http, keyed_write, read
+from tests.support.loopback import HIT, encode_http_response, encode_keyed_write, encode_read
 from tests.support.loopback_router import Router, router_with
 
 
@@ -17,14 +17,14 @@
     """If the connection is reused immediately, a late response is served as the value of another request."""
     client, first = await router.start_read()
     first.write(HIT)
-    assert await client.resp() == b"value"
-    client.write(read("r2"))
+    assert await client.read_resp() == b"value"
+    client.write(encode_read("r2"))
     second = await router.cache()  # a new connection
-    assert (await second.resp())[2] == b"r2"
+    assert (await second.read_resp())[2] == b"r2"
     first.write(HIT.replace(b"value", b"stale"))
     assert await first.closed_by_peer()
     second.write(HIT.replace(b"value", b"fresh"))
-    assert await client.resp() == b"fresh"
+    assert await client.read_resp() == b"fresh"
 
 
 @router_with(reuse_delay=0.0)
@@ -32,9 +32,9 @@
     """After the delay, a late response is no longer expected, and reuse saves a handshake."""
     client, cache = await router.start_read()
     cache.write(HIT)
-    assert await client.resp() == b"value"
-    client.write(read("r2"))
-    assert (await cache.resp())[2] == b"r2"
+    assert await client.read_resp() == b"value"
+    client.write(encode_read("r2"))
+    assert (await cache.read_resp())[2] == b"r2"
 
 
 async def test_informational_response_does_not_start_the_completion_timeout(
@@ -51,12 +51,12 @@
 
     monkeypatch.setattr(OriginConnection, "data_received", recorded)
     client = await router.client()
-    client.write(keyed_write("r1"))
+    client.write(encode_keyed_write("r1"))
     origin = await router.origin.link()
-    await origin.http()
+    await origin.read_http()
     origin.write(b"HTTP/1.1 100 Continue\r\n\r\n")
     await received.wait()
     for _ in range(5):  # enough turns of the event loop for a timer of 0 s to fire
         await asyncio.sleep(0)
-    origin.write(http("200 OK", b"receipt"))
-    assert await client.resp() == b"receipt"
+    origin.write(encode_http_response("200 OK", b"receipt"))
+    assert await client.read_resp() == b"receipt"
--- a/tests/cache_router/net/test_watch_failures.py
+++ b/tests/cache_router/net/test_watch_failures.py
@@ -8,7 +8,7 @@
 
 from cache_router.settings import WatchBudget
 from tests.support.endpoint_lists import accept_poll, encode_endpoint_list, peer_entry
-from tests.support.loopback import Link, Peer, http
+from tests.support.loopback import Link, Peer, encode_http_response
 from tests.support.loopback_router import SETTINGS, Router, read_values
 
 AGENT_SETTINGS = replace(
@@ -36,10 +36,10 @@
             if failure == "reset":
                 link.reset()
             elif failure == "malformed":
-                link.write(http("200 OK", b"{"))
+                link.write(encode_http_response("200 OK", b"{"))
         link = await next_poll(agent)
         draining = peer_entry("a", router.caches["a"], status="terminating")
-        link.write(http("200 OK", encode_endpoint_list(2, False, draining)))
+        link.write(encode_http_response("200 OK", encode_endpoint_list(2, False, draining)))
         await next_poll(agent)  # sent once the update is applied
         assert router.discovery is not None
         router.discovery.close()
@@ -62,6 +62,8 @@
         router.discovery.subscribe()
         await next_poll(new)  # lost: gets no response
         link = await next_poll(new)
-        link.write(http("200 OK", encode_endpoint_list(2, True, peer_entry("b", router.caches["b"]))))
+        link.write(
+            encode_http_response("200 OK", encode_endpoint_list(2, True, peer_entry("b", router.caches["b"])))
+        )
         await next_poll(new)
         assert list(router.dispatcher.endpoints) == ["b"]
--- a/tests/cache_router/test_server.py
+++ b/tests/cache_router/test_server.py
@@ -21,7 +21,7 @@
 from cache_router.program import main
 from tests.support.coroutine_tests import DEFAULT_TIME_LIMIT
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
-from tests.support.loopback import HIT, Clients, Peer, format_address, http, read
+from tests.support.loopback import HIT, Clients, Peer, encode_http_response, encode_read, format_address
 from tests.support.loopback_router import read_values
 from tests.support.router_process import (
     CACHED_LIST,
@@ -149,13 +149,13 @@
         router_process(config_with_cache(cache, discovery, mode), tmp_path / "config.json") as process,
     ):
         watch = await discovery.link()
-        assert "after=1&" in (await watch.http())[0]
-        watch.write(http("200 OK", encode_endpoint_list(2, False)))
+        assert "after=1&" in (await watch.read_http())[0]
+        watch.write(encode_http_response("200 OK", encode_endpoint_list(2, False)))
         address = await listen_address(process.stderr)
         client = await clients.connect_and_ping(address)
-        client.write(read("r1"))
+        client.write(encode_read("r1"))
         cache_link = await cache.link()
-        await cache_link.resp()
+        await cache_link.read_resp()
         process.send_signal(signal.SIGTERM)
         assert process.stderr is not None
         line = await process.stderr.readline()
@@ -163,7 +163,7 @@
         late = await clients.connect_and_ping(address)
         assert await late.closed_by_peer()
         cache_link.write(HIT)
-        assert await client.resp() == b"value"
+        assert await client.read_resp() == b"value"
         async with asyncio.timeout(DEFAULT_TIME_LIMIT):
             assert await process.wait() == 0
 
@@ -178,30 +178,34 @@
         config = config_with_cache(cache, first, mode)
         async with router_process(config, path) as process:
             watch, address = await first.link(), await listen_address(process.stderr)
-            await watch.http()
+            await watch.read_http()
             client = await clients.connect_and_ping(address)
-            client.write(read("r0"))
+            client.write(encode_read("r0"))
             for number, discovery in enumerate((second, third), 1):
                 path.write_bytes(orjson.dumps({**config, "discovery": discovery.address}))
                 process.send_signal(signal.SIGHUP)
                 poll = await discovery.link()
-                assert (await poll.http())[0] == "GET /registry/instances HTTP/1.1"
+                assert (await poll.read_http())[0] == "GET /registry/instances HTTP/1.1"
                 assert await watch.closed_by_peer()
-                poll.write(http("200 OK", encode_endpoint_list(7, True, *config["known"]["endpoints"])))
+                poll.write(
+                    encode_http_response(
+                        "200 OK", encode_endpoint_list(7, True, *config["known"]["endpoints"])
+                    )
+                )
                 watch = await discovery.link()
-                assert "after=7&" in (await watch.http())[0]
+                assert "after=7&" in (await watch.read_http())[0]
                 await cache.serve(HIT)
-                assert await client.resp() == b"value"
-                client.write(read(f"r{number}"))
+                assert await client.read_resp() == b"value"
+                client.write(encode_read(f"r{number}"))
             path.write_bytes(b"{")
             process.send_signal(signal.SIGHUP)
             assert process.stderr is not None
             while b"configuration rejected" not in await process.stderr.readline():
                 assert not process.stderr.at_eof()
             await cache.serve(HIT)
-            assert await client.resp() == b"value"
-            watch.write(http("200 OK", encode_endpoint_list(8, False)))
-            assert "after=8&" in (await (await third.link()).http())[0]
+            assert await client.read_resp() == b"value"
+            watch.write(encode_http_response("200 OK", encode_endpoint_list(8, False)))
+            assert "after=8&" in (await (await third.link()).read_http())[0]
 
 
 @asynccontextmanager
@@ -232,14 +236,14 @@
         async with serving_in_process(config, tmp_path / "config.json") as address:
             poll = await agent.link()
             # The first poll has no wait, so that discovery answers it even if nothing has changed.
-            assert "after=1&wait_ms=0 " in (await poll.http())[0]
+            assert "after=1&wait_ms=0 " in (await poll.read_http())[0]
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*address)
             update = encode_endpoint_list(2, False, {**draining_entry, "status": "terminating"})
-            poll.write(http("200 OK", update))
+            poll.write(encode_http_response("200 OK", update))
             budget = read_config(orjson.dumps(config)).settings.watch_budget
             poll = await agent.link()
-            assert f"after=2&wait_ms={int(budget.long_poll_wait * 1000)} " in (await poll.http())[0]
+            assert f"after=2&wait_ms={int(budget.long_poll_wait * 1000)} " in (await poll.read_http())[0]
             client = await clients.connect_and_ping(address)
             await read_values(client, ready, 8)
             assert draining.links.empty()
@@ -257,16 +261,16 @@
         Peer() as agent,
         serving_in_process(config_with_cache(cache, agent, "automatic"), tmp_path / "config.json") as address,
     ):
-        await (await agent.link()).http()
+        await (await agent.link()).read_http()
         while True:
             try:
                 client = await clients.connect_and_ping(address)
                 break
             except ConnectionRefusedError:
                 await asyncio.sleep(0)
-        client.write(read("r1"))
+        client.write(encode_read("r1"))
         link = await cache.link()
-        await link.resp()
+        await link.read_resp()
         link.write(HIT)
-        assert await client.resp() == b"value"
+        assert await client.read_resp() == b"value"
         client.close()
--- a/tests/cache_router/test_shutdown.py
+++ b/tests/cache_router/test_shutdown.py
@@ -14,7 +14,7 @@
 from tests.support.coroutine_tests import DEFAULT_TIME_LIMIT
 from tests.support.endpoint_lists import encode_endpoint_list
 from tests.support.event_order import wait_until
-from tests.support.loopback import HIT, MISS, Clients, Link, Peer, http, read
+from tests.support.loopback import HIT, MISS, Clients, Link, Peer, encode_http_response, encode_read
 from tests.support.loopback_router import KEYED_WRITE, READ, SETTINGS, Router, router_with
 from tests.support.router_process import config_with_cache, listen_address, router_process
 
@@ -29,19 +29,19 @@
         if waiting_for == "capacity":
             origin = router.dispatcher.router.endpoints.origins[0].concurrency
             origin.limit = origin.in_flight  # the origin has no free capacity, and none is freed
-        client.write(read("r1", info=info))
+        client.write(encode_read("r1", info=info))
         cache = await router.cache()
-        await cache.resp()
+        await cache.read_resp()
         if waiting_for != "server":
             cache.write(MISS)
         if waiting_for == "origin":
-            await (await router.origin.link()).http()
+            await (await router.origin.link()).read_http()
         if waiting_for == "capacity":
             await wait_until(lambda: any(r.is_queued for r in router.dispatcher.router.pending.values()))
         router.dispatcher.start_shutdown(0.05)
-        assert isinstance(await client.resp(), hiredis.ReplyError)
-        client.write(read("r2", info=info))  # a request during shutdown is rejected at once
-        assert str(await client.resp()).startswith("BUSY")
+        assert isinstance(await client.read_resp(), hiredis.ReplyError)
+        client.write(encode_read("r2", info=info))  # a request during shutdown is rejected at once
+        assert str(await client.read_resp()).startswith("BUSY")
         await wait_until(lambda: not router.dispatcher.requests)
 
 
@@ -55,13 +55,13 @@
         config["settings"]["classes"] = classes
         async with router_process(config, tmp_path / "config.json") as process:
             watch = await agent.link()
-            await watch.http()
-            watch.write(http("200 OK", encode_endpoint_list(2, False)))
+            await watch.read_http()
+            watch.write(encode_http_response("200 OK", encode_endpoint_list(2, False)))
             client = await clients.connect_and_ping(await listen_address(process.stderr))
-            client.write(read("r1", info="c=read,t=t,d=600000"))
-            await (await cache.link()).resp()
+            client.write(encode_read("r1", info="c=read,t=t,d=600000"))
+            await (await cache.link()).read_resp()
             process.send_signal(signal.SIGTERM)
-            assert isinstance(await client.resp(), hiredis.ReplyError)
+            assert isinstance(await client.read_resp(), hiredis.ReplyError)
             assert await process.wait() == 0
 
 
@@ -71,35 +71,35 @@
     first, cache = await router.start_read()
     second = await router.client()
     await wait_until(lambda: len(router.client_connections()) == 2)  # one above the limit, none to evict
-    second.write(read("r2"))
+    second.write(encode_read("r2"))
     third = await router.client()
-    third.write(read("r3"))
+    third.write(encode_read("r3"))
     served = await router.cache()
-    assert (await served.resp())[2] == b"r2"
+    assert (await served.read_resp())[2] == b"r2"
     shutdown = asyncio.create_task(router.listener.stop(0.0, DEFAULT_TIME_LIMIT))
     await wait_until(lambda: router.listener.is_draining)
     cache.write(HIT)
     served.write(HIT)
-    assert await first.resp() == await second.resp() == b"value"
+    assert await first.read_resp() == await second.read_resp() == b"value"
     assert await first.closed_by_peer()
     assert await second.closed_by_peer()
     last = await next_request(router, cache, served)
     last.write(HIT)
-    assert await third.resp() == b"value"
+    assert await third.read_resp() == b"value"
     assert await third.closed_by_peer()
     await shutdown
 
 
 async def next_request(router: Router, *links: Link) -> Link:
     """Return the connection, old or new, on which the next request arrives."""
-    reads = {asyncio.ensure_future(link.resp()): link for link in links}
+    reads = {asyncio.ensure_future(link.read_resp()): link for link in links}
     accept = asyncio.ensure_future(router.cache())
     done, pending = await asyncio.wait([*reads, accept], return_when=asyncio.FIRST_COMPLETED)
     for task in pending:
         task.cancel()
     if accept not in done:
         return reads[done.pop()]
-    await accept.result().resp()
+    await accept.result().read_resp()
     return accept.result()
 
 
@@ -112,11 +112,11 @@
     monkeypatch.setattr(client_connection_table, "FIRST_COMMAND_GRACE", DEFAULT_TIME_LIMIT)
     shutdown = asyncio.create_task(router.listener.stop(0.0, DEFAULT_TIME_LIMIT))
     await wait_until(lambda: router.listener.is_closed)
-    client.write(read("r1"))
+    client.write(encode_read("r1"))
     cache = await router.cache()
-    await cache.resp()
+    await cache.read_resp()
     cache.write(HIT)
-    assert await client.resp() == b"value"
+    assert await client.read_resp() == b"value"
     assert await client.closed_by_peer()
     await shutdown
 
@@ -129,6 +129,6 @@
     await wait_until(lambda: router.listener.is_draining)
     router.dispatcher.requests.respond("r1", b"-ERR failed\r\n")
     assert not connection.is_connected()  # closed by the router: the client has not disconnected
-    assert isinstance(await client.resp(), hiredis.ReplyError)
+    assert isinstance(await client.read_resp(), hiredis.ReplyError)
     assert await client.closed_by_peer()
     await shutdown
--- a/tests/cache_router/test_startup.py
+++ b/tests/cache_router/test_startup.py
@@ -23,7 +23,7 @@
 from cache_router.net.endpoint_list_reader import read_endpoint_list
 from cache_router.net.origin_connection import OriginConnection
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, encode_endpoint_list
-from tests.support.loopback import Clients, Peer, http
+from tests.support.loopback import Clients, Peer, encode_http_response
 from tests.support.router_process import (
     PROCESS_TEST_TIMEOUT,
     VALID_CONFIG,
@@ -118,12 +118,12 @@
         config["known"]["endpoints"] = entries
         async with router_process(config, tmp_path / "config.json") as process:
             poll = await agent.link()
-            assert "after=1&" in (await poll.http())[0]
-            poll.write(http("200 OK", encode_endpoint_list(2, True, *entries)))
+            assert "after=1&" in (await poll.read_http())[0]
+            poll.write(encode_http_response("200 OK", encode_endpoint_list(2, True, *entries)))
             client = await clients.connect_and_ping(await listen_address(process.stderr))
             record_property("processor_seconds", processor_seconds(process))
             watch = await agent.link()  # a poll for later changes, not for the complete list again
-            first, _, _ = await watch.http()
+            first, _, _ = await watch.read_http()
             assert "after=2&" in first
             assert "wait_ms=0 " not in first
             await client.ping()
--- a/tests/cache_router/test_watch_budget.py
+++ b/tests/cache_router/test_watch_budget.py
@@ -18,7 +18,7 @@
 from cache_router.settings import MIN_BACKOFF, WatchBudget
 from tests.support.driver import Driver
 from tests.support.endpoint_lists import ENDPOINT_ENTRY, WatchRecorder, accept_poll, encode_endpoint_list
-from tests.support.loopback import Peer, http
+from tests.support.loopback import Peer, encode_http_response
 from tests.support.router_inputs import entry, settings
 from tests.support.router_scenarios import FAILED_CALL
 
@@ -133,7 +133,7 @@
         assert await recorder.updates.get() is None
         recorder.discovery.subscribe()
         _, link = await accept_poll(peer)
-        link.write(http("200 OK", encode_endpoint_list(3, True, ENDPOINT_ENTRY)))
+        link.write(encode_http_response("200 OK", encode_endpoint_list(3, True, ENDPOINT_ENTRY)))
         assert await recorder.updates.get() is not None
         recorder.discovery.close()
 
--- a/tests/scale_experiments/emulators/test_cache.py
+++ b/tests/scale_experiments/emulators/test_cache.py
@@ -28,7 +28,7 @@
     StartCaches,
 )
 from scale_experiments.emulators.messages.common import Done
-from tests.support.loopback import Link, keyed_write, read
+from tests.support.loopback import Link, encode_keyed_write, encode_read
 
 CACHE_SETTINGS = CacheSettings(
     value_bytes=3, service_s=0.0, handshake_s=0.0, idle_s=9.0, max_connections=2, max_keys=2, warm=False
@@ -114,18 +114,18 @@
     await cache.listen()
     links = [Link(*await asyncio.open_connection(*address)) for _ in range(3)]
     for link, value in zip(links, (b"vvv", b"vvv", None), strict=True):
-        link.write(read("r1"))
-        response = await link.resp()
+        link.write(encode_read("r1"))
+        response = await link.read_resp()
         if value is None:  # third connection, with a limit of two
             assert str(response) == "BUSY"
             assert await link.closed_by_peer()
         else:
             assert response == [value, b"hit", b"svc_ms=0.0,pending=0"]
     await cache.set_mode("drain")
-    links[0].write(read("r2"))
-    assert str(await links[0].resp()) == "BUSY"
+    links[0].write(encode_read("r2"))
+    assert str(await links[0].read_resp()) == "BUSY"
     await cache.set_mode("hang")
-    links[0].write(read("r3"))
+    links[0].write(encode_read("r3"))
     await cache.set_mode("dead")
     assert await links[0].closed_by_peer()
     assert await links[1].closed_by_peer()
@@ -133,8 +133,8 @@
         await asyncio.open_connection(*address)
     await cache.set_mode("serve")
     link = Link(*await asyncio.open_connection(*address))
-    link.write(read("r4"))
-    assert (await link.resp())[:2] == [None, b"miss"]
+    link.write(encode_read("r4"))
+    assert (await link.read_resp())[:2] == [None, b"miss"]
     assert cache.counters() == CacheCounters(
         accepted=4, handshakes=3, requests=5, hits=2, misses=1, rejected=2, open_sum=0, max_open=3, open=1
     )
@@ -150,10 +150,10 @@
     await cache.listen()
     link = Link(*await asyncio.open_connection(*address))
     started_at = asyncio.get_running_loop().time()
-    link.write(read("r1") + keyed_write("w1"))
-    assert await link.resp() == [b"vvv", b"hit", b"svc_ms=10.0,pending=1"]
+    link.write(encode_read("r1") + encode_keyed_write("w1"))
+    assert await link.read_resp() == [b"vvv", b"hit", b"svc_ms=10.0,pending=1"]
     assert asyncio.get_running_loop().time() - started_at >= 0.06
-    assert await link.resp() == [None, b"miss", b"svc_ms=10.0,pending=0"]
+    assert await link.read_resp() == [None, b"miss", b"svc_ms=10.0,pending=0"]
     link.close()
     await cache.set_mode("dead")
 
@@ -163,7 +163,7 @@
     cache = CacheServer(CacheCluster(replace(CACHE_SETTINGS, service_s=5.0)), "a", address)
     await cache.listen()
     link = Link(*await asyncio.open_connection(*address))
-    link.write(read("r1"))
+    link.write(encode_read("r1"))
     while not cache.counters().misses:
         await asyncio.sleep(0.001)
     assert cache.load_report() == b"svc_ms=5000.0,pending=1"
@@ -188,12 +188,12 @@
     assert isinstance(started, CachesStarted)
     origin = Link(*await asyncio.open_connection(*parse_address(started.origin)))
     link = Link(*await asyncio.open_connection(host, port))
-    link.write(read("r1", key="a/b"))
-    assert (await link.resp())[:2] == [None, b"miss"]
+    link.write(encode_read("r1", key="a/b"))
+    assert (await link.read_resp())[:2] == [None, b"miss"]
     origin.write(origin_request("GET", "r1"))
-    await origin.http()
-    link.write(read("r2", key="a/b"))
-    assert (await link.resp())[:2] == [b"vvv", b"hit"]
+    await origin.read_http()
+    link.write(encode_read("r2", key="a/b"))
+    assert (await link.read_resp())[:2] == [b"vvv", b"hit"]
     stats = await emulator.handle(GetCachesStats())
     assert isinstance(stats, CachesStats)
     assert (stats.caches["a"].hits, stats.caches["a"].misses, stats.origin.requests) == (1, 1, 1)
@@ -220,11 +220,11 @@
     while not origin.counters().requests:
         await asyncio.sleep(0.001)
     second.write(origin_request("GET", "r2"))
-    status, headers, _ = await second.http()
+    status, headers, _ = await second.read_http()
     assert (status, headers["not-started"]) == ("HTTP/1.1 503 Service Unavailable", "1")
-    assert await first.http() == ("HTTP/1.1 200 OK", {"content-length": "3"}, b"vvv")
+    assert await first.read_http() == ("HTTP/1.1 200 OK", {"content-length": "3"}, b"vvv")
     first.write(origin_request("PUT", "w1", "body"))
-    assert await first.http() == ("HTTP/1.1 200 OK", {"content-length": "7"}, b"receipt")
+    assert await first.read_http() == ("HTTP/1.1 200 OK", {"content-length": "7"}, b"receipt")
     assert completed == [(b"a/b", b"r1", False), (b"a/b", b"w1", True)]
     first.close()
     while origin.counters().open == 2:
@@ -245,6 +245,6 @@
     while origin.counters().open == 2:
         await asyncio.sleep(0.001)
     second.write(origin_request("GET", "r2"))
-    assert (await second.http())[0] == "HTTP/1.1 200 OK"
+    assert (await second.read_http())[0] == "HTTP/1.1 200 OK"
     assert completed == [b"r2"]
     second.close()
--- a/tests/scale_experiments/emulators/test_clients.py
+++ b/tests/scale_experiments/emulators/test_clients.py
@@ -35,7 +35,7 @@
 )
 from scale_experiments.emulators.messages.common import Done
 from scale_experiments.measurement.histograms import decode_histogram
-from tests.support.loopback import Link, Peer, read
+from tests.support.loopback import Link, Peer, encode_read
 
 START = StartClients(
     routers=[],
@@ -67,14 +67,14 @@
 
 def send_request(load: RouterLoad, request_id: str) -> None:
     """Send a request that is due now."""
-    load.send(ClientRequest(read(request_id), asyncio.get_running_loop().time()))
+    load.send(ClientRequest(encode_read(request_id), asyncio.get_running_loop().time()))
 
 
 async def send_on_new_connection(load: RouterLoad, router: Peer, request_id: str) -> Link:
     """Send a request that needs a new connection; return the router's side of it."""
     send_request(load, request_id)
     link = await router.link()
-    assert (await link.resp())[2] == request_id.encode()
+    assert (await link.read_resp())[2] == request_id.encode()
     return link
 
 
@@ -163,7 +163,7 @@
         first.write(SERVED_REPLY)
         await wait_for_outcome(load, SERVED)
         send_request(load, "r3")
-        assert (await first.resp())[2] == b"r3"
+        assert (await first.read_resp())[2] == b"r3"
         first.write(b"-BUSY\r\n")
         second.write(b"?\r\n")  # malformed reply
         await wait_for_outcome(load, REJECTED)
@@ -182,10 +182,10 @@
         first.write(SERVED_REPLY)
         await wait_for_outcome(load, SERVED)
         send_request(load, "r2")
-        assert (await first.resp())[2] == b"r2"
+        assert (await first.read_resp())[2] == b"r2"
         first.close()
         second = await router.link()
-        assert (await second.resp())[2] == b"r2"
+        assert (await second.read_resp())[2] == b"r2"
         second.close()
         await wait_for_outcome(load, LOST)
         counts = counts_of(load)
--- a/tests/scale_experiments/emulators/test_discovery.py
+++ b/tests/scale_experiments/emulators/test_discovery.py
@@ -91,7 +91,7 @@
     await emulator.listen()
     client = Link(*await asyncio.open_connection(*emulator.address))
     client.write(b"GET /registry/instances?after=x HTTP/1.1\r\n\r\n")
-    assert (await client.http())[0] == "HTTP/1.1 400 Bad Request"
+    assert (await client.read_http())[0] == "HTTP/1.1 400 Bad Request"
     await emulator.set_mode("refuse")
 
 
@@ -104,11 +104,11 @@
     client = Link(*await asyncio.open_connection(*emulator.address))
     started_at = asyncio.get_running_loop().time()
     client.write(b"GET /registry/instances HTTP/1.1\r\n\r\n")
-    assert (await client.http())[0] == "HTTP/1.1 503 Service Unavailable"
+    assert (await client.read_http())[0] == "HTTP/1.1 503 Service Unavailable"
     assert asyncio.get_running_loop().time() - started_at >= 0.02
     await emulator.set_mode("serve")
     client.write(b"GET /registry/instances HTTP/1.1\r\n\r\n")
-    assert (await client.http())[0] == "HTTP/1.1 200 OK"
+    assert (await client.read_http())[0] == "HTTP/1.1 200 OK"
     stats = emulator.stats()
     assert (stats.polls, stats.connections, stats.answered, stats.rejected) == (2, 1, 1, 1)
     await emulator.set_mode("refuse")
@@ -130,7 +130,7 @@
     assert emulator.address == address
     client = Link(*await asyncio.open_connection(*address))
     client.write(b"GET /registry/instances?after=0 HTTP/1.1\r\nConnection: close\r\n\r\n")
-    assert (await client.http())[2] == b'{"index":0,"snapshot":false,"endpoints":[]}'
+    assert (await client.read_http())[2] == b'{"index":0,"snapshot":false,"endpoints":[]}'
     assert await client.closed_by_peer()
     await emulator.set_mode("refuse")
 
--- a/tests/support/connection_pools.py
+++ b/tests/support/connection_pools.py
@@ -97,7 +97,7 @@
     async def _read(self, link: Link, number: int) -> None:
         try:
             while True:
-                await link.resp()
+                await link.read_resp()
                 self.outcomes.put_nowait(number)
         except (AssertionError, ConnectionError):  # the connection was closed or reset
             self.closed_connections.add(number)
--- a/tests/support/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -62,4 +62,4 @@
 async def accept_poll(peer: Peer) -> tuple[str, Link]:
     """Accept the next poll of a watch; return its request line and its connection."""
     link = await peer.link()
-    return (await link.http())[0], link
+    return (await link.read_http())[0], link
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -28,25 +28,25 @@
     return f"{address[0]}:{address[1]}"
 
 
-def http(status: str, body: bytes = b"", *headers: str) -> bytes:
+def encode_http_response(status: str, body: bytes = b"", *headers: str) -> bytes:
     """Encode an HTTP response."""
     lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers, "", ""]
     return "\r\n".join(lines).encode() + body
 
 
-def command(*parts: str | bytes) -> bytes:
+def encode_command(*parts: str | bytes) -> bytes:
     """Encode a RESP command."""
     return bytes(hiredis.pack_command(parts))  # type: ignore[arg-type]
 
 
-def read(request: str, key: str = "k", info: str = "c=read,t=x,d=2000") -> bytes:
+def encode_read(request: str, key: str = "k", info: str = "c=read,t=x,d=2000") -> bytes:
     """Encode a client's read; `info` holds the class, the tenant and the deadline in milliseconds."""
-    return command("C.GET", key, request, info)
+    return encode_command("C.GET", key, request, info)
 
 
-def keyed_write(request: str, key: str = "k", value: bytes = b"slot") -> bytes:
+def encode_keyed_write(request: str, key: str = "k", value: bytes = b"slot") -> bytes:
     """Encode a client's write with an idempotency key."""
-    return command("C.SET", key, request, "c=book,t=x,d=2000,k=5c0f", value)
+    return encode_command("C.SET", key, request, "c=book,t=x,d=2000,k=5c0f", value)
 
 
 def error_text(message: object) -> str:
@@ -68,7 +68,7 @@
         """Send bytes to the peer."""
         self.writer.write(data)
 
-    async def resp(self) -> Any:
+    async def read_resp(self) -> Any:
         """Read the next RESP message."""
         while (message := self.parser.gets()) is Ellipsis:
             data = await self.reader.read(65536)
@@ -76,7 +76,7 @@
             self.parser.feed(data)
         return message
 
-    async def http(self) -> tuple[str, dict[str, str], bytes]:
+    async def read_http(self) -> tuple[str, dict[str, str], bytes]:
         """Read the next HTTP message: its first line, its headers by lower-case name, and its body."""
         first, *rest = (await self.reader.readuntil(b"\r\n\r\n")).decode().strip().split("\r\n")
         headers = {k.lower(): v for k, v in (line.split(": ", 1) for line in rest)}
@@ -91,8 +91,8 @@
 
     async def ping(self) -> None:
         """Send a PING as a client, and wait for its reply."""
-        self.write(command("PING"))
-        assert await self.resp() == b"PONG"
+        self.write(encode_command("PING"))
+        assert await self.read_resp() == b"PONG"
 
     def close(self) -> None:
         """Close the connection once everything written has been sent."""
@@ -199,7 +199,7 @@
         All connections stay open.
         """
         while True:
-            reads = {asyncio.ensure_future(link.resp()): link for link in self.served}
+            reads = {asyncio.ensure_future(link.read_resp()): link for link in self.served}
             accept = asyncio.ensure_future(self.links.get())
             done, pending = await asyncio.wait([*reads, accept], return_when=asyncio.FIRST_COMPLETED)
             for task in pending:
--- a/tests/support/loopback_router.py
+++ b/tests/support/loopback_router.py
@@ -20,7 +20,7 @@
 from cache_router.net.listener import Listener
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings, WatchBudget
-from tests.support.loopback import HIT, Clients, Link, Peer, read
+from tests.support.loopback import HIT, Clients, Link, Peer, encode_read
 
 # An idempotent request class, and one that is idempotent with an idempotency key
 READ = RequestClass("read", latency_objective=1.0)
@@ -46,9 +46,9 @@
 async def read_values(client: Link, server: Peer, count: int) -> None:
     """Send reads of different keys one after another, and check that the given server receives each."""
     for n in range(count):
-        client.write(read(f"r{n}", f"k{n}"))
+        client.write(encode_read(f"r{n}", f"k{n}"))
         await server.serve(HIT)
-        assert await client.resp() == b"value"
+        assert await client.read_resp() == b"value"
 
 
 class Router:
@@ -151,9 +151,9 @@
             The links of the client and of the cache server.
         """
         client = await self.client()
-        client.write(read(request, info=info))
+        client.write(encode_read(request, info=info))
         cache = await self.cache()
-        assert (await cache.resp())[2] == request.encode()
+        assert (await cache.read_resp())[2] == request.encode()
         return client, cache
 
 
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -30,7 +30,7 @@
         """Start an attempt, and wait until the peer receives its request."""
         self.start(peer.address)
         link = await peer.link()
-        assert (await link.resp())[2] == b"r1"
+        assert (await link.read_resp())[2] == b"r1"
         return link
 
     def start(self, address: str, command: Command = GET, incarnation: object = None) -> UpstreamAttempt:
