--- a/tests/cache_router/net/test_cache_connection.py
+++ b/tests/cache_router/net/test_cache_connection.py
@@ -31,7 +31,7 @@
     """Only an error that starts with BUSY is a rejection; any other is an error: the request may have run."""
     attempts = attempt_recorders.on_caches()
     attempts.start(peer.address)
-    link = await peer.link()
+    link = await peer.accept_connection()
     *parts, info = await link.read_resp()
     assert parts == [b"C.GET", b"k", b"r1"]
     assert info_without_deadline(info.decode()) == "c=read"
--- a/tests/cache_router/net/test_client_connection.py
+++ b/tests/cache_router/net/test_client_connection.py
@@ -10,7 +10,7 @@
 from cache_router.net.address import Address
 from cache_router.net.client_connection import MAX_PIPELINED_COMMANDS, ClientConnection, PipelinedReply
 from tests.support.event_order import wait_until
-from tests.support.loopback import HIT, Link, encode_command, encode_read, error_text
+from tests.support.loopback import HIT, PeerConnection, encode_command, encode_read, error_text
 from tests.support.loopback_router import Router, router_with
 
 
@@ -132,7 +132,7 @@
     assert await client.read_resp() == b"value"
 
 
-async def client_with_full_pipeline(router: Router) -> tuple[Link, ClientConnection]:
+async def client_with_full_pipeline(router: Router) -> tuple[PeerConnection, ClientConnection]:
     """Return a client that has sent twice the commands that may be pipelined, and the router's side of it."""
     client = await router.client()
     client.write(b"".join(encode_read(f"r{n}") for n in range(2 * MAX_PIPELINED_COMMANDS)))
--- a/tests/cache_router/net/test_client_connection_closing.py
+++ b/tests/cache_router/net/test_client_connection_closing.py
@@ -11,18 +11,20 @@
 from cache_router.net.client_connection import ClientConnection
 from cache_router.net.client_connection_table import ClientConnectionTable
 from tests.support.event_order import wait_until
-from tests.support.loopback import Link, encode_read, error_text
+from tests.support.loopback import PeerConnection, encode_read, error_text
 from tests.support.loopback_router import Router, router_with
 
 
-async def accepted_connection(router: Router, table: ClientConnectionTable) -> tuple[Link, ClientConnection]:
+async def accepted_connection(
+    router: Router, table: ClientConnectionTable
+) -> tuple[PeerConnection, ClientConnection]:
     """Connect a client whose connection reports to `table`; return the client's and the router's side."""
     client_socket, accepted_socket = socket.socketpair()
     accepted_socket.setblocking(False)
     _transport, connection = await asyncio.get_running_loop().connect_accepted_socket(
         lambda: ClientConnection(router.dispatcher, table), accepted_socket
     )
-    return router.clients.add(Link(*await asyncio.open_connection(sock=client_socket))), connection
+    return router.clients.add(PeerConnection(*await asyncio.open_connection(sock=client_socket))), connection
 
 
 @pytest.mark.parametrize("cause", ["abort", "reset"])
@@ -57,7 +59,7 @@
     assert await client.closed_by_peer()
 
 
-async def client_after_ping(router: Router) -> Link:
+async def client_after_ping(router: Router) -> PeerConnection:
     """Return a client that has sent a command and received its reply."""
     client = await router.client()
     await client.ping()
--- a/tests/cache_router/net/test_connection_pool.py
+++ b/tests/cache_router/net/test_connection_pool.py
@@ -36,7 +36,7 @@
     await attempts.outcome()
     attempts.start(peer.address, incarnation="another")
     assert await link.closed_by_peer()
-    assert (await (await peer.link()).read_resp())[2] == b"r1"
+    assert (await (await peer.accept_connection()).read_resp())[2] == b"r1"
 
 
 async def test_refused_connection_is_a_failed_connect(attempt_recorders: AttemptRecorders) -> None:
@@ -98,7 +98,7 @@
     async with Peer() as one, Peer() as other:
         attempts = attempt_recorders.on_caches(max_connections=1)
         attempts.start(one.address)
-        link = await one.link()
+        link = await one.accept_connection()
         await link.read_resp()
         attempts.start(other.address)
         # If this were counted as a fault of the server, its keys would be moved to other servers.
@@ -107,7 +107,7 @@
         assert await attempts.outcome() == (AttemptStatus.OK, b"value")
         attempts.start(other.address)  # closes the idle connection to stay within the limit
         assert await link.closed_by_peer()
-        await (await other.link()).read_resp()
+        await (await other.accept_connection()).read_resp()
 
 
 async def test_longest_idle_connection_to_any_server_is_closed_for_another(
--- a/tests/cache_router/net/test_descriptors.py
+++ b/tests/cache_router/net/test_descriptors.py
@@ -14,8 +14,8 @@
 from tests.support.loopback import (
     HIT,
     Clients,
-    Link,
     Peer,
+    PeerConnection,
     encode_command,
     encode_http_response,
     encode_read,
@@ -59,7 +59,7 @@
 async def serve_and_record(peer: Peer, served: list[Peer]) -> None:
     """Answer all reads at a server, and append the server to `served` for each."""
 
-    async def answer_all(link: Link) -> None:
+    async def answer_all(link: PeerConnection) -> None:
         with suppress(AssertionError, ConnectionError):  # the connection was closed
             while True:
                 await link.read_resp()
@@ -68,7 +68,7 @@
 
     async with asyncio.TaskGroup() as links:
         while True:
-            links.create_task(answer_all(await peer.link()))
+            links.create_task(answer_all(await peer.accept_connection()))
 
 
 class UnavailableAgent(Peer):
@@ -103,7 +103,7 @@
         await clients.connect(address)
 
 
-async def read_until_served(client: Link, caches: list[Peer], expected: set[Peer]) -> None:
+async def read_until_served(client: PeerConnection, caches: list[Peer], expected: set[Peer]) -> None:
     """Send reads of different keys until each of the expected servers has answered one, 200 at most.
 
     A read is always in flight, because the router may evict an idle client: near its connection limit it
@@ -151,13 +151,13 @@
                 await agent.start_listening()
             else:
                 while not agent.links.empty():
-                    (await agent.link()).reset()
+                    (await agent.accept_connection()).reset()
             entries.append(peer_entry("s-new", new_cache, weight=1.0))
             response = encode_http_response("200 OK", encode_endpoint_list(50, True, *entries))
-            poll = await agent.link()
+            poll = await agent.accept_connection()
             await poll.read_http()
             poll.write(response)
-            assert "after=50&" in (await (await agent.link()).read_http())[0]
+            assert "after=50&" in (await (await agent.accept_connection()).read_http())[0]
             client = await clients.connect(address)
             await read_until_served(client, [*caches, new_cache], {caches[0], new_cache})
             log_reader.cancel()
--- a/tests/cache_router/net/test_disconnect_races.py
+++ b/tests/cache_router/net/test_disconnect_races.py
@@ -22,7 +22,7 @@
 from tests.support.loopback import (
     HIT,
     MISS,
-    Link,
+    PeerConnection,
     encode_command,
     encode_http_response,
     encode_keyed_write,
@@ -70,24 +70,24 @@
     assert not dispatcher.router.attempts
 
 
-async def open_idle_connections(router: Router) -> dict[str, Link]:
+async def open_idle_connections(router: Router) -> dict[str, PeerConnection]:
     """Open an idle connection to every server, so that attempts are written at once; return them by name."""
     endpoints = router.dispatcher.endpoints
-    links: dict[str, Link] = {}
+    links: dict[str, PeerConnection] = {}
     responses: asyncio.Queue[UpstreamResponse] = asyncio.Queue()
     for name in endpoints:
         endpoint = endpoints[name]
         pool, peer = endpoints.pool_of(endpoint), router.caches.get(name, router.origin)
         attempt = UpstreamAttempt(GET, 60.0, responses.put_nowait)
         pool.start(attempt, endpoint.address, endpoint.incarnation)
-        links[name] = link = await peer.link()
+        links[name] = link = await peer.accept_connection()
         await (link.read_http() if peer is router.origin else link.read_resp())
         link.write(encode_http_response("200 OK", b"value") if peer is router.origin else HIT)
         await responses.get()
     return links
 
 
-async def link_of_next_request(links: dict[str, Link]) -> Link:
+async def link_of_next_request(links: dict[str, PeerConnection]) -> PeerConnection:
     """Return the connection to a cache server, `a` or `b`, on which the next request arrives."""
     reads = {asyncio.ensure_future(links[name].read_resp()): links[name] for name in ("a", "b")}
     done, (other,) = await asyncio.wait(reads, return_when=asyncio.FIRST_COMPLETED)
@@ -108,7 +108,7 @@
     assert (await cache.read_resp())[2] == b"u1"
     surplus = await router.client()  # one client above the limit: later ones stay in the backlog
     surplus.write(encode_read("u2"))
-    other = await router.caches["a"].link()
+    other = await router.caches["a"].accept_connection()
     assert (await other.read_resp())[2] == b"u2"
     client = blocking_client(router)
     client.sendall(encode_read("r1"))
--- a/tests/cache_router/net/test_dispatcher.py
+++ b/tests/cache_router/net/test_dispatcher.py
@@ -58,7 +58,7 @@
     """The request to the origin has the same request id."""
     client, cache = await router.start_read()
     cache.write(MISS)
-    origin = await router.origin.link()
+    origin = await router.origin.accept_connection()
     first, headers, _ = await origin.read_http()
     assert first == "GET /k HTTP/1.1"
     assert headers["request-id"] == "r1"
@@ -70,7 +70,7 @@
     """The value may hold any bytes, and the idempotency key goes with it."""
     client = await router.client()
     client.write(encode_keyed_write("r1", value=b"two\r\nlines"))
-    origin = await router.origin.link()
+    origin = await router.origin.accept_connection()
     first, headers, body = await origin.read_http()
     assert first == "PUT /k HTTP/1.1"
     assert body == b"two\r\nlines"
--- a/tests/cache_router/net/test_eviction.py
+++ b/tests/cache_router/net/test_eviction.py
@@ -12,7 +12,7 @@
 from cache_router.net import client_connection_table, eviction
 from tests.support.coroutine_tests import DEFAULT_TIME_LIMIT
 from tests.support.event_order import wait_until
-from tests.support.loopback import HIT, Link, encode_command, encode_read, error_text
+from tests.support.loopback import HIT, PeerConnection, encode_command, encode_read, error_text
 from tests.support.loopback_router import READ, SETTINGS, Router, router_with
 
 
@@ -54,7 +54,7 @@
     assert await busy.read_resp() == b"value"
 
 
-async def client_after_pings(router: Router, times: int) -> Link:
+async def client_after_pings(router: Router, times: int) -> PeerConnection:
     """Return a client that has sent the given number of PINGs and stays connected."""
     client = await router.client()
     for _ in range(times):
@@ -135,7 +135,9 @@
     await regular[2].ping()
 
 
-async def client_with_unread_reply(router: Router, value: bytes, monkeypatch: pytest.MonkeyPatch) -> Link:
+async def client_with_unread_reply(
+    router: Router, value: bytes, monkeypatch: pytest.MonkeyPatch
+) -> PeerConnection:
     """Return a client that has not read its reply; the router still buffers a part of it."""
     accept = socket.socket.accept
 
@@ -149,7 +151,9 @@
     small_buffer.connect(router.listener.address)
     with monkeypatch.context() as patch:
         patch.setattr(socket.socket, "accept", accept_with_small_buffer)
-        client = router.clients.add(Link(*await asyncio.open_connection(sock=small_buffer, limit=1024)))
+        client = router.clients.add(
+            PeerConnection(*await asyncio.open_connection(sock=small_buffer, limit=1024))
+        )
         await wait_until(router.client_connections)
     client.write(encode_read("r1"))
     cache = await router.cache()
--- a/tests/cache_router/net/test_faults_of_decisions.py
+++ b/tests/cache_router/net/test_faults_of_decisions.py
@@ -103,7 +103,7 @@
     if when == "before":
         assert error_text(await client.read_resp()) == "ERR failed"
     else:
-        origin = await router.origin.link()
+        origin = await router.origin.accept_connection()
         await origin.read_http()
         origin.write(encode_http_response("200 OK", b"fetched"))
         assert await client.read_resp() == b"fetched"
--- a/tests/cache_router/net/test_late_connections.py
+++ b/tests/cache_router/net/test_late_connections.py
@@ -40,7 +40,7 @@
     if change == "restarted":
         other = await router.cache()  # it may be the restarted server
     else:
-        other = await next(p for n, p in router.caches.items() if n != name).link()
+        other = await next(p for n, p in router.caches.items() if n != name).accept_connection()
     assert (await other.read_resp())[2] == b"r1"
     other.write(HIT)
     assert await client.read_resp() == b"value"
@@ -94,11 +94,11 @@
     async with Router(replace(SETTINGS, classes=classes, connect_timeout=1.0)) as router:
         client = await router.client()
         client.write(encode_keyed_write("r1"))
-        origin = await router.origin.link()
+        origin = await router.origin.accept_connection()
         await origin.read_http()  # received completely, so that it may have been executed
         origin.reset()
         if is_retried:
-            origin = await router.origin.link()
+            origin = await router.origin.accept_connection()
             await origin.read_http()
             origin.write(encode_http_response("200 OK", b"receipt"))
             assert await client.read_resp() == b"receipt"
--- a/tests/cache_router/net/test_origin_connection.py
+++ b/tests/cache_router/net/test_origin_connection.py
@@ -8,7 +8,7 @@
 
 from cache_router.decisions.events import AttemptStatus
 from cache_router.net.command import Command
-from tests.support.loopback import Link, Peer, encode_http_response
+from tests.support.loopback import Peer, PeerConnection, encode_http_response
 from tests.support.upstream_attempts import GET, AttemptRecorder, AttemptRecorders, info_without_deadline
 
 # Unreserved characters of RFC 3986, which need no escaping in a path.
@@ -17,10 +17,10 @@
 
 async def start_on_origin(
     peer: Peer, attempts: AttemptRecorder, command: Command = GET
-) -> tuple[Link, str, dict[str, str], bytes]:
+) -> tuple[PeerConnection, str, dict[str, str], bytes]:
     """Start an attempt on the origin, and read its request."""
     attempts.start(peer.address, command)
-    link = await peer.link()
+    link = await peer.accept_connection()
     return link, *await link.read_http()
 
 
@@ -115,5 +115,5 @@
     attempts = attempt_recorders.on_origin()
     attempts.start(peer.address, Command(b"C.GET", b"k", b"r1", {"x": "a\r\nb", "d": "9"}, 9))
     assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
-    assert await (await peer.link()).closed_by_peer()
+    assert await (await peer.accept_connection()).closed_by_peer()
     assert attempts.pool.established_count == 0
--- a/tests/cache_router/net/test_unread_disconnects.py
+++ b/tests/cache_router/net/test_unread_disconnects.py
@@ -11,7 +11,7 @@
 from tests.support.loopback import (
     HIT,
     MISS,
-    Link,
+    PeerConnection,
     encode_command,
     encode_http_response,
     encode_keyed_write,
@@ -20,7 +20,7 @@
 from tests.support.loopback_router import Router
 
 
-async def disconnect(router: Router, client: Link) -> None:
+async def disconnect(router: Router, client: PeerConnection) -> None:
     """Half-close a client that the router does not read from, and wait until the kernel knows of it."""
     (connection,) = router.client_connections()
     assert not connection.is_reading()
@@ -66,7 +66,7 @@
     decisions = router.dispatcher.router
     first = await router.client()
     first.write(encode_keyed_write("w1"))  # uses up the concurrency limit of the origin
-    origin = await router.origin.link()
+    origin = await router.origin.accept_connection()
     await origin.read_http()
     decisions.endpoints.origins[0].concurrency.limit = 1.0
     client = await router.client()
--- a/tests/cache_router/net/test_upstream_connection.py
+++ b/tests/cache_router/net/test_upstream_connection.py
@@ -51,7 +51,7 @@
     responses: asyncio.Queue[UpstreamResponse] = asyncio.Queue()
     connection = await connect(owner, peer)
     assert owner.notifications == ["connected"]
-    link = await peer.link()
+    link = await peer.accept_connection()
     for _ in range(2):
         connection.send(UpstreamAttempt(GET, 0.5, responses.put_nowait))
         await link.read_resp()
@@ -76,7 +76,7 @@
 async def test_idle_connection_is_not_usable_once_bytes_or_a_close_arrive(peer: Peer, arrival: str) -> None:
     """A request written now would be lost, or the received bytes would be taken for its response."""
     connection = await connect(RecordingOwner(), peer)
-    link = await peer.link()
+    link = await peer.accept_connection()
     assert connection.is_usable()
     # The arrival is not yet processed by the router's event loop.
     if arrival == "bytes":
@@ -93,7 +93,7 @@
     connection = await connect(RecordingOwner(), peer)
     connection.abort_after(0.0)
     connection.send(UpstreamAttempt(GET, 0.5, responses.put_nowait))
-    link = await peer.link()
+    link = await peer.accept_connection()
     await link.read_resp()
     await asyncio.sleep(0.01)
     link.write(HIT)
@@ -112,7 +112,7 @@
     monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_TIMEOUT", 0.02)
     attempts = attempt_recorders.on_pool(ConnectionPool(kind, 8, 1.0, 60.0, 0.0))
     attempts.start(peer.address)
-    link = await peer.link()
+    link = await peer.accept_connection()
     await (link.read_resp() if kind is CacheConnection else link.read_http())
     link.write(
         b"*3\r\n$9\r\nvalue\r\n" if kind is CacheConnection else encode_http_response("200 OK", b"value")[:-1]
@@ -151,7 +151,7 @@
     """The server can't have run the request, so even one that is not idempotent may be retried."""
     attempts = attempt_recorders.on_caches()
     attempts.start(peer.address, HUGE_SET)
-    link = await peer.link()
+    link = await peer.accept_connection()
     await link.reader.read(1)
     link.reset()
     assert await attempts.outcome() == (AttemptStatus.CONNECT_FAILED, b"")
@@ -163,7 +163,7 @@
     """Buffered bytes count as written once the event loop has passed them to the kernel."""
     attempts = attempt_recorders.on_caches()
     attempts.start(peer.address, HUGE_SET)
-    link = await peer.link()
+    link = await peer.accept_connection()
     assert len(await link.read_resp()) == 5
     link.reset()
     assert await attempts.outcome() == (AttemptStatus.RESET, b"")
@@ -178,7 +178,7 @@
     """
     attempts = attempt_recorders.on_caches()
     attempt = attempts.start(peer.address)
-    link = await peer.link()
+    link = await peer.accept_connection()
     await link.read_resp()
     attempt.abandon()
     assert await link.closed_by_peer()
@@ -195,7 +195,7 @@
     attempt.abandon()
     await wait_until(lambda: not attempts.pool.connecting_count)
     attempts.start(peer.address)
-    link = await peer.link()
+    link = await peer.accept_connection()
     assert (await link.read_resp())[2] == b"r1"
     assert attempts.pool.established_count == 1
     assert attempts.results.empty()
--- a/tests/cache_router/net/test_upstream_responses.py
+++ b/tests/cache_router/net/test_upstream_responses.py
@@ -52,7 +52,7 @@
     monkeypatch.setattr(OriginConnection, "data_received", recorded)
     client = await router.client()
     client.write(encode_keyed_write("r1"))
-    origin = await router.origin.link()
+    origin = await router.origin.accept_connection()
     await origin.read_http()
     origin.write(b"HTTP/1.1 100 Continue\r\n\r\n")
     await received.wait()
--- a/tests/cache_router/net/test_watch_failures.py
+++ b/tests/cache_router/net/test_watch_failures.py
@@ -8,7 +8,7 @@
 
 from cache_router.settings import WatchBudget
 from tests.support.endpoint_lists import accept_poll, encode_endpoint_list, peer_entry
-from tests.support.loopback import Link, Peer, encode_http_response
+from tests.support.loopback import Peer, PeerConnection, encode_http_response
 from tests.support.loopback_router import SETTINGS, Router, read_values
 
 AGENT_SETTINGS = replace(
@@ -16,7 +16,7 @@
 )
 
 
-async def next_poll(agent: Peer) -> Link:
+async def next_poll(agent: Peer) -> PeerConnection:
     """Accept the next poll of the endpoint list."""
     _, link = await accept_poll(agent)
     return link
--- a/tests/cache_router/test_address_changes.py
+++ b/tests/cache_router/test_address_changes.py
@@ -70,9 +70,9 @@
                 await read_log_until(process, f"discovery {discovery}: 1 consecutive failure")
             path.write_bytes(orjson.dumps({**config, "discovery": reachable.address}))
             process.send_signal(signal.SIGHUP)
-            (await reachable.link()).reset()
+            (await reachable.accept_connection()).reset()
             started_at = asyncio.get_running_loop().time()
             for _ in range(observed_polls - 1):
-                (await reachable.link()).reset()
+                (await reachable.accept_connection()).reset()
             elapsed = asyncio.get_running_loop().time() - started_at
             assert elapsed >= min_duration(read_settings(config["settings"]), observed_polls)
--- a/tests/cache_router/test_server.py
+++ b/tests/cache_router/test_server.py
@@ -148,13 +148,13 @@
         Peer() as discovery,
         router_process(config_with_cache(cache, discovery, mode), tmp_path / "config.json") as process,
     ):
-        watch = await discovery.link()
+        watch = await discovery.accept_connection()
         assert "after=1&" in (await watch.read_http())[0]
         watch.write(encode_http_response("200 OK", encode_endpoint_list(2, False)))
         address = await listen_address(process.stderr)
         client = await clients.connect_and_ping(address)
         client.write(encode_read("r1"))
-        cache_link = await cache.link()
+        cache_link = await cache.accept_connection()
         await cache_link.read_resp()
         process.send_signal(signal.SIGTERM)
         assert process.stderr is not None
@@ -177,14 +177,14 @@
     async with Peer() as cache, Peer() as first, Peer() as second, Peer() as third:
         config = config_with_cache(cache, first, mode)
         async with router_process(config, path) as process:
-            watch, address = await first.link(), await listen_address(process.stderr)
+            watch, address = await first.accept_connection(), await listen_address(process.stderr)
             await watch.read_http()
             client = await clients.connect_and_ping(address)
             client.write(encode_read("r0"))
             for number, discovery in enumerate((second, third), 1):
                 path.write_bytes(orjson.dumps({**config, "discovery": discovery.address}))
                 process.send_signal(signal.SIGHUP)
-                poll = await discovery.link()
+                poll = await discovery.accept_connection()
                 assert (await poll.read_http())[0] == "GET /registry/instances HTTP/1.1"
                 assert await watch.closed_by_peer()
                 poll.write(
@@ -192,7 +192,7 @@
                         "200 OK", encode_endpoint_list(7, True, *config["known"]["endpoints"])
                     )
                 )
-                watch = await discovery.link()
+                watch = await discovery.accept_connection()
                 assert "after=7&" in (await watch.read_http())[0]
                 await cache.serve(HIT)
                 assert await client.read_resp() == b"value"
@@ -205,7 +205,7 @@
             await cache.serve(HIT)
             assert await client.read_resp() == b"value"
             watch.write(encode_http_response("200 OK", encode_endpoint_list(8, False)))
-            assert "after=8&" in (await (await third.link()).read_http())[0]
+            assert "after=8&" in (await (await third.accept_connection()).read_http())[0]
 
 
 @asynccontextmanager
@@ -234,7 +234,7 @@
         ready_entry = {**draining_entry, "name": "s-2", "address": ready.address}
         config["known"]["endpoints"].append(ready_entry)
         async with serving_in_process(config, tmp_path / "config.json") as address:
-            poll = await agent.link()
+            poll = await agent.accept_connection()
             # The first poll has no wait, so that discovery answers it even if nothing has changed.
             assert "after=1&wait_ms=0 " in (await poll.read_http())[0]
             with pytest.raises(ConnectionRefusedError):
@@ -242,7 +242,7 @@
             update = encode_endpoint_list(2, False, {**draining_entry, "status": "terminating"})
             poll.write(encode_http_response("200 OK", update))
             budget = read_config(orjson.dumps(config)).settings.watch_budget
-            poll = await agent.link()
+            poll = await agent.accept_connection()
             assert f"after=2&wait_ms={int(budget.long_poll_wait * 1000)} " in (await poll.read_http())[0]
             client = await clients.connect_and_ping(address)
             await read_values(client, ready, 8)
@@ -261,7 +261,7 @@
         Peer() as agent,
         serving_in_process(config_with_cache(cache, agent, "automatic"), tmp_path / "config.json") as address,
     ):
-        await (await agent.link()).read_http()
+        await (await agent.accept_connection()).read_http()
         while True:
             try:
                 client = await clients.connect_and_ping(address)
@@ -269,7 +269,7 @@
             except ConnectionRefusedError:
                 await asyncio.sleep(0)
         client.write(encode_read("r1"))
-        link = await cache.link()
+        link = await cache.accept_connection()
         await link.read_resp()
         link.write(HIT)
         assert await client.read_resp() == b"value"
--- a/tests/cache_router/test_shutdown.py
+++ b/tests/cache_router/test_shutdown.py
@@ -14,7 +14,7 @@
 from tests.support.coroutine_tests import DEFAULT_TIME_LIMIT
 from tests.support.endpoint_lists import encode_endpoint_list
 from tests.support.event_order import wait_until
-from tests.support.loopback import HIT, MISS, Clients, Link, Peer, encode_http_response, encode_read
+from tests.support.loopback import HIT, MISS, Clients, Peer, PeerConnection, encode_http_response, encode_read
 from tests.support.loopback_router import KEYED_WRITE, READ, SETTINGS, Router, router_with
 from tests.support.router_process import config_with_cache, listen_address, router_process
 
@@ -35,7 +35,7 @@
         if waiting_for != "server":
             cache.write(MISS)
         if waiting_for == "origin":
-            await (await router.origin.link()).read_http()
+            await (await router.origin.accept_connection()).read_http()
         if waiting_for == "capacity":
             await wait_until(lambda: any(r.is_queued for r in router.dispatcher.router.pending.values()))
         router.dispatcher.start_shutdown(0.05)
@@ -54,12 +54,12 @@
         classes = [{**row, "giveUp": 0.2, "aim": 0.2} for row in config["settings"]["classes"]]
         config["settings"]["classes"] = classes
         async with router_process(config, tmp_path / "config.json") as process:
-            watch = await agent.link()
+            watch = await agent.accept_connection()
             await watch.read_http()
             watch.write(encode_http_response("200 OK", encode_endpoint_list(2, False)))
             client = await clients.connect_and_ping(await listen_address(process.stderr))
             client.write(encode_read("r1", info="c=read,t=t,d=600000"))
-            await (await cache.link()).read_resp()
+            await (await cache.accept_connection()).read_resp()
             process.send_signal(signal.SIGTERM)
             assert isinstance(await client.read_resp(), hiredis.ReplyError)
             assert await process.wait() == 0
@@ -90,7 +90,7 @@
     await shutdown
 
 
-async def next_request(router: Router, *links: Link) -> Link:
+async def next_request(router: Router, *links: PeerConnection) -> PeerConnection:
     """Return the connection, old or new, on which the next request arrives."""
     reads = {asyncio.ensure_future(link.read_resp()): link for link in links}
     accept = asyncio.ensure_future(router.cache())
--- a/tests/cache_router/test_signals.py
+++ b/tests/cache_router/test_signals.py
@@ -112,7 +112,7 @@
             path.write_bytes(orjson.dumps({**config, "discovery": new.address}))
             halted.send_repeatedly(signal.SIGHUP)
             halted.resume(descriptor)
-            await new.link()
+            await new.accept_connection()
             await clients.connect_and_ping(await listen_address(halted.process.stderr))
 
 
@@ -130,11 +130,11 @@
             process.send_signal(signal.SIGHUP)
             os.write(descriptor, orjson.dumps(config))
             os.close(descriptor)
-            await old.link()  # the program has closed the file
+            await old.accept_connection()  # the program has closed the file
             descriptor = await open_for_writing(path, process)  # the program opens the file to reload it
             os.write(descriptor, orjson.dumps({**config, "discovery": new.address}))
             os.close(descriptor)
-            await new.link()
+            await new.accept_connection()
             await clients.connect_and_ping(await listen_address(process.stderr))
 
 
--- a/tests/cache_router/test_startup.py
+++ b/tests/cache_router/test_startup.py
@@ -117,12 +117,14 @@
         config = config_with_cache(agent, agent, "automatic")
         config["known"]["endpoints"] = entries
         async with router_process(config, tmp_path / "config.json") as process:
-            poll = await agent.link()
+            poll = await agent.accept_connection()
             assert "after=1&" in (await poll.read_http())[0]
             poll.write(encode_http_response("200 OK", encode_endpoint_list(2, True, *entries)))
             client = await clients.connect_and_ping(await listen_address(process.stderr))
             record_property("processor_seconds", processor_seconds(process))
-            watch = await agent.link()  # a poll for later changes, not for the complete list again
+            watch = (
+                await agent.accept_connection()
+            )  # a poll for later changes, not for the complete list again
             first, _, _ = await watch.read_http()
             assert "after=2&" in first
             assert "wait_ms=0 " not in first
--- a/tests/scale_experiments/emulators/test_cache.py
+++ b/tests/scale_experiments/emulators/test_cache.py
@@ -28,7 +28,7 @@
     StartCaches,
 )
 from scale_experiments.emulators.messages.common import Done
-from tests.support.loopback import Link, encode_keyed_write, encode_read
+from tests.support.loopback import PeerConnection, encode_keyed_write, encode_read
 
 CACHE_SETTINGS = CacheSettings(
     value_bytes=3, service_s=0.0, handshake_s=0.0, idle_s=9.0, max_connections=2, max_keys=2, warm=False
@@ -112,7 +112,7 @@
     address = free_address()
     cache = CacheServer(CacheCluster(replace(CACHE_SETTINGS, warm=True)), "a", address)
     await cache.listen()
-    links = [Link(*await asyncio.open_connection(*address)) for _ in range(3)]
+    links = [PeerConnection(*await asyncio.open_connection(*address)) for _ in range(3)]
     for link, value in zip(links, (b"vvv", b"vvv", None), strict=True):
         link.write(encode_read("r1"))
         response = await link.read_resp()
@@ -132,7 +132,7 @@
     with pytest.raises(ConnectionRefusedError):
         await asyncio.open_connection(*address)
     await cache.set_mode("serve")
-    link = Link(*await asyncio.open_connection(*address))
+    link = PeerConnection(*await asyncio.open_connection(*address))
     link.write(encode_read("r4"))
     assert (await link.read_resp())[:2] == [None, b"miss"]
     assert cache.counters() == CacheCounters(
@@ -148,7 +148,7 @@
     settings = replace(CACHE_SETTINGS, service_s=0.01, handshake_s=0.05, warm=True)
     cache = CacheServer(CacheCluster(settings), "a", address)
     await cache.listen()
-    link = Link(*await asyncio.open_connection(*address))
+    link = PeerConnection(*await asyncio.open_connection(*address))
     started_at = asyncio.get_running_loop().time()
     link.write(encode_read("r1") + encode_keyed_write("w1"))
     assert await link.read_resp() == [b"vvv", b"hit", b"svc_ms=10.0,pending=1"]
@@ -162,7 +162,7 @@
     address = free_address()
     cache = CacheServer(CacheCluster(replace(CACHE_SETTINGS, service_s=5.0)), "a", address)
     await cache.listen()
-    link = Link(*await asyncio.open_connection(*address))
+    link = PeerConnection(*await asyncio.open_connection(*address))
     link.write(encode_read("r1"))
     while not cache.counters().misses:
         await asyncio.sleep(0.001)
@@ -186,8 +186,8 @@
     )
     started = await emulator.handle(command)
     assert isinstance(started, CachesStarted)
-    origin = Link(*await asyncio.open_connection(*parse_address(started.origin)))
-    link = Link(*await asyncio.open_connection(host, port))
+    origin = PeerConnection(*await asyncio.open_connection(*parse_address(started.origin)))
+    link = PeerConnection(*await asyncio.open_connection(host, port))
     link.write(encode_read("r1", key="a/b"))
     assert (await link.read_resp())[:2] == [None, b"miss"]
     origin.write(origin_request("GET", "r1"))
@@ -215,7 +215,7 @@
     completed: list[tuple[bytes, bytes, bool]] = []
     origin = Origin(lambda *request: completed.append(request), b"vvv", 0.02, 1)
     address = await origin.listen("127.0.0.1", 0)
-    first, second = [Link(*await asyncio.open_connection(*address)) for _ in range(2)]
+    first, second = [PeerConnection(*await asyncio.open_connection(*address)) for _ in range(2)]
     first.write(origin_request("GET", "r1"))
     while not origin.counters().requests:
         await asyncio.sleep(0.001)
@@ -237,7 +237,7 @@
     completed: list[bytes] = []
     origin = Origin(lambda _, request_id, __: completed.append(request_id), b"vvv", 0.02, 1)
     address = await origin.listen("127.0.0.1", 0)
-    first, second = [Link(*await asyncio.open_connection(*address)) for _ in range(2)]
+    first, second = [PeerConnection(*await asyncio.open_connection(*address)) for _ in range(2)]
     first.write(origin_request("GET", "r1"))
     while not origin.counters().requests:
         await asyncio.sleep(0.001)
--- a/tests/scale_experiments/emulators/test_clients.py
+++ b/tests/scale_experiments/emulators/test_clients.py
@@ -35,7 +35,7 @@
 )
 from scale_experiments.emulators.messages.common import Done
 from scale_experiments.measurement.histograms import decode_histogram
-from tests.support.loopback import Link, Peer, encode_read
+from tests.support.loopback import Peer, PeerConnection, encode_read
 
 START = StartClients(
     routers=[],
@@ -70,10 +70,10 @@
     load.send(ClientRequest(encode_read(request_id), asyncio.get_running_loop().time()))
 
 
-async def send_on_new_connection(load: RouterLoad, router: Peer, request_id: str) -> Link:
+async def send_on_new_connection(load: RouterLoad, router: Peer, request_id: str) -> PeerConnection:
     """Send a request that needs a new connection; return the router's side of it."""
     send_request(load, request_id)
-    link = await router.link()
+    link = await router.accept_connection()
     assert (await link.read_resp())[2] == request_id.encode()
     return link
 
@@ -184,7 +184,7 @@
         send_request(load, "r2")
         assert (await first.read_resp())[2] == b"r2"
         first.close()
-        second = await router.link()
+        second = await router.accept_connection()
         assert (await second.read_resp())[2] == b"r2"
         second.close()
         await wait_for_outcome(load, LOST)
--- a/tests/scale_experiments/emulators/test_discovery.py
+++ b/tests/scale_experiments/emulators/test_discovery.py
@@ -17,7 +17,7 @@
 from scale_experiments.emulators.messages.common import ProcessUsage
 from scale_experiments.emulators.messages.discovery import DiscoveryStats, SetDiscoveryMode, Timestamp
 from tests.support.endpoint_lists import ENDPOINT_ENTRY
-from tests.support.loopback import Link, format_address
+from tests.support.loopback import PeerConnection, format_address
 
 
 def endpoint_entry(name: str, status: str = "in_service") -> dict[str, Any]:
@@ -89,7 +89,7 @@
     """The emulator rejects malformed polls, so that a router that sends one does not go unnoticed."""
     emulator = DiscoveryEmulator()
     await emulator.listen()
-    client = Link(*await asyncio.open_connection(*emulator.address))
+    client = PeerConnection(*await asyncio.open_connection(*emulator.address))
     client.write(b"GET /registry/instances?after=x HTTP/1.1\r\n\r\n")
     assert (await client.read_http())[0] == "HTTP/1.1 400 Bad Request"
     await emulator.set_mode("refuse")
@@ -101,7 +101,7 @@
     await emulator.listen()
     emulator.replace_list(5, [endpoint_entry("a")])
     assert isinstance(await emulator.handle(SetDiscoveryMode("busy", 0.02)), Timestamp)
-    client = Link(*await asyncio.open_connection(*emulator.address))
+    client = PeerConnection(*await asyncio.open_connection(*emulator.address))
     started_at = asyncio.get_running_loop().time()
     client.write(b"GET /registry/instances HTTP/1.1\r\n\r\n")
     assert (await client.read_http())[0] == "HTTP/1.1 503 Service Unavailable"
@@ -118,7 +118,7 @@
     emulator = DiscoveryEmulator()
     await emulator.listen()
     address = emulator.address
-    client = Link(*await asyncio.open_connection(*address))
+    client = PeerConnection(*await asyncio.open_connection(*address))
     client.write(b"GET /registry/instances?after=0&wait_ms=9000 HTTP/1.1\r\n\r\n")
     while not emulator.stats().waiting:
         await asyncio.sleep(0.001)
@@ -128,7 +128,7 @@
         await asyncio.open_connection(*address)
     await emulator.set_mode("serve")
     assert emulator.address == address
-    client = Link(*await asyncio.open_connection(*address))
+    client = PeerConnection(*await asyncio.open_connection(*address))
     client.write(b"GET /registry/instances?after=0 HTTP/1.1\r\nConnection: close\r\n\r\n")
     assert (await client.read_http())[2] == b'{"index":0,"snapshot":false,"endpoints":[]}'
     assert await client.closed_by_peer()
--- a/tests/support/connection_pools.py
+++ b/tests/support/connection_pools.py
@@ -26,7 +26,7 @@
 from scale_experiments.simulation.origin import Origin
 from scale_experiments.simulation.requests import Attempt, ClientRequest, PendingRequest
 from scale_experiments.simulation.statistics import FleetStatistics
-from tests.support.loopback import HIT, Link, Peer
+from tests.support.loopback import HIT, Peer, PeerConnection
 
 # Times in seconds. The tests advance the clocks of both pools instead of waiting that long.
 REUSE_DELAY = 100.0
@@ -82,7 +82,7 @@
         idle_timeout = IDLE_TIME + connection_pool.IDLE_MARGIN
         self.pool = ConnectionPool(CacheConnection, budget, 5.0, idle_timeout, REUSE_DELAY)
         self.peer = peer
-        self.links: list[Link] = []
+        self.links: list[PeerConnection] = []
         self.closed_connections: set[int] = set()
         self.attempts: dict[int, UpstreamAttempt] = {}
         self.outcomes: asyncio.Queue[Outcome] = asyncio.Queue()
@@ -90,11 +90,11 @@
 
     async def _accept(self) -> None:
         while True:
-            link = await self.peer.link()
+            link = await self.peer.accept_connection()
             self.links.append(link)
             self.tasks.append(asyncio.create_task(self._read(link, len(self.links) - 1)))
 
-    async def _read(self, link: Link, number: int) -> None:
+    async def _read(self, link: PeerConnection, number: int) -> None:
         try:
             while True:
                 await link.read_resp()
--- a/tests/support/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -11,7 +11,7 @@
 from cache_router.net.discovery import Discovery, UpdateCallback
 from cache_router.net.endpoint_table import NetworkEndpoint
 from cache_router.settings import WatchBudget
-from tests.support.loopback import Link, Peer
+from tests.support.loopback import Peer, PeerConnection
 
 ENDPOINT_ENTRY: dict[str, Any] = {
     "name": "s-1",
@@ -59,7 +59,7 @@
         return update
 
 
-async def accept_poll(peer: Peer) -> tuple[str, Link]:
+async def accept_poll(peer: Peer) -> tuple[str, PeerConnection]:
     """Accept the next poll of a watch; return its request line and its connection."""
-    link = await peer.link()
+    link = await peer.accept_connection()
     return (await link.read_http())[0], link
--- a/tests/support/event_order.py
+++ b/tests/support/event_order.py
@@ -10,7 +10,7 @@
 
 from cache_router.net.upstream_attempt import UpstreamAttempt
 from cache_router.net.upstream_connection import UpstreamConnection
-from tests.support.loopback import Link, Peer
+from tests.support.loopback import Peer, PeerConnection
 from tests.support.loopback_router import Router
 
 
@@ -51,8 +51,8 @@
         await asyncio.sleep(0)
 
 
-async def first_connection(router: Router) -> tuple[str, Link]:
+async def first_connection(router: Router) -> tuple[str, PeerConnection]:
     """Return the name of the cache server to which the router connects first, and the connection."""
     await wait_until(lambda: any(not p.links.empty() for p in router.caches.values()))
     (name,) = (n for n, p in router.caches.items() if not p.links.empty())
-    return name, await router.caches[name].link()
+    return name, await router.caches[name].accept_connection()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,6 +1,7 @@
 """Scripted servers and clients on loopback.
 
-A test reads the bytes that the router sent over a `Link`, and writes the response or request itself.
+A test reads the bytes that the router sent over a `PeerConnection`, and writes the response or request
+itself.
 """
 
 from __future__ import annotations
@@ -55,7 +56,7 @@
     return str(message)
 
 
-class Link:
+class PeerConnection:
     """The test's end of one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -111,7 +112,7 @@
             await self.writer.wait_closed()
 
 
-async def abort_all(links: Iterable[Link]) -> None:
+async def abort_all(links: Iterable[PeerConnection]) -> None:
     """Abort connections, and wait until all of them are closed."""
     for link in links:
         await link.abort()
@@ -122,7 +123,7 @@
 
     def __init__(self) -> None:
         """Create a context without a connection."""
-        self._links: list[Link] = []
+        self._links: list[PeerConnection] = []
 
     async def __aenter__(self) -> Self:
         """Return the context itself; connections are opened in it."""
@@ -134,16 +135,16 @@
         """Abort all connections."""
         await abort_all(self._links)
 
-    def add(self, link: Link) -> Link:
+    def add(self, link: PeerConnection) -> PeerConnection:
         """Register a connection to be closed at the end of the context, and return it."""
         self._links.append(link)
         return link
 
-    async def connect(self, address: tuple[str, int]) -> Link:
+    async def connect(self, address: tuple[str, int]) -> PeerConnection:
         """Open a connection on which nothing is sent yet."""
-        return self.add(Link(*await asyncio.open_connection(*address)))
+        return self.add(PeerConnection(*await asyncio.open_connection(*address)))
 
-    async def connect_and_ping(self, address: tuple[str, int]) -> Link:
+    async def connect_and_ping(self, address: tuple[str, int]) -> PeerConnection:
         """Open a connection, and wait for the reply to a PING."""
         link = await self.connect(address)
         await link.ping()
@@ -155,9 +156,9 @@
 
     def __init__(self) -> None:
         """Create a server that listens once its context is entered."""
-        self.links: asyncio.Queue[Link] = asyncio.Queue()
-        self.served: list[Link] = []  # connections on which `serve` reads
-        self._accepted: list[Link] = []  # all connections, including those taken from `links`
+        self.links: asyncio.Queue[PeerConnection] = asyncio.Queue()
+        self.served: list[PeerConnection] = []  # connections on which `serve` reads
+        self._accepted: list[PeerConnection] = []  # all connections, including those taken from `links`
 
     async def __aenter__(self) -> Self:
         """Listen on a free port of loopback."""
@@ -185,11 +186,11 @@
             await asyncio.sleep(0)
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        link = Link(reader, writer)
+        link = PeerConnection(reader, writer)
         self._accepted.append(link)
         self.links.put_nowait(link)
 
-    async def link(self) -> Link:
+    async def accept_connection(self) -> PeerConnection:
         """Return the next connection to this server."""
         return await self.links.get()
 
--- a/tests/support/loopback_router.py
+++ b/tests/support/loopback_router.py
@@ -20,7 +20,7 @@
 from cache_router.net.listener import Listener
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.settings import Idempotency, IdempotencyScope, RequestClass, Settings, WatchBudget
-from tests.support.loopback import HIT, Clients, Link, Peer, encode_read
+from tests.support.loopback import HIT, Clients, Peer, PeerConnection, encode_read
 
 # An idempotent request class, and one that is idempotent with an idempotency key
 READ = RequestClass("read", latency_objective=1.0)
@@ -43,7 +43,7 @@
     return NetworkEndpoint(Endpoint(name, kind=kind, weight=1.0, **fields), address)
 
 
-async def read_values(client: Link, server: Peer, count: int) -> None:
+async def read_values(client: PeerConnection, server: Peer, count: int) -> None:
     """Send reads of different keys one after another, and check that the given server receives each."""
     for n in range(count):
         client.write(encode_read(f"r{n}", f"k{n}"))
@@ -128,7 +128,7 @@
         for peer in (*self.caches.values(), self.origin):
             await peer.__aexit__(kind, error, trace)
 
-    async def client(self) -> Link:
+    async def client(self) -> PeerConnection:
         """Open a client connection, which stays open until the router stops."""
         return await self.clients.connect(self.listener.address)
 
@@ -136,15 +136,17 @@
         """Return the router's end of the open client connections, in order of acceptance."""
         return [c for c in self.listener.open_connections() if isinstance(c, ClientConnection)]
 
-    async def cache(self) -> Link:
+    async def cache(self) -> PeerConnection:
         """Return the next connection to either cache server."""
-        accepts = [asyncio.create_task(p.link()) for p in self.caches.values()]
+        accepts = [asyncio.create_task(p.accept_connection()) for p in self.caches.values()]
         done, pending = await asyncio.wait(accepts, return_when=asyncio.FIRST_COMPLETED)
         for task in pending:
             task.cancel()
         return done.pop().result()
 
-    async def start_read(self, request: str = "r1", info: str = "c=read,t=x,d=2000") -> tuple[Link, Link]:
+    async def start_read(
+        self, request: str = "r1", info: str = "c=read,t=x,d=2000"
+    ) -> tuple[PeerConnection, PeerConnection]:
         """Start a read, and wait until a cache server receives it.
 
         Returns:
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -12,7 +12,7 @@
 from cache_router.net.connection_pool import ConnectionPool
 from cache_router.net.origin_connection import OriginConnection
 from cache_router.net.upstream_attempt import UpstreamAttempt, UpstreamResponse
-from tests.support.loopback import Link, Peer
+from tests.support.loopback import Peer, PeerConnection
 
 GET = Command(b"C.GET", b"k", b"r1", {"c": "read", "d": "900"}, 900)
 HUGE_SET = Command(b"C.SET", b"k", b"r1", {"c": "book", "d": "900"}, 900, b"x" * 32_000_000)
@@ -26,10 +26,10 @@
         self.pool = pool
         self.results: asyncio.Queue[tuple[AttemptStatus, bytes]] = asyncio.Queue()
 
-    async def start_on(self, peer: Peer) -> Link:
+    async def start_on(self, peer: Peer) -> PeerConnection:
         """Start an attempt, and wait until the peer receives its request."""
         self.start(peer.address)
-        link = await peer.link()
+        link = await peer.accept_connection()
         assert (await link.read_resp())[2] == b"r1"
         return link
 
