--- a/scale_experiments/routers/hollow/fleet.py
+++ b/scale_experiments/routers/hollow/fleet.py
@@ -20,7 +20,7 @@
     UpdateTimes,
 )
 from scale_experiments.routers.hollow.router import HollowRouter
-from scale_experiments.routers.hollow.update_times import FleetStatistics
+from scale_experiments.routers.hollow.update_times import HollowFleetStatistics
 
 HollowCommand = StartRouters | GetRoutersStats | GetUpdateTimes
 COMMAND_TYPES = types_by_name(StartRouters, GetRoutersStats, GetUpdateTimes)
@@ -31,7 +31,7 @@
 
     def __init__(self) -> None:
         self._routers: list[HollowRouter] = []
-        self._statistics = FleetStatistics(0)
+        self._statistics = HollowFleetStatistics(0)
         self._start_timers: list[asyncio.TimerHandle] = []
 
     async def handle(self, command: HollowCommand) -> object:
@@ -55,7 +55,7 @@
             raise ValueError(f"no such mode: {command.mode}")
         settings = read_settings(command.settings)
         cached_list = read_endpoint_list(command.cached_list, "known")
-        self._statistics = FleetStatistics(command.routers)
+        self._statistics = HollowFleetStatistics(command.routers)
         loop = asyncio.get_running_loop()
         for number in range(command.routers):
             router = HollowRouter(
--- a/scale_experiments/routers/hollow/router.py
+++ b/scale_experiments/routers/hollow/router.py
@@ -15,7 +15,7 @@
 from cache_router.settings import Settings
 from scale_experiments.emulators.messages.routers import HollowMode
 from scale_experiments.routers.hollow.minimal_discovery import MinimalDiscovery
-from scale_experiments.routers.hollow.update_times import FleetStatistics
+from scale_experiments.routers.hollow.update_times import HollowFleetStatistics
 
 
 class RinglessDispatcher(Dispatcher):
@@ -38,7 +38,7 @@
         mode: HollowMode,
         seed: int,
         settings: Settings,
-        statistics: FleetStatistics,
+        statistics: HollowFleetStatistics,
     ) -> None:
         self._number = number
         self._index = index
--- a/scale_experiments/routers/hollow/update_times.py
+++ b/scale_experiments/routers/hollow/update_times.py
@@ -36,7 +36,7 @@
         return array("d", [math.nan]) * self._routers
 
 
-class FleetStatistics:
+class HollowFleetStatistics:
     """Counts of updates and failed polls of all routers of a process, and the times of each index."""
 
     def __init__(self, routers: int) -> None:
--- a/scale_experiments/scenarios/list_change.py
+++ b/scale_experiments/scenarios/list_change.py
@@ -31,7 +31,7 @@
 from scale_experiments.scenarios.list_costs.router import RouterCosts, measure_router
 from scale_experiments.scenarios.list_costs.workload import ListWorkload, build_settings
 
-MAX_LATENCY_US = 60_000_000  # highest value that the histograms can record
+MAX_CPU_US = 60_000_000  # highest value that the histograms can record
 
 
 class Parameters(BaseModel):
@@ -127,9 +127,9 @@
 
 def cost_histogram(costs: Sequence[float]) -> HdrHistogram:
     """Build a histogram in microseconds from CPU times in seconds."""
-    histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
+    histogram = HdrHistogram(1, MAX_CPU_US, 3)
     for cost in costs:
-        histogram.record_value(min(MAX_LATENCY_US, max(1, round(cost * 1e6))))
+        histogram.record_value(min(MAX_CPU_US, max(1, round(cost * 1e6))))
     return histogram
 
 
--- a/tests/scale_experiments/routers/test_hollow.py
+++ b/tests/scale_experiments/routers/test_hollow.py
@@ -23,7 +23,7 @@
 )
 from scale_experiments.routers.hollow import update_times as update_times_module
 from scale_experiments.routers.hollow.fleet import HollowFleet
-from scale_experiments.routers.hollow.update_times import FleetStatistics, UpdateTimeTable
+from scale_experiments.routers.hollow.update_times import HollowFleetStatistics, UpdateTimeTable
 from scale_experiments.routers.watch_fleet import build_settings
 from tests.support.endpoint_lists import ENDPOINT_ENTRY
 
@@ -134,7 +134,7 @@
 
 
 def test_fleet_statistics_count_updates_and_failures() -> None:
-    statistics = FleetStatistics(1)
+    statistics = HollowFleetStatistics(1)
     statistics.on_update()
     statistics.on_update()
     statistics.on_failure()
