--- a/tests/scale_experiments/conftest.py
+++ b/tests/scale_experiments/conftest.py
@@ -11,5 +11,5 @@
 
 @pytest.fixture(params=[run_on_real_pool, run_on_simulated_pool], ids=["real", "simulated"])
 def run_scenario(request: pytest.FixtureRequest) -> ScenarioRunner:
-    """Return a function that runs a scenario on one of the pools, with a budget of descriptors."""
+    """Return a function that runs a scenario on the real or the simulated pool, with a descriptor budget."""
     return cast(ScenarioRunner, request.param)
