--- a/scale_experiments/emulators/codec.py
+++ b/scale_experiments/emulators/codec.py
@@ -14,7 +14,7 @@
 ReplyT_co = TypeVar("ReplyT_co", covariant=True)
 
 
-class CommandError(ValueError):
+class UnknownCommandError(ValueError):
     """A command with a name that the emulator does not know."""
 
 
@@ -80,10 +80,10 @@
     """Return the command that a JSON object encodes; `command_types` maps names to classes of commands.
 
     Raises:
-        CommandError: The command's name is unknown.
+        UnknownCommandError: The command's name is unknown.
         KeyError: The object lacks the name of the command, or a field that has no default.
     """
     name = message["do"]
     if name not in command_types:
-        raise CommandError(f"no such command: {name}")
+        raise UnknownCommandError(f"no such command: {name}")
     return decode(command_types[name], message)
--- a/scale_experiments/emulators/discovery/emulator.py
+++ b/scale_experiments/emulators/discovery/emulator.py
@@ -9,7 +9,7 @@
 
 from scale_experiments.emulators.codec import NamedCommand, types_by_name
 from scale_experiments.emulators.control import process_usage
-from scale_experiments.emulators.discovery.endpoint_registry import Entry, Registry
+from scale_experiments.emulators.discovery.endpoint_registry import EndpointRegistry, Entry
 from scale_experiments.emulators.discovery.poll_connection import PollConnection
 from scale_experiments.emulators.discovery.statistics import DiscoveryStatistics
 from scale_experiments.emulators.messages.discovery import (
@@ -24,7 +24,7 @@
     Timestamp,
 )
 
-BACKLOG = 4096  # limit of connections that have not been accepted yet
+LISTEN_BACKLOG = 4096  # limit of connections that have not been accepted yet
 DEFAULT_ADDRESS = ("127.0.0.1", 0)  # listens on a free port
 DEFAULT_BUSY_DELAY_S = 2.0  # delay of a rejection in the mode "busy"
 DiscoveryCommand = ReplaceList | ChangeList | SetDiscoveryMode | ResetUnanswered | GetDiscoveryStats
@@ -39,7 +39,7 @@
 
     def __init__(self, address: tuple[str, int] = DEFAULT_ADDRESS) -> None:
         self.address = address  # has the actual port once discovery listens
-        self._registry = Registry()
+        self._registry = EndpointRegistry()
         self._mode: DiscoveryMode = "serve"
         self._busy_delay_s = DEFAULT_BUSY_DELAY_S
         self._connections: dict[PollConnection, None] = {}
@@ -77,7 +77,7 @@
         """
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
-            lambda: PollConnection(self), *self.address, backlog=BACKLOG, reuse_address=True
+            lambda: PollConnection(self), *self.address, backlog=LISTEN_BACKLOG, reuse_address=True
         )
         self.address = self._listener.sockets[0].getsockname()
 
--- a/scale_experiments/emulators/discovery/endpoint_registry.py
+++ b/scale_experiments/emulators/discovery/endpoint_registry.py
@@ -13,7 +13,7 @@
 Entry = Mapping[str, Any]  # entry of the endpoint list, in discovery's JSON format
 
 
-class Registry:
+class EndpointRegistry:
     """The endpoint list under its current index, and its latest `log_length` changes."""
 
     def __init__(self, log_length: int = CHANGE_LOG_LENGTH) -> None:
--- a/scale_experiments/endpoint_lists/endpoint_changes.py
+++ b/scale_experiments/endpoint_lists/endpoint_changes.py
@@ -45,7 +45,7 @@
     """The kind of a change; the values are parts of metric names."""
 
     DRAIN = "drain"
-    GONE = "gone"  # the entry is removed
+    REMOVE = "gone"  # the entry is removed
     JOIN = "join"  # the entry that was removed last is added again
     RESTART = "restart"
     WEIGHT = "weight"  # the weight is halved
@@ -102,7 +102,7 @@
             for kind in ChangeKind:
                 # JOIN draws an entry too, without using it: otherwise a seed would select other entries
                 entry = self.entries[int(self.rng.integers(len(self.entries)))]
-                if kind is ChangeKind.GONE:
+                if kind is ChangeKind.REMOVE:
                     removed = entry
                 elif kind is ChangeKind.JOIN and removed is not None:
                     entry = removed
@@ -114,7 +114,7 @@
             case ChangeKind.DRAIN:
                 yield self._next_change(kind, {**entry, "status": TERMINATING})
                 yield self._next_change(None, entry)
-            case ChangeKind.GONE:
+            case ChangeKind.REMOVE:
                 yield self._next_change(kind, {**entry, "status": TERMINATED})
             case ChangeKind.JOIN:
                 yield self._next_change(kind, entry)
--- a/scale_experiments/scenarios/list_change.py
+++ b/scale_experiments/scenarios/list_change.py
@@ -150,7 +150,7 @@
     change_bytes = statistics.fmean(path.change_bytes)
     return ListChangeMetrics(
         drain_cpu_s=by_kind.get(ChangeKind.DRAIN),
-        gone_cpu_s=by_kind.get(ChangeKind.GONE),
+        gone_cpu_s=by_kind.get(ChangeKind.REMOVE),
         join_cpu_s=by_kind.get(ChangeKind.JOIN),
         restart_cpu_s=by_kind.get(ChangeKind.RESTART),
         weight_cpu_s=by_kind.get(ChangeKind.WEIGHT),
--- a/scale_experiments/target.py
+++ b/scale_experiments/target.py
@@ -12,7 +12,7 @@
 
 from scale_experiments.runs.input_files import InputError, describe_validation_error, read_toml
 
-TARGET = Path(__file__).parent / "experiments" / "target.toml"
+TARGET_FILE = Path(__file__).parent / "experiments" / "target.toml"
 LIST_CHANGES_PER_REPLACEMENT = 4  # assumes that a cache drains, leaves, joins and changes its weight
 SECONDS_PER_DAY = 86_400
 HEADROOM_FACTOR = 1.5  # multiple of the target's fleet size up to which a mechanism has to work
@@ -94,7 +94,7 @@
         return (self.target.changes_per_day + LIST_CHANGES_PER_REPLACEMENT * restarts) / SECONDS_PER_DAY
 
 
-def load_target(file: Path = TARGET) -> Target:
+def load_target(file: Path = TARGET_FILE) -> Target:
     """Read and check the file; raises InputError, which names the file and the field."""
     try:
         return Target.model_validate(read_toml(file))
--- a/tests/scale_experiments/emulators/test_discovery.py
+++ b/tests/scale_experiments/emulators/test_discovery.py
@@ -11,7 +11,7 @@
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.net.discovery import Discovery
 from scale_experiments.emulators.discovery.emulator import DiscoveryEmulator
-from scale_experiments.emulators.discovery.endpoint_registry import Registry
+from scale_experiments.emulators.discovery.endpoint_registry import EndpointRegistry
 from scale_experiments.emulators.discovery.poll_connection import Poll, PollError, parse_poll
 from scale_experiments.emulators.discovery.statistics import DiscoveryStatistics
 from scale_experiments.emulators.messages.common import ProcessUsage
@@ -25,7 +25,7 @@
     return {**ENDPOINT_ENTRY, "name": name, "status": status}
 
 
-def poll(registry: Registry, after: int | None) -> tuple[int, bool, dict[str, str]]:
+def poll(registry: EndpointRegistry, after: int | None) -> tuple[int, bool, dict[str, str]]:
     """Poll for changes after an index; return the index, whether it is a snapshot, and statuses by name."""
     response = orjson.loads(registry.response_body(after))
     statuses = {e["name"]: e["status"] for e in response["endpoints"]}
@@ -34,7 +34,7 @@
 
 def test_registry_sends_changes_or_a_snapshot_if_the_index_is_too_old() -> None:
     """A poll whose index the change log covers gets the changes since it; any other gets a snapshot."""
-    registry = Registry(log_length=2)
+    registry = EndpointRegistry(log_length=2)
     registry.replace(5, [endpoint_entry("a"), endpoint_entry("b")])
     assert poll(registry, None) == (5, True, {"a": "in_service", "b": "in_service"})
     assert poll(registry, 5) == (5, False, {})
@@ -136,7 +136,7 @@
 
 
 def test_change_that_does_not_have_the_next_index_is_rejected() -> None:
-    registry = Registry()
+    registry = EndpointRegistry()
     registry.replace(5, [])
     with pytest.raises(ValueError, match="change 7 does not follow 5"):
         registry.change(7, [endpoint_entry("a")])
--- a/tests/scale_experiments/emulators/test_messages.py
+++ b/tests/scale_experiments/emulators/test_messages.py
@@ -8,7 +8,7 @@
 
 from scale_experiments.emulators.codec import (
     Command,
-    CommandError,
+    UnknownCommandError,
     decode,
     decode_command,
     encode,
@@ -104,7 +104,7 @@
 
 
 def test_command_that_is_unknown_or_lacks_a_field_is_rejected() -> None:
-    with pytest.raises(CommandError, match="no such command: stop"):
+    with pytest.raises(UnknownCommandError, match="no such command: stop"):
         decode_command({"had": GetUpdateTimes}, {"do": "stop"})
     with pytest.raises(KeyError, match="index"):
         decode_command({"had": GetUpdateTimes}, {"do": "had"})
--- a/tests/scale_experiments/test_scale_experiments.py
+++ b/tests/scale_experiments/test_scale_experiments.py
@@ -24,7 +24,7 @@
 from scale_experiments.runs.sample import Sample
 from scale_experiments.runs.scenario import Scenario
 from scale_experiments.scenarios.registry import SCENARIOS
-from scale_experiments.target import TARGET, load_target
+from scale_experiments.target import TARGET_FILE, load_target
 
 ROOT = Path(__file__).parents[2]
 TIMEOUT_S = 120.0
@@ -104,7 +104,7 @@
 
 
 def test_every_experiment_of_the_repository_can_be_run() -> None:
-    files = {*(ROOT / "scale_experiments" / "experiments").glob("*.toml")} - {TARGET}
+    files = {*(ROOT / "scale_experiments" / "experiments").glob("*.toml")} - {TARGET_FILE}
     assert files
     for file in files:
         load_experiment(file, SCENARIOS)
@@ -113,7 +113,7 @@
 def test_the_target_is_read_and_its_errors_name_the_field(tmp_path: Path) -> None:
     assert load_target().target.caches > load_target().today.caches
     file = tmp_path / "target.toml"
-    file.write_text(TARGET.read_text().replace("caches = 840", "caches = 0"))
+    file.write_text(TARGET_FILE.read_text().replace("caches = 840", "caches = 0"))
     with pytest.raises(InputError, match=r"target\.toml: target\.caches: "):
         load_target(file)
 
