--- a/scale_experiments/capacity/comparison_table.py
+++ b/scale_experiments/capacity/comparison_table.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 
 from scale_experiments.capacity.formatting import format_quantity, markdown_table
-from scale_experiments.capacity.kept_results import NotMeasuredError
 from scale_experiments.capacity.model import CapacityModel
 from scale_experiments.capacity.schema import Comparison, Unit
+from scale_experiments.capacity.stored_results import NotMeasuredError
 from scale_experiments.fitting.forms import Fit, FitError, Form
 from scale_experiments.fitting.observations import (
     PRODUCT_COLUMNS,
--- a/scale_experiments/capacity/failure_table.py
+++ b/scale_experiments/capacity/failure_table.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from scale_experiments.capacity.formatting import format_estimate, markdown_table
-from scale_experiments.capacity.kept_results import NotMeasuredError
 from scale_experiments.capacity.model import CapacityModel
 from scale_experiments.capacity.provenance import describe_basis, describe_sources
 from scale_experiments.capacity.schema import FailureImpact
+from scale_experiments.capacity.stored_results import NotMeasuredError
 
 HEADER = ("role", "cost", "at the target", "recovery time", "derived from", "basis")
 NOT_MEASURED = "not measured"
--- a/scale_experiments/capacity/model.py
+++ b/scale_experiments/capacity/model.py
@@ -1,4 +1,4 @@
-"""The evaluation of the entries of the capacity table at a fleet size, from the kept results."""
+"""The evaluation of the entries of the capacity table at a fleet size, from the stored results."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 from scale_experiments.capacity.breaking_point import find_breaking_point
 from scale_experiments.capacity.growth_path import FleetPoint, GrowthPath
-from scale_experiments.capacity.kept_results import KeptResults
 from scale_experiments.capacity.paths import CAPACITY_TABLE
 from scale_experiments.capacity.references import resolve_in_code, resolve_in_target
 from scale_experiments.capacity.schema import CapacityEntry, CapacityTable, Demand, MeasuredTerm, Parameter
+from scale_experiments.capacity.stored_results import StoredResults
 from scale_experiments.expression import Expression, ExpressionError
 from scale_experiments.fitting.forms import FitError
 from scale_experiments.fitting.observations import CONFOUNDED_COLUMNS, Size, mean_at, varying_columns
@@ -44,7 +44,7 @@
         self.table = table
         self.target = target
         self.growth_path = GrowthPath.to_target(target)
-        self.results = KeptResults(results_folder, baseline)
+        self.results = StoredResults(results_folder, baseline)
         self.parameters = {parameter.name: parameter for parameter in table.parameters}
         self._breaking_points: dict[tuple[str, float], float | None] = {}
 
--- a/scale_experiments/capacity/provenance.py
+++ b/scale_experiments/capacity/provenance.py
@@ -97,5 +97,5 @@
 
 
 def link_to_result(file: str) -> str:
-    """Return a link from the page to the file of a kept result."""
+    """Return a link from the page to the file of a stored result."""
     return f"[{file.removesuffix('.json')}](../{RESULTS_FOLDER}/{file})"
--- a/scale_experiments/capacity/ranking_table.py
+++ b/scale_experiments/capacity/ranking_table.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 
 from scale_experiments.capacity.formatting import format_mechanism, format_progress, markdown_table
-from scale_experiments.capacity.kept_results import NotMeasuredError
 from scale_experiments.capacity.model import CapacityModel
 from scale_experiments.capacity.provenance import describe_basis
 from scale_experiments.capacity.schema import MISSING_MECHANISM, Demand
+from scale_experiments.capacity.stored_results import NotMeasuredError
 from scale_experiments.fitting.observations import SAME_SIZE_TOLERANCE
 from scale_experiments.number_format import FACTOR_DIGITS, format_number
 from scale_experiments.target import HEADROOM_FACTOR
--- a/scale_experiments/capacity/role_table.py
+++ b/scale_experiments/capacity/role_table.py
@@ -9,11 +9,11 @@
     format_quantity,
     markdown_table,
 )
-from scale_experiments.capacity.kept_results import NotMeasuredError
 from scale_experiments.capacity.model import CapacityModel
 from scale_experiments.capacity.provenance import describe_basis, describe_sources
 from scale_experiments.capacity.ranking_table import format_breaking_point
 from scale_experiments.capacity.schema import Demand
+from scale_experiments.capacity.stored_results import NotMeasuredError
 from scale_experiments.number_format import format_number
 
 HEADER = (
--- a/scale_experiments/capacity/schema.py
+++ b/scale_experiments/capacity/schema.py
@@ -58,7 +58,7 @@
 
 
 class MeasuredTerm(StrictModel):
-    """A term of a formula: a metric of a kept result, fitted against the size."""
+    """A term of a formula: a metric of a stored result, fitted against the size."""
 
     result: str
     metric: str
--- a/scale_experiments/capacity/source_tables.py
+++ b/scale_experiments/capacity/source_tables.py
@@ -1,4 +1,4 @@
-"""The tables of the page's sources: parameters and kept results."""
+"""The tables of the page's sources: parameters and stored results."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def result_table(results: Mapping[str, Result]) -> list[str]:
-    """Return the table of the kept results that the page uses, with the revision that each measured."""
+    """Return the table of the stored results that the page uses, with the revision that each measured."""
     return markdown_table(RESULT_HEADER, [_result_row(file, r) for file, r in sorted(results.items())])
 
 
--- a/scale_experiments/capacity/kept_results.py
+++ b/scale_experiments/capacity/stored_results.py
@@ -1,4 +1,4 @@
-"""The kept results, which are files of the repository, and the fits of their metrics."""
+"""The stored results, which are files of the repository, and the fits of their metrics."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """A result that an entry requires is not kept, or has no sample of the metric; the message names it."""
 
 
-class KeptResults:
+class StoredResults:
     """The results in a folder; each is loaded once, and each term is fitted once.
 
     A result may have a baseline: a result from before a mechanism was built. With `baseline`, the baseline is
@@ -45,7 +45,10 @@
         return not self.baseline and self.path(name).stem.endswith(BASELINE_SUFFIX)
 
     def load(self, name: str) -> Result:
-        """Return a kept result; raises NotMeasuredError if there is none, InputError if it can't be used."""
+        """Return a stored result.
+
+        Raises: NotMeasuredError if there is none, InputError if it can't be used.
+        """
         path = self.path(name)
         if path.name not in self.loaded:
             self.loaded[path.name] = load_result(path)
--- a/scale_experiments/commands/report.py
+++ b/scale_experiments/commands/report.py
@@ -1,9 +1,9 @@
 """The command `report`: writes the tables of docs/CAPACITY.md, or checks them.
 
-The tables are computed from kept results and from capacity.toml. An entry of capacity.toml states the load of
-a role, its budget, and the code that carries the load. The load is a formula of fitted metrics and of given
-or assumed figures. The breaking point of an entry is the size at which the load first exceeds the budget, on
-the straight line from today's fleet to the target and beyond.
+The tables are computed from stored results and from capacity.toml. An entry of capacity.toml states the load
+of a role, its budget, and the code that carries the load. The load is a formula of fitted metrics and of
+given or assumed figures. The breaking point of an entry is the size at which the load first exceeds the
+budget, on the straight line from today's fleet to the target and beyond.
 """
 
 from __future__ import annotations
--- a/tests/scale_experiments/test_capacity.py
+++ b/tests/scale_experiments/test_capacity.py
@@ -13,13 +13,13 @@
 from scale_experiments.capacity.comparison_table import ComparedMeans
 from scale_experiments.capacity.formatting import format_progress
 from scale_experiments.capacity.growth_path import FleetPoint, FleetSize, GrowthPath
-from scale_experiments.capacity.kept_results import NotMeasuredError
 from scale_experiments.capacity.markers import replace_tables
 from scale_experiments.capacity.model import CapacityModel
 from scale_experiments.capacity.paths import CAPACITY_PAGE, CAPACITY_TABLE, RESULTS_FOLDER, ROOT, TARGET_FILE
 from scale_experiments.capacity.provenance import describe_basis
 from scale_experiments.capacity.reader import read_capacity
 from scale_experiments.capacity.schema import CapacityTable
+from scale_experiments.capacity.stored_results import NotMeasuredError
 from scale_experiments.commands import fit, report
 from scale_experiments.fitting.forms import FitError, Form
 from scale_experiments.fitting.observations import Observation, observations_of
@@ -211,7 +211,7 @@
     return tmp_path
 
 
-def test_the_page_matches_the_kept_results(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_page_matches_the_stored_results(capsys: pytest.CaptureFixture[str]) -> None:
     assert report.main(check=True) == 0, capsys.readouterr().err
 
 
--- a/tests/scale_experiments/test_kept_results.py
+++ b/tests/scale_experiments/test_stored_results.py
@@ -1,4 +1,4 @@
-"""Tests that each kept result can be loaded, and that it is written again with the same bytes."""
+"""Tests that each stored result can be loaded, and that it is written again with the same bytes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("path", RESULTS, ids=lambda path: path.stem)
-def test_a_kept_result_is_read_and_written_again_to_the_byte(path: Path, tmp_path: Path) -> None:
+def test_a_stored_result_is_read_and_written_again_to_the_byte(path: Path, tmp_path: Path) -> None:
     result = load_result(path)
     assert result.samples
     assert all(set(sample.metrics) <= set(result.metric_descriptions) for sample in result.samples)
