--- a/tests/cache_router/net/test_cache_connection.py
+++ b/tests/cache_router/net/test_cache_connection.py
@@ -31,14 +31,14 @@
     """Only an error that starts with BUSY is a rejection; after any other error the request may have run."""
     attempts = attempt_recorders.on_caches()
     attempts.start(peer.address)
-    link = await peer.link()
-    *parts, info = await link.resp()
+    link = await peer.accept_connection()
+    *parts, info = await link.read_resp()
     assert parts == [b"C.GET", b"k", b"r1"]
     assert info_without_deadline(info.decode()) == "c=read"
     link.write(response)
     assert await attempts.outcome() == (status, value)
     attempts.start(peer.address)  # reuses the connection
-    await link.resp()
+    await link.read_resp()
 
 
 @pytest.mark.parametrize(
--- a/tests/cache_router/net/test_client_connection_closing.py
+++ b/tests/cache_router/net/test_client_connection_closing.py
@@ -11,18 +11,20 @@
 from cache_router.net.client_connection import ClientConnection
 from cache_router.net.client_connection_table import ClientConnectionTable
 from tests.support.event_order import wait_until
-from tests.support.loopback import Link, error_text, read
+from tests.support.loopback import PeerConnection, encode_read, error_text
 from tests.support.loopback_router import Router, router_with
 
 
-async def accepted_connection(router: Router, table: ClientConnectionTable) -> tuple[Link, ClientConnection]:
+async def accepted_connection(
+    router: Router, table: ClientConnectionTable
+) -> tuple[PeerConnection, ClientConnection]:
     """Connect a client whose connection reports to `table`; return the client's and the router's side."""
     client_socket, accepted_socket = socket.socketpair()
     accepted_socket.setblocking(False)
     _transport, connection = await asyncio.get_running_loop().connect_accepted_socket(
         lambda: ClientConnection(router.dispatcher, table), accepted_socket
     )
-    return router.clients.add(Link(*await asyncio.open_connection(sock=client_socket))), connection
+    return router.clients.add(PeerConnection(*await asyncio.open_connection(sock=client_socket))), connection
 
 
 @pytest.mark.parametrize("cause", ["abort", "reset"])
@@ -31,8 +33,8 @@
     table = ClientConnectionTable()
     client, connection = await accepted_connection(router, table)
     other, remaining = await accepted_connection(router, table)
-    client.write(read("r1", info="c=unheard-of,d=900"))
-    error_text(await client.resp())
+    client.write(encode_read("r1", info="c=unheard-of,d=900"))
+    error_text(await client.read_resp())
     if cause == "abort":
         connection.abort()
         assert list(table) == [remaining]
@@ -57,7 +59,7 @@
     assert await client.closed_by_peer()
 
 
-async def client_after_ping(router: Router) -> Link:
+async def client_after_ping(router: Router) -> PeerConnection:
     """Return a client that has sent a command and received its reply."""
     client = await router.client()
     await client.ping()
@@ -78,8 +80,8 @@
 async def test_clients_are_accepted_after_a_throttled_connection_has_closed(router: Router) -> None:
     """The end of throttling must not add the closed connection to the table again."""
     client = await router.client()
-    client.write(read("r1", info="c=unheard-of,d=900"))
-    error_text(await client.resp())
+    client.write(encode_read("r1", info="c=unheard-of,d=900"))
+    error_text(await client.read_resp())
     client.reset()
     await wait_until(lambda: not router.client_connections())
     await asyncio.sleep(2 * client_connection.ERROR_THROTTLE_TIME)
--- a/tests/scale_experiments/emulators/test_discovery.py
+++ b/tests/scale_experiments/emulators/test_discovery.py
@@ -11,13 +11,13 @@
 from cache_router.decisions.events import EndpointUpdateKind
 from cache_router.net.discovery import Discovery
 from scale_experiments.emulators.discovery.emulator import DiscoveryEmulator
-from scale_experiments.emulators.discovery.endpoint_registry import Registry
+from scale_experiments.emulators.discovery.endpoint_registry import EndpointRegistry
 from scale_experiments.emulators.discovery.poll_connection import Poll, PollError, parse_poll
 from scale_experiments.emulators.discovery.statistics import DiscoveryStatistics
 from scale_experiments.emulators.messages.common import ProcessUsage
 from scale_experiments.emulators.messages.discovery import DiscoveryStats, SetDiscoveryMode, Timestamp
 from tests.support.endpoint_lists import ENDPOINT_ENTRY
-from tests.support.loopback import Link, format_address
+from tests.support.loopback import PeerConnection, format_address
 
 
 def endpoint_entry(name: str, status: str = "in_service") -> dict[str, Any]:
@@ -25,7 +25,7 @@
     return {**ENDPOINT_ENTRY, "name": name, "status": status}
 
 
-def poll(registry: Registry, after: int | None) -> tuple[int, bool, dict[str, str]]:
+def poll(registry: EndpointRegistry, after: int | None) -> tuple[int, bool, dict[str, str]]:
     """Poll for changes after an index; return the index, whether it is a snapshot, and statuses by name."""
     response = orjson.loads(registry.response_body(after))
     statuses = {e["name"]: e["status"] for e in response["endpoints"]}
@@ -34,7 +34,7 @@
 
 def test_registry_sends_changes_or_a_snapshot_if_the_index_is_too_old() -> None:
     """A poll whose index the change log covers gets the changes since it; any other gets a snapshot."""
-    registry = Registry(log_length=2)
+    registry = EndpointRegistry(log_length=2)
     registry.replace(5, [endpoint_entry("a"), endpoint_entry("b")])
     assert poll(registry, None) == (5, True, {"a": "in_service", "b": "in_service"})
     assert poll(registry, 5) == (5, False, {})
@@ -89,9 +89,9 @@
     """The emulator rejects malformed polls, so that a router that sends one does not go unnoticed."""
     emulator = DiscoveryEmulator()
     await emulator.listen()
-    client = Link(*await asyncio.open_connection(*emulator.address))
+    client = PeerConnection(*await asyncio.open_connection(*emulator.address))
     client.write(b"GET /registry/instances?after=x HTTP/1.1\r\n\r\n")
-    assert (await client.http())[0] == "HTTP/1.1 400 Bad Request"
+    assert (await client.read_http())[0] == "HTTP/1.1 400 Bad Request"
     await emulator.set_mode("refuse")
 
 
@@ -101,14 +101,14 @@
     await emulator.listen()
     emulator.replace_list(5, [endpoint_entry("a")])
     assert isinstance(await emulator.handle(SetDiscoveryMode("busy", 0.02)), Timestamp)
-    client = Link(*await asyncio.open_connection(*emulator.address))
+    client = PeerConnection(*await asyncio.open_connection(*emulator.address))
     started_at = asyncio.get_running_loop().time()
     client.write(b"GET /registry/instances HTTP/1.1\r\n\r\n")
-    assert (await client.http())[0] == "HTTP/1.1 503 Service Unavailable"
+    assert (await client.read_http())[0] == "HTTP/1.1 503 Service Unavailable"
     assert asyncio.get_running_loop().time() - started_at >= 0.02
     await emulator.set_mode("serve")
     client.write(b"GET /registry/instances HTTP/1.1\r\n\r\n")
-    assert (await client.http())[0] == "HTTP/1.1 200 OK"
+    assert (await client.read_http())[0] == "HTTP/1.1 200 OK"
     stats = emulator.stats()
     assert (stats.polls, stats.connections, stats.answered, stats.rejected) == (2, 1, 1, 1)
     await emulator.set_mode("refuse")
@@ -118,7 +118,7 @@
     emulator = DiscoveryEmulator()
     await emulator.listen()
     address = emulator.address
-    client = Link(*await asyncio.open_connection(*address))
+    client = PeerConnection(*await asyncio.open_connection(*address))
     client.write(b"GET /registry/instances?after=0&wait_ms=9000 HTTP/1.1\r\n\r\n")
     while not emulator.stats().waiting:
         await asyncio.sleep(0.001)
@@ -128,15 +128,15 @@
         await asyncio.open_connection(*address)
     await emulator.set_mode("serve")
     assert emulator.address == address
-    client = Link(*await asyncio.open_connection(*address))
+    client = PeerConnection(*await asyncio.open_connection(*address))
     client.write(b"GET /registry/instances?after=0 HTTP/1.1\r\nConnection: close\r\n\r\n")
-    assert (await client.http())[2] == b'{"index":0,"snapshot":false,"endpoints":[]}'
+    assert (await client.read_http())[2] == b'{"index":0,"snapshot":false,"endpoints":[]}'
     assert await client.closed_by_peer()
     await emulator.set_mode("refuse")
 
 
 def test_change_that_does_not_have_the_next_index_is_rejected() -> None:
-    registry = Registry()
+    registry = EndpointRegistry()
     registry.replace(5, [])
     with pytest.raises(ValueError, match="change 7 does not follow 5"):
         registry.change(7, [endpoint_entry("a")])
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,6 +1,7 @@
 """Scripted servers and clients on loopback.
 
-A test reads the bytes that the router sent over a `Link`, and writes the response or request itself.
+A test reads the bytes that the router sent over a `PeerConnection`, and writes the response or request
+itself.
 """
 
 from __future__ import annotations
@@ -28,25 +29,25 @@
     return f"{address[0]}:{address[1]}"
 
 
-def http(status: str, body: bytes = b"", *headers: str) -> bytes:
+def encode_http_response(status: str, body: bytes = b"", *headers: str) -> bytes:
     """Encode an HTTP response."""
     lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers, "", ""]
     return "\r\n".join(lines).encode() + body
 
 
-def command(*parts: str | bytes) -> bytes:
+def encode_command(*parts: str | bytes) -> bytes:
     """Encode a RESP command."""
     return bytes(hiredis.pack_command(parts))  # type: ignore[arg-type]
 
 
-def read(request: str, key: str = "k", info: str = "c=read,t=x,d=2000") -> bytes:
+def encode_read(request: str, key: str = "k", info: str = "c=read,t=x,d=2000") -> bytes:
     """Encode a client's read; `info` holds the class, the tenant and the deadline in milliseconds."""
-    return command("C.GET", key, request, info)
+    return encode_command("C.GET", key, request, info)
 
 
-def keyed_write(request: str, key: str = "k", value: bytes = b"slot") -> bytes:
+def encode_keyed_write(request: str, key: str = "k", value: bytes = b"slot") -> bytes:
     """Encode a client's write with an idempotency key."""
-    return command("C.SET", key, request, "c=book,t=x,d=2000,k=5c0f", value)
+    return encode_command("C.SET", key, request, "c=book,t=x,d=2000,k=5c0f", value)
 
 
 def error_text(message: object) -> str:
@@ -55,7 +56,7 @@
     return str(message)
 
 
-class Link:
+class PeerConnection:
     """The test's end of one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -68,7 +69,7 @@
         """Send bytes to the peer."""
         self.writer.write(data)
 
-    async def resp(self) -> Any:
+    async def read_resp(self) -> Any:
         """Read the next RESP message."""
         while (message := self.parser.gets()) is Ellipsis:
             data = await self.reader.read(65536)
@@ -76,7 +77,7 @@
             self.parser.feed(data)
         return message
 
-    async def http(self) -> tuple[str, dict[str, str], bytes]:
+    async def read_http(self) -> tuple[str, dict[str, str], bytes]:
         """Read the next HTTP message: its first line, its headers by lower-case name, and its body."""
         first, *rest = (await self.reader.readuntil(b"\r\n\r\n")).decode().strip().split("\r\n")
         headers = {k.lower(): v for k, v in (line.split(": ", 1) for line in rest)}
@@ -91,8 +92,8 @@
 
     async def ping(self) -> None:
         """Send a PING as a client, and wait for its reply."""
-        self.write(command("PING"))
-        assert await self.resp() == b"PONG"
+        self.write(encode_command("PING"))
+        assert await self.read_resp() == b"PONG"
 
     def close(self) -> None:
         """Close the connection once everything written has been sent."""
@@ -111,7 +112,7 @@
             await self.writer.wait_closed()
 
 
-async def abort_all(links: Iterable[Link]) -> None:
+async def abort_all(links: Iterable[PeerConnection]) -> None:
     """Abort connections, and wait until all of them are closed."""
     for link in links:
         await link.abort()
@@ -122,7 +123,7 @@
 
     def __init__(self) -> None:
         """Create a context without a connection."""
-        self._links: list[Link] = []
+        self._links: list[PeerConnection] = []
 
     async def __aenter__(self) -> Self:
         """Return the context itself; connections are opened in it."""
@@ -134,16 +135,16 @@
         """Abort all connections."""
         await abort_all(self._links)
 
-    def add(self, link: Link) -> Link:
+    def add(self, link: PeerConnection) -> PeerConnection:
         """Register a connection to be closed at the end of the context, and return it."""
         self._links.append(link)
         return link
 
-    async def connect(self, address: tuple[str, int]) -> Link:
+    async def connect(self, address: tuple[str, int]) -> PeerConnection:
         """Open a connection on which nothing is sent yet."""
-        return self.add(Link(*await asyncio.open_connection(*address)))
+        return self.add(PeerConnection(*await asyncio.open_connection(*address)))
 
-    async def connect_and_ping(self, address: tuple[str, int]) -> Link:
+    async def connect_and_ping(self, address: tuple[str, int]) -> PeerConnection:
         """Open a connection, and wait for the reply to a PING."""
         link = await self.connect(address)
         await link.ping()
@@ -155,9 +156,9 @@
 
     def __init__(self) -> None:
         """Create a server that listens once its context is entered."""
-        self.links: asyncio.Queue[Link] = asyncio.Queue()
-        self.served: list[Link] = []  # connections on which `serve` reads
-        self._accepted: list[Link] = []  # all connections, including those taken from `links`
+        self.links: asyncio.Queue[PeerConnection] = asyncio.Queue()
+        self.served: list[PeerConnection] = []  # connections on which `serve` reads
+        self._accepted: list[PeerConnection] = []  # all connections, including those taken from `links`
 
     async def __aenter__(self) -> Self:
         """Listen on a free port of loopback."""
@@ -185,11 +186,11 @@
             await asyncio.sleep(0)
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        link = Link(reader, writer)
+        link = PeerConnection(reader, writer)
         self._accepted.append(link)
         self.links.put_nowait(link)
 
-    async def link(self) -> Link:
+    async def accept_connection(self) -> PeerConnection:
         """Return the next connection to this server."""
         return await self.links.get()
 
@@ -199,7 +200,7 @@
         All connections stay open.
         """
         while True:
-            reads = {asyncio.ensure_future(link.resp()): link for link in self.served}
+            reads = {asyncio.ensure_future(link.read_resp()): link for link in self.served}
             accept = asyncio.ensure_future(self.links.get())
             done, pending = await asyncio.wait([*reads, accept], return_when=asyncio.FIRST_COMPLETED)
             for task in pending:
