--- a/cache_router/decisions/hedging.py
+++ b/cache_router/decisions/hedging.py
@@ -73,4 +73,4 @@
         return server.concurrency.unanswered_since > attempt.sent_at and now >= server.failures.ejected_until
 
     def _has_capacity(self, server: Server, now: float) -> bool:
-        return server.concurrency.has_capacity() and not self.slow_start.is_quota_used_up(server, now)
+        return server.concurrency.has_capacity() and not self.slow_start.is_quota_exhausted(server, now)
--- a/cache_router/decisions/server_selection.py
+++ b/cache_router/decisions/server_selection.py
@@ -96,7 +96,7 @@
         if concurrency.in_flight and concurrency.is_silent(now, self.silence_timeout):
             return False
         is_repeated = any(attempt.server is server for attempt in pending.attempts)
-        if is_repeated or self.slow_start.is_quota_used_up(server, now):
+        if is_repeated or self.slow_start.is_quota_exhausted(server, now):
             return False
         return self.retry_policy.permits_attempt(pending, server, now)
 
--- a/cache_router/decisions/slow_start.py
+++ b/cache_router/decisions/slow_start.py
@@ -48,7 +48,7 @@
             return 1.0
         return success_rate * capacity_share(self._settings, endpoint, now)
 
-    def is_quota_used_up(self, server: Server, now: float) -> bool:
+    def is_quota_exhausted(self, server: Server, now: float) -> bool:
         """Return whether one more attempt would exceed a warming server's quota.
 
         The quota is derived from the throughput of warm servers. When no cache is warm, no quota applies.
