--- a/cache_router/decisions/hedging.py
+++ b/cache_router/decisions/hedging.py
@@ -15,7 +15,7 @@
 from cache_router.decisions.slow_start import SlowStart
 from cache_router.settings import Idempotency, Settings
 
-HEDGE_DELAY_FACTOR = 6.0  # multiple of the usual latency after which an answer is more likely lost than late
+HEDGE_DELAY_FACTOR = 6.0  # multiple of the usual latency after which a response is more likely lost than late
 
 
 @dataclass(slots=True)
@@ -49,7 +49,7 @@
         if is_progressing or not last.is_open or not self.retry_budget.has_token():
             return None
         server: Server | None = last.server
-        if not self._answers_others(last, now) or not self._has_capacity(last.server, now):
+        if not self._has_responded_since(last, now) or not self._has_capacity(last.server, now):
             server = self.selector.choose(pending, now)
         if server is None or not self.retry_policy.permits_attempt(pending, server, now):
             return None
@@ -62,7 +62,7 @@
             return False
         return pending.request_class.idempotency is Idempotency.IDEMPOTENT
 
-    def _answers_others(self, attempt: Attempt, now: float) -> bool:
+    def _has_responded_since(self, attempt: Attempt, now: float) -> bool:
         """Return whether the server is ready, is not ejected, and has responded since this attempt was sent.
 
         A server that has not responded since then may be down.
