--- a/cache_router/decisions/endpoint_polling.py
+++ b/cache_router/decisions/endpoint_polling.py
@@ -60,7 +60,7 @@
         self._exponential_backoff = min(self._settings.slow_start_duration, seconds)
 
     def _time_until_due(self, now: float) -> float:
-        """Return the seconds until the next poll must start to meet the notification deadline.
+        """Return the seconds left to start the next poll without exceeding the notification deadline.
 
         The duration of the failed poll counts towards the deadline, as discovery may have become reachable
         just after the poll started. Where updates are pushed, only the backoff itself is bounded.
--- a/cache_router/decisions/fleet_health.py
+++ b/cache_router/decisions/fleet_health.py
@@ -3,7 +3,7 @@
 import math
 from dataclasses import dataclass
 
-# Weight of the latest sample in all exponentially weighted means; about the last five samples have an effect.
+# Weight of the latest sample in each exponentially weighted mean; about the last five samples have an effect.
 SMOOTHING = 0.2
 
 
--- a/cache_router/decisions/overload_backoff.py
+++ b/cache_router/decisions/overload_backoff.py
@@ -57,7 +57,7 @@
         """Add a sample to the smoothed baseline service time.
 
         A sample is capped at a multiple of the baseline, so that a single wrong report has little effect. The
-        first sample is capped at the shortest latency objective, as a slower server could never meet it.
+        first sample is capped at the shortest latency objective, as a slower server would always exceed it.
         """
         baseline = self.baseline_service_time
         max_sample = MAX_SAMPLE_FACTOR * baseline if baseline else self.shortest_latency_objective
--- a/cache_router/decisions/server_selection.py
+++ b/cache_router/decisions/server_selection.py
@@ -68,8 +68,8 @@
             if server in visited:
                 continue
             usable_share = self.slow_start.usable_share(server.endpoint, success_rate, now)
-            # All routers skip the same points of a warming server. A warming server takes no overflow of the
-            # servers visited before it.
+            # All routers skip the same points of a warming server. The overflow of servers visited earlier is
+            # never sent to a warming server.
             if rank > usable_share or (usable_share < 1 and visited):
                 continue
             visited.add(server)
--- a/cache_router/net/eviction.py
+++ b/cache_router/net/eviction.py
@@ -38,7 +38,7 @@
         self._longest_client_timeout = longest_client_timeout
 
     async def evict_excess(self) -> None:
-        """Evict connections until the budget is met; wait while none may be evicted.
+        """Evict connections until at most `max_connections` are open; wait while none may be evicted.
 
         Without eviction the process would run out of descriptors for cache servers and discovery. While this
         method waits, no client is accepted, and further clients wait in the backlog.
--- a/cache_router/process_signals.py
+++ b/cache_router/process_signals.py
@@ -13,7 +13,7 @@
 
 
 def block_signals() -> None:
-    """Block the operators' signals in this thread and in all threads that it starts from now on."""
+    """Block the operators' signals in this thread and in every thread that it starts from now on."""
     signal.pthread_sigmask(signal.SIG_BLOCK, OPERATOR_SIGNALS)
 
 
--- a/cache_router/shutdown_schedule.py
+++ b/cache_router/shutdown_schedule.py
@@ -8,7 +8,7 @@
 from cache_router.settings import Settings
 
 # Seconds after SIGTERM during which connections are still accepted. The platform sends new ones for another
-# 0.2 to 0.4 s; the rest is a margin.
+# 0.2 to 0.4 s; the remaining time is a margin.
 ACCEPT_AFTER_SIGTERM = 0.5
 # The platform sends SIGKILL no earlier than SIGKILL_MARGIN seconds after the longest client timeout of the
 # settings, counted from SIGTERM. A timeout of more than MAX_DRAIN_DEADLINE seconds counts as
