--- a/tests/cache_router/decisions/test_long_outage.py
+++ b/tests/cache_router/decisions/test_long_outage.py
@@ -8,11 +8,11 @@
 from tests.support.driver import DriverFactory
 from tests.support.router_scenarios import FAILED_POLL
 
-FAILED_POLLS = 1100  # about three minutes of outage where updates are pushed and calls fail immediately
+FAILED_POLLS = 1100  # about three minutes of outage where updates are pushed and polls fail immediately
 
 
 @pytest.mark.parametrize("must_subscribe", [False, True])
-def test_each_failed_call_of_a_long_outage_sets_a_timer_for_the_next(
+def test_each_failed_poll_of_a_long_outage_sets_a_timer_for_the_next(
     make_driver: DriverFactory, must_subscribe: bool
 ) -> None:
     """Without a timer for the next poll, the router would keep an outdated list after discovery recovers."""
--- a/tests/cache_router/decisions/test_retry_policy.py
+++ b/tests/cache_router/decisions/test_retry_policy.py
@@ -121,7 +121,7 @@
     assert driver.outcome("r") is Outcome.REJECTED
 
 
-def test_error_answer_is_not_retried_at_another_cache(make_driver: DriverFactory) -> None:
+def test_error_response_is_not_retried_at_another_cache(make_driver: DriverFactory) -> None:
     """While the origin fails, another cache would fetch the key from it again, and fail as well."""
     driver = make_driver(*fleet("a", "b"))
     driver.request("r")
--- a/tests/cache_router/decisions/test_router_sequences.py
+++ b/tests/cache_router/decisions/test_router_sequences.py
@@ -40,7 +40,7 @@
 SEEDS = range(40)
 EVENT_COUNT = 600
 SERVERS = "abcdefo"
-LONG_OUTAGE_CALLS = 1100  # consecutive failed calls
+LONG_OUTAGE_POLLS = 1100  # consecutive failed polls
 SHUTDOWN_TIME = 1.0  # seconds
 SETTLE_TIME = 60.0  # seconds after which nothing is in flight and no timer of a request is set
 LISTED_WEIGHTS = [0.0, -1.0, 0.2, 1.0, 1.0, 3.0, 1e308, 5e-324]
@@ -101,7 +101,7 @@
             *[self.draw_completion] * 6,
             *[self.draw_time] * 3,
             *[self.draw_update] * 2,
-            *[self.fail_call] * 2,
+            *[self.fail_poll] * 2,
             self.draw_disconnect,
             self.start_response,
             self.change_address,
@@ -160,11 +160,11 @@
             started_at=self.random.choice([0.0, self.now, self.now - 1.0]),
         )
 
-    def fail_call(self) -> None:
+    def fail_poll(self) -> None:
         """Fail the poll in flight, and rarely also the many polls of a long outage."""
         if not self.is_polling:
             return
-        calls = LONG_OUTAGE_CALLS if self.random.random() < 0.01 else 1
+        calls = LONG_OUTAGE_POLLS if self.random.random() < 0.01 else 1
         self.fires_polls_early = calls > 1
         for _ in range(calls):
             self.is_polling = False
--- a/tests/cache_router/test_watch_budget.py
+++ b/tests/cache_router/test_watch_budget.py
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("mode", SETTINGS)
-def test_lost_first_call_to_a_new_address_is_retried_in_time(mode: str) -> None:
+def test_lost_first_poll_at_a_new_address_is_retried_in_time(mode: str) -> None:
     """Updates from the new address must be known within 4 s after SIGHUP."""
     driver = Driver(SETTINGS[mode])
     driver.update_endpoints(entry("a"))
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("timeout_share", [0.0, 1.0])
-def test_calls_of_two_hundred_routers_are_spread_by_jitter(timeout_share: float) -> None:
+def test_polls_of_two_hundred_routers_are_spread_by_jitter(timeout_share: float) -> None:
     """All routers lose discovery at the same time; each of the next polls is spread over the backoff."""
     conf = SETTINGS["polled"]
     drivers = [Driver(conf, seed) for seed in range(200)]
@@ -116,7 +116,7 @@
         assert max_polls_per_100ms <= 60
 
 
-async def test_call_times_out_by_its_budget() -> None:
+async def test_poll_times_out_by_its_budget() -> None:
     """A long poll times out after its wait and the response timeout.
 
     A poll for the complete list, which has no wait, times out after the response timeout alone.
