--- a/scale_experiments/runs/input_files.py
+++ b/scale_experiments/runs/input_files.py
@@ -32,7 +32,7 @@
     `table_path` is the path of the validated table in the file. `schema` is that of the table; its keys are
     listed if the error is an unknown key.
     """
-    # an unknown key is reported before a missing one, as it is often a misspelling of the latter
+    # an unknown key is reported before a missing one, because it is often a misspelling of the missing key
     first = min(error.errors(include_url=False), key=lambda e: e["type"] != "extra_forbidden")
     path = first["loc"]
     field = field_path((*table_path, *path)) or "file"
--- a/scale_experiments/simulation/network_rules.py
+++ b/scale_experiments/simulation/network_rules.py
@@ -35,5 +35,5 @@
 IDLE_MARGIN = 0.5  # seconds
 REUSE_DELAY = 0.01  # seconds
 DEADLINE_MARGIN = 0.02  # seconds
-# A router with a limit of 1,024 descriptors reserves 32 and uses 3/8 of the rest for cache servers.
+# A router with a limit of 1,024 descriptors reserves 32 and uses 3/8 of the others for cache servers.
 ROUTER_DESCRIPTORS = (1024 - 32) * 3 // 8
--- a/scale_experiments/simulation/statistics.py
+++ b/scale_experiments/simulation/statistics.py
@@ -136,11 +136,11 @@
         return self._all.served_by_second(self._settled_seconds())
 
     def served_share(self) -> float:
-        """Return the served share of the client requests made in all settled seconds."""
+        """Return the served share of client requests made during the settled seconds."""
         return self._all.served_share(self._settled_seconds())
 
     def watched_served_share(self) -> float:
-        """Return the served share of the client requests in watched regions, in all settled seconds."""
+        """Return the served share of client requests made in watched regions during the settled seconds."""
         return self.watched.served_share(self._settled_seconds())
 
     def _settled_seconds(self) -> int:
--- a/tests/cache_router/net/test_eviction.py
+++ b/tests/cache_router/net/test_eviction.py
@@ -98,7 +98,7 @@
     error_text(await erroneous.resp())
     await client_after_pings(router, 1)
     with suppress(ConnectionResetError):
-        await erroneous.reader.read()  # until the router closes the connection
+        await erroneous.reader.read()  # returns when the router closes the connection
     await regular.ping()
 
 
--- a/tests/project/test_page_names.py
+++ b/tests/project/test_page_names.py
@@ -1,4 +1,4 @@
-"""Names on the runbook and the architecture page, each of which must refer to something that exists."""
+"""Names on the runbook and the architecture page: each must refer to something that exists."""
 
 from __future__ import annotations
 
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -1,4 +1,4 @@
-"""Simulation of routers on one clock and of caches with a fixed latency, one of which warms up."""
+"""Simulation of routers on one clock and of caches with a fixed latency. One cache warms up."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 CACHE_COUNT = 10  # number of caches without the warming one
 WARMING_STARTED_AT = 5.0  # seconds
 KEY_COUNT = 20_000  # number of keys without the hot one
-REQUEST_SHARES = (1, 1, 1, 4)  # relative request rates, of which each router draws one at random
+REQUEST_SHARES = (1, 1, 1, 4)  # relative request rates; each router draws one at random
 # Latencies in seconds
 LATENCY = 0.02
 RESET_LATENCY = 0.005
--- a/tests/support/router_process.py
+++ b/tests/support/router_process.py
@@ -87,7 +87,7 @@
     """Send a signal to a process that may have ended already, for example after an earlier signal.
 
     `Process.send_signal` polls the process first, and may thereby reap the exit status for which asyncio
-    waits in another thread. Asyncio then reports the status as 255, whatever it is.
+    waits in another thread. Asyncio then reports 255 instead of the actual status.
     """
     with suppress(ProcessLookupError):
         os.kill(process.pid, number)
--- a/tests/support/router_scenarios.py
+++ b/tests/support/router_scenarios.py
@@ -38,7 +38,7 @@
 
 
 def request_and_miss(driver: Driver, *names: str, key: str = "k") -> None:
-    """Send requests for one key, each of which is a miss at its cache."""
+    """Send requests for one key; each request is a miss at its cache."""
     for name in names:
         driver.request(name, key=key)
         driver.complete_attempt(name, AttemptStatus.MISS)
